--- a/lilacloft/carried.py
+++ b/lilacloft/carried.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from lilacloft.decide import TABLE, Limit, Router
-from lilacloft.state import Be, Obj, Req
+from lilacloft.state import Backend, ObjectPart, Request
 
 # What the next process goes on with, by record (give, take): what a rule counts, what takes long to learn.
 # The rest is told anew, found by counting the open reqs (load, reqs, trial), or starts as at a start.
@@ -47,104 +47,129 @@
 }
 
 
+# Attributes whose key in the handed-over state has another name.
+ATTRIBUTES = {
+    "strikes": "consecutive_failures",
+    "suspect": "ejected",
+    "first_ran": "first_executed_at",
+    "rejoin": "may_collapse",
+}
+
+
 def _kept(kind: str, of: Any) -> dict[str, Any]:
-    return {name: getattr(of, name) for name in KEPT[kind]}
+    return {name: getattr(of, ATTRIBUTES.get(name, name)) for name in KEPT[kind]}
 
 
 def _set(kind: str, of: Any, kept: Mapping[str, Any]) -> None:
     for name in KEPT[kind]:
         if name in kept:
-            setattr(of, name, kept[name])
+            setattr(of, ATTRIBUTES.get(name, name), kept[name])
 
 
-def give(router: Router, reqs: list[Req] | tuple[()], places: Iterable[tuple[str, int]]) -> dict[str, Any]:
+def give(
+    router: Router, requests: list[Request] | tuple[()], places: Iterable[tuple[str, int]]
+) -> dict[str, Any]:
     """What the next process goes on with, as plain values: open reqs, and the table at some places."""
-    index = {req: place for place, req in enumerate(reqs)}
-    bes = {be.name: be for req in reqs for be in (req.be, req.source, req.ran_at, *req.avoid) if be}
-    bes.update((be.name, be) for be in router.known)
-    objs = [(place, router.objs[place]) for place in places if place in router.objs]
+    index = {request: place for place, request in enumerate(requests)}
+    backends = {
+        backend.name: backend
+        for request in requests
+        for backend in (request.backend, request.source, request.first_executed_by, *request.avoid)
+        if backend
+    }
+    backends.update((backend.name, backend) for backend in router.known)
+    object_parts = [(place, router.object_parts[place]) for place in places if place in router.object_parts]
     return {
         "router": _kept("router", router),
         "vhosts": [_kept("vhost", vhost) for vhost in router.vhosts],
         "link": _kept("limit", router.link),
         "bes": {
             name: {
-                **_kept("be", be),
-                "started": be.started,
-                "way": be.way and _kept("limit", be.way),
-                "reqs": [index[req] for req in be.reqs if req in index],
-                "trial": index.get(be.trial),
+                **_kept("be", backend),
+                "started": backend.started,
+                "way": backend.way and _kept("limit", backend.way),
+                "reqs": [index[request] for request in backend.requests if request in index],
+                "trial": index.get(backend.trial),
             }
-            for name, be in bes.items()
+            for name, backend in backends.items()
         },
         "objs": [
-            {"place": place, **_kept("obj", obj), "home": obj.home and obj.home.name} for place, obj in objs
+            {"place": place, **_kept("obj", object_part), "home": object_part.home and object_part.home.name}
+            for place, object_part in object_parts
         ],
         "purges": list(router.purges.items()),
         "reqs": [
             {
-                **_kept("req", req),
-                "be": req.be and req.be.name,
-                "source": req.source and req.source.name,
-                "ran_at": req.ran_at and req.ran_at.name,
-                "avoid": [be.name for be in req.avoid],
-                "cached": req.obj is not None,
-                "way": "" if req.way is router.link else req.way and req.source.name,
+                **_kept("req", request),
+                "be": request.backend and request.backend.name,
+                "source": request.source and request.source.name,
+                "ran_at": request.first_executed_by and request.first_executed_by.name,
+                "avoid": [backend.name for backend in request.avoid],
+                "cached": request.object_part is not None,
+                "way": "" if request.way is router.link else request.way and request.source.name,
             }
-            for req in reqs
+            for request in requests
+        ],
+        "due": [
+            (when, index[request], seq) for when, _, request, seq in sorted(router.due) if request in index
         ],
-        "due": [(when, index[req], seq) for when, _, req, seq in sorted(router.due) if req in index],
     }
 
 
-def take(router: Router, given: Mapping[str, Any], bes: Mapping[str, Be]) -> list[Req]:
+def take(router: Router, given: Mapping[str, Any], backends: Mapping[str, Backend]) -> list[Request]:
     """Go on with what another gave, its list told; returns its reqs. What is of earlier lives is void."""
     _set("router", router, given["router"])
     for vhost, kept in zip(router.vhosts, given["vhosts"], strict=False):
         _set("vhost", vhost, kept)
     _set("limit", router.link, given["link"])
     for name, kept in given["bes"].items():
-        be = bes.get(name)
-        if be and be.started == kept["started"]:
-            _set("be", be, kept)
-            be.budget = [(at, work) for at, work in be.budget]
+        backend = backends.get(name)
+        if backend and backend.started == kept["started"]:
+            _set("be", backend, kept)
+            backend.budget = [(at, work) for at, work in backend.budget]
             if kept["way"]:
-                be.way = be.way or Limit(1.0, 1 / router.gateways)
-                _set("limit", be.way, kept["way"])
-    recall(router, given["objs"], bes)
+                backend.way = backend.way or Limit(1.0, 1 / router.gateways)
+                _set("limit", backend.way, kept["way"])
+    recall(router, given["objs"], backends)
     router.purges.update((what, max(at, router.purges.get(what, 0))) for what, at in given["purges"])
-    reqs = [_resume(router, kept, bes) for kept in given["reqs"]]
+    requests = [_resume(router, kept, backends) for kept in given["reqs"]]
     for name, kept in given["bes"].items():
-        if name in bes:
-            bes[name].reqs = {reqs[place]: None for place in kept["reqs"]}
-            bes[name].load = sum(req.units for req in bes[name].reqs)
-            bes[name].trial = None if kept["trial"] is None else reqs[kept["trial"]]
+        if name in backends:
+            backends[name].requests = {requests[place]: None for place in kept["reqs"]}
+            backends[name].load = sum(request.units for request in backends[name].requests)
+            backends[name].trial = None if kept["trial"] is None else requests[kept["trial"]]
     for when, place, seq in given["due"]:
-        router._push(when, reqs[place], seq)
-    return reqs
+        router._push(when, requests[place], seq)
+    return requests
 
 
-def recall(router: Router, objs: Iterable[Mapping[str, Any]], bes: Mapping[str, Be]) -> None:
+def recall(
+    router: Router, object_parts: Iterable[Mapping[str, Any]], backends: Mapping[str, Backend]
+) -> None:
     """Entries of the table that another process gave, least lately asked first."""
-    for kept in objs:
+    for kept in object_parts:
         place = tuple(kept["place"])
-        obj = router.objs[place] = router.objs.pop(place, None) or Obj()
-        _set("obj", obj, kept)
-        obj.home = bes.get(kept["home"])
-        if len(router.objs) > TABLE:
-            del router.objs[next(iter(router.objs))]
+        object_part = router.object_parts[place] = router.object_parts.pop(place, None) or ObjectPart()
+        _set("obj", object_part, kept)
+        object_part.home = backends.get(kept["home"])
+        if len(router.object_parts) > TABLE:
+            del router.object_parts[next(iter(router.object_parts))]
 
 
-def _resume(router: Router, kept: Mapping[str, Any], bes: Mapping[str, Be]) -> Req:
+def _resume(router: Router, kept: Mapping[str, Any], backends: Mapping[str, Backend]) -> Request:
     """One open req of another process, with its dispatch if one is out: the counts it stands in."""
-    req = Req(**{name: kept[name] for name in KEPT["req"]})
-    req.be, req.source, req.ran_at = bes.get(kept["be"]), bes.get(kept["source"]), bes.get(kept["ran_at"])
-    req.avoid = [bes[name] for name in kept["avoid"] if name in bes]
+    request = Request(**{ATTRIBUTES.get(name, name): kept[name] for name in KEPT["req"]})
+    request.backend, request.source, request.first_executed_by = (
+        backends.get(kept["be"]),
+        backends.get(kept["source"]),
+        backends.get(kept["ran_at"]),
+    )
+    request.avoid = [backends[name] for name in kept["avoid"] if name in backends]
     if kept["cached"]:
-        req.obj = router.objs.setdefault((req.key, req.part), Obj())
-    req.way = router.link if kept["way"] == "" else req.source.way if kept["way"] else None
-    if req.out:
-        for way in (req.be.way, req.way):
+        request.object_part = router.object_parts.setdefault((request.key, request.part), ObjectPart())
+    request.way = router.link if kept["way"] == "" else request.source.way if kept["way"] else None
+    if request.out:
+        for way in (request.backend.way, request.way):
             if way:
                 way.count += 1
-    return req
+    return request
--- a/lilacloft/cli/records.py
+++ b/lilacloft/cli/records.py
@@ -147,7 +147,9 @@
     return 1 if damage or not runs else 0
 
 
-def chosen(paths: tuple[str, ...], kind: str, gateway: str, be: str) -> list[tuple[str, str, dict[str, Any]]]:
+def chosen(
+    paths: tuple[str, ...], kind: str, gateway: str, backend: str
+) -> list[tuple[str, str, dict[str, Any]]]:
     """Records as plain maps, in the order of their times, by filters."""
     import msgspec
 
@@ -163,9 +165,9 @@
                 if kind and plain["kind"] != kind:
                     continue
                 if (
-                    be
-                    and be not in (plain.get("be"), *(plain.get("bes") or ()))
-                    and not any(isinstance(row, list) and row[0] == be for row in plain.get("bes") or ())
+                    backend
+                    and backend not in (plain.get("be"), *(plain.get("bes") or ()))
+                    and not any(isinstance(row, list) and row[0] == backend for row in plain.get("bes") or ())
                 ):
                     continue
                 out.append((name, run.head.run, plain))
@@ -175,7 +177,7 @@
 filters = [
     click.option("--kind", default="", help="belief, purge, listed, second, ..."),
     click.option("--gateway", default="", help="of one gateway"),
-    click.option("--be", default="", help="that tell of one be"),
+    click.option("--be", "backend", default="", help="that tell of one be"),
 ]
 
 
@@ -188,9 +190,9 @@
 @records.command()
 @paths
 @filtered
-def cat(paths: tuple[str, ...], kind: str, gateway: str, be: str) -> int:
+def cat(paths: tuple[str, ...], kind: str, gateway: str, backend: str) -> int:
     """Show records, one JSON object a line, in the order of the gateways' own clocks."""
-    for name, run, plain in chosen(paths, kind, gateway, be):
+    for name, run, plain in chosen(paths, kind, gateway, backend):
         click.echo(json.dumps({"gateway": name, "run": run, **plain}))
     return 0
 
@@ -199,11 +201,11 @@
 @paths
 @filtered
 @click.option("--out", required=True, metavar="FILE", help="by its ending: .csv or .sqlite")
-def export(paths: tuple[str, ...], kind: str, gateway: str, be: str, out: str) -> int:
+def export(paths: tuple[str, ...], kind: str, gateway: str, backend: str, out: str) -> int:
     """Export: a CSV of the summaries by vhost and be, or a SQLite file of everything."""
     from lilacloft.report.export import to_csv, to_sqlite
 
-    rows = chosen(paths, kind, gateway, be)
+    rows = chosen(paths, kind, gateway, backend)
     if not out.endswith((".csv", ".sqlite")):
         raise click.UsageError(f"--out {out}: a name that ends in .csv or .sqlite expected")
     try:
--- a/lilacloft/decide.py
+++ b/lilacloft/decide.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from lilacloft.host import Host
-from lilacloft.state import Be, Obj, Refusal, Req
+from lilacloft.state import Backend, ObjectPart, RejectReason, Request
 
 # Tuned values; all are dimensionless but SWEEP, which is only how often old notes are dropped.
 FLOOR = 6  # ordinary objects that one gateway may always have in flight at their home; the bound bites above
@@ -99,9 +99,9 @@
             self.limit, self.calm = max(self.least, CUT * min(self.limit, self.count + 1)), now + span
 
 
-def turn(req: Req, be: Be) -> float:
+def turn(request: Request, backend: Backend) -> float:
     """An object's place, 0.5 to 1.5, in the order in which objects leave a crowded cache."""
-    return 0.5 + zlib.crc32(f"{req.key} {req.part} {be.name}".encode()) / 2**32
+    return 0.5 + zlib.crc32(f"{request.key} {request.part} {backend.name}".encode()) / 2**32
 
 
 def last_send(gone: int) -> int:
@@ -110,9 +110,9 @@
     return gone + GONE_GRACE
 
 
-def sized(req: Req) -> bool:
+def sized(request: Request) -> bool:
     """Is its sending time known? Else a long answer may be but a large one."""
-    return bool(req.kbytes or req.obj is None or req.obj.work)
+    return bool(request.kbytes or request.object_part is None or request.object_part.work)
 
 
 class Router:
@@ -135,13 +135,15 @@
         self.tick, self.fall = settings["granularity"], rules["fall"]
         self.max_dispatches, self.can_cancel = self.limits["max_dispatches"], self.limits["cancel"]
         self.place = settings["slot_no"] * 0.5**0.5 % 1  # spreads any row of numbers over the turns
-        self.known: list[Be] = []  # what this gateway may send to, or still has something out at
-        self.caches = self.parents = self.origins = list[Be]()
+        self.known: list[Backend] = []  # what this gateway may send to, or still has something out at
+        self.caches = self.parents = self.origins = list[Backend]()
         feed = self.feed[self.zone] / self.pace or FLOOR  # the location's link in, for likely fills
         self.link = Limit(max(1.0, GENEROUS * feed / self.zone_gateways), 1 / self.gateways)
-        self.objs: dict[tuple[str, int], Obj] = {}
+        self.object_parts: dict[tuple[str, int], ObjectPart] = {}
         self.purges: dict[str | int, int] = {}  # objects by key, groups by number: when purged
-        self.due: list[tuple[int, int, Req, int]] = []  # (when, number, req, the dispatch it is about or -1)
+        self.due: list[
+            tuple[int, int, Request, int]
+        ] = []  # (when, number, req, the dispatch it is about or -1)
         self.pushed, self.armed, self.caught_up = 0, math.inf, 0  # so far; next wake; runs late itself until
         self.asks = self.limits["probes"] and {"inflight", "util"} <= set(settings["stats"]["names"])
         self.names, self.arrivals = settings["stats"]["names"], 0
@@ -151,86 +153,106 @@
         self.left_out, self.shares, self.yielded = {}, {}, False  # by a plan; another process is the gateway
         self.away: Mapping[int, Any] = {}  # locations that a plan leaves, or has not all back yet
         self.across = settings.get("across", False)  # others' caches may be asked, where a plan says so
-        self.far: dict[int, list[Be]] = {}  # those, by location
+        self.far: dict[int, list[Backend]] = {}  # those, by location
         for token in ["subscribe"] * self.subscribes + ["sweep"]:
             self.woke(token)
 
     # --- the list ---
 
-    def listed(self, mode: str, entries: Iterable[tuple[Be, int, int, int, int, float, int]]) -> None:
+    def listed(self, mode: str, entries: Iterable[tuple[Backend, int, int, int, int, float, int]]) -> None:
         """Discovery tells of caches, parents and the origin."""
         if mode == "failed":
             return self.host.wake(self.host.now() + SWEEP, "subscribe") if self.subscribes else None
-        anew: dict[Be, None] = {}
-        for be in self.known:
-            be.status = be.status if mode == "delta" else 0
-        for be, be.zone, be.kind, be.cell, be.status, size, started in entries:
-            be.size = size if size > 0 else 1.0
-            if started > be.started:
-                anew[be] = None
-                be.started, be.suspect, be.strikes, be.backoff, be.crowd = started, False, 0, 0, 0.0
-            if self.across or be.zone == self.zone or be.kind in (self.parent_kind, self.origin_kind):
-                self.known.append(be)
+        anew: dict[Backend, None] = {}
+        for backend in self.known:
+            backend.status = backend.status if mode == "delta" else 0
+        for backend, backend.zone, backend.kind, backend.cell, backend.status, size, started in entries:
+            backend.size = size if size > 0 else 1.0
+            if started > backend.started:
+                anew[backend] = None
+                (
+                    backend.started,
+                    backend.ejected,
+                    backend.consecutive_failures,
+                    backend.backoff,
+                    backend.crowd,
+                ) = started, False, 0, 0, 0.0
+            if (
+                self.across
+                or backend.zone == self.zone
+                or backend.kind in (self.parent_kind, self.origin_kind)
+            ):
+                self.known.append(backend)
         self.known = sorted(
-            {be.name: be for be in self.known if be.status or be.reqs}.values(), key=lambda be: be.name
+            {backend.name: backend for backend in self.known if backend.status or backend.requests}.values(),
+            key=lambda backend: backend.name,
         )
-        ready = [be for be in self.known if be.status == 1]
-        self.parents = [be for be in ready if be.kind == self.parent_kind]
-        self.origins = [be for be in ready if be.kind == self.origin_kind]
-        caches = [be for be in ready if be not in self.parents and be not in self.origins]
-        self.caches = [be for be in caches if be.zone == self.zone]
+        ready = [backend for backend in self.known if backend.status == 1]
+        self.parents = [backend for backend in ready if backend.kind == self.parent_kind]
+        self.origins = [backend for backend in ready if backend.kind == self.origin_kind]
+        caches = [backend for backend in ready if backend not in self.parents and backend not in self.origins]
+        self.caches = [backend for backend in caches if backend.zone == self.zone]
         self.far.clear()
-        for be in caches:
-            self.far.setdefault(be.zone, []).append(be)
-        for be in ready:
-            if be.way is None:
-                least = 1 / (self.zone_gateways if be in self.caches else self.gateways)
-                be.way = Limit(max(1.0, GENEROUS * self._part(be)), least)
+        for backend in caches:
+            self.far.setdefault(backend.zone, []).append(backend)
+        for backend in ready:
+            if backend.way is None:
+                least = 1 / (self.zone_gateways if backend in self.caches else self.gateways)
+                backend.way = Limit(max(1.0, GENEROUS * self._part(backend)), least)
         # what the gate let go and has not gone out would come to a be that drains, or is cold now
-        self._withdraw(req for be in self.known if be.status != 1 or be in anew for req in be.reqs)
+        self._withdraw(
+            request
+            for backend in self.known
+            if backend.status != 1 or backend in anew
+            for request in backend.requests
+        )
 
     # --- reqs ---
 
-    def arrived(self, req: Req) -> None:
+    def arrived(self, request: Request) -> None:
         """A client asks."""
-        vhost = self.vhosts[req.vhost]
+        vhost = self.vhosts[request.vhost]
         worth = max(vhost.value / (self.value or vhost.value or 1.0), 1 / FAVOUR)
-        if self.host.now() - req.arrived > LAG * vhost.target * worth:
+        if self.host.now() - request.arrived > LAG * vhost.target * worth:
             # at once, and that of less value first: all it has is late else
-            return self.give_up(req, Refusal.LAY_UNREAD)
+            return self.give_up(request, RejectReason.LAY_UNREAD)
         if not vhost.asked:
-            vhost.asked, vhost.work = True, req.kbytes / self.pace or vhost.work
+            vhost.asked, vhost.work = True, request.kbytes / self.pace or vhost.work
             vhost.large = vhost.work
-        req.units = req.kbytes or 1.0
-        self.unit += LEARN * (req.units - self.unit) if self.unit else req.units
+        request.units = request.kbytes or 1.0
+        self.unit += LEARN * (request.units - self.unit) if self.unit else request.units
         self.value += LEARN * (vhost.value - self.value)
-        self._push(req.until - self.tick, req, -1)
+        self._push(request.until - self.tick, request, -1)
         self.arrivals += 1
         if self.asks and self.caches and self.arrivals % ASK == 0:
-            be = self.caches[self.arrivals // ASK % len(self.caches)]
-            if self.host.now() >= be.asked + 2 * vhost.target:
-                be.asked = self.host.now()
-                self.host.check(be)
-        if not (vhost.uncacheable or req.write):
-            place = (req.key, req.part)
-            req.obj = self.objs.pop(place, None) or Obj()
-            self.objs[place] = req.obj  # least lately asked first
-            if len(self.objs) > TABLE:
-                del self.objs[next(iter(self.objs))]
-            req.obj.seen += 1
-        req.work = req.kbytes / self.pace or (req.obj.work if req.obj else 0.0) or vhost.usual
-        self.work += LEARN * (req.work - self.work)
-        vhost.met(req.work)
-        self._walk(req)
-
-    def flowing(self, req: Req, seq: int) -> None:
+            backend = self.caches[self.arrivals // ASK % len(self.caches)]
+            if self.host.now() >= backend.asked + 2 * vhost.target:
+                backend.asked = self.host.now()
+                self.host.check(backend)
+        if not (vhost.uncacheable or request.write):
+            place = (request.key, request.part)
+            request.object_part = self.object_parts.pop(place, None) or ObjectPart()
+            self.object_parts[place] = request.object_part  # least lately asked first
+            if len(self.object_parts) > TABLE:
+                del self.object_parts[next(iter(self.object_parts))]
+            request.object_part.seen += 1
+        request.work = (
+            request.kbytes / self.pace
+            or (request.object_part.work if request.object_part else 0.0)
+            or vhost.usual
+        )
+        self.work += LEARN * (request.work - self.work)
+        vhost.met(request.work)
+        self._walk(request)
+
+    def flowing(self, request: Request, seq: int) -> None:
         """A stream has begun: it has neither time-out nor client timeout any more."""
-        req.flowing = req.out and seq == req.tries - 1
+        request.flowing = request.out and seq == request.tries - 1
 
     def ended(
         self,
-        req: Req,
-        be: Be,
+        request: Request,
+        backend: Backend,
         seq: int,
         outcome: str,
         took: int,
@@ -240,77 +262,84 @@
         load: list[float],
     ) -> None:
         """A dispatch is over."""
-        if not req.out or seq != req.tries - 1:
+        if not request.out or seq != request.tries - 1:
             return
-        trial = req.source.trial
-        source = self._release(req, be)
-        if req.renew and outcome in UNSPENT and req.obj.marked == req.sent:
-            req.obj.marked = None  # no cache renews for it: the next one may
-        self._blame(req, be, source, outcome, took, note, trial)
-        if outcome == "done" and not req.closed:
-            self.vhosts[req.vhost].told(req.work, True)
-        req.closed = req.closed or final
-        if req.closed:
+        trial = request.source.trial
+        source = self._release(request, backend)
+        if request.renew and outcome in UNSPENT and request.object_part.marked == request.sent:
+            request.object_part.marked = None  # no cache renews for it: the next one may
+        self._blame(request, backend, source, outcome, took, note, trial)
+        if outcome == "done" and not request.closed:
+            self.vhosts[request.vhost].told(request.work, True)
+        request.closed = request.closed or final
+        if request.closed:
             return
-        if outcome in RAN and req.first_ran is None:
-            req.first_ran, req.ran_at = req.sent, be
-        lost = outcome == "cancelled" and not be.suspect and be.heard >= req.sent  # it answers others
-        if outcome in ("spoilt", "unsent") or (outcome == "reset" and not be.suspect):
-            return self._walk(req)  # chance, wherever it goes; what was spoilt lies ready there now
+        if outcome in RAN and request.first_executed_at is None:
+            request.first_executed_at, request.first_executed_by = request.sent, backend
+        lost = (
+            outcome == "cancelled" and not backend.ejected and backend.heard >= request.sent
+        )  # it answers others
+        if outcome in ("spoilt", "unsent") or (outcome == "reset" and not backend.ejected):
+            return self._walk(request)  # chance, wherever it goes; what was spoilt lies ready there now
         if note not in (6, 7, 8, 10) and not lost:
-            req.avoid.append(be)
-        if note != 9 and source is not be:
-            req.avoid.append(source)
-        req.rejoin = req.rejoin and outcome not in RAN  # what just failed may be the fill itself
-        self._walk(req)
-
-    def left(self, req: Req) -> None:
+            request.avoid.append(backend)
+        if note != 9 and source is not backend:
+            request.avoid.append(source)
+        request.may_collapse = (
+            request.may_collapse and outcome not in RAN
+        )  # what just failed may be the fill itself
+        self._walk(request)
+
+    def left(self, request: Request) -> None:
         """The client has gone."""
-        if not req.closed:
-            req.closed = True
-            if req.out and self.can_cancel and not req.flowing:
-                self.host.cancel(req, req.tries - 1)
+        if not request.closed:
+            request.closed = True
+            if request.out and self.can_cancel and not request.flowing:
+                self.host.cancel(request, request.tries - 1)
 
-    def half_closed(self, req: Req, at: int) -> int:
+    def half_closed(self, request: Request, at: int) -> int:
         """Its client's input ended at a time: it may read on or have left, and nobody can tell before
         something is written to it. What is out is answered; nothing goes out later than the returned time."""
-        req.send_by = min(req.send_by or math.inf, last_send(at))
-        return req.send_by
+        request.send_by = min(request.send_by or math.inf, last_send(at))
+        return request.send_by
 
-    def send_by_passed(self, req: Req) -> None:
+    def send_by_passed(self, request: Request) -> None:
         """Its `send_by` has come, and no cache has its dispatch."""
-        self.give_up(req, self._passed(req))
+        self.give_up(request, self._passed(request))
 
     @staticmethod
-    def _passed(req: Req) -> Refusal:
+    def _passed(request: Request) -> RejectReason:
         """Which of the two bounds of a `send_by` it is that has passed."""
-        return Refusal.CLIENT_LEFT if req.first_ran is None else Refusal.WINDOW_OVER
+        return RejectReason.CLIENT_LEFT if request.first_executed_at is None else RejectReason.WINDOW_OVER
 
     def purged(self, key: str, group: int, age: int) -> None:
         """An object, or without a key a whole group, was purged."""
         self.purges[key or group] = max(self.host.now() - age, self.purges.get(key or group, 0))
         # what has not gone out allows a copy that is too old by now
         self._withdraw(
-            req for be in self.known for req in be.reqs if (req.key == key if key else req.group == group)
+            request
+            for backend in self.known
+            for request in backend.requests
+            if (request.key == key if key else request.group == group)
         )
 
-    def _withdraw(self, reqs: Iterable[Req]) -> None:
+    def _withdraw(self, requests: Iterable[Request]) -> None:
         """Have dispatches go through the gate anew, those of them that have not gone out."""
-        for req in dict.fromkeys(reqs):
-            self.host.withdraw(req, req.tries - 1)
+        for request in dict.fromkeys(requests):
+            self.host.withdraw(request, request.tries - 1)
 
-    def checked(self, be: Be, took: int, outcome: str, load: list[float]) -> None:
+    def checked(self, backend: Backend, took: int, outcome: str, load: list[float]) -> None:
         """A health check is answered: how crowded is it? By what it holds over what it held when partly busy;
         not at all while it is not busy. Clears no suspect, which may answer checks alone."""
         told = dict(zip(self.names, load or [], strict=False))
-        crowd = 2 * GENEROUS if outcome in ("full", "timeout") else be.crowd  # no room even for a check
+        crowd = 2 * GENEROUS if outcome in ("full", "timeout") else backend.crowd  # no room even for a check
         if "inflight" in told:
             crowd = busy = told["util"]
             if BUSY / 2 < busy < BUSY:
-                be.holds += (told["inflight"] / busy - be.holds) * (LEARN if be.holds else 1)
-            elif busy >= BUSY and be.holds:
-                crowd = told["inflight"] / be.holds
-        be.crowd += (crowd - be.crowd) / 2
+                backend.holds += (told["inflight"] / busy - backend.holds) * (LEARN if backend.holds else 1)
+            elif busy >= BUSY and backend.holds:
+                crowd = told["inflight"] / backend.holds
+        backend.crowd += (crowd - backend.crowd) / 2
 
     def lagged(self, late: int) -> None:
         self.caught_up = self.host.now() + late  # it runs late itself, and judges nobody else to be so
@@ -327,11 +356,11 @@
         elif token == "due":
             self.armed = math.inf
             while self.due and self.due[0][0] <= now:
-                _, _, req, seq = heapq.heappop(self.due)
-                if seq < 0 and not req.flowing:
-                    self.give_up(req, Refusal.TIME_UP)
-                elif req.out and seq == req.tries - 1 and not (req.closed or req.flowing):
-                    self._overdue(req)
+                _, _, request, seq = heapq.heappop(self.due)
+                if seq < 0 and not request.flowing:
+                    self.give_up(request, RejectReason.TIME_UP)
+                elif request.out and seq == request.tries - 1 and not (request.closed or request.flowing):
+                    self._overdue(request)
             self._arm()
 
     def yields(self, on: bool) -> None:
@@ -350,108 +379,120 @@
         which objects are away from which locations (lilacloft/zones/)."""
         self.link.top, self.shares = link or math.inf, shares
         before, self.away = self.away, left or {}
-        for be in self.known:
-            if be.zone in self.away and be.zone not in before and be.kind != self.origin_kind:
-                self._leave(be)
-        for be in self.known:
-            if be.way:
-                be.way.top = ways.get(be.name, math.inf)
-            if be.name in out and be.kind != self.origin_kind:
-                be.suspect, be.retry_at = True, out[be.name]
-            elif be.name in self.left_out:
-                self._clear(be)
+        for backend in self.known:
+            if backend.zone in self.away and backend.zone not in before and backend.kind != self.origin_kind:
+                self._leave(backend)
+        for backend in self.known:
+            if backend.way:
+                backend.way.top = ways.get(backend.name, math.inf)
+            if backend.name in out and backend.kind != self.origin_kind:
+                backend.ejected, backend.retry_at = True, out[backend.name]
+            elif backend.name in self.left_out:
+                self._clear(backend)
         self.left_out = out
 
-    def _leave(self, be: Be) -> None:
+    def _leave(self, backend: Backend) -> None:
         """Its whole location is left: what it showed is not its own doing, and what waits for it goes on."""
-        if be.suspect:
-            self.host.believe(be, "back", "its location is left")
-        be.strikes, be.backoff, be.suspect, be.late = 0, 0, False, 0.0
-        if be.way:
-            be.way.limit, be.way.late = max(be.way.limit, GENEROUS * self._part(be)), 0.0
-        for req in list(be.reqs):
-            if req.be is be or req.fill:
-                self._recall(req)
+        if backend.ejected:
+            self.host.believe(backend, "back", "its location is left")
+        backend.consecutive_failures, backend.backoff, backend.ejected, backend.late = 0, 0, False, 0.0
+        if backend.way:
+            backend.way.limit, backend.way.late = max(backend.way.limit, GENEROUS * self._part(backend)), 0.0
+        for request in list(backend.requests):
+            if request.backend is backend or request.fill:
+                self._recall(request)
 
     # --- the walk ---
 
-    def _walk(self, req: Req) -> None:
+    def _walk(self, request: Request) -> None:
         """Send a req to the first in hash order that may take it; end it at once where none may."""
-        vhost, now = self.vhosts[req.vhost], self.host.now()
-        over = self._over(req, now)
+        vhost, now = self.vhosts[request.vhost], self.host.now()
+        over = self._over(request, now)
         if over:
-            return self.give_up(req, over)
-        passed = vhost.uncacheable or req.write
-        place = f"{req.key} {req.part}"  # by part for both: all of one hot object would weigh on one parent
+            return self.give_up(request, over)
+        passed = vhost.uncacheable or request.write
+        # by part for both: all of one hot object would weigh on one parent
+        place = f"{request.key} {request.part}"
         away = {
             zone
             for zone, left in self.away.items()
             if left.away(place, vhost.effect == "replayable" and not passed, now)
         }
         homes, parents = self._order(self.caches, place), self._order(self.parents, place)
-        parents = [be for be in parents if be.zone not in away]
+        parents = [backend for backend in parents if backend.zone not in away]
         gone = self.zone in away and self.direct
         bound = self._bound(self.parents)
-        fitting = [be for be in parents if self._fit(be, bound, req)]
+        fitting = [backend for backend in parents if self._fit(backend, bound, request)]
         sources = self.origins if passed else fitting + self.origins
-        sources = [be for be in sources if be not in req.avoid] or self.origins
-        tried = [be for be in homes if be not in req.avoid]
+        sources = [backend for backend in sources if backend not in request.avoid] or self.origins
+        tried = [backend for backend in homes if backend not in request.avoid]
         ways = []
-        if self.direct and not passed and not (homes and self._held(req, homes[0])):
+        if self.direct and not passed and not (homes and self._held(request, homes[0])):
             # a suspect parent's trial goes straight to it: through a cache a hit would pass for its answer
-            ways = [(be, [be]) for be in parents[:1] if be.suspect and be not in req.avoid]
-        sources = [be for be in sources if not (self.direct and be.suspect)]
+            ways = [
+                (backend, [backend])
+                for backend in parents[:1]
+                if backend.ejected and backend not in request.avoid
+            ]
+        sources = [backend for backend in sources if not (self.direct and backend.ejected)]
         bound = self._bound(self.caches)
-        ways += [(be, sources) for be in sorted(tried, key=lambda be: not self._fit(be, bound, req))]
+        ways += [
+            (backend, sources)
+            for backend in sorted(tried, key=lambda backend: not self._fit(backend, bound, request))
+        ]
         if self.direct and (
-            passed or gone or all(be.suspect or not self._room(be, vhost.work) for be in tried)
+            passed or gone or all(backend.ejected or not self._room(backend, vhost.work) for backend in tried)
         ):
             # past the caches: the way of uncacheable vhosts, else where all caches are suspect or cold
-            over = [(be, [be]) for be in sources]
+            over = [(backend, [backend]) for backend in sources]
             if gone:  # one cache elsewhere, where a plan says so; never one that is cold, as all others' is
                 there = self.far.get(self.away[self.zone].where(place), [])
-                over = [(be, sources) for be in self._order(there, place)[:1] if be not in req.avoid] + over
+                over = [
+                    (backend, sources)
+                    for backend in self._order(there, place)[:1]
+                    if backend not in request.avoid
+                ] + over
             ways = over if gone else over + ways if passed else ways + over
-        if any(self._send(req, be, source) for be, fills in ways for source in fills):
+        if any(self._send(request, backend, source) for backend, fills in ways for source in fills):
             return
         # no room for a fill: what the home holds costs the link nothing; a miss there comes back at once, and
         # once, as nothing of it lies there a moment later
         if (
             passed
             or gone
-            or req.looked
+            or request.looked
             or not homes
-            or homes[0] in req.avoid
+            or homes[0] in request.avoid
             or not (
-                any(self._send(req, homes[0], parent, True) for parent in parents[:1])
-                or self._send(req, homes[0], homes[0])
+                any(self._send(request, homes[0], parent, True) for parent in parents[:1])
+                or self._send(request, homes[0], homes[0])
             )
         ):
-            self.give_up(req, Refusal.NO_ROOM)
+            self.give_up(request, RejectReason.NO_ROOM)
 
-    def _over(self, req: Req, now: int) -> Refusal | None:
+    def _over(self, request: Request, now: int) -> RejectReason | None:
         """Why a req gets no further dispatch, wherever there is room; None where it may."""
-        if req.tries >= min(TRIES, self.max_dispatches):
-            return Refusal.TRIES_USED
-        if now >= req.until - self.tick:
-            return Refusal.TIME_UP
-        if req.send_by and now >= req.send_by:
-            return self._passed(req)
-        gone = self.host.departed(req)
-        return Refusal.CLIENT_LEFT if gone is not None and now >= last_send(gone) else None
+        if request.tries >= min(TRIES, self.max_dispatches):
+            return RejectReason.TRIES_USED
+        if now >= request.until - self.tick:
+            return RejectReason.TIME_UP
+        if request.send_by and now >= request.send_by:
+            return self._passed(request)
+        gone = self.host.departed(request)
+        return RejectReason.CLIENT_LEFT if gone is not None and now >= last_send(gone) else None
 
     @staticmethod
-    def _order(pool: list[Be], key: str) -> list[Be]:
+    def _order(pool: list[Backend], key: str) -> list[Backend]:
         """Hash order (weighted rendezvous): the same at every gateway, and no home moves but a lost one's."""
 
-        def draw(be: Be) -> float:
-            drawn = int.from_bytes(blake2b(f"{key} {be.name}".encode(), digest_size=8).digest(), "big")
-            return -math.log((drawn + 1) / 2**64) / be.size
+        def draw(backend: Backend) -> float:
+            drawn = int.from_bytes(blake2b(f"{key} {backend.name}".encode(), digest_size=8).digest(), "big")
+            return -math.log((drawn + 1) / 2**64) / backend.size
 
         return sorted(pool, key=draw)
 
     @staticmethod
-    def _bound(pool: list[Be]) -> tuple[float, float]:
+    def _bound(pool: list[Backend]) -> tuple[float, float]:
         """A pool's mean crowd, and its load by weight: once a walk, as a pool may be large."""
         if not pool:
             return 0.0, 0.0
@@ -460,87 +501,95 @@
             sum(peer.load for peer in pool) / sum(peer.size for peer in pool),
         )
 
-    def _fit(self, be: Be, bound: tuple[float, float], req: Req) -> bool:
+    def _fit(self, backend: Backend, bound: tuple[float, float], request: Request) -> bool:
         """The bound: too much of this gateway's own in flight there, or the cache known to be crowded?"""
         crowd, load = bound
-        if be.crowd > 0.5 and be.crowd > turn(req, be) * max(GENEROUS, EVEN * crowd):
+        if backend.crowd > 0.5 and backend.crowd > turn(request, backend) * max(GENEROUS, EVEN * crowd):
             return False
-        return be.load <= max(FLOOR * self.unit, SPREAD * load * be.size)
+        return backend.load <= max(FLOOR * self.unit, SPREAD * load * backend.size)
 
-    def _age(self, req: Req) -> int:
+    def _age(self, request: Request) -> int:
         """The oldest copy that will do (0: any): fresh or in the grace, never older than a known purge."""
-        vhost, now = self.vhosts[req.vhost], self.host.now()
+        vhost, now = self.vhosts[request.vhost], self.host.now()
         age = vhost.fresh + vhost.grace if vhost.fresh else 0
-        purges = [at for at in (self.purges.get(req.key), self.purges.get(req.group)) if at is not None]
+        purges = [
+            at for at in (self.purges.get(request.key), self.purges.get(request.group)) if at is not None
+        ]
         if purges and now - max(purges) <= self.purge_done:
             age = min(age or math.inf, max(1, now - max(purges) - 1))
         return age
 
-    def _held(self, req: Req, be: Be) -> bool:
+    def _held(self, request: Request, backend: Backend) -> bool:
         """Is a copy that will do likely to lie there? As far as this gateway's own reqs tell."""
-        obj, vhost, now = req.obj, self.vhosts[req.vhost], self.host.now()
-        if obj is None or obj.home is not be or be.started > obj.filled:
+        object_part, vhost, now = request.object_part, self.vhosts[request.vhost], self.host.now()
+        if object_part is None or object_part.home is not backend or backend.started > object_part.filled:
             return False
-        if vhost.fresh and now - obj.filled > vhost.fresh + vhost.grace:
+        if vhost.fresh and now - object_part.filled > vhost.fresh + vhost.grace:
             return False
-        return max(self.purges.get(req.key, 0), self.purges.get(req.group, 0)) < obj.filled
+        return max(self.purges.get(request.key, 0), self.purges.get(request.group, 0)) < object_part.filled
 
-    def _send(self, req: Req, be: Be, source: Be, held_only: bool = False) -> bool:
+    def _send(self, request: Request, backend: Backend, source: Backend, held_only: bool = False) -> bool:
         """The gate that every dispatch passes: the rules on effects, drains, cold starts and purges."""
-        vhost, now = self.vhosts[req.vhost], self.host.now()
-        if req.closed or req.out or be.status != 1 or source.status != 1:
+        vhost, now = self.vhosts[request.vhost], self.host.now()
+        if request.closed or request.out or backend.status != 1 or source.status != 1:
             return False
-        if req.first_ran is not None and vhost.effect != "replayable":
-            held = {"all": True, "zone": be.zone == req.ran_at.zone, "cell": be.cell == req.ran_at.cell}
-            until = req.first_ran + vhost.window - self.tick
+        if request.first_executed_at is not None and vhost.effect != "replayable":
+            held = {
+                "all": True,
+                "zone": backend.zone == request.first_executed_by.zone,
+                "cell": backend.cell == request.first_executed_by.cell,
+            }
+            until = request.first_executed_at + vhost.window - self.tick
             if vhost.effect != "uniqued" or not held[vhost.group] or now >= until:
                 return False
-            req.send_by = min(req.send_by or math.inf, until)  # nor may it wait past that for its connection
-        touched = (be,) if be is source else (be, source)
+            request.send_by = min(
+                request.send_by or math.inf, until
+            )  # nor may it wait past that for its connection
+        touched = (backend,) if backend is source else (backend, source)
         for peer in touched:
-            if peer.suspect and (now < peer.retry_at or peer.trial or vhost.effect != "replayable"):
+            if peer.ejected and (now < peer.retry_at or peer.trial or vhost.effect != "replayable"):
                 return False
-        look = be is source and be in self.caches
-        fill = not look and (be is source or not self._held(req, be))
+        look = backend is source and backend in self.caches
+        fill = not look and (backend is source or not self._held(request, backend))
         way = None if not fill else source.way if held_only else self.link
-        favour = min(max(vhost.value / req.work * self.work / (self.value or 1.0), 1 / FAVOUR), FAVOUR)
-        if req.work > vhost.large and vhost.answered_large < FAIR * vhost.answered:
+        favour = min(max(vhost.value / request.work * self.work / (self.value or 1.0), 1 / FAVOUR), FAVOUR)
+        if request.work > vhost.large and vhost.answered_large < FAIR * vhost.answered:
             favour = max(favour, EASED)
         if (
-            be.crowd > max(1.0, GENEROUS * favour) * turn(req, be)
-            or not be.way.open(favour, now)
+            backend.crowd > max(1.0, GENEROUS * favour) * turn(request, backend)
+            or not backend.way.open(favour, now)
             or (way and not way.open(favour, now))
         ):
             return False
-        if not all(self._room(peer, req.kbytes / self.pace or vhost.work) for peer in touched):
+        if not all(self._room(peer, request.kbytes / self.pace or vhost.work) for peer in touched):
             return False
-        obj = req.obj
-        renew = bool(obj and vhost.fresh and not look and not held_only and not self.yielded) and (
-            obj.marked is None or now - obj.marked >= RENEW_FROM * vhost.fresh
+        object_part = request.object_part
+        renew = bool(object_part and vhost.fresh and not look and not held_only and not self.yielded) and (
+            object_part.marked is None or now - object_part.marked >= RENEW_FROM * vhost.fresh
         )
         if renew:
-            obj.marked = now
+            object_part.marked = now
         for peer in touched:
-            peer.reqs[req] = None
-            peer.budget.append((now, req.kbytes / self.pace or vhost.work))
-            peer.load += req.units
-            if peer.suspect:
-                peer.trial = req
-        req.be, req.source, req.sent, req.out = be, source, now, True
-        req.tries += 1
-        req.fill, req.renew, req.way, req.looked = fill, renew, way, look or held_only
-        be.way.count += 1
+            peer.requests[request] = None
+            peer.budget.append((now, request.kbytes / self.pace or vhost.work))
+            peer.load += request.units
+            if peer.ejected:
+                peer.trial = request
+        request.backend, request.source, request.sent, request.out = backend, source, now, True
+        request.tries += 1
+        request.fill, request.renew, request.way, request.looked = fill, renew, way, look or held_only
+        backend.way.count += 1
         if way:
             way.count += 1
-        self._push(now + vhost.aim(req.work), req, req.tries - 1)
-        join = obj is not None and self.joins and req.rejoin
+        self._push(now + vhost.aim(request.work), request, request.tries - 1)
+        join = object_part is not None and self.joins and request.may_collapse
         self.host.fetch(
-            req,
-            be,
-            req.until - self.tick - now,
+            request,
+            backend,
+            request.until - self.tick - now,
             source,
-            min(obj.seen, 2) if obj else 0,
-            self._age(req),
+            min(object_part.seen, 2) if object_part else 0,
+            self._age(request),
             join,
             held_only,
             False,
@@ -548,37 +597,42 @@
         )
         return True
 
-    def _room(self, be: Be, work: float) -> bool:
+    def _room(self, backend: Backend, work: float) -> bool:
         """Rule 4: may a be that started lately take this much work, with what all gateways send it? What it
         can do since its start is cut into turns of one req, dealt to its gateways in a spread order, each
         good for one fall span: parts of a req would let nobody send; no span sees over two spans' turns."""
         now, back = self.host.now(), self.fall + self.tick
-        while be.budget and be.budget[0][0] < now - back:
-            be.budget.pop(0)
-        floor, warm, multiple = self.cold_parent if be.kind == self.parent_kind else self.cold_cache
-        if be.kind == self.origin_kind or not be.started or now - be.started >= warm:
+        while backend.budget and backend.budget[0][0] < now - back:
+            backend.budget.pop(0)
+        floor, warm, multiple = self.cold_parent if backend.kind == self.parent_kind else self.cold_cache
+        if backend.kind == self.origin_kind or not backend.started or now - backend.started >= warm:
             return True
-        if self.yielded or self._elsewhere(be):
+        if self.yielded or self._elsewhere(backend):
             return False  # its own location's gateways have all of its budget
         # a guess at what nobody asks for would let many small reqs pass for one of its turns
         turn = max([work, *(vhost.work for vhost in self.vhosts if vhost.asked)])
-        pace = min(MARGIN * multiple / 2, BRISK) * self._part(be) * self.shares.get(be.name, 1.0) / turn
+        pace = (
+            min(MARGIN * multiple / 2, BRISK)
+            * self._part(backend)
+            * self.shares.get(backend.name, 1.0)
+            / turn
+        )
 
         def turns(age: int) -> float:
             age = max(0, age)
             return pace * age * (floor + (1 - floor) * age / 2 / warm) + self.place
 
-        mine = math.floor(turns(now - be.started)) - math.floor(turns(now - be.started - back))
-        return sum(sent for _, sent in be.budget) + work <= mine * turn
+        mine = math.floor(turns(now - backend.started)) - math.floor(turns(now - backend.started - back))
+        return sum(sent for _, sent in backend.budget) + work <= mine * turn
 
-    def _part(self, be: Be) -> float:
+    def _part(self, backend: Backend) -> float:
         """This gateway's part of what a be can carry, in transfers at full pace."""
-        parent = be.kind == self.parent_kind
+        parent = backend.kind == self.parent_kind
         # a parent's link is made for what the locations' links bring in; a location's caches together send
         # twice what its link brings in, else most reqs were fills
         feed, by = (sum(self.feed) / 1.3, self.parents) if parent else (2 * self.feed[self.zone], self.caches)
-        capacity = be.size if self.sizes_told else feed / self.pace / max(1, len(by))
-        if parent or self._elsewhere(be):
+        capacity = backend.size if self.sizes_told else feed / self.pace / max(1, len(by))
+        if parent or self._elsewhere(backend):
             return (capacity or 1.0) / self.gateways
         # where nothing is told, what this gateway has seen a cache bear; of all gateways, what all have seen
         return capacity / self.zone_gateways or max(1.0 / self.zone_gateways, self.borne)
@@ -587,165 +641,194 @@
         """Look at what this gateway sends the location's warm caches while they answer it in time."""
         now, back = self.host.now(), self.fall + self.tick
         warm = [
-            be
-            for be in self.caches
-            if not be.suspect
-            and be.way.late <= TOLERATED
-            and (not be.started or now - be.started >= self.cold_cache[1])
+            backend
+            for backend in self.caches
+            if not backend.ejected
+            and backend.way.late <= TOLERATED
+            and (not backend.started or now - backend.started >= self.cold_cache[1])
         ]
         if warm:
-            sent = sum(work for be in warm for at, work in be.budget if at >= now - back)
+            sent = sum(work for backend in warm for at, work in backend.budget if at >= now - back)
             self.borne += (sent / back / len(warm) - self.borne) / 8
 
-    def _elsewhere(self, be: Be) -> bool:
+    def _elsewhere(self, backend: Backend) -> bool:
         """Is it a cache of another location?"""
-        return be.zone != self.zone and be.kind not in (self.parent_kind, self.origin_kind)
+        return backend.zone != self.zone and backend.kind not in (self.parent_kind, self.origin_kind)
 
-    def _release(self, req: Req, be: Be) -> Be:
+    def _release(self, request: Request, backend: Backend) -> Backend:
         """Take a dispatch that is over out of the accounts; returns its source."""
-        source = req.source
-        for peer in (be,) if be is source else (be, source):
-            peer.load = max(0.0, peer.load - req.units)
-            peer.reqs.pop(req, None)
-            if peer.trial is req:
+        source = request.source
+        for peer in (backend,) if backend is source else (backend, source):
+            peer.load = max(0.0, peer.load - request.units)
+            peer.requests.pop(request, None)
+            if peer.trial is request:
                 peer.trial = None
-        be.way.count -= 1
-        if req.way:
-            req.way.count -= 1
-        req.out = req.flowing = False
+        backend.way.count -= 1
+        if request.way:
+            request.way.count -= 1
+        request.out = request.flowing = False
         return source
 
-    def give_up(self, req: Req, why: Refusal) -> None:
+    def give_up(self, request: Request, why: RejectReason) -> None:
         """The one place of final answers: denied where a repeat is harmless, else aborted."""
-        if req.closed:
+        if request.closed:
             return
-        vhost = self.vhosts[req.vhost]
-        req.refusal = why
-        vhost.told(req.work, False)
-        req.closed = True
-        ran = req.out or req.first_ran is not None
-        if req.out and self.can_cancel:
-            self.host.cancel(req, req.tries - 1)
+        vhost = self.vhosts[request.vhost]
+        request.reject_reason = why
+        vhost.told(request.work, False)
+        request.closed = True
+        ran = request.out or request.first_executed_at is not None
+        if request.out and self.can_cancel:
+            self.host.cancel(request, request.tries - 1)
         if not ran or vhost.effect == "replayable" or (vhost.effect == "uniqued" and vhost.group == "all"):
-            self.host.deny(req, self.limits["max_retry_after"] if self.limits["retry_after"] else 0)
+            self.host.deny(request, self.limits["max_retry_after"] if self.limits["retry_after"] else 0)
         else:
-            self.host.abort(req)
+            self.host.abort(request)
 
     # --- health ---
 
     def _blame(
-        self, req: Req, be: Be, source: Be, outcome: str, took: int, note: int, trial: Req | None
+        self,
+        request: Request,
+        backend: Backend,
+        source: Backend,
+        outcome: str,
+        took: int,
+        note: int,
+        trial: Request | None,
     ) -> None:
         """Judge a cache and its source by how a dispatch ended."""
-        now, vhost, obj = self.host.now(), self.vhosts[req.vhost], req.obj
-        late = outcome != "done" or took > vhost.aim(req.work)
-        if outcome in ("miss", "full") or (outcome == "done" and not (be.suspect and late)):
-            self._clear(be)  # but an answer far too late brings back no suspect
-        filled = note in (2, 3, 6, 7, 10) if note else req.fill
+        now, vhost, object_part = self.host.now(), self.vhosts[request.vhost], request.object_part
+        late = outcome != "done" or took > vhost.aim(request.work)
+        if outcome in ("miss", "full") or (outcome == "done" and not (backend.ejected and late)):
+            self._clear(backend)  # but an answer far too late brings back no suspect
+        filled = note in (2, 3, 6, 7, 10) if note else request.fill
         if outcome not in ("cancelled", "unsent", "spoilt", "miss"):
             self.late += LEARN * (late - self.late)
             # a cache whose hits are late as well is to blame for its late fills: it grows slow, or is crowded
-            filled = filled and not (late and be.way.late > TOLERATED)
+            filled = filled and not (late and backend.way.late > TOLERATED)
             # a reset tells of no crowd, nor do further errors for an object: a client's nonsense always fails
             if (
                 outcome != "reset"
-                and not self._proving(be)
-                and (outcome != "error" or req.tries == (obj.seen if obj else 1) == 1)
+                and not self._proving(backend)
+                and (outcome != "error" or request.tries == (object_part.seen if object_part else 1) == 1)
             ):
-                way = (req.way or self.link) if filled else be.way
+                way = (request.way or self.link) if filled else backend.way
                 was, _ = way.limit, way.heed(late, now, took, vhost.target)
-                self.host.limited(be if way is be.way else req.source, was, way.limit, way.late)
+                self.host.limited(backend if way is backend.way else request.source, was, way.limit, way.late)
         if outcome == "done":
-            vhost.work += LEARN * ((req.kbytes / self.pace or took) - vhost.work)
+            vhost.work += LEARN * ((request.kbytes / self.pace or took) - vhost.work)
             vhost.usual += 0 if late else LEARN * (took - vhost.usual)
-            if obj is not None:
-                if req.fill or req.renew or obj.home is not be:
-                    obj.home, obj.filled = be, req.sent
-                obj.work = min(took, obj.work or took)
-            if source is not be and filled and took <= vhost.aim(req.work):
+            if object_part is not None:
+                if request.fill or request.renew or object_part.home is not backend:
+                    object_part.home, object_part.filled = backend, request.sent
+                object_part.work = min(took, object_part.work or took)
+            if source is not backend and filled and took <= vhost.aim(request.work):
                 source.late -= source.late / 4
-                if req is trial and (note or not self.direct):
+                if request is trial and (note or not self.direct):
                     self._clear(source)
         elif outcome in ("unreached", "reset", "timeout") or (
-            outcome == "error" and not note and obj and obj.home
+            outcome == "error" and not note and object_part and object_part.home
         ):  # else it may be the client's
-            self._strike(be, now, 1 + (outcome == "unreached"))  # a closed door tells more
+            self._strike(backend, now, 1 + (outcome == "unreached"))  # a closed door tells more
         elif note == 7:
             self._doubt(source, now)
 
-    def _clear(self, be: Be) -> None:
+    def _clear(self, backend: Backend) -> None:
         """It answers."""
-        if be.suspect:
-            self.host.believe(be, "back", "answers again")
-        be.heard, be.strikes, be.backoff, be.suspect, be.late = self.host.now(), 0, 0, False, 0.0
+        if backend.ejected:
+            self.host.believe(backend, "back", "answers again")
+        backend.heard, backend.consecutive_failures, backend.backoff, backend.ejected, backend.late = (
+            self.host.now(),
+            0,
+            0,
+            False,
+            0.0,
+        )
 
-    def _strike(self, be: Be, now: int, weight: int = 1) -> None:
+    def _strike(self, backend: Backend, now: int, weight: int = 1) -> None:
         """Count a symptom with no answer since; enough in a row make a be suspect."""
-        be.strikes += weight
+        backend.consecutive_failures += weight
         usual = min(max(self.late, DOUBT**0.5), DOUBT**0.25)
-        if be.suspect or usual**be.strikes <= DOUBT:
-            self._suspect(be, now, weight > 1)
+        if backend.ejected or usual**backend.consecutive_failures <= DOUBT:
+            self._suspect(backend, now, weight > 1)
 
-    def _doubt(self, source: Be, now: int) -> None:
+    def _doubt(self, source: Backend, now: int) -> None:
         """Count a fill that came late, or not at all, through a cache that answers others. A parent that most
         fills wait for, while another's come, is suspect; what all parents show is the origin's."""
         source.late += (1 - source.late) / 4
         other = min((peer.late for peer in self.parents if peer is not source), default=1.0)
-        if source.suspect or (source.late > 0.5 and other < TOLERATED):
+        if source.ejected or (source.late > 0.5 and other < TOLERATED):
             self._suspect(source, now)
 
-    def _proving(self, be: Be) -> bool:
+    def _proving(self, backend: Backend) -> bool:
         """Do only trials of its whole location go there? They are dealt, and judged, elsewhere."""
-        return be.zone in self.away and self.away[be.zone].proving
+        return backend.zone in self.away and self.away[backend.zone].proving
 
-    def _suspect(self, be: Be, now: int, sure: bool = False) -> None:
+    def _suspect(self, backend: Backend, now: int, sure: bool = False) -> None:
         """Leave a be to single trials, more and more sparsely, and call back what waits for it."""
-        if self._proving(be):
+        if self._proving(backend):
             return
-        others = sum(peer.suspect for peer in self.caches if peer is not be)
-        if be.kind == self.origin_kind or (be in self.caches and not sure and 2 * others >= len(self.caches)):
+        others = sum(peer.ejected for peer in self.caches if peer is not backend)
+        if backend.kind == self.origin_kind or (
+            backend in self.caches and not sure and 2 * others >= len(self.caches)
+        ):
             for peer in self.caches:  # what most of a location shows is not its caches' doing, unless their
                 peer.retry_at = min(peer.retry_at, now)  # doors are closed: who is left alone may be back
             return
         longest = max(vhost.target for vhost in self.vhosts)
-        be.backoff = min(max(longest, 2 * be.backoff), 16 * longest)
-        be.retry_at = now + be.backoff
-        if not be.suspect:
-            be.suspect = True
-            why = f"{be.late:.1f} of its fills late" if be.late else f"{be.strikes} symptoms in a row"
-            self.host.believe(be, "left alone", why)
-            for req in list(be.reqs):
-                if req.sent > be.heard and (req.be is be or req.fill):
-                    self._recall(req)
-
-    def _overdue(self, req: Req) -> None:
+        backend.backoff = min(max(longest, 2 * backend.backoff), 16 * longest)
+        backend.retry_at = now + backend.backoff
+        if not backend.ejected:
+            backend.ejected = True
+            why = (
+                f"{backend.late:.1f} of its fills late"
+                if backend.late
+                else f"{backend.consecutive_failures} symptoms in a row"
+            )
+            self.host.believe(backend, "left alone", why)
+            for request in list(backend.requests):
+                if request.sent > backend.heard and (request.backend is backend or request.fill):
+                    self._recall(request)
+
+    def _overdue(self, request: Request) -> None:
         """A dispatch takes far longer than its like."""
         if self.host.now() < self.caught_up:
-            return self._push(self.caught_up, req, req.tries - 1)
-        now, be, source, aim = self.host.now(), req.be, req.source, self.vhosts[req.vhost].aim(req.work)
-        again = now >= req.sent + 2 * aim
-        if be.heard < req.sent and not (req.fill and source.late > TOLERATED):
-            if again or sized(req):  # nothing since, and no slow source explains it: the cache
-                self._strike(be, now)
-            if again and sized(req):
-                return self._recall(req)
-        elif req.fill and source is not be and again != sized(req):
+            return self._push(self.caught_up, request, request.tries - 1)
+        now, backend, source, aim = (
+            self.host.now(),
+            request.backend,
+            request.source,
+            self.vhosts[request.vhost].aim(request.work),
+        )
+        again = now >= request.sent + 2 * aim
+        if backend.heard < request.sent and not (request.fill and source.late > TOLERATED):
+            if again or sized(request):  # nothing since, and no slow source explains it: the cache
+                self._strike(backend, now)
+            if again and sized(request):
+                return self._recall(request)
+        elif request.fill and source is not backend and again != sized(request):
             self._doubt(source, now)  # the cache answers others: its source
         if not again:
-            self._push(req.sent + 2 * aim, req, req.tries - 1)
-        elif not req.fill and sized(req):  # a likely hit's answer is lost, though others come
-            self._recall(req)
+            self._push(request.sent + 2 * aim, request, request.tries - 1)
+        elif not request.fill and sized(request):  # a likely hit's answer is lost, though others come
+            self._recall(request)
 
-    def _recall(self, req: Req) -> None:
+    def _recall(self, request: Request) -> None:
         """Call a dispatch back; its outcome sends the req on. Only where that can do no harm."""
-        if req.out and self.can_cancel and not req.flowing and self.vhosts[req.vhost].effect == "replayable":
-            self.host.cancel(req, req.tries - 1)
+        if (
+            request.out
+            and self.can_cancel
+            and not request.flowing
+            and self.vhosts[request.vhost].effect == "replayable"
+        ):
+            self.host.cancel(request, request.tries - 1)
 
     # --- due times ---
 
-    def _push(self, when: int, req: Req, seq: int) -> None:
+    def _push(self, when: int, request: Request, seq: int) -> None:
         self.pushed += 1
-        heapq.heappush(self.due, (when, self.pushed, req, seq))
+        heapq.heappush(self.due, (when, self.pushed, request, seq))
         self._arm()
 
     def _arm(self) -> None:
--- a/lilacloft/drill/wire.py
+++ b/lilacloft/drill/wire.py
@@ -9,7 +9,7 @@
 from lilacloft import needed
 from lilacloft.decide import Router
 from lilacloft.settings import NS, settings
-from lilacloft.state import Be, Req
+from lilacloft.state import Backend, Request
 
 OUTCOMES = {
     "Ok": "done",
@@ -52,10 +52,10 @@
     def __init__(self) -> None:
         self.t_ns = 0
         self.actions: list[list[Any]] = []
-        self.answered: list[Req] = []
-        self.reqs: dict[str, Req] = {}
-        self.ids: dict[Req, str] = {}
-        self.bes: dict[str, Be] = {}
+        self.answered: list[Request] = []
+        self.requests: dict[str, Request] = {}
+        self.ids: dict[Request, str] = {}
+        self.backends: dict[str, Backend] = {}
         self.router: Router
 
     # --- what the module calls ---
@@ -63,15 +63,15 @@
     def now(self) -> int:
         return self.t_ns // NS
 
-    def look(self, req: Req, be: Be, limit: int) -> None:
-        self.actions.append(["transmit", self.ids[req], be.name, limit * NS])
+    def look(self, request: Request, backend: Backend, limit: int) -> None:
+        self.actions.append(["transmit", self.ids[request], backend.name, limit * NS])
 
     def fetch(
         self,
-        req: Req,
-        be: Be,
+        request: Request,
+        backend: Backend,
         limit: int,
-        source: Be,
+        source: Backend,
         rank: int,
         age: int,
         join: bool,
@@ -81,34 +81,34 @@
     ) -> None:
         bits = 1 * join + 2 * held_only + 4 * no_trace + 8 * renew
         self.actions.append(
-            ["fetchThrough", self.ids[req], be.name, limit * NS, source.name, rank, age * NS, bits]
+            ["fetchThrough", self.ids[request], backend.name, limit * NS, source.name, rank, age * NS, bits]
         )
 
-    def departed(self, req: Req) -> int | None:
+    def departed(self, request: Request) -> int | None:
         """The simulator tells of it at once."""
 
-    def cancel(self, req: Req, seq: int) -> None:
-        self.actions.append(["undoSend", self.ids[req], seq])
+    def cancel(self, request: Request, seq: int) -> None:
+        self.actions.append(["undoSend", self.ids[request], seq])
 
-    def withdraw(self, req: Req, seq: int) -> None:
+    def withdraw(self, request: Request, seq: int) -> None:
         """What is sent is out at once."""
 
-    def deny(self, req: Req, after: int) -> None:
-        self.actions.append(["notNow", self.ids[req], after * NS])
-        self.answered.append(req)
+    def deny(self, request: Request, after: int) -> None:
+        self.actions.append(["notNow", self.ids[request], after * NS])
+        self.answered.append(request)
 
-    def abort(self, req: Req) -> None:
-        self.actions.append(["reportFailure", self.ids[req]])
-        self.answered.append(req)
+    def abort(self, request: Request) -> None:
+        self.actions.append(["reportFailure", self.ids[request]])
+        self.answered.append(request)
 
     def wake(self, at: int, token: str) -> None:
         self.actions.append(["wakeMe", at * NS, token])
 
-    def check(self, be: Be) -> None:
-        self.actions.append(["askLoad", be.name])
+    def check(self, backend: Backend) -> None:
+        self.actions.append(["askLoad", backend.name])
 
-    def disconnect(self, be: Be) -> None:
-        self.actions.append(["release", be.name])
+    def disconnect(self, backend: Backend) -> None:
+        self.actions.append(["release", backend.name])
 
     def tell(self, peer: int, text: str) -> None:
         self.actions.append(["notify", peer, text])
@@ -122,20 +122,20 @@
     def log(self, text: str) -> None:
         self.actions.append(["journalLine", text])
 
-    def believe(self, be: Be, what: str, why: str) -> None:
-        self.log(f"{be.name} {why}" if what == "back" else f"{be.name} {what}: {why}")
+    def believe(self, backend: Backend, what: str, why: str) -> None:
+        self.log(f"{backend.name} {why}" if what == "back" else f"{backend.name} {what}: {why}")
 
-    def limited(self, be: Be, was: float, limit: float, late: float) -> None:
+    def limited(self, backend: Backend, was: float, limit: float, late: float) -> None:
         """The report has no place for it."""
 
     # --- what the wire brings ---
 
-    def _forget(self, req: Req) -> None:
-        if req.closed and not req.out and req in self.ids:
-            del self.reqs[self.ids.pop(req)]
+    def _forget(self, request: Request) -> None:
+        if request.closed and not request.out and request in self.ids:
+            del self.requests[self.ids.pop(request)]
 
-    def _be(self, values: list[Any], place: int) -> Be | None:
-        return self.bes.get(field(values, place, str, "cache"))
+    def _be(self, values: list[Any], place: int) -> Backend | None:
+        return self.backends.get(field(values, place, str, "cache"))
 
     def up(self, values: list[Any]) -> None:
         field(values, 0, int, "initSeed")  # the module draws no chance
@@ -160,7 +160,7 @@
                 raise MalformedError(f"status in the list is unknown: {status}")
             listed.append(
                 (
-                    self.bes.setdefault(name, Be(name)),
+                    self.backends.setdefault(name, Backend(name)),
                     field(row, 1, int, "zone", 0),
                     field(row, 2, int, "kind", 0),
                     field(row, 3, int, "cohort", 0),
@@ -170,13 +170,15 @@
                 )
             )
         self.router.listed(MODES[mode], listed)
-        self.bes = {name: be for name, be in self.bes.items() if be.status or be.reqs}
+        self.backends = {
+            name: backend for name, backend in self.backends.items() if backend.status or backend.requests
+        }
 
     def ingress(self, values: list[Any]) -> None:
         name = field(values, 0, str, "id")
         bits = field(values, 5, int, "bits", 0)
         now = self.now()
-        req = Req(
+        request = Request(
             key=field(values, 8, str, "contentId", ""),
             part=field(values, 1, int, "part", 0),
             group=field(values, 2, int, "group", 0),
@@ -188,27 +190,27 @@
             write=bool(bits & 4),
             repeat=bool(bits & 2),
         )
-        self.reqs[name] = req
-        self.ids[req] = name
-        self.router.arrived(req)
+        self.requests[name] = request
+        self.ids[request] = name
+        self.router.arrived(request)
 
     def established(self, values: list[Any]) -> None:
-        req = self.reqs.get(field(values, 0, str, "id"))
-        if req and self._be(values, 1):
-            self.router.flowing(req, field(values, 3, int, "sendNo", 0))
+        request = self.requests.get(field(values, 0, str, "id"))
+        if request and self._be(values, 1):
+            self.router.flowing(request, field(values, 3, int, "sendNo", 0))
 
     def resolved(self, values: list[Any]) -> None:
-        req = self.reqs.get(field(values, 0, str, "id"))
+        request = self.requests.get(field(values, 0, str, "id"))
         seq = field(values, 1, int, "sendNo", 0)
-        be = self._be(values, 2)
+        backend = self._be(values, 2)
         code = field(values, 3, str, "stateCode")
         if code not in OUTCOMES:
             raise MalformedError(f"stateCode is unknown: {code}")
         final = field(values, 5, bool, "finished", False)
-        if req and be:
+        if request and backend:
             self.router.ended(
-                req,
-                be,
+                request,
+                backend,
                 seq,
                 OUTCOMES[code],
                 field(values, 4, int, "tookNs", 0) // NS,
@@ -217,25 +219,25 @@
                 field(values, 7, int, "sourceWaitNs", 0) // NS,
                 field(values, 8, list, "feedback", []),
             )
-            self._forget(req)
+            self._forget(request)
 
     def cancelled_by_client(self, values: list[Any]) -> None:
-        req = self.reqs.get(field(values, 0, str, "id"))
-        if req:
-            self.router.left(req)
-            self._forget(req)
+        request = self.requests.get(field(values, 0, str, "id"))
+        if request:
+            self.router.left(request)
+            self._forget(request)
 
     def timeout_fired(self, values: list[Any]) -> None:
         self.router.woke(field(values, 0, str, "ctx"))
 
     def status_back(self, values: list[Any]) -> None:
-        be = self._be(values, 0)
+        backend = self._be(values, 0)
         code = field(values, 2, str, "stateCode")
         if code not in OUTCOMES:
             raise MalformedError(f"stateCode is unknown: {code}")
-        if be:
+        if backend:
             self.router.checked(
-                be,
+                backend,
                 field(values, 1, int, "tookNs", 0) // NS,
                 OUTCOMES[code],
                 field(values, 3, list, "feedback", []),
@@ -295,8 +297,8 @@
             raise
         except Exception as wrong:  # whatever the module raises is its crash, told so
             gateway.actions.append(["die", f"{type(wrong).__name__}: {wrong}"])
-        for req in gateway.answered:
-            gateway._forget(req)
+        for request in gateway.answered:
+            gateway._forget(request)
         gateway.answered.clear()
         actions, gateway.actions = gateway.actions, []
         return actions
--- a/lilacloft/emulator/around.py
+++ b/lilacloft/emulator/around.py
@@ -75,7 +75,7 @@
     def undo(self, dispatch: Any) -> int:
         """Take a dispatch back; tells when that is sure."""
 
-    def check(self, gateway: Any, be: Any, box: Any, life: int) -> None:
+    def check(self, gateway: Any, backend: Any, box: Any, life: int) -> None:
         """Ask a box for its load."""
 
     def final(self, gateway: Any, number: int, ask: Any, word: str, after: int, dispatch: Any) -> None:
--- a/lilacloft/emulator/boxes.py
+++ b/lilacloft/emulator/boxes.py
@@ -32,8 +32,8 @@
 
     number: int
     gateway: Any
-    req: Any
-    be: Any
+    request: Any
+    backend: Any
     seq: int
     box: Box
     place: Place
--- a/lilacloft/emulator/fleet.py
+++ b/lilacloft/emulator/fleet.py
@@ -54,7 +54,7 @@
     wasted: int = 0  # answers that nobody waited for
     believes: int = 0
     events: int = 0
-    reqs: int = 0
+    requests: int = 0
     breaches: list[Breach] = field(default_factory=list)
     mark: str = ""  # of all that was answered, in order: the same for the same run
 
@@ -159,7 +159,7 @@
     @staticmethod
     def _homes(router: Any, pool: list[Any], key: str) -> list[str]:
         order = getattr(router, "home_order", router._order)
-        return [be.name for be in order(pool, key)]
+        return [backend.name for backend in order(pool, key)]
 
     # --- time ---
 
@@ -299,19 +299,19 @@
             load if word == "done" else [],
         )
 
-    def check(self, gateway: Gateway, be: Any, box: Box, life: int) -> None:
+    def check(self, gateway: Gateway, backend: Any, box: Box, life: int) -> None:
         """A health check, answered by the box's load; or not at all."""
         now = self.events.now
         there = now + self.hop(gateway, box)
         back = there + self.hop(box, gateway)
         patience = now + SECOND
         if box.dead:
-            self.events.at(back, NET, gateway.checked, be, back - now, "unreached", [], life)
+            self.events.at(back, NET, gateway.checked, backend, back - now, "unreached", [], life)
         elif box.silent or self.cut(gateway, box) or self.cut(box, gateway) or back > patience:
-            self.events.at(patience, TIMER, gateway.checked, be, SECOND, "timeout", [], life)
+            self.events.at(patience, TIMER, gateway.checked, backend, SECOND, "timeout", [], life)
         else:
             load = [float(len(box.open)), min(1.0, box.out.used() / max(box.out.capacity, 1e-9))]
-            self.events.at(back, NET, gateway.checked, be, back - now, "done", load, life)
+            self.events.at(back, NET, gateway.checked, backend, back - now, "done", load, life)
 
     def service(self) -> int:
         """What the origin takes for one part or effect."""
@@ -320,7 +320,7 @@
     def effect(self, dispatch: Dispatch, origin: Box) -> None:
         """A write has come to the origin. A keyed one has its effect once, however often it comes."""
         if (
-            dispatch.gateway.router.vhosts[dispatch.req.vhost].effect == "uniqued"
+            dispatch.gateway.router.vhosts[dispatch.request.vhost].effect == "uniqued"
             and dispatch.write in self.checker.effects
         ):
             return
@@ -359,7 +359,7 @@
         until = now + vhost.timeout
         self.asked_at[number] = now
         self.checker.asked(number, asked(number, ask, vhost, until))
-        self.result.reqs += 1
+        self.result.requests += 1
         self.due[number] = until + SLACK
         self.events.at(until + SLACK + 1, CHECK, self._due, number)
         gateway.arrived(number, ask)
@@ -377,7 +377,7 @@
 
     def excuse(self, number: int, until: int) -> None:
         """Its gateway does nothing until then: nobody can answer it before."""
-        told = self.checker.reqs[number]
+        told = self.checker.requests[number]
         told.until = max(told.until, until + SLACK)
         self.due[number] = max(self.due.get(number, 0), told.until + SLACK)
 
@@ -604,7 +604,7 @@
         out.worth = self.earned / self.could if self.could else 1.0
         out.hits = self.from_copy / self.read if self.read else 0.0
         out.stale = self.from_stale / self.read if self.read else 0.0
-        out.dispatches = self.sends / max(1, out.reqs)
+        out.dispatches = self.sends / max(1, out.requests)
         out.fetched = self.origin_kb / self.served_kb if self.served_kb else 0.0
         took = sorted(self.took)
         if took:
--- a/lilacloft/emulator/gateway.py
+++ b/lilacloft/emulator/gateway.py
@@ -16,7 +16,7 @@
 from lilacloft.emulator.events import CHECK, CLIENT, NET, TIMER
 from lilacloft.emulator.rules import Told
 from lilacloft.stamps import Hearing, Stamps
-from lilacloft.state import Be, Req
+from lilacloft.state import Backend, Request
 
 Policy = Callable[[Any, Any], Any]
 
@@ -38,12 +38,12 @@
 
     def begin(self) -> None:
         """A new process, which knows what its configuration says: the list as it is."""
-        self.bes: dict[str, Be] = {}
-        self.boxes: dict[Be, Box] = {}
+        self.backends: dict[str, Backend] = {}
+        self.boxes: dict[Backend, Box] = {}
         self.knows: dict[str, int] = {}  # when boxes started, as it was told
-        self.asks: dict[Req, tuple[int, Ask]] = {}
-        self.out: dict[tuple[Req, int], Dispatch] = {}
-        self.open: dict[Req, None] = {}
+        self.asks: dict[Request, tuple[int, Ask]] = {}
+        self.out: dict[tuple[Request, int], Dispatch] = {}
+        self.open: dict[Request, None] = {}
         self.life += 1
         self.stamps = Stamps()
         self.log_heard = -1  # when the log was last heard from; -1: only the first list was told
@@ -73,8 +73,8 @@
         """It does nothing until then, and is late by so much after."""
         since = self.fleet.events.now
         self.frozen = max(self.frozen, until)
-        for req in self.open:
-            self.fleet.excuse(self.asks[req][0], self.frozen)
+        for request in self.open:
+            self.fleet.excuse(self.asks[request][0], self.frozen)
         self.fleet.events.at(self.frozen, NET, self._thaw, self.life, since)
 
     def _thaw(self, life: int, since: int) -> None:
@@ -88,8 +88,8 @@
         for dispatch in list(self.out.values()):
             dispatch.over = True
             self.fleet.undo(dispatch)
-        for req in self.open:
-            self.fleet.gone(self.asks[req][0])
+        for request in self.open:
+            self.fleet.gone(self.asks[request][0])
         self.frozen, self.offset = 0, self.set_to
         self.fleet.checker.forget(self.name)
         self.begin()
@@ -104,7 +104,7 @@
         now = self.now()
         asked = fleet.asked_at[number] + self.offset
         kbytes = ask.kbytes if vhost.effect == "replayable" and not vhost.passes else 2.0
-        req = Req(
+        request = Request(
             ask.key,
             ask.part,
             ask.group,
@@ -114,28 +114,28 @@
             ask.vhost,
             write=vhost.effect != "replayable",
         )
-        self.asks[req] = (number, ask)
-        self.open[req] = None
+        self.asks[request] = (number, ask)
+        self.open[request] = None
         if ask.leave:
-            fleet.events.at(fleet.events.now + ask.leave, CLIENT, self._leave, req, self.life)
-        return self.router.arrived(req)
-
-    def _leave(self, req: Req, life: int) -> None:
-        if life == self.life and req in self.open and not self.held(CLIENT, self._leave, req, life):
-            del self.open[req]
-            self.fleet.gone(self.asks[req][0])
-            self.router.left(req)
-            self._forget(req)
-
-    def _final(self, req: Req, word: str, after: int = 0, dispatch: Dispatch | None = None) -> None:
-        number, ask = self.asks[req]
-        if req in self.open:
-            del self.open[req]
+            fleet.events.at(fleet.events.now + ask.leave, CLIENT, self._leave, request, self.life)
+        return self.router.arrived(request)
+
+    def _leave(self, request: Request, life: int) -> None:
+        if life == self.life and request in self.open and not self.held(CLIENT, self._leave, request, life):
+            del self.open[request]
+            self.fleet.gone(self.asks[request][0])
+            self.router.left(request)
+            self._forget(request)
+
+    def _final(self, request: Request, word: str, after: int = 0, dispatch: Dispatch | None = None) -> None:
+        number, ask = self.asks[request]
+        if request in self.open:
+            del self.open[request]
             self.fleet.final(self, number, ask, word, after, dispatch)
 
-    def _forget(self, req: Req) -> None:
-        if req.closed and not any(place[0] is req for place in self.out):
-            self.asks.pop(req, None)
+    def _forget(self, request: Request) -> None:
+        if request.closed and not any(place[0] is request for place in self.out):
+            self.asks.pop(request, None)
 
     # --- what comes back ---
 
@@ -144,15 +144,17 @@
         if dispatch.over or self.held(NET, self.ended, dispatch, outcome, note, load):
             return
         dispatch.over = True
-        req, now = dispatch.req, self.fleet.events.now
-        self.out.pop((req, dispatch.seq), None)
-        if outcome == "done" and req in self.open:
-            self._final(req, "done", 0, dispatch)
+        request, now = dispatch.request, self.fleet.events.now
+        self.out.pop((request, dispatch.seq), None)
+        if outcome == "done" and request in self.open:
+            self._final(request, "done", 0, dispatch)
         elif outcome == "done":
             self.fleet.wasted += 1
-        final = outcome == "done" or req.closed
-        self.router.ended(req, dispatch.be, dispatch.seq, outcome, now - dispatch.sent, final, note, 0, load)
-        self._forget(req)
+        final = outcome == "done" or request.closed
+        self.router.ended(
+            request, dispatch.backend, dispatch.seq, outcome, now - dispatch.sent, final, note, 0, load
+        )
+        self._forget(request)
 
     def time_up(self, dispatch: Dispatch) -> None:
         """A dispatch has had its time."""
@@ -168,13 +170,13 @@
         if hearing is None:
             self.stamps.configured(self.now(), (box.started for box in rows))
         for box in rows:
-            be = self.bes.get(box.name)
-            if be is None:
-                be = self.bes[box.name] = Be(box.name)
-                self.boxes[be] = getattr(box, "box", box)
+            backend = self.backends.get(box.name)
+            if backend is None:
+                backend = self.backends[box.name] = Backend(box.name)
+                self.boxes[backend] = getattr(box, "box", box)
             entries.append(
                 (
-                    be,
+                    backend,
                     box.zone,
                     box.kind,
                     box.cell,
@@ -192,7 +194,7 @@
         at = self.stamps.purge(self.now(), at, self._hearing())
         self.router.purged(key, group, self.now() - at)
         for name, started in self.stamps.revised().items():
-            self.bes[name].started = started
+            self.backends[name].started = started
 
     def _hearing(self) -> Hearing | None:
         """How the log was heard of before what it tells now; none for the list that it begins with."""
@@ -201,15 +203,15 @@
 
     # --- Host: what the module calls ---
 
-    def look(self, req: Req, be: Be, limit: int) -> None:
-        self._send(req, be, limit, None, 0, 0, False, True, False)
+    def look(self, request: Request, backend: Backend, limit: int) -> None:
+        self._send(request, backend, limit, None, 0, 0, False, True, False)
 
     def fetch(
         self,
-        req: Req,
-        be: Be,
+        request: Request,
+        backend: Backend,
         limit: int,
-        source: Be,
+        source: Backend,
         rank: int,
         age: int,
         join: bool,
@@ -217,14 +219,24 @@
         no_trace: bool,
         renew: bool,
     ) -> None:
-        self._send(req, be, limit, source if source is not be else None, rank, age, join, held_only, renew)
+        self._send(
+            request,
+            backend,
+            limit,
+            source if source is not backend else None,
+            rank,
+            age,
+            join,
+            held_only,
+            renew,
+        )
 
     def _send(
         self,
-        req: Req,
-        be: Be,
+        request: Request,
+        backend: Backend,
         limit: int,
-        source: Be | None,
+        source: Backend | None,
         rank: int,
         age: int,
         join: bool,
@@ -232,20 +244,20 @@
         renew: bool,
     ) -> None:
         fleet = self.fleet
-        number, ask = self.asks[req]
-        vhost, box = fleet.world.vhosts[ask.vhost], self.boxes[be]
+        number, ask = self.asks[request]
+        vhost, box = fleet.world.vhosts[ask.vhost], self.boxes[backend]
         now = fleet.events.now
         fleet.sends += 1
         dispatch = Dispatch(
             fleet.sends,
             self,
-            req,
-            be,
-            req.tries - 1,
+            request,
+            backend,
+            request.tries - 1,
             box,
             (ask.key, ask.part),
             ask.group,
-            req.kbytes,
+            request.kbytes,
             self.boxes[source] if source else None,
             rank,
             now - age if age else 0,
@@ -259,34 +271,34 @@
         )
         if box.kind == ORIGIN and source is None:
             dispatch.passes = True
-        self.out[req, dispatch.seq] = dispatch
+        self.out[request, dispatch.seq] = dispatch
         self.counts["dispatches"] += 1
         fleet.sending(dispatch, number, source)
         fleet.events.at(now + limit, TIMER, self.time_up, dispatch)
 
-    def departed(self, req: Req) -> int | None:
+    def departed(self, request: Request) -> int | None:
         """Who leaves is told of at once."""
 
-    def cancel(self, req: Req, seq: int) -> None:
-        dispatch = self.out.get((req, seq))
+    def cancel(self, request: Request, seq: int) -> None:
+        dispatch = self.out.get((request, seq))
         if dispatch is not None and not dispatch.over:
             fleet = self.fleet
             sure = fleet.undo(dispatch)
-            if req.closed:
+            if request.closed:
                 fleet.events.at(fleet.events.now, NET, self.ended, dispatch, "cancelled", 0, [])
             else:
                 fleet.events.at(sure, NET, self.ended, dispatch, "cancelled", 0, [])
 
-    def withdraw(self, req: Req, seq: int) -> None:
+    def withdraw(self, request: Request, seq: int) -> None:
         """What is sent is out at once."""
 
-    def deny(self, req: Req, after: int) -> None:
-        self._final(req, "denied", after)
-        self.fleet.events.at(self.fleet.events.now, CHECK, self._forget, req)
+    def deny(self, request: Request, after: int) -> None:
+        self._final(request, "denied", after)
+        self.fleet.events.at(self.fleet.events.now, CHECK, self._forget, request)
 
-    def abort(self, req: Req) -> None:
-        self._final(req, "aborted")
-        self.fleet.events.at(self.fleet.events.now, CHECK, self._forget, req)
+    def abort(self, request: Request) -> None:
+        self._final(request, "aborted")
+        self.fleet.events.at(self.fleet.events.now, CHECK, self._forget, request)
 
     def wake(self, at: int, token: str) -> None:
         self.fleet.events.at(at - self.offset, TIMER, self._wake, token, self.life)
@@ -295,16 +307,16 @@
         if life == self.life and not self.held(TIMER, self._wake, token, life):
             self.router.woke(token)
 
-    def check(self, be: Be) -> None:
+    def check(self, backend: Backend) -> None:
         self.counts["checks"] += 1
-        self.fleet.check(self, be, self.boxes[be], self.life)
+        self.fleet.check(self, backend, self.boxes[backend], self.life)
 
-    def checked(self, be: Be, took: int, outcome: str, load: list[float], life: int) -> None:
+    def checked(self, backend: Backend, took: int, outcome: str, load: list[float], life: int) -> None:
         """A health check is answered."""
-        if life == self.life and not self.held(NET, self.checked, be, took, outcome, load, life):
-            self.router.checked(be, took, outcome, load)
+        if life == self.life and not self.held(NET, self.checked, backend, took, outcome, load, life):
+            self.router.checked(backend, took, outcome, load)
 
-    def disconnect(self, be: Be) -> None:
+    def disconnect(self, backend: Backend) -> None:
         """Connections cost nothing here."""
 
     def tell(self, peer: int, text: str) -> None:
@@ -319,10 +331,10 @@
     def log(self, text: str) -> None:
         """Nobody reads it."""
 
-    def believe(self, be: Be, what: str, why: str) -> None:
+    def believe(self, backend: Backend, what: str, why: str) -> None:
         self.fleet.believes += what != "back"
 
-    def limited(self, be: Be, was: float, limit: float, late: float) -> None:
+    def limited(self, backend: Backend, was: float, limit: float, late: float) -> None:
         """Nobody looks."""
 
 
--- a/lilacloft/emulator/planes.py
+++ b/lilacloft/emulator/planes.py
@@ -66,7 +66,7 @@
             keeper,
         )
         self.watch = Watch(self.router, [vhost.name for vhost in world.vhosts], self.follower)
-        self.reqs = 0
+        self.requests = 0
         self.fleet.events.at(now + 1 + self.number * 37 % EVERY, TIMER, self._speak, self.life)
 
     def steady(self, now: int) -> int:
@@ -80,14 +80,21 @@
             self.watch.listed([box.name for box in rows], len(self.fleet.log), self.now(), self.steady(now))
 
     def arrived(self, number: int, ask: Any) -> None:
-        self.reqs += 1
+        self.requests += 1
         super().arrived(number, ask)
 
     def ended(self, dispatch: Any, outcome: str, note: int, load: list[float]) -> None:
         if not dispatch.over and self.fleet.events.now >= self.frozen:
-            req, took = dispatch.req, self.fleet.events.now - dispatch.sent
+            request, took = dispatch.request, self.fleet.events.now - dispatch.sent
             self.watch.ended(
-                dispatch.be, req.vhost, outcome, took, req.work, note, dispatch.kbytes, req.source
+                dispatch.backend,
+                request.vhost,
+                outcome,
+                took,
+                request.work,
+                note,
+                dispatch.kbytes,
+                request.source,
             )
         super().ended(dispatch, outcome, note, load)
 
@@ -96,8 +103,8 @@
         if life != self.life or self.held(TIMER, self._speak, life):
             return
         now = self.fleet.events.now
-        self.watch.look(self.reqs, len(self.fleet.log), self.now(), self.steady(now))
-        self.reqs = 0
+        self.watch.look(self.requests, len(self.fleet.log), self.now(), self.steady(now))
+        self.requests = 0
         for planner in self.fleet.planners:
             self.fleet.up(self, planner, self.follower.summary(planner.name, self.steady(now)))
         self.act()
--- a/lilacloft/emulator/policies.py
+++ b/lilacloft/emulator/policies.py
@@ -32,11 +32,11 @@
 
     def listed(self, mode: str, entries: Any) -> None:
         super().listed(mode, entries)
-        for be in self.known:
-            if be.way is not None and not isinstance(be.way, Open):
-                be.way = Open(1e9, 1.0)
+        for backend in self.known:
+            if backend.way is not None and not isinstance(backend.way, Open):
+                backend.way = Open(1e9, 1.0)
 
-    def _strike(self, be: Any, now: int, weight: int = 1) -> None:
+    def _strike(self, backend: Any, now: int, weight: int = 1) -> None:
         """Nobody is suspect."""
 
     def _doubt(self, source: Any, now: int) -> None:
@@ -46,7 +46,7 @@
 class Unbounded:
     """The home takes whatever comes."""
 
-    def _fit(self, be: Any, pool: Any, req: Any) -> bool:
+    def _fit(self, backend: Any, pool: Any, request: Any) -> bool:
         return True
 
 
@@ -58,7 +58,7 @@
     def _order(self, pool: list[Any], key: str) -> list[Any]:
         self.drawn += 1
         host = getattr(self.host, "name", "")
-        return sorted(pool, key=lambda be: zlib.crc32(f"{host} {self.drawn} {be.name}".encode()))
+        return sorted(pool, key=lambda backend: zlib.crc32(f"{host} {self.drawn} {backend.name}".encode()))
 
 
 class Two(Drawn):
@@ -66,14 +66,14 @@
 
     def _order(self, pool: list[Any], key: str) -> list[Any]:
         drawn = super()._order(pool, key)
-        return sorted(drawn[:2], key=lambda be: be.load / be.size) + drawn[2:]
+        return sorted(drawn[:2], key=lambda backend: backend.load / backend.size) + drawn[2:]
 
 
 class Least(Drawn):
     """The one with the least of this gateway's own out."""
 
     def _order(self, pool: list[Any], key: str) -> list[Any]:
-        return sorted(super()._order(pool, key), key=lambda be: be.load / be.size)
+        return sorted(super()._order(pool, key), key=lambda backend: backend.load / backend.size)
 
 
 class Alone(Router):
@@ -87,51 +87,55 @@
 class Unrenewed(Router):
     """Nothing is renewed behind: who finds a copy too old waits for a new one."""
 
-    def _send(self, req: Any, be: Any, source: Any, held_only: bool = False) -> bool:
-        if req.obj is not None:
-            req.obj.marked = self.host.now()
-        return super()._send(req, be, source, held_only)
+    def _send(self, request: Any, backend: Any, source: Any, held_only: bool = False) -> bool:
+        if request.object_part is not None:
+            request.object_part.marked = self.host.now()
+        return super()._send(request, backend, source, held_only)
 
 
 class Oracle(Bare):
     """Knows who answers, who holds what, and how full all ways out are."""
 
-    def _box(self, be: Any) -> Any:
-        return self.host.boxes[be]
+    def _box(self, backend: Any) -> Any:
+        return self.host.boxes[backend]
 
     def _order(self, pool: list[Any], key: str) -> list[Any]:
         words = key.split()
         place = (words[0], int(words[1]) if len(words) > 1 else 0)
         fleet = self.host.fleet
 
-        def reckoned(be: Any) -> tuple[Any, ...]:
-            box = self._box(be)
+        def reckoned(backend: Any) -> tuple[Any, ...]:
+            box = self._box(backend)
             gone = box.silent or box.dead or fleet.cut(self.host, box) or fleet.cut(box, self.host)
             room = box.out.capacity / max(1, len(box.out.flows) + 1)
             full = len(box.open) >= box.slots
             held = box.copies.peek(place) is not None or place in box.fills
-            return gone, full, room < 0.25 * fleet.pace, not held, -room, be.name
+            return gone, full, room < 0.25 * fleet.pace, not held, -room, backend.name
 
         return sorted(pool, key=reckoned)
 
-    def _fit(self, be: Any, pool: Any, req: Any) -> bool:
-        box = self._box(be)
+    def _fit(self, backend: Any, pool: Any, request: Any) -> bool:
+        box = self._box(backend)
         return not (box.silent or box.dead or self.host.fleet.cut(self.host, box))
 
-    def _held(self, req: Any, be: Any) -> bool:
-        return self._box(be).copies.peek((req.key, req.part)) is not None
+    def _held(self, request: Any, backend: Any) -> bool:
+        return self._box(backend).copies.peek((request.key, request.part)) is not None
 
-    def _send(self, req: Any, be: Any, source: Any, held_only: bool = False) -> bool:
+    def _send(self, request: Any, backend: Any, source: Any, held_only: bool = False) -> bool:
         """Nothing goes where it could only be late: what all together have under way there is known."""
-        box, fleet = self._box(be), self.host.fleet
-        worth = self.vhosts[req.vhost].value / (self.value or 1.0)
+        box, fleet = self._box(backend), self.host.fleet
+        worth = self.vhosts[request.vhost].value / (self.value or 1.0)
         room = 1.0 + min(1.0, max(0.0, worth / 2))
         links = [box.out]
-        if source is not be and not self._held(req, be) and (req.key, req.part) not in box.fills:
+        if (
+            source is not backend
+            and not self._held(request, backend)
+            and (request.key, request.part) not in box.fills
+        ):
             links += [fleet.ways_in[self.zone], self._box(source).out]
-        if any(link.wanted + fleet.pace > room * link.capacity for link in links) and req.kbytes > 4:
+        if any(link.wanted + fleet.pace > room * link.capacity for link in links) and request.kbytes > 4:
             return False
-        return super()._send(req, be, source, held_only)
+        return super()._send(request, backend, source, held_only)
 
     home_order = staticmethod(Router._order)  # where copies lie at the beginning
 
--- a/lilacloft/emulator/rules.py
+++ b/lilacloft/emulator/rules.py
@@ -53,7 +53,7 @@
     def __init__(self, grace: int, slack: int) -> None:
         self.grace, self.slack = grace, slack  # of drains; by which an answer may be late on its way
         self.breaches: list[Breach] = []
-        self.reqs: dict[int, Told] = {}
+        self.requests: dict[int, Told] = {}
         self.of: dict[int, tuple[int, str, int, int]] = {}  # dispatches: req, box, zone, cell
         self.began: dict[int, int] = {}
         self.effects: dict[str, str] = {}
@@ -66,13 +66,13 @@
 
     # --- clients ---
 
-    def asked(self, req: int, told: Told) -> None:
+    def asked(self, request: int, told: Told) -> None:
         """A client asks."""
-        self.reqs[req] = told
+        self.requests[request] = told
 
-    def answered(self, req: int, word: str, at: int) -> None:
+    def answered(self, request: int, word: str, at: int) -> None:
         """A final answer has come to its client."""
-        told = self.reqs[req]
+        told = self.requests[request]
         if told.final:
             self.breach(1, at, "client", f"{told.name} answered twice: {told.final}, {word}")
         elif told.left:
@@ -81,33 +81,33 @@
             self.breach(1, at, "client", f"{told.name} answered {(at - told.until) / 10:.1f} ms too late")
         told.final = word
 
-    def leaves(self, req: int) -> None:
+    def leaves(self, request: int) -> None:
         """A client has gone, or its connection ended with its gateway: nothing is owed any more."""
-        self.reqs[req].left = True
+        self.requests[request].left = True
 
-    def due(self, req: int, at: int) -> None:
+    def due(self, request: int, at: int) -> None:
         """A client's time is up: has it been answered?"""
-        told = self.reqs[req]
+        told = self.requests[request]
         if not (told.final or told.left):
             self.breach(1, at, "client", f"{told.name} never answered")
 
     # --- dispatches ---
 
     def sent(
-        self, number: int, req: int, gateway: str, box: str, zone: int, cell: int, source: str, at: int
+        self, number: int, request: int, gateway: str, box: str, zone: int, cell: int, source: str, at: int
     ) -> None:
         """A gateway sends."""
-        told = self.reqs[req]
-        self.of[number] = (req, box, zone, cell)
-        for be in dict.fromkeys((box, source)):
-            leaving, since = self.states.get((gateway, be), (False, 0))
-            if be and leaving and at > since + self.grace:
-                way = "sent to" if be == box else f"{box} told to fill from"
+        told = self.requests[request]
+        self.of[number] = (request, box, zone, cell)
+        for backend in dict.fromkeys((box, source)):
+            leaving, since = self.states.get((gateway, backend), (False, 0))
+            if backend and leaving and at > since + self.grace:
+                way = "sent to" if backend == box else f"{box} told to fill from"
                 self.breach(
                     3,
                     at,
                     gateway,
-                    f"{told.name} {way} {be}, that was told to leave {(at - since) / 10:.0f} ms ago",
+                    f"{told.name} {way} {backend}, that was told to leave {(at - since) / 10:.0f} ms ago",
                 )
         purges = self.purges.get(gateway, {})
         mine = {what: purges[what] for what in (told.key, told.group) if what in purges}
@@ -123,8 +123,8 @@
 
     def taken(self, number: int, box: str, at: int) -> None:
         """It has come to its box."""
-        req, _, zone, cell = self.of[number]
-        told = self.reqs[req]
+        request, _, zone, cell = self.of[number]
+        told = self.requests[request]
         if told.out:
             self.breach(2, at, box, f"{told.name} out twice: still at {next(iter(told.out.values()))}")
         told.out[number] = box
@@ -132,8 +132,8 @@
 
     def ended(self, number: int, word: str, at: int) -> None:
         """It is over there: by its answer, an undo, or with its connection."""
-        req, box, zone, cell = self.of[number]
-        told = self.reqs[req]
+        request, box, zone, cell = self.of[number]
+        told = self.requests[request]
         if told.out.pop(number, None) is None:
             return
         if word not in NEVER_RAN and told.ran is None:
@@ -147,7 +147,7 @@
 
     def served(self, number: int, born: int, at: int) -> None:
         """An answer was given of a copy that the origin gave out at a time."""
-        told = self.reqs[self.of[number][0]]
+        told = self.requests[self.of[number][0]]
         for what, purged in self.known.get(number, {}).items():
             if 0 < born < purged:
                 self.breach(
--- a/lilacloft/experiment/runner.py
+++ b/lilacloft/experiment/runner.py
@@ -16,6 +16,8 @@
 from lilacloft.experiment.plan import LEVELS, Experiment, Run
 from lilacloft.experiment.results import Results
 
+ATTRIBUTES = {"reqs": "requests"}  # of results, where the name that is kept is another
+
 
 def done(run: Run) -> dict[str, Any]:
     """One run, as it is kept."""
@@ -31,7 +33,7 @@
     result = fleet.run()
     took = time.process_time() - began
     told = {
-        name: getattr(result, name)
+        name: getattr(result, ATTRIBUTES.get(name, name))
         for name in (
             "asked",
             "done",
@@ -57,7 +59,7 @@
         **told,
         "broken": len(result.breaches),
         "breaches": [str(one) for one in result.breaches[:5]],
-        "cpu_us": 1e6 * took / max(1, result.reqs),
+        "cpu_us": 1e6 * took / max(1, result.requests),
     }
 
 
--- a/lilacloft/experiment/search.py
+++ b/lilacloft/experiment/search.py
@@ -173,10 +173,10 @@
     def presumed(self, spot: Spot) -> Spot:
         """A spot of a world whose faults strike as a known kernel there does is taken for that weakness: the
         search makes many such, each with a fault more or moved, and they would crowd out all others."""
-        strikes = {(one.kind, one.whom) for one in spot.faults}
+        consecutive = {(one.kind, one.whom) for one in spot.faults}
         for known in self.worst:
             marks = {(one.kind, one.whom) for one in known.kernel or ()}
-            if marks and known.world.name == spot.world.name and marks <= strikes:
+            if marks and known.world.name == spot.world.name and marks <= consecutive:
                 kept = tuple(one for one in spot.faults if (one.kind, one.whom) in marks)
                 return replace(spot, kernel=kept)
         return spot
--- a/lilacloft/invariants.py
+++ b/lilacloft/invariants.py
@@ -17,7 +17,7 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from lilacloft.state import Be
+from lilacloft.state import Backend
 
 # outcomes after which an attempt may have had its effect; kept apart from the decisions' own on purpose
 MAY_HAVE_RUN = frozenset(("done", "error", "timeout", "reset", "spoilt", "cancelled"))
@@ -62,9 +62,9 @@
     until: int  # when its client's time is up
     out: bool = False
     sent: int = 0  # when the last attempt was let go
-    be: Be | None = None  # where to
+    backend: Backend | None = None  # where to
     ran: int | None = None  # when the first attempt that may have run was let go
-    ran_at: Be | None = None
+    first_executed_by: Backend | None = None
     settled: bool = False  # it has its answer, or is owed none
 
 
@@ -117,7 +117,7 @@
         self.parent = ColdStart(family["parent_floor"], family["parent_warms_in"], family["parent_breaks_at"])
         self.parent_kind, self.origin_kind = family["parent_kind"], family["source_kind"]
         self.sizes_told = settings.get("weight_source", "silent") != "silent"
-        self.sent_cold: dict[Be, deque[tuple[int, float]]] = {}  # (when, work) lately
+        self.sent_cold: dict[Backend, deque[tuple[int, float]]] = {}  # (when, work) lately
         self.drained: dict[str, Since] = {}  # since when backends drain, or are gone, by name
 
     def _break(self, promise: Promise, name: str, detail: str) -> bool:
@@ -129,52 +129,54 @@
 
     # --- sending and repeating ---
 
-    def sends(self, history: History, be: Be, source: Be, work: float, now: int) -> bool:
+    def sends(self, history: History, backend: Backend, source: Backend, work: float, now: int) -> bool:
         """The guard of every attempt as it is decided: may it go to a backend, filled from a source?"""
         allowed = (
             self._open(history)
-            and self._repeats(history, be, now)
-            and self._listed(history, be, now)
+            and self._repeats(history, backend, now)
+            and self._listed(history, backend, now)
             and self._listed(history, source, now)
-            and self._starts(be, work, now)
-            and (source is be or self._starts(source, work, now))
+            and self._starts(backend, work, now)
+            and (source is backend or self._starts(source, work, now))
         )
         if allowed:
-            history.out, history.sent, history.be = True, now, be
+            history.out, history.sent, history.backend = True, now, backend
         return allowed
 
     def _open(self, history: History) -> bool:
         if history.settled:
             return self._break(Promise.SETTLED, history.name, "decided")
         if history.out:
-            return self._break(Promise.TWO_OUT, history.name, f"first at {history.be and history.be.name}")
+            return self._break(
+                Promise.TWO_OUT, history.name, f"first at {history.backend and history.backend.name}"
+            )
         return True
 
-    def _repeats(self, history: History, be: Be, now: int) -> bool:
+    def _repeats(self, history: History, backend: Backend, now: int) -> bool:
         """May a request go out again that may have run?"""
-        effect, first = history.effect, history.ran_at
+        effect, first = history.effect, history.first_executed_by
         if history.ran is None or first is None or effect.kind == "replayable":
             return True
-        same = {"all": True, "zone": be.zone == first.zone, "cell": be.cell == first.cell}
+        same = {"all": True, "zone": backend.zone == first.zone, "cell": backend.cell == first.cell}
         if effect.kind != "uniqued" or not same[effect.scope]:
-            return self._break(Promise.SENT_AGAIN, history.name, f"{first.name}, then {be.name}")
+            return self._break(Promise.SENT_AGAIN, history.name, f"{first.name}, then {backend.name}")
         if now >= history.ran + effect.window:
             late = (now - history.ran - effect.window) / 10
             return self._break(Promise.WINDOW_OVER, history.name, f"{late:.1f} ms after its window")
         return True
 
-    def _listed(self, history: History, be: Be, now: int) -> bool:
+    def _listed(self, history: History, backend: Backend, now: int) -> bool:
         """Has it been told for longer than the grace that it drains, or is gone?"""
-        since = self.drained.get(be.name)
+        since = self.drained.get(backend.name)
         if since is None or now <= since.at + self.grace:
             return True
-        return self._break(Promise.DRAIN, history.name, f"decided for {be.name}")
+        return self._break(Promise.DRAIN, history.name, f"decided for {backend.name}")
 
     def ended(self, history: History, outcome: str) -> None:
         """The attempt that was out is over."""
         history.out = False
         if outcome in MAY_HAVE_RUN and history.ran is None:
-            history.ran, history.ran_at = history.sent, history.be
+            history.ran, history.first_executed_by = history.sent, history.backend
 
     def begins(self, begun: Begun) -> bool:
         """The guard of an attempt's first byte, which may have waited since it was decided."""
@@ -201,22 +203,27 @@
             if status == 0 and len(self.drained) > MOST_GONE:
                 del self.drained[next(iter(self.drained))]
 
-    def _starts(self, be: Be, work: float, now: int) -> bool:
+    def _starts(self, backend: Backend, work: float, now: int) -> bool:
         """The guard of slow starts: has this process alone sent more than all of them may? `work` is the
         request's sending time."""
-        rules = self.parent if be.kind == self.parent_kind else self.cache
-        age = max(0, now - be.started)
-        if not be.started or age >= rules.warm or be.kind == self.origin_kind or not self.sizes_told:
-            self.sent_cold.pop(be, None)
+        rules = self.parent if backend.kind == self.parent_kind else self.cache
+        age = max(0, now - backend.started)
+        if (
+            not backend.started
+            or age >= rules.warm
+            or backend.kind == self.origin_kind
+            or not self.sizes_told
+        ):
+            self.sent_cold.pop(backend, None)
             return True
-        lately = self.sent_cold.setdefault(be, deque())
+        lately = self.sent_cold.setdefault(backend, deque())
         while lately and lately[0][0] <= now - self.fall:
             lately.popleft()
         mean = (sum(one for _, one in lately) + work) / (len(lately) + 1)
         share = rules.floor + (1 - rules.floor) * age / max(1, rules.warm)
-        calls = rules.multiple * share * be.size * self.fall / max(mean, 1.0)
+        calls = rules.multiple * share * backend.size * self.fall / max(mean, 1.0)
         if len(lately) + 1 > calls + chance(calls):
-            return self._break(Promise.SLOW_START, be.name, f"{len(lately) + 1} of {calls:.1f} calls")
+            return self._break(Promise.SLOW_START, backend.name, f"{len(lately) + 1} of {calls:.1f} calls")
         lately.append((now, work))
         return True
 
--- a/lilacloft/net/back.py
+++ b/lilacloft/net/back.py
@@ -19,7 +19,7 @@
 from lilacloft.net.conn import Conn, End
 from lilacloft.net.resp import Buffer, GarbledError, encode, fields, listed
 from lilacloft.settings import NS, TENTHS
-from lilacloft.state import Be
+from lilacloft.state import Backend
 
 WORDS = {
     b"data": End.DATA,
@@ -71,7 +71,7 @@
 
     __slots__ = (
         "call",
-        "be",
+        "backend",
         "seq",
         "name",
         "conn",
@@ -89,7 +89,7 @@
     def __init__(
         self,
         call: Any,
-        be: Be,
+        backend: Backend,
         seq: int,
         name: bytes,
         data: bytes,
@@ -103,7 +103,7 @@
         """`made`: when `data` was written, with a time limit of the span `limit`; `until`: when its time is
         up, `send_by`: from when on it may not begin, whatever waits, `window_over`: when what its effect
         allows is over; by the steady clock, 0: none."""
-        self.call, self.be, self.seq, self.name, self.data, self.at = call, be, seq, name, data, at
+        self.call, self.backend, self.seq, self.name, self.data, self.at = call, backend, seq, name, data, at
         self.conn: Line | None = None  # none: it has ended
         self.place = 0
         self.made, self.limit, self.until, self.send_by = made, limit, until, send_by
@@ -173,8 +173,8 @@
 class Pool:
     """The connections to one be in one of its lives at one address."""
 
-    def __init__(self, be: Be, address: tuple[str, int], back: Back) -> None:
-        self.be, self.address, self.back, self.life = be, address, back, be.started
+    def __init__(self, backend: Backend, address: tuple[str, int], back: Back) -> None:
+        self.backend, self.address, self.back, self.life = backend, address, back, backend.started
         self.lines: list[Line] = []
 
     def line(self, sent: Sent) -> Line | None:
@@ -208,7 +208,7 @@
             line.start()
         except (OSError, RuntimeError) as wrong:  # no descriptor or no thread to be had: it passes
             if not self.back.counts["unmade"]:
-                logger.error("no connection to {}: {}", self.be.name, wrong)
+                logger.error("no connection to {}: {}", self.backend.name, wrong)
             self.back.counts["unmade"] += 1
             return best
         self.lines.append(line)
@@ -246,7 +246,7 @@
         self.invariants = Invariants(config)
         self.write_soon: Callable[[Conn], None] = Conn.write_on
         self.closes: Counter[str] = Counter()  # connections, by how they ended
-        self.pools: dict[Be, Pool] = {}
+        self.pools: dict[Backend, Pool] = {}
         self.checks = 0
         self.counts = dict.fromkeys(
             ("connections", "unmade", "dispatches", "undone", "checks", "answers", "unknown"), 0
@@ -254,18 +254,18 @@
 
     # --- the list ---
 
-    def place(self, be: Be, address: tuple[str, int]) -> None:
+    def place(self, backend: Backend, address: tuple[str, int]) -> None:
         """A be is listed at an address."""
-        pool = self.pools.get(be)
-        if pool and (pool.address != address or pool.life != be.started):
+        pool = self.pools.get(backend)
+        if pool and (pool.address != address or pool.life != backend.started):
             pool.retire()
             pool = None
         if not pool:
-            self.pools[be] = Pool(be, address, self)
+            self.pools[backend] = Pool(backend, address, self)
 
-    def drop(self, be: Be) -> None:
+    def drop(self, backend: Backend) -> None:
         """A be is listed no more."""
-        pool = self.pools.pop(be, None)
+        pool = self.pools.pop(backend, None)
         if pool:
             pool.retire()
 
@@ -292,14 +292,14 @@
         if sent.call is None or not sent.until:
             return True
         sent.refresh()
-        drained = self.invariants.drained.get(sent.be.name)
+        drained = self.invariants.drained.get(sent.backend.name)
         return self.invariants.begins(sent.begun(drained.steady if drained else 0))
 
     def dispatch(self, sent: Sent) -> End | None:
         """Send; tells at once how it ended where there was no way to."""
         if not self.may_begin(sent):
             return End.UNWRITTEN
-        pool = self.pools.get(sent.be)
+        pool = self.pools.get(sent.backend)
         line = pool.line(sent) if pool else None
         if line is None:
             return End.NO_LINE
@@ -312,11 +312,11 @@
         self.counts["dispatches" if sent.call else "checks"] += 1
         return None
 
-    def check(self, be: Be) -> tuple[Sent, End | None]:
+    def check(self, backend: Backend) -> tuple[Sent, End | None]:
         """Ask for a load report, or where there are none whether it is well."""
         self.checks += 1
         name = b"%d" % self.checks
-        sent = Sent(None, be, 0, name, encode(b"top" if self.names else b"ping", name), self.now())
+        sent = Sent(None, backend, 0, name, encode(b"top" if self.names else b"ping", name), self.now())
         return sent, self.dispatch(sent)
 
     def take_back(self, sent: Sent) -> bool:
@@ -448,9 +448,9 @@
                 if not line.out and now - line.used >= self.idle:
                     line.close(End.RETIRED)
 
-    def give_back(self, be: Be) -> None:
+    def give_back(self, backend: Backend) -> None:
         """The module wants the idle connections of a be closed."""
-        pool = self.pools.get(be)
+        pool = self.pools.get(backend)
         for line in pool.lines if pool else ():
             if not line.out:
                 line.close(End.RETIRED)
--- a/lilacloft/net/front.py
+++ b/lilacloft/net/front.py
@@ -220,7 +220,7 @@
         "got",
         "body",
         "at",
-        "req",
+        "request",
         "sent",
         "lines",
         "left",
@@ -248,7 +248,7 @@
         self.kbytes = float(room)
         self.replay = hexed(told["replay"], 32) if "replay" in told else None
         self.got = hexed(told["got"], 16) if "got" in told else None
-        self.req: Any = None
+        self.request: Any = None
         self.sent: Any = None  # the dispatch that is out
         self.lines: list[Any] = []  # the connections it has been on
         self.left = 0  # when its client cancelled it, by the steady clock
--- a/lilacloft/net/owner.py
+++ b/lilacloft/net/owner.py
@@ -30,7 +30,7 @@
 from lilacloft.net.trace import Trace
 from lilacloft.settings import NS, TENTHS, settings
 from lilacloft.stamps import Hearing, Stamps
-from lilacloft.state import Be, Refusal, Req
+from lilacloft.state import Backend, RejectReason, Request
 
 COMING = 0.7  # seconds after SIGTERM in which clients may still come, as the protocol has it
 QUIET = 0.2  # and between two of their reqs then
@@ -86,8 +86,8 @@
         self.timers: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.timed = 0
         self.after: deque[tuple[Any, ...]] = deque()  # reports that a call of the module has led to
-        self.calls: dict[Req, Call] = {}
-        self.bes: dict[str, Be] = {}
+        self.calls: dict[Request, Call] = {}
+        self.backends: dict[str, Backend] = {}
         self.phase = Phase.STARTING
         self.ending = self.by = 0  # when SIGTERM came, and by when all must be answered then
         self.shut = 0  # when the door was shut
@@ -98,7 +98,7 @@
         self.upgrade: Any = None  # what replaces this process, if it may be replaced
         self.lags = False  # timers were late at the last turn
         self.counts = dict.fromkeys(("done", "denied", "aborted", "left", "faults"), 0)
-        self.refused = {why.name: 0 for why in Refusal}
+        self.refused = {why.name: 0 for why in RejectReason}
         self.retried = dict.fromkeys(sorted(set(OUTCOMES.values())), 0)  # by the outcome before
         self.trace = Trace()
         self.violation = 0  # when one was last told
@@ -199,7 +199,7 @@
         """Serve until told to end and nothing is owed any more."""
         self._to(Phase.SERVING)
         self.front.start()
-        logger.info("serving on {} with {} bes listed", self.listen, len(self.bes))
+        logger.info("serving on {} with {} bes listed", self.listen, len(self.backends))
         self.feed.start()
         self.sweep()
         self._beat()
@@ -293,7 +293,7 @@
     def _last(self) -> None:
         """What is still open is given up."""
         for call in list(self.calls.values()):
-            self.router.give_up(call.req, Refusal.ENDING)
+            self.router.give_up(call.request, RejectReason.ENDING)
 
     def reload(self, config: dict[str, Any]) -> None:
         """The configuration was read again: what may change is taken over whole, or not at all."""
@@ -357,7 +357,7 @@
         self.report()
         for call in list(self.calls.values())[:INSPECTED]:
             trail = "; ".join(str(step) for step in self.trace.trail(call.name))
-            left = (call.req.until - self.time) / TENTHS
+            left = (call.request.until - self.time) / TENTHS
             logger.info("open: {} with {:.3f} s left: {}", call.name, left, trail)
 
     def _violated(self, promise: Promise, name: str, detail: str) -> None:
@@ -374,19 +374,24 @@
         """A connection is ended by us with requests open on it. Any thread may tell."""
         self.invariants.closes(names)
 
-    def history(self, call: Call, req: Req) -> History:
+    def history(self, call: Call, request: Request) -> History:
         """What the checks know of a request that has come, or has come over from another process."""
         history = History(
-            call.name, self.effects[call.vhost], req.until, out=req.out, sent=req.sent, be=req.be
+            call.name,
+            self.effects[call.vhost],
+            request.until,
+            out=request.out,
+            sent=request.sent,
+            backend=request.backend,
         )
-        history.ran, history.ran_at = req.first_ran, req.ran_at
+        history.ran, history.first_executed_by = request.first_executed_at, request.first_executed_by
         return history
 
     def held(self) -> dict[str, int]:
         """What is open, counted or held just now, for who looks whether anything has stayed behind."""
         lines = [line for pool in self.back.pools.values() for line in pool.lines]
         out = [sent for line in lines for sent in line.out.values()]
-        bes = self.router.known
+        backends = self.router.known
         return {
             "calls": len(self.calls),
             "names": len(self.front.names),
@@ -395,9 +400,9 @@
             "unwritten": sum(client.waits() for client in list(self.front.clients)),
             "out": sum(sent.call is not None for sent in out),
             "checks": sum(sent.call is None for sent in out),
-            "reqs": sum(len(be.reqs) for be in bes),
-            "trials": sum(be.trial is not None for be in bes),
-            "limits": self.router.link.count + sum(be.way.count for be in bes if be.way),
+            "reqs": sum(len(backend.requests) for backend in backends),
+            "trials": sum(backend.trial is not None for backend in backends),
+            "limits": self.router.link.count + sum(backend.way.count for backend in backends if backend.way),
         }
 
     # --- what the front brings ---
@@ -409,52 +414,54 @@
         waits_until = at + min(call.allow * 10, self.vhosts[call.vhost]["client_timeout"])
         until = min(waits_until, self.by) if self.ending else waits_until
         self.arrival = self.time
-        req = Req(call.key, call.part, call.group, call.kbytes, at, until, call.vhost, write=bool(call.body))
-        call.req = req
-        self.calls[req] = call
-        call.history = self.history(call, req)
+        request = Request(
+            call.key, call.part, call.group, call.kbytes, at, until, call.vhost, write=bool(call.body)
+        )
+        call.request = request
+        self.calls[request] = call
+        call.history = self.history(call, request)
         call.history.until = waits_until
         self.trace.add(call.at, call.name, "arrived", self.vhosts[call.vhost]["name"])
         if self.guard:
-            self.guard.knows(call, req)
+            self.guard.knows(call, request)
         if self.recorder:
             self.recorder.arrived(call)
-        self.router.arrived(req)
+        self.router.arrived(request)
 
     def forgotten(self, call: Call) -> None:
         call.client.settled += 1
-        if call.req is not None:
+        if call.request is not None:
             self.counts["left"] += 1
             self.invariants.leaves(call.history)
             self.trace.add(self.steady, call.name, "left")
             if self.recorder:
                 self.recorder.left(call)
-            self.router.left(call.req)
+            self.router.left(call.request)
             self._forget(call)
 
     def garbled(self, client: Client) -> None:
         """A client writes what cannot be read: what it has open is given up, with its answers."""
         for call in list(client.open.values()):
-            if call.req is not None:
-                self.router.give_up(call.req, Refusal.GARBLED)
+            if call.request is not None:
+                self.router.give_up(call.request, RejectReason.GARBLED)
 
     def half_closed(self, client: Client, at: int) -> None:
         """A client's input ended at a time by the steady clock. It may have closed its half only, or have
         left: what waits is sent on for a moment more, what is out is answered."""
         for call in list(client.open.values()):
-            if call.req is not None:
-                until = self.router.half_closed(call.req, self.time - max(0, self.steady - at))
+            if call.request is not None:
+                until = self.router.half_closed(call.request, self.time - max(0, self.steady - at))
                 self.at(until, self._send_by_passed, call)
 
     def _send_by_passed(self, call: Call) -> None:
         """Nothing goes out for it any more: what no cache has is given up at once."""
         sent = call.sent
-        if call.req.closed:
+        if call.request.closed:
             return
         if sent is not None and self._take_back(sent):
             return
         if sent is None or sent.conn is None:
-            self.router.send_by_passed(call.req)
+            self.router.send_by_passed(call.request)
 
     def _take_back(self, sent: Sent) -> bool:
         """Take back a dispatch that has not gone out, and report it; False where it may have."""
@@ -487,8 +494,8 @@
         call, took = sent.call, max(0, self.time - sent.at - (max(0, self.steady - at) if at else 0))
         if call is None:
             if self.recorder:
-                self.recorder.checked(sent.be, OUTCOMES[end], load)
-            return self.router.checked(sent.be, took, OUTCOMES[end], load)
+                self.recorder.checked(sent.backend, OUTCOMES[end], load)
+            return self.router.checked(sent.backend, took, OUTCOMES[end], load)
         call.sent = None
         outcome = call.last = OUTCOMES[end]
         if sent.made:  # else a check kept it back
@@ -497,23 +504,23 @@
         if self.guard:
             self.guard.ended(sent, end)
         if self.recorder:
-            self.recorder.ended(call, sent.be, end, took, note, waited, load)
+            self.recorder.ended(call, sent.backend, end, took, note, waited, load)
         if self.agent:
-            self.agent.ended(call, sent.be, outcome, took, note)
+            self.agent.ended(call, sent.backend, outcome, took, note)
         if outcome == "done":
             if end is End.UNCHANGED:
                 self._final(call, "done", b"200", (("ok304", 1),))
             else:
                 self._final(call, "done", b"200", (), body)
-        final = outcome == "done" or call.req.closed
-        self.router.ended(call.req, sent.be, sent.seq, outcome, took, final, note, waited, load)
+        final = outcome == "done" or call.request.closed
+        self.router.ended(call.request, sent.backend, sent.seq, outcome, took, final, note, waited, load)
         self._forget(call)
         return None
 
     def parted(self, sent: Sent, end: End, sure: int) -> None:
         """A dispatch was ended by us. Its req may go out again only once it is sure that the cache knows,
         else two could be out at once. Where nothing goes out any more it is told now."""
-        if sent.call is None or sent.call.req.closed or sure <= self.time:
+        if sent.call is None or sent.call.request.closed or sure <= self.time:
             self.back_ended(sent, end, 0, 0, [], b"")
         else:
             self.at(sure, self.back_ended, sent, end, 0, 0, [], b"")
@@ -531,7 +538,7 @@
         if self.front.close(call):
             self.counts[kind] += 1
             self.invariants.answers(call.history, self.time)
-            why = call.req.refusal.name if call.req.refusal else ""
+            why = call.request.reject_reason.name if call.request.reject_reason else ""
             if why:
                 self.refused[why] += 1
             self.trace.add(self.steady, call.name, kind, why)
@@ -544,10 +551,10 @@
     def _forget(self, call: Call) -> None:
         """What is closed is held no longer than its dispatch is out; nothing goes out for it any more, also
         where the settings let no dispatch be cancelled: one that has not gone out is none yet."""
-        if not call.req.closed:
+        if not call.request.closed:
             return
         if call.sent is None:
-            self.calls.pop(call.req, None)
+            self.calls.pop(call.request, None)
         else:
             self._take_back(call.sent)
 
@@ -584,33 +591,33 @@
         """A list, or changes of it, with starts in the gateway's own time."""
         entries, places = [], []
         for name, place, zone, kind, cell, status, size, started in rows:
-            be = self.bes.get(name)
-            if be is None:
-                be = self.bes[name] = Be(name)
-            entries.append((be, zone, kind, cell, status, size, started))
-            places.append((be, place))
-        for be, *_, status, _, _ in entries:
-            self.invariants.listed(be.name, status, self.time, self.steady)
+            backend = self.backends.get(name)
+            if backend is None:
+                backend = self.backends[name] = Backend(name)
+            entries.append((backend, zone, kind, cell, status, size, started))
+            places.append((backend, place))
+        for backend, *_, status, _, _ in entries:
+            self.invariants.listed(backend.name, status, self.time, self.steady)
         self.router.listed(mode, entries)
         if self.agent:
-            self.agent.told([be.name for be, *_ in entries])
-        for be, place in places:
-            if be.status:
-                self.back.place(be, place)
-        for name, be in list(self.bes.items()):
-            if not be.status:
-                self.back.drop(be)
-                if not be.reqs:
-                    del self.bes[name]
+            self.agent.told([backend.name for backend, *_ in entries])
+        for backend, place in places:
+            if backend.status:
+                self.back.place(backend, place)
+        for name, backend in list(self.backends.items()):
+            if not backend.status:
+                self.back.drop(backend)
+                if not backend.requests:
+                    del self.backends[name]
                     self.stamps.forget(name)
 
     def _revise_starts(self) -> None:
         """The log's clock is known better: some bes may have started earlier than was thought."""
         for name, started in self.stamps.revised().items():
-            be = self.bes.get(name)
-            pool = self.back.pools.get(be) if be else None
-            if be:
-                be.started = started
+            backend = self.backends.get(name)
+            pool = self.back.pools.get(backend) if backend else None
+            if backend:
+                backend.started = started
             if pool:
                 pool.life = started
 
@@ -619,8 +626,8 @@
     def now(self) -> int:
         return self.time
 
-    def departed(self, req: Req) -> int | None:
-        gone = self.calls[req].departed()
+    def departed(self, request: Request) -> int | None:
+        gone = self.calls[request].departed()
         if gone is None:
             return None
         # since the clock as it is: the module's own time stands still while it takes in one event
@@ -630,15 +637,15 @@
         """A time of the module's by the steady clock; none (0) stays none."""
         return at and at - self.time + self.steady
 
-    def look(self, req: Req, be: Be, limit: int) -> None:
-        self._dispatch(req, be, limit, None, 0, 0, [])
+    def look(self, request: Request, backend: Backend, limit: int) -> None:
+        self._dispatch(request, backend, limit, None, 0, 0, [])
 
     def fetch(
         self,
-        req: Req,
-        be: Be,
+        request: Request,
+        backend: Backend,
         limit: int,
-        source: Be,
+        source: Backend,
         rank: int,
         age: int,
         join: bool,
@@ -651,19 +658,26 @@
             for word, said in (("share", join), ("peek", held_only), ("pass", no_trace), ("swr", renew))
             if said
         ]
-        self._dispatch(req, be, limit, source if source is not be else None, rank, age, ways)
+        self._dispatch(request, backend, limit, source if source is not backend else None, rank, age, ways)
 
     def _dispatch(
-        self, req: Req, be: Be, limit: int, source: Be | None, rank: int, age: int, ways: list[str]
+        self,
+        request: Request,
+        backend: Backend,
+        limit: int,
+        source: Backend | None,
+        rank: int,
+        age: int,
+        ways: list[str],
     ) -> None:
-        call, history = self.calls[req], self.calls[req].history
-        if not self.invariants.sends(history, be, source or be, req.work, self.time):
-            return self.report_refused(call, be)
+        call, history = self.calls[request], self.calls[request].history
+        if not self.invariants.sends(history, backend, source or backend, request.work, self.time):
+            return self.report_refused(call, backend)
         told = listed(
             (
-                ("profile", self.vhosts[req.vhost]["name"]),
-                ("thing", req.key),
-                ("nth", req.part),
+                ("profile", self.vhosts[request.vhost]["name"]),
+                ("thing", request.key),
+                ("nth", request.part),
                 ("max", max(1, limit // 10)),  # never longer than the gateway will wait
                 ("replay", call.replay),
                 ("next", source.name if source else None),
@@ -675,37 +689,37 @@
         )
         name = call.name.encode()
         data = encode(b"do", name, told, call.body)
-        until = min(self.time + limit, req.until)
+        until = min(self.time + limit, request.until)
         sent = Sent(
             call,
-            be,
-            req.tries - 1,
+            backend,
+            request.tries - 1,
             name,
             data,
             self.time,
             made=self.steady,
             limit=10 * max(1, limit // 10),
             until=self.steadily(until),
-            send_by=self.steadily(req.send_by),
+            send_by=self.steadily(request.send_by),
             window_over=self.window_over(history),
         )
         call.sent = sent
         if call.last:
             self.retried[call.last] += 1
-        self.trace.add(self.steady, call.name, "sent", f"{be.name} {sent.seq}")
+        self.trace.add(self.steady, call.name, "sent", f"{backend.name} {sent.seq}")
         if self.recorder:
-            self.recorder.sent(call, be, source)
+            self.recorder.sent(call, backend, source)
         end = self.guard.dispatch(sent, until) if self.guard else self.back.dispatch(sent)
         if end is not None:
             self.report_end(sent, end)
         else:
             self.at(until, self._time_up, sent)
-            if req.send_by:
-                self.at(req.send_by, self._send_by_passed, call)
+            if request.send_by:
+                self.at(request.send_by, self._send_by_passed, call)
 
-    def report_refused(self, call: Call, be: Be) -> None:
+    def report_refused(self, call: Call, backend: Backend) -> None:
         """A check found that a dispatch would break a promise: it ends before it begins."""
-        sent = Sent(call, be, call.req.tries - 1, call.name.encode(), b"", self.time)
+        sent = Sent(call, backend, call.request.tries - 1, call.name.encode(), b"", self.time)
         call.sent = sent
         self.report_end(sent, End.UNWRITTEN)
 
@@ -715,8 +729,8 @@
             return 0
         return self.steadily(history.ran + history.effect.window)
 
-    def cancel(self, req: Req, seq: int) -> None:
-        call = self.calls.get(req)
+    def cancel(self, request: Request, seq: int) -> None:
+        call = self.calls.get(request)
         sent = call.sent if call else None
         if sent is None or sent.seq != seq:
             return
@@ -725,19 +739,19 @@
         elif sent.conn is not None:
             self.after.append((self.parted, sent, End.CALLED_OFF, self.back.give_up(sent)))
 
-    def withdraw(self, req: Req, seq: int) -> None:
-        call = self.calls.get(req)
+    def withdraw(self, request: Request, seq: int) -> None:
+        call = self.calls.get(request)
         sent = call.sent if call else None
         if sent is not None and sent.seq == seq:
             self._take_back(sent)
 
-    def deny(self, req: Req, after: int) -> None:
-        call = self.calls[req]
+    def deny(self, request: Request, after: int) -> None:
+        call = self.calls[request]
         self._final(call, "denied", b"503", (("cooldown", -(-after // 10)),) if after else ())
         self.after.append((self._forget, call))
 
-    def abort(self, req: Req) -> None:
-        call = self.calls[req]
+    def abort(self, request: Request) -> None:
+        call = self.calls[request]
         self._final(call, "aborted", b"500")
         self.after.append((self._forget, call))
 
@@ -747,15 +761,15 @@
     def _wake(self, token: str) -> None:
         self.router.woke(token)
 
-    def check(self, be: Be) -> None:
-        sent, end = self.back.check(be)
+    def check(self, backend: Backend) -> None:
+        sent, end = self.back.check(backend)
         if end is not None:
             self.report_end(sent, end)
         else:
             self.at(self.time + self.back.patience, self._time_up, sent)
 
-    def disconnect(self, be: Be) -> None:
-        self.back.give_back(be)
+    def disconnect(self, backend: Backend) -> None:
+        self.back.give_back(backend)
 
     def tell(self, peer: int, text: str) -> None:
         """Gateways of this protocol have no way to each other."""
@@ -769,11 +783,11 @@
     def log(self, text: str) -> None:
         logger.info("{}", text)
 
-    def believe(self, be: Be, what: str, why: str) -> None:
-        self.log(f"{be.name} {why}" if what == "back" else f"{be.name} {what}: {why}")
+    def believe(self, backend: Backend, what: str, why: str) -> None:
+        self.log(f"{backend.name} {why}" if what == "back" else f"{backend.name} {what}: {why}")
         if self.recorder:
-            self.recorder.believed(be, what, why)
+            self.recorder.believed(backend, what, why)
 
-    def limited(self, be: Be, was: float, limit: float, late: float) -> None:
+    def limited(self, backend: Backend, was: float, limit: float, late: float) -> None:
         if self.recorder and limit != was:
-            self.recorder.limited(be, was, limit, late)
+            self.recorder.limited(backend, was, limit, late)
--- a/lilacloft/plan/agent.py
+++ b/lilacloft/plan/agent.py
@@ -51,11 +51,19 @@
             router.listed(
                 "delta",
                 [
-                    (be, be.zone, be.kind, be.cell, be.status, be.size, be.started)
-                    for be in owner.bes.values()
+                    (
+                        backend,
+                        backend.zone,
+                        backend.kind,
+                        backend.cell,
+                        backend.status,
+                        backend.size,
+                        backend.started,
+                    )
+                    for backend in owner.backends.values()
                 ],
             )
-        self.told(owner.bes)
+        self.told(owner.backends)
 
     def start(self) -> None:
         """The owner runs."""
@@ -75,9 +83,11 @@
 
     # --- the owner's hooks ---
 
-    def ended(self, call: Any, be: Any, outcome: str, took: int, note: int) -> None:
+    def ended(self, call: Any, backend: Any, outcome: str, took: int, note: int) -> None:
         """A dispatch is over."""
-        self.watch.ended(be, call.vhost, outcome, took, call.req.work, note, call.kbytes, call.req.source)
+        self.watch.ended(
+            backend, call.vhost, outcome, took, call.request.work, note, call.kbytes, call.request.source
+        )
 
     def told(self, names: Iterable[str]) -> None:
         """The change log has told of bes."""
@@ -88,9 +98,9 @@
 
     def _speak(self) -> None:
         owner = self.owner
-        reqs = owner.front.counts["reqs"]
-        self.watch.look(reqs - self.counted, owner.feed.last, owner.time, owner.steady)
-        self.counted = reqs
+        requests = owner.front.counts["reqs"]
+        self.watch.look(requests - self.counted, owner.feed.last, owner.time, owner.steady)
+        self.counted = requests
         for name, dial in self.dials.items():
             dial.send(form.summary(self.follower.summary(name, owner.steady)))
         self._act()
--- a/lilacloft/plan/follow.py
+++ b/lilacloft/plan/follow.py
@@ -93,7 +93,7 @@
         self.used: dict[str, float] = {}
         self.listed = 0
         self.changed: dict[str, int] = {}  # bes by the list's number at which they changed last
-        self.reqs = 0.0
+        self.requests = 0.0
         self.fills: dict[str, float] = {}
         self.worth: dict[str, float] = {}
         self.asked_kb = self.past = 0.0
@@ -103,9 +103,9 @@
 
     # --- what is seen ---
 
-    def ended(self, be: str, how: str) -> None:
+    def ended(self, backend: str, how: str) -> None:
         """A dispatch at a be is over: well, late or failed."""
-        seen = self.seen.setdefault(be, Seen())
+        seen = self.seen.setdefault(backend, Seen())
         seen.now[("well", "late", "failed").index(how)] += 1
         seen.bad, seen.bad_at = (seen.bad + 1, self.now) if how == "failed" else (0, seen.bad_at)
 
@@ -114,11 +114,18 @@
         self.seen.setdefault(source, Seen()).filled[0] += 1
 
     def state(
-        self, be: str, out: int, alone: bool, limit: float, waits: int = 0, quiet: int = 0, unfilled: int = 0
+        self,
+        backend: str,
+        out: int,
+        alone: bool,
+        limit: float,
+        waits: int = 0,
+        quiet: int = 0,
+        unfilled: int = 0,
     ) -> None:
         """What the module has of a be now. What failed a while ago, and was not asked since, is no news: a
         location that returns slice by slice would be left again for what its trials had met."""
-        seen = self.seen.setdefault(be, Seen())
+        seen = self.seen.setdefault(backend, Seen())
         seen.out, seen.alone, seen.limit = out, alone, limit
         seen.streak = waits + (seen.bad if self.now - seen.bad_at <= RECENT else 0)
         seen.quiet, seen.unfilled = quiet, unfilled
@@ -126,14 +133,16 @@
     def list(self, changed: Iterable[str], number: int, cold: Iterable[str], now: int) -> None:
         """The change log has told of bes, as of a number; which are cold now."""
         self.listed = max(self.listed, number)
-        for be in changed:
-            self.changed[be] = number
+        for backend in changed:
+            self.changed[backend] = number
         cold = set(cold)
-        for be in sorted(cold - self.purses.keys()):
-            self.purses[be] = Purse(self.own, self.fall, self.begin)
+        for backend in sorted(cold - self.purses.keys()):
+            self.purses[backend] = Purse(self.own, self.fall, self.begin)
         # a be that has warmed may start anew before what was lent for its last life is back
-        for be in [be for be, purse in self.purses.items() if be not in cold and purse.idle(now)]:
-            del self.purses[be]
+        for backend in [
+            backend for backend, purse in self.purses.items() if backend not in cold and purse.idle(now)
+        ]:
+            del self.purses[backend]
 
     def uses(self, used: Mapping[str, float]) -> None:
         """Which part of what it may do at cold bes is in use, 0 to 1."""
@@ -154,11 +163,11 @@
         for old in [old for old, at in self.sent[planner].items() if now - at > 2 * WAITS]:
             del self.sent[planner][old]
         sights = {}
-        for be, seen in sorted(self.seen.items()):
+        for backend, seen in sorted(self.seen.items()):
             well, late, failed = (one + other for one, other in zip(seen.now, seen.last, strict=True))
             filled = sum(seen.filled)
             if well or late or failed or seen.out or seen.alone or filled or seen.streak:
-                sights[be] = Sight(
+                sights[backend] = Sight(
                     well,
                     late,
                     failed,
@@ -172,8 +181,8 @@
                 )
         given, self.given[planner] = tuple(self.given[planner]), []
         cold = {
-            be: (purse.usable(now), purse.usable(now) * self.used.get(be, 0.0))
-            for be, purse in sorted(self.purses.items())
+            backend: (purse.usable(now), purse.usable(now) * self.used.get(backend, 0.0))
+            for backend, purse in sorted(self.purses.items())
         }
         self.counts["summaries"] += 1
         return Summary(
@@ -182,7 +191,7 @@
             number,
             self.zone,
             self.listed,
-            self.reqs,
+            self.requests,
             dict(self.fills),
             dict(self.worth),
             sights,
@@ -201,13 +210,13 @@
         """More of a cold budget, where nearly all of ours is in use; of one planner at a time."""
         for number in [number for number, (_, at, _) in self.asked.items() if now - at > WAITS]:
             del self.asked[number]
-        waiting = {ask.be for ask, _, _ in self.asked.values()}
+        waiting = {ask.backend for ask, _, _ in self.asked.values()}
         if planner != self._first(now):
             return
-        for be, purse in sorted(self.purses.items()):
-            if be not in waiting and self.used.get(be, 0.0) >= EAGER:
+        for backend, purse in sorted(self.purses.items()):
+            if backend not in waiting and self.used.get(backend, 0.0) >= EAGER:
                 self.asks += 1
-                ask = Ask(self.asks, be, max(self.own, purse.usable(now)), LENDS)
+                ask = Ask(self.asks, backend, max(self.own, purse.usable(now)), LENDS)
                 self.asked[self.asks] = (ask, now, planner)
                 yield ask
 
@@ -251,20 +260,20 @@
     # --- budgets of cold bes ---
 
     def _lend(self, ask: Ask, now: int) -> Given:
-        purse = self.purses.get(ask.be)
+        purse = self.purses.get(ask.backend)
         if purse is None:
-            return Given(ask.number, ask.be)
-        spare = max(0.0, purse.usable(now) * (1 - self.used.get(ask.be, 0.0)))
+            return Given(ask.number, ask.backend)
+        spare = max(0.0, purse.usable(now) * (1 - self.used.get(ask.backend, 0.0)))
         grant = purse.lend(now, min(ask.part, spare), min(ask.span, LENDS)) if spare > LEAST else None
         if grant is None:
-            return Given(ask.number, ask.be)
+            return Given(ask.number, ask.backend)
         self.counts["lent"] += 1
-        return Given(ask.number, ask.be, grant.part, grant.delay, grant.span)
+        return Given(ask.number, ask.backend, grant.part, grant.delay, grant.span)
 
     def _borrowed(self, given: Given, asked: int, now: int) -> None:
         ask, at, _ = self.asked.pop(given.number, (None, 0, ""))
-        purse = self.purses.get(given.be)
-        if ask is None or ask.be != given.be or purse is None or given.part <= LEAST:
+        purse = self.purses.get(given.backend)
+        if ask is None or ask.backend != given.backend or purse is None or given.part <= LEAST:
             return
         if purse.borrow(Grant(given.part, given.delay, given.span), min(at, asked), now):
             self.counts["borrowed"] += 1
@@ -274,7 +283,7 @@
     def effect(self, now: int) -> Effect:
         """What holds now. Of bes that have changed on our list since the plan's, the plan says nothing."""
         shares = (
-            {be: purse.usable(now) / self.own for be, purse in sorted(self.purses.items())}
+            {backend: purse.usable(now) / self.own for backend, purse in sorted(self.purses.items())}
             if self.own
             else {}
         )
@@ -283,14 +292,18 @@
         if not holds:
             return Effect(shares=shares, left=left)
         plan = self.plan
-        known = {be for be, number in self.changed.items() if number > plan.listed}
+        known = {backend for backend, number in self.changed.items() if number > plan.listed}
         out = {
-            be: 0 if plan.trials.get(be) == self.name else self.holder.until
-            for be in plan.out
-            if be not in known
+            backend: 0 if plan.trials.get(backend) == self.name else self.holder.until
+            for backend in plan.out
+            if backend not in known
         }
         part = plan.parts.get(self.name, 0.0)
-        ways = {be: max(1.0, limit * part) for be, limit in plan.ways.items() if part and be not in known}
+        ways = {
+            backend: max(1.0, limit * part)
+            for backend, limit in plan.ways.items()
+            if part and backend not in known
+        }
         link = max(1.0, plan.links.get(self.zone, 0.0) * part) if plan.links.get(self.zone) and part else 0.0
         names = plan.renews.get(self.zone, ())
         turn = (names.index(self.name), len(names)) if self.name in names else (0, 1)
--- a/lilacloft/plan/form.py
+++ b/lilacloft/plan/form.py
@@ -153,12 +153,12 @@
 
 def _asks(into: Any, told: tuple[Ask, ...]) -> None:
     for one in told:
-        into.add(number=one.number, be=one.be, part=one.part, span=one.span)
+        into.add(number=one.number, be=one.backend, part=one.part, span=one.span)
 
 
 def _givens(into: Any, told: tuple[Given, ...]) -> None:
     for one in told:
-        into.add(number=one.number, be=one.be, part=one.part, delay=one.delay, span=one.span)
+        into.add(number=one.number, be=one.backend, part=one.part, delay=one.delay, span=one.span)
 
 
 def _asked(told: Any) -> tuple[Ask, ...]:
@@ -172,13 +172,14 @@
 def summary(told: Summary) -> bytes:
     out = FRAME()
     into = out.summary
-    for field in ("name", "incarnation", "number", "zone", "listed", "reqs", "leaves", "asked", "past"):
+    for field in ("name", "incarnation", "number", "zone", "listed", "leaves", "asked", "past"):
         setattr(into, field, getattr(told, field))
+    into.reqs = told.requests
     _pairs(into.fills, told.fills)
     _pairs(into.worth, told.worth)
-    for be, sight in told.sights.items():
+    for backend, sight in told.sights.items():
         into.sights.add(
-            be=be,
+            be=backend,
             well=sight.well,
             late=sight.late,
             failed=sight.failed,
@@ -190,8 +191,8 @@
             unfilled=sight.unfilled,
             filled=sight.filled,
         )
-    for be, (own, used) in told.cold.items():
-        into.cold.add(be=be, own=own, used=used)
+    for backend, (own, used) in told.cold.items():
+        into.cold.add(be=backend, own=own, used=used)
     _asks(into.asks, told.asks)
     _givens(into.given, told.given)
     _name(into.holds, told.holds)
--- a/lilacloft/plan/planner.py
+++ b/lilacloft/plan/planner.py
@@ -67,13 +67,13 @@
     """What a location's forwarders together tell: reqs a second; KB a second that they ask for, that come by
     fills, and of those past the caches."""
 
-    reqs: float = 0.0
+    requests: float = 0.0
     kbytes: float = 0.0
     fills: float = 0.0
     past: float = 0.0
 
     def add(self, told: Summary) -> None:
-        self.reqs += told.reqs
+        self.requests += told.requests
         self.kbytes += told.asked
         self.fills += sum(told.fills.values())
         self.past += told.past
@@ -96,7 +96,7 @@
         self.table = Table(name, incarnation)
         self.issuer = Issuer(name, site.planners, epoch)
         self.judge = Judge()
-        self.bes: dict[str, Listed] = {}
+        self.backends: dict[str, Listed] = {}
         self.listed = 0
         self.known: dict[str, Known] = {}
         self.purses: dict[str, Purse] = {}
@@ -113,11 +113,15 @@
 
     def listing(self, rows: Iterable[Listed], number: int) -> None:
         """The change log has told of the list, as of a number."""
-        self.bes = {row.name: row for row in rows}
+        self.backends = {row.name: row for row in rows}
         self.listed = max(self.listed, number)
-        self.judge.keep(self.bes)
-        for be in [be for be in self.purses if be not in self.bes or not self.bes[be].cold]:
-            del self.purses[be]
+        self.judge.keep(self.backends)
+        for backend in [
+            backend
+            for backend in self.purses
+            if backend not in self.backends or not self.backends[backend].cold
+        ]:
+            del self.purses[backend]
 
     def heard(self, word: Word, now: int) -> None:
         """Another planner tells what it knows."""
@@ -157,7 +161,11 @@
             return Reply(self.name, self.table.incarnation, told.number)
         self._changed(self.table.heard(told.name, FORWARDER, told.incarnation, now, told.zone))
         self.issuer.heard(told.holds.epoch)
-        self.judge.saw(told.name, {be: sight for be, sight in told.sights.items() if be in self.bes}, now)
+        self.judge.saw(
+            told.name,
+            {backend: sight for backend, sight in told.sights.items() if backend in self.backends},
+            now,
+        )
         for given in told.given:
             self._borrowed(known, given, now)
         gives = tuple([self._lend(ask, now) for ask in told.asks])
@@ -190,12 +198,13 @@
     def _view(self, plan: Plan, zone: int) -> Plan:
         """What a location's forwarders need of a plan."""
 
-        def near(be: str) -> bool:
-            row = self.bes.get(be)
+        def near(backend: str) -> bool:
+            row = self.backends.get(backend)
             return row is None or row.zone == zone or row.kind != "cache"
 
         out, trials_, ways = (
-            {be: told for be, told in part.items() if near(be)} for part in (plan.out, plan.trials, plan.ways)
+            {backend: told for backend, told in part.items() if near(backend)}
+            for part in (plan.out, plan.trials, plan.ways)
         )
         names, hubs = plan.renews.get(zone, ()), self._hubs()
         return Plan(
@@ -229,50 +238,57 @@
 
     def _lend(self, ask: Ask, now: int) -> Given:
         """A forwarder wants a part: of what is spare here, divided among all that want some now."""
-        purse = self.purses.get(ask.be)
+        purse = self.purses.get(ask.backend)
         if purse is None or ask.part <= LEAST:
-            return Given(ask.number, ask.be)
+            return Given(ask.number, ask.backend)
         spare = purse.spare(now, ask.span)
         wants = {
-            name: sum(one.part for one in known.summary.asks if one.be == ask.be)
+            name: sum(one.part for one in known.summary.asks if one.backend == ask.backend)
             for name, known in self.known.items()
         }
         wants[""] = ask.part
         part = divide(wants, spare)[""]
         grant = purse.lend(now, part, min(ask.span, LENDS))
         if grant is None:
-            return Given(ask.number, ask.be)
+            return Given(ask.number, ask.backend)
         self.counts["lent"] += 1
-        return Given(ask.number, ask.be, grant.part, grant.delay, grant.span)
+        return Given(ask.number, ask.backend, grant.part, grant.delay, grant.span)
 
     def _wants(self, known: Known, now: int) -> Iterable[Ask]:
         """What is asked of a forwarder: most of what it does not use, where others want some."""
         for number in [number for number, (_, at) in known.asks.items() if now - at > LENDS]:
             del known.asks[number]
-        waiting = {ask.be for ask, _ in known.asks.values()}
-        for be, (own, used) in sorted(known.summary.cold.items()):
-            if be not in self.bes or not self.bes[be].cold or be in waiting:
+        waiting = {ask.backend for ask, _ in known.asks.values()}
+        for backend, (own, used) in sorted(known.summary.cold.items()):
+            if backend not in self.backends or not self.backends[backend].cold or backend in waiting:
                 continue
             wanted = sum(
                 ask.part
                 for other in self.known.values()
                 if other is not known
                 for ask in other.summary.asks
-                if ask.be == be
+                if ask.backend == backend
             )
             spare = SPARES * max(0.0, own - used)
-            purse = self.purses.setdefault(be, Purse(0.0, self.site.fall))
+            purse = self.purses.setdefault(backend, Purse(0.0, self.site.fall))
             if spare > LEAST and wanted > purse.spare(now, LENDS):
                 self.asked += 1
-                ask = Ask(self.asked, be, min(spare, wanted), LENDS)
+                ask = Ask(self.asked, backend, min(spare, wanted), LENDS)
                 known.asks[ask.number] = (ask, now)
                 yield ask
 
     def _borrowed(self, known: Known, given: Given, now: int) -> None:
         ask, at = known.asks.pop(given.number, (None, 0))
-        if ask is None or ask.be != given.be or given.part <= LEAST or given.be not in self.purses:
+        if (
+            ask is None
+            or ask.backend != given.backend
+            or given.part <= LEAST
+            or given.backend not in self.purses
+        ):
             return
-        if self.purses[given.be].borrow(Grant(min(given.part, ask.part), given.delay, given.span), at, now):
+        if self.purses[given.backend].borrow(
+            Grant(min(given.part, ask.part), given.delay, given.span), at, now
+        ):
             self.counts["borrowed"] += 1
 
     # --- plans ---
@@ -311,9 +327,9 @@
         there = {name: known for name, known in sorted(self.known.items())}
         verdicts = self.judge.judge(now)
         out = {
-            be: verdict.why
-            for be, verdict in sorted(verdicts.items())
-            if verdict.out and be in self.bes and self.bes[be].ready
+            backend: verdict.why
+            for backend, verdict in sorted(verdicts.items())
+            if verdict.out and backend in self.backends and self.backends[backend].ready
         }
         out = self._spared(out)
         who = {
@@ -321,10 +337,10 @@
             for zone in sorted({known.summary.zone for known in there.values()})
         }
         turns: dict[str, str] = {}
-        for be in out:
-            zone = self.bes[be].zone
-            names = who.get(zone, []) if self.bes[be].kind == "cache" else list(there)
-            turns.update({be: name for be, (name, _) in trials([be], names, now).items()})
+        for backend in out:
+            zone = self.backends[backend].zone
+            names = who.get(zone, []) if self.backends[backend].kind == "cache" else list(there)
+            turns.update({backend: name for backend, (name, _) in trials([backend], names, now).items()})
         return Plan(
             Name(),
             self.listed,
@@ -340,7 +356,7 @@
     # --- whole locations ---
 
     def _hubs(self) -> set[int]:
-        return {be.zone for be in self.bes.values() if be.kind == "parent"}
+        return {backend.zone for backend in self.backends.values() if backend.kind == "parent"}
 
     def _zones(self, now: int) -> None:
         """Decide of whole locations, or follow what others have decided."""
@@ -364,26 +380,26 @@
             asked.setdefault(known.summary.zone, Asked()).add(known.summary)
         fills = sum(one.fills for one in asked.values())
         parents = sum(
-            be.size * self.site.pace if self.site.sizes else self.site.parents
-            for be in self.bes.values()
-            if be.kind == "parent" and be.ready
+            backend.size * self.site.pace if self.site.sizes else self.site.parents
+            for backend in self.backends.values()
+            if backend.kind == "parent" and backend.ready
         )
         bears = {
             zone: self._bears(zone, place, asked[zone], fills, parents) for zone, place in places.items()
         }
         self.bears = {zone: one for zone, one in bears.items() if not places[zone].parents}
-        self.zones.look(evidence.judge(view), {zone: asked[zone].reqs for zone in places}, bears, now)
+        self.zones.look(evidence.judge(view), {zone: asked[zone].requests for zone in places}, bears, now)
         return None
 
     def _places(self) -> dict[int, evidence.Place]:
         """All locations, with their bes that are ready and their forwarders as the members have them."""
         caches: dict[int, list[str]] = {}
         parents: dict[int, list[str]] = {}
-        for be in self.bes.values():
-            if be.kind != "origin":
-                into = (caches if be.kind == "cache" else parents).setdefault(be.zone, [])
-                if be.ready:
-                    into.append(be.name)
+        for backend in self.backends.values():
+            if backend.kind != "origin":
+                into = (caches if backend.kind == "cache" else parents).setdefault(backend.zone, [])
+                if backend.ready:
+                    into.append(backend.name)
         who: dict[int, list[str]] = {}
         for name in self.table.alive(FORWARDER):
             who.setdefault(self.table.members[name].zone, []).append(name)
@@ -402,11 +418,11 @@
 
     def _looks(self, now: int) -> dict[str, dict[str, evidence.Look]]:
         out: dict[str, dict[str, evidence.Look]] = {}
-        for be, sights in self.judge.sights.items():
+        for backend, sights in self.judge.sights.items():
             for name, (at, sight) in sights.items():
                 if now - at <= LATELY:
                     answers = 0 < sight.quiet <= LATELY - (now - at)
-                    out.setdefault(name, {})[be] = evidence.Look(
+                    out.setdefault(name, {})[backend] = evidence.Look(
                         sight.streak, answers, sight.unfilled, sight.filled
                     )
         return out
@@ -417,7 +433,7 @@
         """What a location bears now, and what there is to fill it: `fills` of all locations together, of what
         all parents can send."""
         link = self.site.links.get(zone, float("inf"))
-        rows = [self.bes[be] for be in place.bes]
+        rows = [self.backends[backend] for backend in place.backends]
         size = 2 * link / self.site.pace / max(1, len(rows))  # as the module has it where sizes are not told
         if place.parents:
             size = self.site.parents / self.site.pace
@@ -461,35 +477,45 @@
         """What most of a location shows is not its caches' doing: no more than half of them are left
         alone."""
         kept = {}
-        for zone in sorted({self.bes[be].zone for be in out}):
+        for zone in sorted({self.backends[backend].zone for backend in out}):
             for kind in ("cache", "parent"):
-                pool = [be for be in self.bes.values() if be.zone == zone and be.kind == kind and be.ready]
-                mine = [be for be in sorted(out) if self.bes[be].zone == zone and self.bes[be].kind == kind]
+                pool = [
+                    backend
+                    for backend in self.backends.values()
+                    if backend.zone == zone and backend.kind == kind and backend.ready
+                ]
+                mine = [
+                    backend
+                    for backend in sorted(out)
+                    if self.backends[backend].zone == zone and self.backends[backend].kind == kind
+                ]
                 if 2 * len(mine) <= len(pool):
-                    kept.update((be, out[be]) for be in mine)
+                    kept.update((backend, out[backend]) for backend in mine)
         return kept
 
     def _ways(self, there: Mapping[str, Known]) -> dict[str, float]:
         """Limits on what may be out at a be, of all forwarders together: the sum of what they have learned.
         Only where one has learned that it is crowded; else each looks for itself."""
         out: dict[str, float] = {}
-        for be in sorted(self.bes):
+        for backend in sorted(self.backends):
             sights = [
                 sight
-                for name, (at, sight) in sorted(self.judge.sights.get(be, {}).items())
+                for name, (at, sight) in sorted(self.judge.sights.get(backend, {}).items())
                 if name in there and name not in self.judge.astray
             ]
             ended = sum(sight.well + sight.late for sight in sights)
             late = sum(sight.late for sight in sights)
             if ended >= 4 and late > 0.2 * ended and any(sight.limit for sight in sights):
-                out[be] = self._steady(self.plan.ways.get(be), sum(sight.limit for sight in sights))
+                out[backend] = self._steady(self.plan.ways.get(backend), sum(sight.limit for sight in sights))
         return out
 
     def _links(self, there: Mapping[str, Known]) -> dict[int, float]:
         """Fills at once by location, where all together ask for more than links, parents or the origin
         have."""
         demands: dict[places.Place, places.Demand] = {}
-        parents = sorted(be.name for be in self.bes.values() if be.kind == "parent" and be.ready)
+        parents = sorted(
+            backend.name for backend in self.backends.values() if backend.kind == "parent" and backend.ready
+        )
         part = 1 / len(parents) if parents else 0.0
         for known in there.values():
             for vhost, rate in sorted(known.summary.fills.items()):
@@ -524,10 +550,10 @@
         one."""
         out = {}
         for names in who.values():
-            total = sum(there[name].summary.reqs for name in names)
+            total = sum(there[name].summary.requests for name in names)
             for name in names:
                 even = 1 / len(names)
-                part = there[name].summary.reqs / total if total else even
+                part = there[name].summary.requests / total if total else even
                 part = round(0.5 * even + 0.5 * part, 3)
                 before = self.plan.parts.get(name)
                 out[name] = before if before and abs(part - before) < NOISE * before else part
@@ -556,8 +582,8 @@
                     else f"{number!r} is no location's number",
                 ]
             return [*out, *self.zones.explain(int(number), now)]
-        be = self.bes.get(what)
-        if be is None:
+        backend = self.backends.get(what)
+        if backend is None:
             return [*out, f"{what} is not listed"]
         verdict = self.judge.verdicts.get(what)
         if what in self.plan.out:
@@ -568,7 +594,7 @@
                 f"{what} fails by {', '.join(verdict.by)}, but so do most of its kind: it is not to blame"
             )
         else:
-            state = ("" if be.ready else ", but leaving") + (", cold" if be.cold else "")
+            state = ("" if backend.ready else ", but leaving") + (", cold" if backend.cold else "")
             out.append(f"{what} is in use{state}")
         if verdict:
             held = now - verdict.since
--- a/lilacloft/plan/serve.py
+++ b/lilacloft/plan/serve.py
@@ -60,7 +60,7 @@
         self.core = Planner(name, life, site, epoch)
         self.kept = epoch
         self.queue: queue.SimpleQueue[tuple[Any, ...]] = queue.SimpleQueue()
-        self.bes: dict[str, tuple[Any, ...]] = {}
+        self.backends: dict[str, tuple[Any, ...]] = {}
         self.number = config["known"]["seq"]
         for number, event in known(config["known"]["results"], found["zones"], found["kinds"]):
             self._told(event, number)
@@ -113,7 +113,7 @@
         """Until `over`."""
         self.feed.start()
         due = time.monotonic()
-        logger.info("planner {} listens, with {} bes listed", self.name, len(self.bes))
+        logger.info("planner {} listens, with {} bes listed", self.name, len(self.backends))
         while not self.over:
             due = max(due + TICK, time.monotonic())
             self._tick()
@@ -152,11 +152,11 @@
         if mode == "purge":
             return
         if mode == "full":
-            self.bes.clear()
+            self.backends.clear()
         for row in rows:
-            self.bes.pop(row[0], None)
+            self.backends.pop(row[0], None)
             if row[5]:
-                self.bes[row[0]] = row
+                self.backends[row[0]] = row
         self._list()
 
     def _list(self) -> None:
@@ -173,7 +173,7 @@
                     size if size > 0 else 1.0,
                     int(now - started * 10) if started else 1 << 40,
                 )
-                for name, _, zone, kind, _, status, size, started in self.bes.values()
+                for name, _, zone, kind, _, status, size, started in self.backends.values()
             ],
             self.number,
         )
--- a/lilacloft/plan/sights.py
+++ b/lilacloft/plan/sights.py
@@ -66,26 +66,26 @@
 
     def saw(self, forwarder: str, sights: Mapping[str, Sight], now: int) -> None:
         """A forwarder tells what it has seen."""
-        for be, sight in sights.items():
-            self.sights.setdefault(be, {})[forwarder] = (now, sight)
+        for backend, sight in sights.items():
+            self.sights.setdefault(backend, {})[forwarder] = (now, sight)
 
     def gone(self, forwarder: str) -> None:
         """A forwarder is no more, or another has its name: what it saw is void."""
         for mine in self.sights.values():
             mine.pop(forwarder, None)
 
-    def keep(self, bes: Iterable[str]) -> None:
+    def keep(self, backends: Iterable[str]) -> None:
         """Only these are listed."""
-        listed = set(bes)
-        for gone in [be for be in self.sights if be not in listed]:
+        listed = set(backends)
+        for gone in [backend for backend in self.sights if backend not in listed]:
             del self.sights[gone]
-        for gone in [be for be in self.verdicts if be not in listed]:
+        for gone in [backend for backend in self.verdicts if backend not in listed]:
             del self.verdicts[gone]
 
-    def votes(self, be: str, now: int) -> dict[str, bool]:
+    def votes(self, backend: str, now: int) -> dict[str, bool]:
         """Who has looked lately, and sees it fail."""
         out = {}
-        for forwarder, (at, sight) in self.sights.get(be, {}).items():
+        for forwarder, (at, sight) in self.sights.get(backend, {}).items():
             bad = sight.bad() if now - at <= FRESH else None
             if bad is not None:
                 out[forwarder] = bad
@@ -93,11 +93,11 @@
 
     def judge(self, now: int) -> dict[str, Verdict]:
         """All verdicts as of now."""
-        votes = {be: self.votes(be, now) for be in sorted(self.sights)}
+        votes = {backend: self.votes(backend, now) for backend in sorted(self.sights)}
         self.astray = self._astray(votes)
-        for be, all_ in votes.items():
+        for backend, all_ in votes.items():
             mine = {name: bad for name, bad in all_.items() if name not in self.astray}
-            self._verdict(be, mine, now)
+            self._verdict(backend, mine, now)
         return self.verdicts
 
     @staticmethod
@@ -118,11 +118,11 @@
             if count >= 2 and blamed[name] / count > ASTRAY
         }
 
-    def _verdict(self, be: str, votes: Mapping[str, bool], now: int) -> None:
+    def _verdict(self, backend: str, votes: Mapping[str, bool], now: int) -> None:
         bad = tuple(sorted(name for name, fails in votes.items() if fails))
         well = tuple(sorted(name for name, fails in votes.items() if not fails))
         needs = max(min(ALONE, len(votes)), -(-len(votes) * QUORUM // 1))
-        found = self.verdicts.setdefault(be, Verdict())
+        found = self.verdicts.setdefault(backend, Verdict())
         out = bool(votes) and len(bad) >= needs and len(bad) > len(well) * QUORUM
         if len(votes) < ALONE:
             out = found.out  # one sight alone changes nothing for all; its own forwarder acts on it by itself
@@ -140,7 +140,7 @@
     names = sorted(forwarders)
     out = {}
     if names:
-        for place, be in enumerate(sorted(left_out)):
+        for place, backend in enumerate(sorted(left_out)):
             turn = now // TRIAL
-            out[be] = (names[(turn + place) % len(names)], (turn + 1) * TRIAL)
+            out[backend] = (names[(turn + place) % len(names)], (turn + 1) * TRIAL)
     return out
--- a/lilacloft/plan/watch.py
+++ b/lilacloft/plan/watch.py
@@ -32,7 +32,15 @@
         self.past, self.mean = 0.0, 0.0  # KB of those that went past the caches; of a mean answer
 
     def ended(
-        self, be: Any, vhost: int, outcome: str, took: int, work: float, note: int, kbytes: float, source: Any
+        self,
+        backend: Any,
+        vhost: int,
+        outcome: str,
+        took: int,
+        work: float,
+        note: int,
+        kbytes: float,
+        source: Any,
     ) -> None:
         """A dispatch at one of the module's bes is over, so long after it was sent; `source`: the be that was
         to fill it, itself where nobody was."""
@@ -45,14 +53,14 @@
             else ""
         )
         if how:
-            self.follower.ended(be.name, how)
-        direct = be.kind in (self.router.parent_kind, self.router.origin_kind)
+            self.follower.ended(backend.name, how)
+        direct = backend.kind in (self.router.parent_kind, self.router.origin_kind)
         keeper = self.follower.keeper
         if keeper and outcome == "cancelled" and took > mine.aim(work):
             how = "failed"  # of a trial that was called back: it was given more than its time
-        if how and keeper and be.kind != self.router.origin_kind:
+        if how and keeper and backend.kind != self.router.origin_kind:
             keeper.ended(
-                be.zone,
+                backend.zone,
                 how,
                 outcome == "done" and note not in FILLED,
                 self.follower.now,
@@ -60,7 +68,7 @@
             )
         if outcome == "done":
             self.mean += ((kbytes or 1.0) - self.mean) * (1 / 16 if self.mean else 1)
-            if source is not be and note in FILLED and how == "well":
+            if source is not backend and note in FILLED and how == "well":
                 self.follower.filled(source.name)
             if direct:
                 self.past += max(1.0, kbytes)
@@ -73,66 +81,74 @@
         """The change log has told of bes, as of a number."""
         router = self.router
         cold = [
-            be.name
-            for be in router.caches
-            if be.started and time - be.started < router.cold_cache[1] + SECOND
+            backend.name
+            for backend in router.caches
+            if backend.started and time - backend.started < router.cold_cache[1] + SECOND
         ]
         self.follower.list(names, number, cold, steady)
 
-    def look(self, reqs: int, number: int, time: int, steady: int) -> None:
+    def look(self, requests: int, number: int, time: int, steady: int) -> None:
         """What the module has now, and so many reqs since the last look, goes to the follower."""
         router, follower = self.router, self.follower
         follower.now = steady
-        follower.reqs += (reqs * SECOND / EVERY - follower.reqs) * MEAN
+        follower.requests += (requests * SECOND / EVERY - follower.requests) * MEAN
         for name in sorted(follower.fills.keys() | self.fills.keys()):
             before = follower.fills.get(name, 0.0)
             follower.fills[name] = before + (self.fills.get(name, 0.0) * SECOND / EVERY - before) * MEAN
         follower.past += (self.past * SECOND / EVERY - follower.past) * MEAN
-        follower.asked_kb = follower.reqs * self.mean
+        follower.asked_kb = follower.requests * self.mean
         self.past = 0.0
         self.fills.clear()
-        for be in router.known:
+        for backend in router.known:
             # what the origin answers tells a bad path of one's own from a location that fails
-            if be.kind != router.origin_kind or follower.keeper:
-                waits, unfilled = self._waits(be, time)
+            if backend.kind != router.origin_kind or follower.keeper:
+                waits, unfilled = self._waits(backend, time)
                 follower.state(
-                    be.name,
-                    len(be.reqs),
-                    be.suspect and be.name not in router.left_out,
-                    be.way.limit if be.way else 0.0,
+                    backend.name,
+                    len(backend.requests),
+                    backend.ejected and backend.name not in router.left_out,
+                    backend.way.limit if backend.way else 0.0,
                     waits,
-                    time - be.heard + 1 if be.heard else 0,
+                    time - backend.heard + 1 if backend.heard else 0,
                     unfilled,
                 )
         self.listed((), number, time, steady)
-        follower.uses({be.name: self._used(be, time) for be in router.caches if be.name in follower.purses})
+        follower.uses(
+            {
+                backend.name: self._used(backend, time)
+                for backend in router.caches
+                if backend.name in follower.purses
+            }
+        )
 
-    def _waits(self, be: Any, time: int) -> tuple[int, int]:
+    def _waits(self, backend: Any, time: int) -> tuple[int, int]:
         """How many dispatches are out at a be that it should have answered, with nothing heard from it since;
         and of how many that others should have answered it is the source, while those answer others."""
         waits = unfilled = 0
-        for req in be.reqs:
-            long = self.router.vhosts[req.vhost].aim(req.work) * (2 * WAITS if req.fill else WAITS)
-            if time - req.sent <= long:
+        for request in backend.requests:
+            long = self.router.vhosts[request.vhost].aim(request.work) * (
+                2 * WAITS if request.fill else WAITS
+            )
+            if time - request.sent <= long:
                 continue
-            if req.be is be:
-                waits += be.heard < req.sent
-            elif req.fill and req.be.heard >= req.sent:
+            if request.backend is backend:
+                waits += backend.heard < request.sent
+            elif request.fill and request.backend.heard >= request.sent:
                 unfilled += 1
         return waits, unfilled
 
-    def _used(self, be: Any, time: int) -> float:
+    def _used(self, backend: Any, time: int) -> float:
         """The part of what it may send a cold be that it has sent lately, as `Router._room` bounds it."""
         router = self.router
         floor, warm, multiple = router.cold_cache
-        power = floor + (1 - floor) * min(1.0, max(0, time - be.started) / warm)
-        most = min(MARGIN * multiple / 2, BRISK) * power * router._part(be) * router.fall
-        most *= router.shares.get(be.name, 1.0)
-        return min(1.0, sum(work for _, work in be.budget) / most) if most else 1.0
+        power = floor + (1 - floor) * min(1.0, max(0, time - backend.started) / warm)
+        most = min(MARGIN * multiple / 2, BRISK) * power * router._part(backend) * router.fall
+        most *= router.shares.get(backend.name, 1.0)
+        return min(1.0, sum(work for _, work in backend.budget) / most) if most else 1.0
 
     def act(self, time: int, steady: int) -> Effect:
         """Have the module keep what holds now, in its own time; returns it."""
         effect = self.follower.effect(steady)
-        out = {be: until + time - steady if until else 0 for be, until in effect.out.items()}
+        out = {backend: until + time - steady if until else 0 for backend, until in effect.out.items()}
         self.router.planned(out, effect.ways, effect.link, dict(effect.shares), effect.left)
         return effect
--- a/lilacloft/plan/words.py
+++ b/lilacloft/plan/words.py
@@ -15,7 +15,7 @@
     """One asks for a part of a cold be's budget."""
 
     number: int
-    be: str
+    backend: str
     part: float
     span: int
 
@@ -25,7 +25,7 @@
     """The answer: a part, usable after a delay, for a span since it was asked for; a part of 0 is a no."""
 
     number: int
-    be: str
+    backend: str
     part: float = 0.0
     delay: int = 0
     span: int = 0
@@ -40,7 +40,7 @@
     number: int
     zone: int = 0
     listed: int = 0  # the change log's number that it has
-    reqs: float = 0.0  # a second
+    requests: float = 0.0  # a second
     fills: dict[str, float] = field(default_factory=dict)  # by vhost, KB a second that its reqs would need
     worth: dict[str, float] = field(default_factory=dict)  # by vhost, of a KB
     sights: dict[str, Sight] = field(default_factory=dict)
--- a/lilacloft/record/kinds.py
+++ b/lilacloft/record/kinds.py
@@ -14,9 +14,17 @@
 from msgspec import Struct
 
 SCHEMA = 1
+# Names of the fields in the files, where they differ from the attributes here.
+FIELDS_IN_FILES = {
+    "backend": "be",
+    "backends": "bes",
+    "requests": "reqs",
+    "consecutive_failures": "strikes",
+    "ejected": "suspect",
+}
 
 
-class Record(Struct, kw_only=True, omit_defaults=True, tag_field="kind"):
+class Record(Struct, kw_only=True, omit_defaults=True, tag_field="kind", rename=FIELDS_IN_FILES):
     """What every record has."""
 
     number: int = 0
@@ -24,7 +32,7 @@
     steady: int = 0
 
 
-class Head(Record, tag="head"):
+class Head(Record, tag="head", rename=FIELDS_IN_FILES):
     """The first of a file."""
 
     schema: int
@@ -37,35 +45,35 @@
     vhosts: dict[str, list[float]] = {}  # target, client timeout, value
 
 
-class Start(Record, tag="start"):
+class Start(Record, tag="start", rename=FIELDS_IN_FILES):
     """The process serves."""
 
     why: str = "start"  # or `upgrade`: it has taken over from another
     listed: int = 0
 
 
-class Over(Record, tag="over"):
+class Over(Record, tag="over", rename=FIELDS_IN_FILES):
     """The process ends in order."""
 
     why: str = ""  # stop, upgrade
 
 
-class Upgrade(Record, tag="upgrade"):
+class Upgrade(Record, tag="upgrade", rename=FIELDS_IN_FILES):
     """A phase of an upgrade, by the process that is replaced."""
 
     phase: str
     why: str = ""
 
 
-class Listed(Record, tag="listed"):
+class Listed(Record, tag="listed", rename=FIELDS_IN_FILES):
     """A list, or changes of it: name, kind, zone, status (0 gone, 1 ready, 2 draining), started, size."""
 
     event: int  # the change log's number; 0: from the configuration or another process
     whole: bool = False
-    bes: list[tuple[str, str, str, int, int, float]] = []
+    backends: list[tuple[str, str, str, int, int, float]] = []
 
 
-class Purge(Record, tag="purge"):
+class Purge(Record, tag="purge", rename=FIELDS_IN_FILES):
     """A purge was told."""
 
     event: int
@@ -74,27 +82,27 @@
     at: int = 0  # Unix time by whoever purged
 
 
-class Belief(Record, tag="belief"):
+class Belief(Record, tag="belief", rename=FIELDS_IN_FILES):
     """The gateway thinks otherwise of a be."""
 
-    be: str
+    backend: str
     what: str  # left alone, back
     why: str = ""
-    strikes: int = 0
+    consecutive_failures: int = 0
     late: float = 0.0
 
 
-class Cut(Record, tag="cut"):
+class Cut(Record, tag="cut", rename=FIELDS_IN_FILES):
     """The learned limit on a way was cut, or has grown back to what it was before it was first cut."""
 
-    be: str
+    backend: str
     was: float
     limit: float
     late: float  # part of answers late on that way
     grown: bool = False
 
 
-class Planned(Record, tag="planned"):
+class Planned(Record, tag="planned", rename=FIELDS_IN_FILES):
     """Another plan holds at this forwarder, or none does and it is a gateway alone again."""
 
     planner: str = ""  # empty: no plan holds
@@ -105,7 +113,7 @@
     link: float = 0.0  # this forwarder's part of its location's link, dispatches; 0: none set
 
 
-class Away(Record, tag="away"):
+class Away(Record, tag="away", rename=FIELDS_IN_FILES):
     """More or less of a location is at home now: of so many slices, as the plan says, or as one goes on
     alone."""
 
@@ -117,10 +125,10 @@
     alone: bool = False  # no plan holds
 
 
-class Vhost(Struct, omit_defaults=True):
+class Vhost(Struct, omit_defaults=True, rename=FIELDS_IN_FILES):
     """One vhost in a summary's span."""
 
-    reqs: int = 0
+    requests: int = 0
     done: int = 0
     denied: int = 0
     aborted: int = 0
@@ -134,7 +142,7 @@
     took: str = ""  # HdrHistogram of the done, tenths of a millisecond, encoded
 
 
-class Be(Struct, omit_defaults=True):
+class Backend(Struct, omit_defaults=True, rename=FIELDS_IN_FILES):
     """One be in a summary's span: as the one asked, and as the source that fills waited for."""
 
     dispatches: int = 0
@@ -147,22 +155,22 @@
     flight: int = 0
     util: float = -1.0  # told; -1: not told
     limit: float = 0.0
-    suspect: bool = False
+    ejected: bool = False
     status: int = 1
 
 
-class Second(Record, tag="second"):
+class Second(Record, tag="second", rename=FIELDS_IN_FILES):
     """What happened since the last one; every second while anything does, every ten else."""
 
     span: int
     vhosts: dict[str, Vhost] = {}
-    bes: dict[str, Be] = {}
+    backends: dict[str, Backend] = {}
     link: float = 0.0  # the limit on likely fills
     refused: dict[str, int] = {}  # messages and connections refused, by cause
     lag: int = 0  # the longest that the owner's thread was late
 
 
-class Lost(Record, tag="lost"):
+class Lost(Record, tag="lost", rename=FIELDS_IN_FILES):
     """Records that could not be written: the queue was full, or the disk."""
 
     count: int
@@ -170,13 +178,13 @@
     since: int = 0  # wall
 
 
-class Clock(Record, tag="clock"):
+class Clock(Record, tag="clock", rename=FIELDS_IN_FILES):
     """The machine's clock was set: by how much it went against the steady one since the last record."""
 
     step: int
 
 
-class Log(Record, tag="log"):
+class Log(Record, tag="log", rename=FIELDS_IN_FILES):
     """The connection to the change log came up, or ended."""
 
     up: bool
--- a/lilacloft/record/metrics.py
+++ b/lilacloft/record/metrics.py
@@ -20,7 +20,7 @@
         def make(kind: type, name: str, text: str, *labels: str) -> Counter | Gauge:
             return kind(f"lilacloft_{name}", text, ["gateway", *labels], registry=self.registry)
 
-        self.reqs = make(Counter, "reqs", "reqs by what became of them", "vhost", "outcome")
+        self.requests = make(Counter, "reqs", "reqs by what became of them", "vhost", "outcome")
         self.sent = make(Counter, "dispatches", "dispatches by vhost", "vhost")
         self.hits = make(Counter, "hits", "answers from a cache's own copy", "vhost")
         self.value = make(Counter, "value", "value of what was done in time", "vhost")
@@ -36,19 +36,19 @@
         me = self.gateway
         for name, vhost in second.vhosts.items():
             for outcome in ("done", "denied", "aborted", "left", "late"):
-                self.reqs.labels(me, name, outcome).inc(getattr(vhost, outcome))
+                self.requests.labels(me, name, outcome).inc(getattr(vhost, outcome))
             self.sent.labels(me, name).inc(vhost.dispatches)
             self.hits.labels(me, name).inc(vhost.hits)
             self.value.labels(me, name).inc(vhost.value)
-        for name, be in second.bes.items():
-            self.ends.labels(me, name, "done").inc(be.done)
-            for end, count in be.ends.items():
+        for name, backend in second.backends.items():
+            self.ends.labels(me, name, "done").inc(backend.done)
+            for end, count in backend.ends.items():
                 self.ends.labels(me, name, end).inc(count)
-            if be.util >= 0:
-                self.util.labels(me, name).set(be.util)
-            self.flight.labels(me, name).set(be.flight)
-            self.limit.labels(me, name).set(be.limit)
-            self.alone.labels(me, name).set(be.suspect)
+            if backend.util >= 0:
+                self.util.labels(me, name).set(backend.util)
+            self.flight.labels(me, name).set(backend.flight)
+            self.limit.labels(me, name).set(backend.limit)
+            self.alone.labels(me, name).set(backend.ejected)
         for cause, count in second.refused.items():
             self.refused.labels(me, cause).inc(count)
         self.fresh = True
--- a/lilacloft/record/summary.py
+++ b/lilacloft/record/summary.py
@@ -10,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lilacloft.record.kinds import Be, Cut, Second, Vhost
+from lilacloft.record.kinds import Backend, Cut, Second, Vhost
 
 SPAN = 10_000  # of a summary
 QUIET = 100_000  # and while nothing happens
@@ -40,7 +40,7 @@
         """Vhosts by name, with target, client timeout and value."""
         self.told, self.since = vhosts, now
         self.vhosts: dict[str, Vhost] = {}
-        self.bes: dict[str, Be] = {}
+        self.backends: dict[str, Backend] = {}
         self.took: dict[str, HdrHistogram] = {}
         self.refused: dict[str, int] = {}
         self.seen: dict[str, int] = {}
@@ -50,16 +50,16 @@
     # --- what happens ---
 
     def arrived(self, vhost: str) -> None:
-        self._vhost(vhost).reqs += 1
+        self._vhost(vhost).requests += 1
 
-    def sent(self, vhost: str, be: str) -> None:
+    def sent(self, vhost: str, backend: str) -> None:
         self._vhost(vhost).dispatches += 1
-        self._be(be).dispatches += 1
+        self._be(backend).dispatches += 1
 
     def ended(
         self,
         vhost: str,
-        be: str,
+        backend: str,
         source: str | None,
         end: str,
         outcome: str,
@@ -69,7 +69,7 @@
         waited: int,
     ) -> None:
         """A dispatch is over; `source` names who filled it, if it was likely a fill."""
-        mine, name = self._be(be), NOTES[note] if note < len(NOTES) else ""
+        mine, name = self._be(backend), NOTES[note] if note < len(NOTES) else ""
         if outcome == "done":
             mine.done += 1
             mine.late += late
@@ -106,8 +106,8 @@
     def left(self, vhost: str) -> None:
         self._vhost(vhost).left += 1
 
-    def checked(self, be: str, util: float) -> None:
-        self._be(be).util = util
+    def checked(self, backend: str, util: float) -> None:
+        self._be(backend).util = util
 
     def lagged(self, late: int) -> None:
         self.lag = max(self.lag, late)
@@ -125,38 +125,42 @@
         was before it was first cut, as it comes in steps with each answer."""
         if limit < was:
             self.cut.setdefault(way, was)
-            return Cut(be=way, was=round(was, 2), limit=round(limit, 2), late=round(late, 3))
+            return Cut(backend=way, was=round(was, 2), limit=round(limit, 2), late=round(late, 3))
         before = self.cut.get(way)
         if before is None or limit < before:
             return None
         del self.cut[way]
-        return Cut(be=way, was=round(was, 2), limit=round(limit, 2), late=round(late, 3), grown=True)
+        return Cut(backend=way, was=round(was, 2), limit=round(limit, 2), late=round(late, 3), grown=True)
 
     # --- its end ---
 
     def due(self, now: int) -> bool:
         """Is it time for a record?"""
-        busy = self.vhosts or self.refused or any(be.ends or be.fills for be in self.bes.values())
+        busy = (
+            self.vhosts
+            or self.refused
+            or any(backend.ends or backend.fills for backend in self.backends.values())
+        )
         return now - self.since >= (SPAN if busy else QUIET)
 
-    def take(self, now: int, bes: Mapping[str, tuple[int, float, bool, int]], link: float) -> Second:
+    def take(self, now: int, backends: Mapping[str, tuple[int, float, bool, int]], link: float) -> Second:
         """The record of what happened, and a new start. Bes by name as they are now: in flight, limit,
         suspect, status; those that nothing is known of are left out."""
-        for name, (flight, limit, suspect, status) in bes.items():
-            if flight or suspect or status != 1 or name in self.bes:
+        for name, (flight, limit, ejected, status) in backends.items():
+            if flight or ejected or status != 1 or name in self.backends:
                 one = self._be(name)
-                one.flight, one.limit, one.suspect, one.status = flight, round(limit, 2), suspect, status
+                one.flight, one.limit, one.ejected, one.status = flight, round(limit, 2), ejected, status
         for vhost, took in self.took.items():
             self.vhosts[vhost].took = took.encode().decode("ascii")
         out = Second(
             span=now - self.since,
             vhosts=self.vhosts,
-            bes=self.bes,
+            backends=self.backends,
             link=round(link, 2),
             refused=self.refused,
             lag=self.lag,
         )
-        self.vhosts, self.bes, self.took, self.refused, self.lag, self.since = {}, {}, {}, {}, 0, now
+        self.vhosts, self.backends, self.took, self.refused, self.lag, self.since = {}, {}, {}, {}, 0, now
         return out
 
     def _vhost(self, name: str) -> Vhost:
@@ -164,10 +168,10 @@
             self.vhosts[name] = Vhost(fills={})
         return self.vhosts[name]
 
-    def _be(self, name: str) -> Be:
-        if name not in self.bes:
-            self.bes[name] = Be(ends={})
-        return self.bes[name]
+    def _be(self, name: str) -> Backend:
+        if name not in self.backends:
+            self.backends[name] = Backend(ends={})
+        return self.backends[name]
 
 
 def plain(vhosts: list[dict[str, Any]]) -> dict[str, tuple[float, float, float]]:
