--- a/lilacloft/record/writer.py
+++ b/lilacloft/record/writer.py
@@ -116,8 +116,8 @@
             except OSError as wrong:
                 logger.error("records' socket {}: {}", self.connect, wrong.strerror)
         self.thread.start()
-        self.note(kinds.Start(why=why, listed=len(self.owner.bes)))
-        self._list(self.owner.bes.values(), 0, True)
+        self.note(kinds.Start(why=why, listed=len(self.owner.backends)))
+        self._list(self.owner.backends.values(), 0, True)
         self._tick()
 
     def end(self, why: str) -> None:
@@ -151,37 +151,45 @@
     def arrived(self, call: Any) -> None:
         self.summary.arrived(self.names[call.vhost])
 
-    def sent(self, call: Any, be: Any, source: Any) -> None:
-        self.summary.sent(self.names[call.vhost], be.name)
+    def sent(self, call: Any, backend: Any, source: Any) -> None:
+        self.summary.sent(self.names[call.vhost], backend.name)
 
     def ended(
-        self, call: Any, be: Any, end: End, took: int, note: int, waited: int, load: list[float]
+        self, call: Any, backend: Any, end: End, took: int, note: int, waited: int, load: list[float]
     ) -> None:
-        req = call.req
-        source = req.source.name if req.fill and req.source is not None else None
-        late = took > self.owner.router.vhosts[req.vhost].aim(req.work)
+        request = call.request
+        source = request.source.name if request.fill and request.source is not None else None
+        late = took > self.owner.router.vhosts[request.vhost].aim(request.work)
         self.summary.ended(
-            self.names[call.vhost], be.name, source, end.name, OUTCOMES[end], took, late, note, waited
+            self.names[call.vhost], backend.name, source, end.name, OUTCOMES[end], took, late, note, waited
         )
 
     def answered(self, call: Any, kind: str) -> None:
-        took = self.owner.time - call.req.arrived if call.req else 0
-        self.summary.answered(self.names[call.vhost], kind, took, call.req.tries if call.req else 0)
+        took = self.owner.time - call.request.arrived if call.request else 0
+        self.summary.answered(self.names[call.vhost], kind, took, call.request.tries if call.request else 0)
 
     def left(self, call: Any) -> None:
         self.summary.left(self.names[call.vhost])
 
-    def checked(self, be: Any, outcome: str, load: list[float]) -> None:
+    def checked(self, backend: Any, outcome: str, load: list[float]) -> None:
         names = self.owner.config["stats"]["names"]
         if "util" in names and load:
-            self.summary.checked(be.name, round(load[names.index("util")], 3))
+            self.summary.checked(backend.name, round(load[names.index("util")], 3))
 
     def phase(self, phase: str, why: str) -> None:
         """An upgrade has come to a phase; from whatever thread drives it."""
         self.note(kinds.Upgrade(phase=phase, why=why))
 
-    def believed(self, be: Any, what: str, why: str) -> None:
-        self.note(kinds.Belief(be=be.name, what=what, why=why, strikes=be.strikes, late=round(be.late, 3)))
+    def believed(self, backend: Any, what: str, why: str) -> None:
+        self.note(
+            kinds.Belief(
+                backend=backend.name,
+                what=what,
+                why=why,
+                consecutive_failures=backend.consecutive_failures,
+                late=round(backend.late, 3),
+            )
+        )
 
     def planned(self, effect: Any) -> None:
         """Another plan holds, or none: what its effect is (lilacloft.plan.follow.Effect)."""
@@ -201,8 +209,8 @@
         """So much of a location is at home now."""
         self.note(kinds.Away(zone=zone, back=back, of=slices, failed=fails, why=why, alone=alone))
 
-    def limited(self, be: Any, was: float, limit: float, late: float) -> None:
-        way = be.name if be.way is not None and limit == be.way.limit else "link"
+    def limited(self, backend: Any, was: float, limit: float, late: float) -> None:
+        way = backend.name if backend.way is not None and limit == backend.way.limit else "link"
         record = self.summary.limited(way, was, limit, late)
         if record:
             self.note(record)
@@ -213,23 +221,38 @@
         if what == "purge":
             key, group, at = told
             return self.note(kinds.Purge(event=number, key=key, group=group, at=at * 10))
-        bes = [self.owner.bes[name] for name, *_ in told if name in self.owner.bes]
-        gone = [row for row in told if row[0] not in self.owner.bes]
-        return self._list(bes, number, what == "full", gone)
+        backends = [self.owner.backends[name] for name, *_ in told if name in self.owner.backends]
+        gone = [row for row in told if row[0] not in self.owner.backends]
+        return self._list(backends, number, what == "full", gone)
 
-    def _list(self, bes: Any, number: int, whole: bool, gone: Any = ()) -> None:
+    def _list(self, backends: Any, number: int, whole: bool, gone: Any = ()) -> None:
         family, zones = self.owner.config["kinds"], self.owner.config["zones"]
-        rows = [(be.name, family[be.kind], zones[be.zone], be.status, be.started, be.size) for be in bes]
+        rows = [
+            (
+                backend.name,
+                family[backend.kind],
+                zones[backend.zone],
+                backend.status,
+                backend.started,
+                backend.size,
+            )
+            for backend in backends
+        ]
         rows += [
             (name, family[kind], zones[zone], 0, started * 10, float(size))
             for name, _, zone, kind, _, _, size, started in gone
         ]
-        self.note(kinds.Listed(event=number, whole=whole, bes=rows))
+        self.note(kinds.Listed(event=number, whole=whole, backends=rows))
 
     def _bes(self) -> dict[str, tuple[int, float, bool, int]]:
         return {
-            be.name: (len(be.reqs), be.way.limit if be.way else 0.0, be.suspect, be.status)
-            for be in self.owner.router.known
+            backend.name: (
+                len(backend.requests),
+                backend.way.limit if backend.way else 0.0,
+                backend.ejected,
+                backend.status,
+            )
+            for backend in self.owner.router.known
         }
 
     def _tick(self) -> None:
--- a/lilacloft/report/charts.py
+++ b/lilacloft/report/charts.py
@@ -140,14 +140,14 @@
     )
 
 
-def be_chart(found: Course, be: str) -> str:
+def be_chart(found: Course, backend: str) -> str:
     """A be's dispatches and what came back, small: drawn by hand, as there may be hundreds."""
     bounds = edges(found)
     width = (bounds[1] - bounds[0]) / 1000
     sums = {name: np.zeros(len(bounds) - 1) for name in ("dispatches", "done", "ends")}
     util = np.zeros(len(bounds) - 1)
     for seen in found.seen.values():
-        mine = seen.columns.bes.get(be)
+        mine = seen.columns.backends.get(backend)
         if mine is None:
             continue
         for name in sums:
@@ -176,7 +176,7 @@
     ]
     if util.any():
         parts.append(line(util, 1.0, LATE, "util as told"))
-    label = f"{be}: up to {top:.0f} dispatches a second"
+    label = f"{backend}: up to {top:.0f} dispatches a second"
     return (
         f'<svg viewBox="0 0 {WIDTH} {high}" width="100%" role="img" preserveAspectRatio="none" '
         f'aria-label="{html.escape(label)}"><title>{html.escape(label)}</title>{"".join(parts)}</svg>'
--- a/lilacloft/report/console.py
+++ b/lilacloft/report/console.py
@@ -84,7 +84,7 @@
         """The whole screen, from what the files hold now."""
         runs, damage = self.read()
         found = course(runs)
-        parts: list[Any] = [self.fleet(found, len(damage)), self.gateways(found), self.bes(found)]
+        parts: list[Any] = [self.fleet(found, len(damage)), self.gateways(found), self.backends(found)]
         if self.shows_course:
             parts.append(self.course(found))
         filtered = f"  filter: {self.only}{'_' if self.typing else ''}" if self.only or self.typing else ""
@@ -136,7 +136,7 @@
             )
         return table
 
-    def bes(self, found: Course) -> Table:
+    def backends(self, found: Course) -> Table:
         table = Table(expand=True, box=None, pad_edge=False)
         for name in ("be", "kind", "state", "util", "flight", "asked/s", "late", "ends", "back"):
             words = name in ("be", "kind", "state")
@@ -144,16 +144,16 @@
         rows = []
         open_ = {one.subject: one for one in found.episodes if one.end is None or one.end > found.end - 2000}
         last = {one.subject: one.end for one in found.episodes if one.end is not None}
-        names = sorted({be for seen in found.seen.values() for be in seen.columns.bes})
+        names = sorted({backend for seen in found.seen.values() for backend in seen.columns.backends})
         seconds = max(1.0, min(RECENT, found.end - found.begin) / 1000)
-        for be in names:
+        for backend in names:
             sums = dict.fromkeys(("dispatches", "late", "ends"), 0.0)
             util, flight, role = 0.0, 0.0, "cache"
             for seen in found.seen.values():
-                columns = seen.columns.bes.get(be)
+                columns = seen.columns.backends.get(backend)
                 if columns is None:
                     continue
-                role = seen.role(be)
+                role = seen.role(backend)
                 recent = seen.columns.begin >= found.end - RECENT
                 for field in sums:
                     sums[field] += float(columns[field][recent].sum())
@@ -161,18 +161,18 @@
                 told = columns["util"][recent]
                 told = told[told == told]
                 util = max(util, float(told[-1]) if len(told) else 0.0)
-            trouble = open_.get(be)
+            trouble = open_.get(backend)
             state = trouble.kind if trouble else "well"
-            if self.only and self.only not in be and self.only not in role and self.only not in state:
+            if self.only and self.only not in backend and self.only not in role and self.only not in state:
                 continue
-            back = f"{span(found.end - last[be])} ago" if be in last else ""
+            back = f"{span(found.end - last[backend])} ago" if backend in last else ""
             rows.append(
                 (
                     trouble is None,
                     -sums["dispatches"],
-                    be,
+                    backend,
                     (
-                        be,
+                        backend,
                         role,
                         state,
                         f"{util:.2f}",
--- a/lilacloft/report/export.py
+++ b/lilacloft/report/export.py
@@ -38,8 +38,8 @@
         head = [gateway, run, plain.get("wall", 0) / 10, plain["span"] / 10]
         for name, vhost in (plain.get("vhosts") or {}).items():
             out.append([*head, "vhost", name, *(vhost.get(field, 0) for field in VHOST), *[""] * len(BE)])
-        for name, be in (plain.get("bes") or {}).items():
-            out.append([*head, "be", name, *[""] * len(VHOST), *(be.get(field, "") for field in BE)])
+        for name, backend in (plain.get("bes") or {}).items():
+            out.append([*head, "be", name, *[""] * len(VHOST), *(backend.get(field, "") for field in BE)])
     return out
 
 
--- a/lilacloft/report/facts.py
+++ b/lilacloft/report/facts.py
@@ -109,12 +109,12 @@
 def _bes(found: Course) -> list[dict[str, Any]]:
     out: dict[str, dict[str, Any]] = {}
     for name, seen in found.seen.items():
-        for be, columns in seen.columns.bes.items():
+        for backend, columns in seen.columns.backends.items():
             row = out.setdefault(
-                be,
+                backend,
                 {
-                    "name": be,
-                    "role": seen.role(be),
+                    "name": backend,
+                    "role": seen.role(backend),
                     "dispatches": 0,
                     "done": 0,
                     "late": 0,
--- a/lilacloft/report/page.py
+++ b/lilacloft/report/page.py
@@ -59,7 +59,7 @@
     for place, vhost in enumerate(told["vhosts"]):
         vhosts.append((vhost["name"], charts.vhost_chart(found, vhost["name"])))
         progress("charts", (place + 1) / len(told["vhosts"]))
-    bes = [(be["name"], charts.be_chart(found, be["name"])) for be in told["bes"]]
+    backends = [(backend["name"], charts.be_chart(found, backend["name"])) for backend in told["bes"]]
     course: list[tuple[str, Any]] = [("episode", one) for one in told["episodes"]]
     course += [("gap", one) for one in told["gaps"] if one["kind"] != "upgrade" or len(told["gaps"]) < 50]
     course.sort(key=lambda item: item[1]["begin"])
@@ -72,7 +72,7 @@
         zone=str(zone),
         lanes=Markup(charts.lanes(found)),
         vhost_charts=[(name, Markup(text)) for name, text in vhosts],
-        be_charts=[(name, Markup(text)) for name, text in bes],
+        be_charts=[(name, Markup(text)) for name, text in backends],
         vhost_columns=VHOSTS,
         be_columns=BES,
         gateway_columns=GATEWAYS,
--- a/lilacloft/sign/verdict.py
+++ b/lilacloft/sign/verdict.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class Req:
+class Request:
     """What is asked for, as far as a link can speak of it."""
 
     method: str
@@ -275,10 +275,12 @@
 # --- judging ---
 
 
-def judge(token: str, form: str, req: Req, keys: Mapping[str, Key], rules: Rules, now: int) -> Verdict:
+def judge(
+    token: str, form: str, request: Request, keys: Mapping[str, Key], rules: Rules, now: int
+) -> Verdict:
     """May this req be answered by this link? Whatever comes in, a verdict comes out."""
     try:
-        path = canonical(req.path)
+        path = canonical(request.path)
     except PathError as wrong:
         return Verdict(False, f"path: {wrong}")
     if form not in rules.forms:
@@ -290,7 +292,7 @@
     why = signed(claims, keys, rules, now)
     if why:
         return Verdict(False, why, path, key=claims.key)
-    why = fits(claims, req, path, rules, now)
+    why = fits(claims, request, path, rules, now)
     if why:
         return Verdict(False, why, path, key=claims.key)
     return Verdict(
@@ -316,12 +318,12 @@
     return ""
 
 
-def fits(claims: Claims, req: Req, path: str, rules: Rules, now: int) -> str:
+def fits(claims: Claims, request: Request, path: str, rules: Rules, now: int) -> str:
     """Why what was signed does not let this req in; nothing where it does."""
-    if req.method not in rules.methods:
-        return f"method {req.method[:20]} is not allowed by links"
-    if rules.hosts and req.host not in rules.hosts:
-        return f"host {req.host[:60]} is not one of links"
+    if request.method not in rules.methods:
+        return f"method {request.method[:20]} is not allowed by links"
+    if rules.hosts and request.host not in rules.hosts:
+        return f"host {request.host[:60]} is not one of links"
     if rules.issuers and claims.form == "jwt" and claims.issuer not in rules.issuers:
         return f"issuer {claims.issuer[:40]!r} is not known"
     if now > claims.ends + rules.skew:
@@ -330,9 +332,9 @@
         return f"not valid for another {claims.begins - now} s"
     if claims.ends > now + FAR:
         return "valid for longer than anybody signs"
-    if claims.networks and not inside(req.address, claims.networks):
-        return f"address {req.address[:60]!r} is in none of its networks"
-    uri = f"//{req.host}{path}"
+    if claims.networks and not inside(request.address, claims.networks):
+        return f"address {request.address[:60]!r} is in none of its networks"
+    uri = f"//{request.host}{path}"
     if claims.hashed:
         return (
             ""
@@ -345,7 +347,7 @@
     for pattern in claims.patterns:
         if pattern.startswith("//"):
             host, slash, rest = pattern[2:].partition("/")
-            if host == req.host and covers(slash + rest, path):
+            if host == request.host and covers(slash + rest, path):
                 return ""
         elif covers(pattern, path):
             return ""
--- a/lilacloft/stamps.py
+++ b/lilacloft/stamps.py
@@ -99,15 +99,15 @@
         """A configuration lists backends that started at some stamps (0: none told)."""
         self.configured_lag = min((now - stamp for stamp in stamps if stamp), default=None)
 
-    def start(self, now: int, be: str, stamp: int, hearing: Hearing | None = None) -> int:
+    def start(self, now: int, backend: str, stamp: int, hearing: Hearing | None = None) -> int:
         """When a backend started, in our time; the same for the same stamp, however often it is told, as
         another time would mean another life."""
         if not stamp:
-            self.starts.pop(be, None)
+            self.starts.pop(backend, None)
             return 0
-        told = self.starts.get(be)
+        told = self.starts.get(backend)
         if told is None or told.stamp != stamp:
-            told = self.starts[be] = self._started(now, stamp, hearing)
+            told = self.starts[backend] = self._started(now, stamp, hearing)
         return told.meant
 
     def _started(self, now: int, stamp: int, hearing: Hearing | None) -> Start:
@@ -124,17 +124,17 @@
         if self.lag is None:
             return {}
         found = {}
-        for be, start in self.starts.items():
+        for backend, start in self.starts.items():
             if start.revisable and start.stamp + self.lag < start.meant:
-                start.meant = found[be] = start.stamp + self.lag
+                start.meant = found[backend] = start.stamp + self.lag
         return found
 
-    def forget(self, be: str) -> None:
+    def forget(self, backend: str) -> None:
         """A backend is listed no more."""
-        self.starts.pop(be, None)
+        self.starts.pop(backend, None)
 
     def take(self, lag: int | None, at: int, starts: Mapping[str, tuple[int, int, bool]]) -> None:
         """Go on with what the process before knew: the lag and when it was learned; starts by backend, each
         with its stamp, what it means, and whether it may be corrected."""
         self.lag, self.at = lag, at
-        self.starts = {be: Start(*told) for be, told in starts.items()}
+        self.starts = {backend: Start(*told) for backend, told in starts.items()}
--- a/lilacloft/state.py
+++ b/lilacloft/state.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 
-class Refusal(Enum):
+class RejectReason(Enum):
     """Why a request was given up."""
 
     LAY_UNREAD = auto()  # so long that whatever it got would be late
@@ -24,7 +24,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Be:
+class Backend:
     """A backend: a cache, a parent or the origin, as the list names it and as this gateway has seen it."""
 
     name: str
@@ -40,29 +40,29 @@
     holds: float = 0.0  # what it held for each part of its time busy: so much fits
     asked: int = 0  # when its load was last asked for
     heard: int = 0  # when it last answered
-    strikes: int = 0  # symptoms since then
+    consecutive_failures: int = 0  # symptoms since then
     late: float = 0.0  # part of the fills asked of it that came late
-    suspect: bool = False
+    ejected: bool = False
     retry_at: int = 0
     backoff: int = 0
-    trial: Req | None = None
+    trial: Request | None = None
     budget: list[tuple[int, float]] = field(default_factory=list)  # work sent lately: (time, work)
-    reqs: dict[Req, None] = field(default_factory=dict)  # dispatches out there
+    requests: dict[Request, None] = field(default_factory=dict)  # dispatches out there
 
 
 @dataclass(eq=False, slots=True)
-class Obj:
+class ObjectPart:
     """One part of an object as this gateway's table knows it."""
 
     marked: int | None = None  # when a req last carried the renewal
     seen: int = 0
-    home: Be | None = None  # the cache that last answered it
+    home: Backend | None = None  # the cache that last answered it
     filled: int = 0  # when it was last asked for there with a fill likely, or renewed
     work: float = 0.0  # the shortest time in which it was answered: no more than this is sending
 
 
 @dataclass(eq=False, slots=True)
-class Req:
+class Request:
     """A client's req and what has become of it."""
 
     key: str
@@ -76,22 +76,22 @@
     write: bool = False
     repeat: bool = False
     send_by: int = 0  # nothing goes out later: its client may have left, or its window closes; 0: it may
-    refusal: Refusal | None = None  # why it was given up, if it was
+    reject_reason: RejectReason | None = None  # why it was given up, if it was
     closed: bool = False  # it has had its final answer, or is owed none
     flowing: bool = False  # its stream has begun
     out: bool = False  # a dispatch is out
     tries: int = 0
-    be: Be | None = None
-    source: Be | None = None
+    backend: Backend | None = None
+    source: Backend | None = None
     sent: int = 0
     units: float = 0.0
     work: float = 0.0  # its sending time, told or guessed
     way: Any = None  # the limit that its fill counts to
     fill: bool = False  # the dispatch out is likely to need a fill
-    first_ran: int | None = None  # when the first dispatch that may have run was sent
-    ran_at: Be | None = None
-    avoid: list[Be] = field(default_factory=list)  # who has failed it
+    first_executed_at: int | None = None  # when the first dispatch that may have run was sent
+    first_executed_by: Backend | None = None
+    avoid: list[Backend] = field(default_factory=list)  # who has failed it
     renew: bool = False
-    rejoin: bool = True
+    may_collapse: bool = True
     looked: bool = False  # the last dispatch only asked for what is held
-    obj: Obj | None = None  # none where it cannot be kept
+    object_part: ObjectPart | None = None  # none where it cannot be kept
--- a/lilacloft/store/guard.py
+++ b/lilacloft/store/guard.py
@@ -19,7 +19,7 @@
 from lilacloft import carried
 from lilacloft.net.back import Sent
 from lilacloft.net.conn import OUTCOMES, End
-from lilacloft.state import Be, Req
+from lilacloft.state import Backend, Request
 from lilacloft.store import kinds, learned
 from lilacloft.store.commits import Commits
 from lilacloft.store.files import Folder
@@ -118,18 +118,20 @@
             owner.told(event)
         if found.last > owner.known:
             owner.known = found.last
-        starts = {name: be.way.limit for name, be in owner.bes.items() if be.way}
+        starts = {name: backend.way.limit for name, backend in owner.backends.items() if backend.way}
         kept = {key: (at, _read(data)) for key, (at, data) in found.learned.items()}
         names = [vhost["name"] for vhost in owner.vhosts]
         aged = learned.aged(kept, owner.time, names, starts, owner.router.link.limit)
-        carried.take(owner.router, aged, owner.bes)
+        carried.take(owner.router, aged, owner.backends)
         for what, at in found.purges.items():
             key, group = (what, 0) if isinstance(what, str) else ("", what)
             owner.router.purged(key, group, owner.time - owner.stamps.purge(owner.time, at))
-        started = {name: be.started for name, be in owner.bes.items()}
-        most = {name: float(be.size) * owner.router.fall for name, be in owner.bes.items()}
+        started = {name: backend.started for name, backend in owner.backends.items()}
+        most = {name: float(backend.size) * owner.router.fall for name, backend in owner.backends.items()}
         for name, budget in begin(found, started, owner.router.fall, owner.time, most).items():
-            owner.bes[name].budget = owner.bes[name].budget or list(budget)  # a process before tells better
+            owner.backends[name].budget = owner.backends[name].budget or list(
+                budget
+            )  # a process before tells better
 
     def start(self) -> None:
         """The owner runs, and this process is the gateway."""
@@ -194,7 +196,7 @@
             token, call = self._token(sent), sent.call
             if token not in self.keeper.out:
                 effect = self.owner.vhosts[call.vhost]["effect"]
-                self.keeper.adopt(token, self._key(call), effect, call.req.sent, sent.be.cell)
+                self.keeper.adopt(token, self._key(call), effect, call.request.sent, sent.backend.cell)
             if token in self.keeper.out:
                 self.tokens[sent] = token
         for token in set(self.keeper.out) - set(self.tokens.values()):
@@ -221,12 +223,15 @@
 
     # --- the owner's hooks ---
 
-    def knows(self, call: Any, req: Req) -> None:
+    def knows(self, call: Any, request: Request) -> None:
         """A req has come: has a process before this one sent it, or another try of it?"""
         key = self._key(call)
         intent = self.keeper.intents.get(key)
         if intent and key in self.keeper.earlier and not intent.over:
-            req.first_ran, req.ran_at = intent.sent, Be("earlier", zone=-1, cell=intent.cell)
+            request.first_executed_at, request.first_executed_by = (
+                intent.sent,
+                Backend("earlier", zone=-1, cell=intent.cell),
+            )
 
     def dispatch(self, sent: Sent, until: int) -> End | None:
         """Send, or hold until the intent is down. By a time it will have had its own."""
@@ -237,7 +242,7 @@
             vhost["effect"],
             vhost.get("repeat_window", 0),
             vhost.get("repeat_group", "all"),
-            sent.be.cell,
+            sent.backend.cell,
             until - 2 * self.owner.grain,
         )
         if verdict == SEND:
@@ -248,7 +253,7 @@
             self.held[token] = sent, until
             self.owner.at(self.owner.time + (self.keeper.wait() or 0), self.keeper.tick)
             return None
-        self.knows(call, call.req)  # it may have become known only since the req came
+        self.knows(call, call.request)  # it may have become known only since the req came
         return End.UNWRITTEN
 
     def drop(self, sent: Sent) -> bool:
@@ -285,11 +290,13 @@
 
     def _second(self) -> None:
         owner = self.owner
-        for be in owner.router.known:
+        for backend in owner.router.known:
             _, warm, _ = (
-                owner.router.cold_parent if be.kind == owner.router.parent_kind else owner.router.cold_cache
+                owner.router.cold_parent
+                if backend.kind == owner.router.parent_kind
+                else owner.router.cold_cache
             )
-            self.keeper.spent(be.name, be.started, be.budget, warm)
+            self.keeper.spent(backend.name, backend.started, backend.budget, warm)
         self.seconds += 1
         if self.seconds % LEARNS == 0:
             given = carried.give(owner.router, (), ())
@@ -316,7 +323,7 @@
 
     def release(self, token: str) -> None:
         sent, until = self.held.pop(token)
-        over = sent.call.sent is not sent or sent.call.req.closed or self.owner.time >= until
+        over = sent.call.sent is not sent or sent.call.request.closed or self.owner.time >= until
         if over or sent.expired():
             return self.owner.report_end(sent, End.UNWRITTEN)
         sent.at = self.owner.time  # that it waited for the disk is no fault of its cache
@@ -329,5 +336,5 @@
 
     def refuse(self, token: str) -> None:
         sent, _ = self.held.pop(token)
-        self.knows(sent.call, sent.call.req)  # the same: else it would be denied, as if it had never run
+        self.knows(sent.call, sent.call.request)  # the same: else it would be denied, as if it had never run
         self.owner.report_end(sent, End.UNWRITTEN)
--- a/lilacloft/store/keep.py
+++ b/lilacloft/store/keep.py
@@ -292,13 +292,13 @@
         log keeps order."""
         self.hands.keep(kinds.LAST, b"", kinds.NUMBERS.pack(number, base))
 
-    def spent(self, be: str, started: int, budget: list[tuple[int, float]], warm: int) -> None:
+    def spent(self, backend: str, started: int, budget: list[tuple[int, float]], warm: int) -> None:
         """Work sent to a be that is cold; once in a while, and not once it is warm."""
         now = self.hands.now()
-        if not started or now - started >= warm or now - self.budgets.get(be, 0) < EVERY:
+        if not started or now - started >= warm or now - self.budgets.get(backend, 0) < EVERY:
             return
-        self.budgets[be] = now
-        self.hands.keep(kinds.COLD, be.encode(), kinds.spend(budget))
+        self.budgets[backend] = now
+        self.hands.keep(kinds.COLD, backend.encode(), kinds.spend(budget))
 
     def forget(self, oldest: int) -> int:
         """Let go of intents that no rule asks for any more; returns how many. Those of dispatches that are
@@ -320,14 +320,14 @@
     last records of it may not have been down, all that may have been sent since (`most`: in a fall
     span), as if it had been sent just now. Bes that started anew since begin with nothing spent."""
     out: dict[str, list[tuple[int, float]]] = {}
-    for be, budget in found.cold.items():
-        since = started.get(be, 0)
+    for backend, budget in found.cold.items():
+        since = started.get(backend, 0)
         if not since:
             continue
         known = [(at, work) for at, work in budget if since <= at <= now and now - at <= fall]
         last = max((at for at, _ in budget), default=0)
-        unknown = most.get(be, 0.0) - sum(work for _, work in known)
+        unknown = most.get(backend, 0.0) - sum(work for _, work in known)
         if last >= since and now - last <= EVERY + fall and unknown > 0:
             known.append((now, unknown))
-        out[be] = known
+        out[backend] = known
     return out
--- a/lilacloft/store/learned.py
+++ b/lilacloft/store/learned.py
@@ -62,7 +62,7 @@
     }
 
 
-def be(kept: Mapping[str, Any], start: float | None, now: int, age: int) -> dict[str, Any]:
+def backend(kept: Mapping[str, Any], start: float | None, now: int, age: int) -> dict[str, Any]:
     """What still holds of one be, in the form in which `Router.take` reads it. `start`: its limit at a
     start, none where it has none."""
     out: dict[str, Any] = {
@@ -107,15 +107,15 @@
         at, kept = found.get(VHOST + name.encode(), (0, None))
         by_vhost.append(dict(kept) if kept and age(at) <= DAY else {})
     at, kept = found.get(LINK, (0, None))
-    bes = {}
+    backends = {}
     for key, (since, told) in found.items():
         if key.startswith(BE) and (name := key[len(BE) :].decode()) in starts:
-            bes[name] = be(told, starts[name], now, age(since))
+            backends[name] = backend(told, starts[name], now, age(since))
     return {
         "router": router,
         "vhosts": by_vhost,
         "link": limit(kept, link, now, age(at)) if kept else {},
-        "bes": bes,
+        "bes": backends,
         "objs": [],
         "purges": [],
         "reqs": [],
--- a/lilacloft/timeline/clocks.py
+++ b/lilacloft/timeline/clocks.py
@@ -56,7 +56,7 @@
         if isinstance(record, Purge):
             key: tuple[object, ...] = ("purge", record.key, record.group, record.at)
         elif isinstance(record, Listed) and record.event and not record.whole:
-            key = ("listed", *sorted((be[0], be[3], be[4]) for be in record.bes))
+            key = ("listed", *sorted((backend[0], backend[3], backend[4]) for backend in record.backends))
         else:
             continue
         count[key] += 1
--- a/lilacloft/timeline/columns.py
+++ b/lilacloft/timeline/columns.py
@@ -13,6 +13,7 @@
 
 Row = tuple[float, float, Any]  # begin, end, the Second
 VHOST = ("reqs", "done", "denied", "aborted", "left", "late", "dispatches", "hits")
+ATTRIBUTES = {"reqs": "requests"}  # of records, where a column is named otherwise
 BE = ("dispatches", "done", "late", "fills", "waited", "waits", "flight")
 
 
@@ -27,7 +28,7 @@
         self.value = np.zeros(count, np.float32)
         self.refused = np.zeros(count, np.float32)
         self.vhosts: dict[str, dict[str, NDArray[Any]]] = {}
-        self.bes: dict[str, dict[str, NDArray[Any]]] = {}
+        self.backends: dict[str, dict[str, NDArray[Any]]] = {}
         took: list[tuple[int, str, str]] = []
         for place, (_, _, second) in enumerate(rows):
             for name, vhost in second.vhosts.items():
@@ -35,14 +36,14 @@
                 if mine is None:
                     mine = self.vhosts[name] = {field: np.zeros(count, np.float32) for field in VHOST}
                 for field in VHOST:
-                    mine[field][place] = getattr(vhost, field)
+                    mine[field][place] = getattr(vhost, ATTRIBUTES.get(field, field))
                 self.value[place] += vhost.value
                 if vhost.took:
                     took.append((place, name, vhost.took))
-            for name, be in second.bes.items():
-                mine = self.bes.get(name)
+            for name, backend in second.backends.items():
+                mine = self.backends.get(name)
                 if mine is None:
-                    mine = self.bes[name] = {field: np.zeros(count, np.float32) for field in BE}
+                    mine = self.backends[name] = {field: np.zeros(count, np.float32) for field in BE}
                     mine["util"] = np.full(count, np.nan, np.float32)
                     mine["limit"] = np.full(count, np.nan, np.float32)
                     mine["suspect"] = np.zeros(count, bool)
@@ -55,13 +56,21 @@
                     mine["waited"][place],
                     mine["waits"][place],
                     mine["flight"][place],
-                ) = (be.dispatches, be.done, be.late, be.fills, be.waited, be.waits, be.flight)
-                mine["suspect"][place] = be.suspect
-                mine["ends"][place] = sum(be.ends.values())
-                if be.util >= 0:
-                    mine["util"][place] = be.util
-                if be.limit:
-                    mine["limit"][place] = be.limit
+                ) = (
+                    backend.dispatches,
+                    backend.done,
+                    backend.late,
+                    backend.fills,
+                    backend.waited,
+                    backend.waits,
+                    backend.flight,
+                )
+                mine["suspect"][place] = backend.ejected
+                mine["ends"][place] = sum(backend.ends.values())
+                if backend.util >= 0:
+                    mine["util"][place] = backend.util
+                if backend.limit:
+                    mine["limit"][place] = backend.limit
             self.refused[place] = sum(second.refused.values())
         self.took = took
 
@@ -74,9 +83,9 @@
         """Does any summary tell of a part of a stretch?"""
         return bool(np.any((self.begin < end) & (self.end > begin)))
 
-    def answers(self, be: str, begin: float, end: float) -> int:
+    def answers(self, backend: str, begin: float, end: float) -> int:
         """Answers of a be in the summaries that lie within a stretch."""
-        mine = self.bes.get(be)
+        mine = self.backends.get(backend)
         if mine is None:
             return 0
         return int(mine["done"][(self.begin > begin) & (self.end < end)].sum())
--- a/lilacloft/timeline/sights.py
+++ b/lilacloft/timeline/sights.py
@@ -77,7 +77,7 @@
                 if isinstance(record, Second):
                     self.spans.append(Span(at - record.span / 10, at, record))
                 elif isinstance(record, Listed):
-                    self.kinds.update((name, kind) for name, kind, *_ in record.bes)
+                    self.kinds.update((name, kind) for name, kind, *_ in record.backends)
         self.events.sort(key=lambda event: event[0])
         self.spans.sort(key=lambda span: span.begin)
         self.lives = [run.head.run for run in self.runs]
@@ -97,8 +97,8 @@
         out.__dict__.update(self.__dict__, runs=[], spans=[], events=[])
         return out
 
-    def role(self, be: str) -> str:
-        kind = self.kinds.get(be, "")
+    def role(self, backend: str) -> str:
+        kind = self.kinds.get(backend, "")
         return kind if kind in ("parent", "origin") else "cache"
 
 
@@ -198,26 +198,26 @@
     open_: dict[str, Sight] = {}
     for at, spread, record in seen.events:
         if isinstance(record, Belief) and record.what == "left alone":
-            if record.be not in open_:
-                open_[record.be] = _alone(seen, at, spread, record)
-                out.append(open_[record.be])
+            if record.backend not in open_:
+                open_[record.backend] = _alone(seen, at, spread, record)
+                out.append(open_[record.backend])
         elif isinstance(record, Belief):
-            _close(open_, record.be, at, "answers again")
+            _close(open_, record.backend, at, "answers again")
         elif isinstance(record, Listed):
-            for name, _, _, status, started, _ in record.bes:
+            for name, _, _, status, started, _ in record.backends:
                 sight = open_.get(name)
                 if sight and (not status or started / 10 > sight.begin):
                     _close(open_, name, at, "gone from the list" if not status else "started anew")
         elif isinstance(record, Second):
             for name, sight in list(open_.items()):
-                be = record.bes.get(name)
-                if be:
+                backend = record.backends.get(name)
+                if backend:
                     after = at - record.span / 10 > (sight.known or at)
-                    sight.answered += be.done if after else 0
-                    if be.status == 1 and not be.suspect and be.done and after:
+                    sight.answered += backend.done if after else 0
+                    if backend.status == 1 and not backend.ejected and backend.done and after:
                         _close(open_, name, at, "answers again")  # its word of that is not here
         elif isinstance(record, Cut):
-            sight = open_.get(record.be)
+            sight = open_.get(record.backend)
             if sight and not record.grown:
                 sight.acts.append(f"limit {record.was:g} to {record.limit:g}")
         elif isinstance(record, Start) and record.why != "upgrade":
@@ -235,11 +235,11 @@
     starts = [when for when, _, one in seen.events if isinstance(one, Start) and when <= at]
     since = max([at - BEFORE, *starts])
     for span in reversed([one for one in seen.spans if since < one.end and one.begin < at]):
-        be = span.second.bes.get(record.be)
-        if be is None or (not be.done and not slow):
+        backend = span.second.backends.get(record.backend)
+        if backend is None or (not backend.done and not slow):
             begin = min(begin, span.begin)
             continue
-        if slow and be.late > LATE * max(1, be.done):
+        if slow and backend.late > LATE * max(1, backend.done):
             begin = min(begin, span.begin)
             continue
         begin = min(at, span.end)
@@ -248,7 +248,7 @@
     return Sight(
         seen.gateway,
         "slow" if slow else "silent",
-        record.be,
+        record.backend,
         begin,
         None,
         spread + (at - begin) / 2,
@@ -258,8 +258,8 @@
     )
 
 
-def _close(open_: dict[str, Sight], be: str, at: float, why: str) -> None:
-    sight = open_.pop(be, None)
+def _close(open_: dict[str, Sight], backend: str, at: float, why: str) -> None:
+    sight = open_.pop(backend, None)
     if sight:
         sight.end = at
         sight.acts.append(why)
@@ -276,7 +276,7 @@
     for at, spread, record in seen.events:
         if not isinstance(record, Listed):
             continue
-        for name, _, _, now, started, _ in record.bes:
+        for name, _, _, now, started, _ in record.backends:
             if now != 2 and name in drains:
                 drains[name].acts.append("gone from the list" if not now else "ready again")
                 drains.pop(name).end = at
@@ -344,10 +344,12 @@
     """Fills wait longer: at all sources it is the origin, at one that source."""
 
     def waited(span: Span, source: str) -> float | None:
-        be = span.second.bes.get(source)
-        return be.waited / be.waits / 10 if be and be.waits else None
+        backend = span.second.backends.get(source)
+        return backend.waited / backend.waits / 10 if backend and backend.waits else None
 
-    sources = sorted({name for span in seen.spans for name, be in span.second.bes.items() if be.waits})
+    sources = sorted(
+        {name for span in seen.spans for name, backend in span.second.backends.items() if backend.waits}
+    )
     base = {
         source: usual(wait for span in seen.spans if (wait := waited(span, source)) is not None)
         for source in sources
@@ -416,10 +418,12 @@
 
 def _caches(seen: Seen) -> list[Sight]:
     """Caches whose answers come late while others' do not."""
-    caches = sorted({name for span in seen.spans for name in span.second.bes if seen.role(name) == "cache"})
+    caches = sorted(
+        {name for span in seen.spans for name in span.second.backends if seen.role(name) == "cache"}
+    )
 
-    def late(span: Span, be: str) -> float | None:
-        one = span.second.bes.get(be)
+    def late(span: Span, backend: str) -> float | None:
+        one = span.second.backends.get(backend)
         return one.late / one.done if one and one.done >= FEW else None
 
     out = []
@@ -445,29 +449,31 @@
 
     def lost(span: Span) -> bool:
         asked = {
-            name: be
-            for name, be in span.second.bes.items()
-            if be.dispatches >= FEW and seen.role(name) == "cache"
+            name: backend
+            for name, backend in span.second.backends.items()
+            if backend.dispatches >= FEW and seen.role(name) == "cache"
         }
         gone = [
-            be
-            for be in asked.values()
-            if be.ends.get("time_up", 0) + be.ends.get("called_off", 0) >= LOST * be.dispatches
+            backend
+            for backend in asked.values()
+            if backend.ends.get("time_up", 0) + backend.ends.get("called_off", 0) >= LOST * backend.dispatches
         ]
         return len(asked) > 1 and len(gone) >= MOST * len(asked)
 
-    def reqs(span: Span) -> float:
-        return sum(vhost.reqs for vhost in span.second.vhosts.values()) / max(1, span.second.span) * 10_000
+    def requests(span: Span) -> float:
+        return (
+            sum(vhost.requests for vhost in span.second.vhosts.values()) / max(1, span.second.span) * 10_000
+        )
 
     def refused(span: Span) -> float:
         return span.second.refused.get("unusable", 0) / max(1, span.second.span) * 10_000
 
-    often, bad = usual(map(reqs, seen.spans)), usual(map(refused, seen.spans))
+    often, bad = usual(map(requests, seen.spans)), usual(map(refused, seen.spans))
 
     def crowd(span: Span) -> bool:
         denied = sum(vhost.denied for vhost in span.second.vhosts.values())
-        return reqs(span) > CROWD * often > 0 and denied > DENIED * sum(
-            vhost.reqs for vhost in span.second.vhosts.values()
+        return requests(span) > CROWD * often > 0 and denied > DENIED * sum(
+            vhost.requests for vhost in span.second.vhosts.values()
         )
 
     found = (
--- a/lilacloft/upgrade/carry.py
+++ b/lilacloft/upgrade/carry.py
@@ -16,7 +16,7 @@
 from lilacloft.net.conn import Conn, End, State, Waiting
 from lilacloft.net.front import Call, Client
 from lilacloft.net.tcp_info import bytes_received
-from lilacloft.state import Be, Req
+from lilacloft.state import Backend, Request
 from lilacloft.upgrade import form
 
 # what goes over as it is, of a client's connection and of a request
@@ -113,13 +113,13 @@
         last=owner.feed.last,
         listed=list(listed(owner)),
         stamps=stamps(owner),
-        module=give(owner.router, [call.req for call in calls], places),
+        module=give(owner.router, [call.request for call in calls], places),
         counts=counts(owner),
         checks=owner.back.checks,
         clients=[client_told(client, number[client]) for client in clients],
         lines=[
             form.Line(
-                be=line.pool.be.name,
+                backend=line.pool.backend.name,
                 host=line.pool.address[0],
                 port=line.pool.address[1],
                 life=line.pool.life,
@@ -188,16 +188,26 @@
 def stamps(owner: Any) -> form.Stamps:
     """What is known of the change log's clock, and of starts by it."""
     own = owner.stamps
-    starts = {be: (start.stamp, start.meant, start.revisable) for be, start in own.starts.items()}
+    starts = {backend: (start.stamp, start.meant, start.revisable) for backend, start in own.starts.items()}
     return form.Stamps(own.lag, own.at, starts)
 
 
 def listed(owner: Any) -> Iterable[form.Listed]:
     """The list held; of status 0 those that are listed no more but still have something out."""
-    for name, be in owner.bes.items():
-        pool = owner.back.pools.get(be)
+    for name, backend in owner.backends.items():
+        pool = owner.back.pools.get(backend)
         host, port = pool.address if pool else ("", 0)
-        yield form.Listed(name, host, port, be.zone, be.kind, be.cell, be.status, be.size, be.started)
+        yield form.Listed(
+            name,
+            host,
+            port,
+            backend.zone,
+            backend.kind,
+            backend.cell,
+            backend.status,
+            backend.size,
+            backend.started,
+        )
 
 
 def sents(owner: Any, calls: dict[Call, int], places: dict[Line, int]) -> Iterable[form.Sent]:
@@ -216,7 +226,7 @@
             continue  # told in this very turn: nothing is owed for it
         yield form.Sent(
             call=calls.get(sent.call) if sent.call else None,
-            be=sent.be.name,
+            backend=sent.backend.name,
             seq=sent.seq,
             name=sent.name,
             data=sent.data,
@@ -237,11 +247,11 @@
         self.conns: list[Conn] = []  # to be started once this process is the gateway
         self.again: list[Sent] = []  # dispatches whose connection had not come up: they go out anew
 
-    def warm(self, rows: list[form.Listed], table: Iterable[list[form.Obj]]) -> None:
+    def warm(self, rows: list[form.Listed], table: Iterable[list[form.ObjectPart]]) -> None:
         """Make what can be made while the old process still serves: the list, and most of the table."""
         self._list(rows)
-        for objs in table:
-            recall(self.owner.router, form.plain(objs), self.owner.bes)
+        for object_parts in table:
+            recall(self.owner.router, form.plain(object_parts), self.owner.backends)
 
     def make(self, state: form.State, sock: Callable[[int], Any]) -> None:
         """Make everything; `sock` gives the socket of a number. Raises FormError where it does not fit."""
@@ -260,14 +270,15 @@
                 owner.stamps.take(state.stamps.lag, state.stamps.at, state.stamps.starts)
             given = form.plain(state.module)
             given["vhosts"] = self._by_name(given["vhosts"], state.vhosts, own)
-            reqs = take(owner.router, given, owner.bes)
+            requests = take(owner.router, given, owner.backends)
             add(owner, state.counts)
             owner.feed.last = max(owner.feed.last, state.last)
             owner.back.checks = state.checks
             clients = {told.sock: self.client(told, sock(told.sock)) for told in state.clients}
             carried = [self._line(told, sock(told.sock)) for told in state.lines]
             calls = [
-                self._call(told, req, clients, carried) for told, req in zip(state.calls, reqs, strict=True)
+                self._call(told, request, clients, carried)
+                for told, request in zip(state.calls, requests, strict=True)
             ]
             for told in state.sents:
                 self._sent(told, calls, carried)
@@ -298,8 +309,8 @@
         ]
         owner.listed("cached", rows)
         for told in listed:
-            if not told.status and told.name not in owner.bes:
-                owner.bes[told.name] = Be(
+            if not told.status and told.name not in owner.backends:
+                owner.backends[told.name] = Backend(
                     told.name, told.zone, told.kind, told.cell, 0, told.size, told.started
                 )
 
@@ -322,30 +333,32 @@
         self.conns.append(conn)
 
     def _line(self, told: form.Line, sock: Any) -> Line:
-        back, be = self.owner.back, self.owner.bes[told.be]
-        pool, address = back.pools.get(be), (told.host, told.port)
+        back, backend = self.owner.back, self.owner.backends[told.backend]
+        pool, address = back.pools.get(backend), (told.host, told.port)
         if pool is None or (pool.address, pool.life) != (address, told.life):
-            pool = Pool(be, address, back)  # of an earlier life, or gone: nothing new goes there
+            pool = Pool(backend, address, back)  # of an earlier life, or gone: nothing new goes there
         line = Line(pool, back.answer, back.gone, sock=sock, address=address)
         pool.lines.append(line)
         line.heard, line.used, line.made = told.heard, told.used, told.made
-        line.shunned = told.shunned or back.pools.get(be) is not pool
+        line.shunned = told.shunned or back.pools.get(backend) is not pool
         self._stream(line, told)
         return line
 
-    def _call(self, told: form.Call, req: Req, clients: dict[int, Client], carried: list[Line]) -> Call:
+    def _call(
+        self, told: form.Call, request: Request, clients: dict[int, Client], carried: list[Line]
+    ) -> Call:
         call = Call.__new__(Call)
         for name in CALL_FIELDS:
             setattr(call, name, getattr(told, name))
-        call.client, call.req, call.sent = clients[told.client], req, None
-        call.left, call.last, call.history = 0, "", self.owner.history(call, req)
+        call.client, call.request, call.sent = clients[told.client], request, None
+        call.left, call.last, call.history = 0, "", self.owner.history(call, request)
         call.lines = [ENDED if line < 0 else carried[line] for line in told.lines]
         if told.open:
             call.client.open[call.tag] = call
             self.owner.front.names[call.name] = call
         else:
-            req.closed = True
-        self.owner.calls[req] = call
+            request.closed = True
+        self.owner.calls[request] = call
         return call
 
     def _sent(self, told: form.Sent, calls: list[Call], carried: list[Line]) -> None:
@@ -353,21 +366,21 @@
         call = None if told.call is None else calls[told.call]
         sent = Sent(
             call,
-            owner.bes[told.be],
+            owner.backends[told.backend],
             told.seq,
             told.name,
             told.data,
             told.at,
             made=owner.steadily(told.at),
-            until=owner.steadily(told.until or call.req.until) if call else 0,
-            send_by=owner.steadily(call.req.send_by) if call else 0,
+            until=owner.steadily(told.until or call.request.until) if call else 0,
+            send_by=owner.steadily(call.request.send_by) if call else 0,
             window_over=owner.window_over(call.history) if call else 0,
         )
         sent.place = told.place
         if call:
             call.sent = sent
-            if call.req.send_by:
-                owner.at(call.req.send_by, owner._send_by_passed, call)
+            if call.request.send_by:
+                owner.at(call.request.send_by, owner._send_by_passed, call)
         if told.over:
             owner.at(told.over[1], owner.back_ended, sent, End[told.over[0]], 0, 0, [], b"")
             return
@@ -399,7 +412,7 @@
             if sent.expired():
                 end: End | None = End.UNWRITTEN
             elif guard:
-                end = guard.dispatch(sent, sent.call.req.until)
+                end = guard.dispatch(sent, sent.call.request.until)
             else:
                 end = self.owner.back.dispatch(sent)
             if end is not None:
--- a/lilacloft/upgrade/form.py
+++ b/lilacloft/upgrade/form.py
@@ -58,6 +58,20 @@
 ELSE = 1 << 16
 
 
+# Keys on the wire, where the attributes here have other names.
+KEYS = {
+    "backend": "be",
+    "backends": "bes",
+    "requests": "reqs",
+    "object_parts": "objs",
+    "consecutive_failures": "strikes",
+    "ejected": "suspect",
+    "first_executed_at": "first_ran",
+    "first_executed_by": "ran_at",
+    "may_collapse": "rejoin",
+}
+
+
 class FormError(Exception):
     """What came is none of the frames or records above; the text says why."""
 
@@ -146,24 +160,24 @@
     took: int | UnsetType = UNSET
 
 
-class Be(Struct):
+class Backend(Struct, rename=KEYS):
     started: int
     way: Limit | None = None
     trial: int | None = None
-    reqs: list[int] = []  # what is out there, in the order in which it was sent
+    requests: list[int] = []  # what is out there, in the order in which it was sent
     crowd: float | UnsetType = UNSET
     holds: float | UnsetType = UNSET
     asked: int | UnsetType = UNSET
     heard: int | UnsetType = UNSET
-    strikes: int | UnsetType = UNSET
+    consecutive_failures: int | UnsetType = UNSET
     late: float | UnsetType = UNSET
-    suspect: bool | UnsetType = UNSET
+    ejected: bool | UnsetType = UNSET
     retry_at: int | UnsetType = UNSET
     backoff: int | UnsetType = UNSET
     budget: list[tuple[int, float]] = []
 
 
-class Obj(Struct):
+class ObjectPart(Struct, rename=KEYS):
     place: tuple[str, int]
     home: str | None = None
     marked: int | None | UnsetType = UNSET
@@ -172,7 +186,7 @@
     work: float | UnsetType = UNSET
 
 
-class Req(Struct):
+class Request(Struct, rename=KEYS):
     key: str
     part: int
     group: int
@@ -190,29 +204,29 @@
     units: float = 0.0
     work: float = 0.0
     fill: bool = False
-    first_ran: int | None = None
+    first_executed_at: int | None = None
     renew: bool = False
-    rejoin: bool = True
+    may_collapse: bool = True
     looked: bool = False
     send_by: int = 0
-    be: str | None = None
+    backend: str | None = None
     source: str | None = None
-    ran_at: str | None = None
+    first_executed_by: str | None = None
     avoid: list[str] = []
     cached: bool = False
     way: str | None = None
 
 
-class Module(Struct):
+class Module(Struct, rename=KEYS):
     """What `Router.give` gives."""
 
     router: dict[str, int | float]
     vhosts: list[dict[str, int | float]]
     link: Limit
-    bes: dict[str, Be]
+    backends: dict[str, Backend]
     purges: list[tuple[str | int, int]] = []
-    objs: list[Obj] = []
-    reqs: list[Req] = []
+    object_parts: list[ObjectPart] = []
+    requests: list[Request] = []
     due: list[tuple[int, int, int]] = []
 
 
@@ -238,8 +252,8 @@
     moved: tuple[int, float] = (0, 0.0)
 
 
-class Line(Stream, kw_only=True):
-    be: str
+class Line(Stream, kw_only=True, rename=KEYS):
+    backend: str
     host: str
     port: int
     life: int
@@ -267,9 +281,9 @@
     lines: list[int] = []  # -1: one that has ended
 
 
-class Sent(Struct):
+class Sent(Struct, rename=KEYS):
     call: int | None
-    be: str
+    backend: str
     seq: int
     name: bytes
     data: bytes
--- a/lilacloft/upgrade/offer.py
+++ b/lilacloft/upgrade/offer.py
@@ -22,7 +22,7 @@
 from loguru import logger
 
 from lilacloft import __version__
-from lilacloft.state import Refusal
+from lilacloft.state import RejectReason
 from lilacloft.upgrade import carry, form, phases
 from lilacloft.upgrade.channel import BrokenError, Channel
 from lilacloft.upgrade.form import FormError, Kind
@@ -398,7 +398,7 @@
 
     def cut(self) -> None:
         for call in list(self.owner.calls.values()):
-            self.owner.router.give_up(call.req, Refusal.ENDING)
+            self.owner.router.give_up(call.request, RejectReason.ENDING)
         for client in list(self.owner.front.clients):
             client.hold()  # nothing more is read, so what is unread goes over with the connection
             self.rest.held[client] = False
--- a/lilacloft/upgrade/process.py
+++ b/lilacloft/upgrade/process.py
@@ -162,7 +162,7 @@
         if guard:
             owner.post(guard.start)
         told.start()
-        logger.bind(reqs=len(owner.calls), connections=len(told.conns)).info(
+        logger.bind(requests=len(owner.calls), connections=len(told.conns)).info(
             "upgrade: this process is the gateway, with {} open reqs and {} connections",
             len(owner.calls),
             len(told.conns),
--- a/lilacloft/upgrade/rest.py
+++ b/lilacloft/upgrade/rest.py
@@ -38,7 +38,7 @@
         router = self.owner.router
         self.arrivals = router.arrivals
         self.touched = [(call.key, call.part) for call in self.owner.calls.values()]
-        return list(router.objs)
+        return list(router.object_parts)
 
     def slice(self, places: list[tuple[str, int]]) -> list[Any]:
         """Some entries of it."""
@@ -49,7 +49,7 @@
         router = self.owner.router
         count = router.arrivals - self.arrivals
         tail = []
-        for place in reversed(router.objs):
+        for place in reversed(router.object_parts):
             if len(tail) >= count:
                 break
             tail.append(place)
@@ -143,9 +143,9 @@
         """What went over with its reqs is theirs to end."""
         owner = self.owner
         gone = set(self.moved)
-        for req, call in list(owner.calls.items()):
+        for request, call in list(owner.calls.items()):
             if call.client in gone:
-                del owner.calls[req]
+                del owner.calls[request]
                 owner.front.names.pop(call.name, None)
         owner.timers = [entry for entry in owner.timers if entry[2] in (owner.sweep, owner._beat)]
 
--- a/lilacloft/upgrade/take.py
+++ b/lilacloft/upgrade/take.py
@@ -58,9 +58,9 @@
         self.told = carry.Told(self.owner)
         self.told.warm(self.listed, iter(self._part, []))
 
-    def _part(self) -> list[form.Obj]:
+    def _part(self) -> list[form.ObjectPart]:
         _, payload = self._next(Kind.TABLE)
-        return form.read(payload, list[form.Obj])
+        return form.read(payload, list[form.ObjectPart])
 
     def ready(self) -> None:
         """Ready for the rest."""
--- a/lilacloft/zones/evidence.py
+++ b/lilacloft/zones/evidence.py
@@ -69,7 +69,7 @@
 class Place:
     """A location: its bes that are ready, and its forwarders as the members have them."""
 
-    bes: tuple[str, ...]
+    backends: tuple[str, ...]
     forwarders: tuple[str, ...] = ()
     parents: bool = False  # it is a hub: its bes are parents, looked at by the forwarders of all locations
 
@@ -82,14 +82,14 @@
     fails: bool = False
     by: tuple[str, ...] = ()  # forwarders that see it fail
     against: tuple[str, ...] = ()  # that see it well
-    bes: int = 0  # that fail
+    backends: int = 0  # that fail
     looked: int = 0
 
     def __str__(self) -> str:
         if not self.looked:
             return self.why
         return (
-            f"{self.why}: {self.bes} of {self.looked} that were looked at fail, as {len(self.by)} of "
+            f"{self.why}: {self.backends} of {self.looked} that were looked at fail, as {len(self.by)} of "
             f"{len(self.by) + len(self.against)} forwarders see it"
         )
 
@@ -113,7 +113,7 @@
         if len(failing) > MOST * len(mine):
             for zone in failing:
                 one = found[zone]
-                found[zone] = Finding(SHARED, False, one.by, one.against, one.bes, one.looked)
+                found[zone] = Finding(SHARED, False, one.by, one.against, one.backends, one.looked)
     return found
 
 
@@ -123,7 +123,7 @@
         if not place.parents
         else tuple(sorted(name for other in view.places.values() for name in other.forwarders))
     )
-    mine = frozenset(place.bes)
+    mine = frozenset(place.backends)
     heard = [
         name
         for name in who
@@ -131,14 +131,14 @@
     ]
     if who and len([name for name in who if name in view.heard]) < HEARS * len(who):
         return Finding(SILENT)
-    by, against, each = _votes(view, place.bes, heard, place.parents)
-    failing = [be for be, (bad, well) in each.items() if bad > well]
+    by, against, each = _votes(view, place.backends, heard, place.parents)
+    failing = [backend for backend, (bad, well) in each.items() if bad > well]
     agree = max(min(VOTES, len(who)), OF_ALL * len(heard))
     named = (
         len(by) >= agree
         and by
         and len(by) >= FAILS * (len(by) + len(against))
-        and len(each) >= max(min(2, len(place.bes)), min(ENOUGH, LOOKED * len(place.bes)))
+        and len(each) >= max(min(2, len(place.backends)), min(ENOUGH, LOOKED * len(place.backends)))
         and len(failing) >= FAILS * len(each)
     )
     if named:
@@ -155,30 +155,30 @@
     """Does a forwarder see nothing well that is not of a location, whose bes are told, and something fail?"""
     outside = [
         fails
-        for be, look in view.looks.get(name, {}).items()
-        if be not in mine and (fails := look.fails()) is not None
+        for backend, look in view.looks.get(name, {}).items()
+        if backend not in mine and (fails := look.fails()) is not None
     ]
     return bool(outside) and all(outside)
 
 
 def _votes(
-    view: View, bes: Iterable[str], who: Iterable[str], sources: bool
+    view: View, backends: Iterable[str], who: Iterable[str], sources: bool
 ) -> tuple[tuple[str, ...], tuple[str, ...], dict[str, tuple[int, int]]]:
     """Who sees most of what it has looked at fail, who does not; and of each be, by how many it fails."""
     by, against, each = [], [], {}
     for name in sorted(who):
         mine = view.looks.get(name, {})
         bad = seen = 0
-        for be in bes:
-            look = mine.get(be)
+        for backend in backends:
+            look = mine.get(backend)
             fails = look.fails() if look else None
             if look and sources and fails is None:
                 fails = look.starves()
             if fails is None:
                 continue
             seen, bad = seen + 1, bad + fails
-            before = each.get(be, (0, 0))
-            each[be] = (before[0] + fails, before[1] + (not fails))
+            before = each.get(backend, (0, 0))
+            each[backend] = (before[0] + fails, before[1] + (not fails))
         if seen:
             (by if bad >= FAILS * seen else against).append(name)
     return tuple(by), tuple(against), each
@@ -187,18 +187,20 @@
 def _starved(view: View, place: Place, heard: Iterable[str]) -> Finding | None:
     """Its caches answer, and fills from most of its sources do not come, which others get."""
     mine = frozenset(heard)
-    sources = [be for other in view.places.values() if other.parents for be in other.bes]
+    sources = [backend for other in view.places.values() if other.parents for backend in other.backends]
     here = there = ours = 0
     by: set[str] = set()
-    for be in sources:
-        bad = [name for name in mine if (look := view.looks.get(name, {}).get(be)) and look.starves()]
+    for backend in sources:
+        bad = [name for name in mine if (look := view.looks.get(name, {}).get(backend)) and look.starves()]
         well = [
-            name for name in mine if (look := view.looks.get(name, {}).get(be)) and look.starves() is False
+            name
+            for name in mine
+            if (look := view.looks.get(name, {}).get(backend)) and look.starves() is False
         ]
         others = [
             look.starves()
             for name, all_ in view.looks.items()
-            if name not in mine and name not in view.astray and (look := all_.get(be))
+            if name not in mine and name not in view.astray and (look := all_.get(backend))
         ]
         if bad or well:
             ours += 1
--- a/rigs/bridge.py
+++ b/rigs/bridge.py
@@ -60,7 +60,7 @@
 
     def ended(self, dispatch: Dispatch, word: str, note: int, load: list[float]) -> None:
         """A box answers: on the connection that brought the dispatch."""
-        sock, ref = dispatch.req
+        sock, ref = dispatch.request
         told = f"remark={NOTES[note]}" if note else "-"
         if load:
             told = f"{told},report=inflight:{load[0]:g};util:{load[1]:.3f}".removeprefix("-,")
--- a/rigs/broken.py
+++ b/rigs/broken.py
@@ -38,8 +38,8 @@
             self,
             mode,
             [
-                (be, zone, kind, cell, 1 if status == 2 else status, size, started)
-                for be, zone, kind, cell, status, size, started in entries
+                (backend, zone, kind, cell, 1 if status == 2 else status, size, started)
+                for backend, zone, kind, cell, status, size, started in entries
             ],
         )
 
@@ -47,7 +47,7 @@
 
 
 def spares_no_cold_one() -> None:
-    Router._room = lambda self, be, work: True
+    Router._room = lambda self, backend, work: True
 
 
 def knows_no_purge() -> None:
@@ -65,7 +65,7 @@
 
 def unguarded() -> None:
     """Its own checks let everything pass."""
-    Invariants.sends = lambda self, history, be, source, work, now: True
+    Invariants.sends = lambda self, history, backend, source, work, now: True
     Invariants.begins = lambda self, begun: True
 
 
--- a/rigs/bulk.py
+++ b/rigs/bulk.py
@@ -31,11 +31,11 @@
 class Fleet:
     """What is true of the whole."""
 
-    def __init__(self, seed: int, gateways: int, bes: int, seconds: int, zones: int = 5) -> None:
+    def __init__(self, seed: int, gateways: int, backends: int, seconds: int, zones: int = 5) -> None:
         self.seed, self.gateways, self.seconds, self.zones = seed, gateways, seconds, zones
         chance = stream(seed, "fleet")
         self.parents = [f"s-{number:08x}" for number in range(1, 5)]
-        self.caches = [f"s-{number:08x}" for number in range(16, 16 + bes - 4)]
+        self.caches = [f"s-{number:08x}" for number in range(16, 16 + backends - 4)]
         self.zone = {cache: place % zones for place, cache in enumerate(self.caches)}
         self.silent: list[tuple[str, float, float]] = []
         for number in range(max(2, seconds // 600)):
@@ -101,50 +101,50 @@
         steady=steady,
     )
     add(kinds.Start(listed=len(mine) + 4), 0.0)
-    rows = [(be, "small", str(zone), 1, 0, 5.0) for be in mine]
-    rows += [(be, "parent", "hub", 1, 0, 5.0) for be in fleet.parents]
-    add(kinds.Listed(event=0, whole=True, bes=rows), 0.0)
+    rows = [(backend, "small", str(zone), 1, 0, 5.0) for backend in mine]
+    rows += [(backend, "parent", "hub", 1, 0, 5.0) for backend in fleet.parents]
+    add(kinds.Listed(event=0, whole=True, backends=rows), 0.0)
     events = [
         (at, kinds.Purge(event=place + 2, key=key, at=START + int(at * 10_000)))
         for place, (key, at) in enumerate(fleet.purges)
     ]
-    for be, begin, end in fleet.silent:
-        if be in mine:
+    for backend, begin, end in fleet.silent:
+        if backend in mine:
             seen = begin + chance.uniform(0.5, 2.0)
-            events.append((seen, kinds.Belief(be=be, what="left alone", why="3 symptoms in a row")))
+            events.append((seen, kinds.Belief(backend=backend, what="left alone", why="3 symptoms in a row")))
             again = end + chance.uniform(0.5, 6.0)
-            events.append((again, kinds.Belief(be=be, what="back", why="answers again")))
+            events.append((again, kinds.Belief(backend=backend, what="back", why="answers again")))
     events.sort(key=lambda event: event[0])
     for second in range(1, fleet.seconds + 1):
         while events and events[0][0] < second:
             at, record = events.pop(0)
             add(record, at + chance.uniform(0.0, 0.02))
         slow = fleet.slow[0] <= second <= fleet.slow[1]
-        gone = {be for be, begin, end in fleet.silent if begin <= second - 1 and second <= end}
+        gone = {backend for backend, begin, end in fleet.silent if begin <= second - 1 and second <= end}
         asked = chance.poisson(5, len(mine))
-        bes = {
-            be: kinds.Be(
+        backends = {
+            backend: kinds.Backend(
                 dispatches=int(sent),
-                done=0 if be in gone else int(sent),
+                done=0 if backend in gone else int(sent),
                 util=0.3,
                 limit=12.0,
-                ends={"time_up": int(sent)} if be in gone else {},
-                suspect=be in gone,
+                ends={"time_up": int(sent)} if backend in gone else {},
+                ejected=backend in gone,
             )
-            for be, sent in zip(mine, asked, strict=True)
+            for backend, sent in zip(mine, asked, strict=True)
             if sent
         }
         for parent in fleet.parents:
             waits = int(chance.poisson(4))
-            bes[parent] = kinds.Be(
+            backends[parent] = kinds.Backend(
                 fills=waits,
                 waits=waits,
                 waited=waits * int(chance.normal(4500 if slow else 400, 40)),
                 limit=40.0,
             )
-        done = int(sum(be.done for be in bes.values()))
+        done = int(sum(backend.done for backend in backends.values()))
         clip = kinds.Vhost(
-            reqs=int(asked.sum()),
+            requests=int(asked.sum()),
             done=done,
             late=done // 3 if slow else 0,
             hits=int(done * 0.7),
@@ -153,7 +153,7 @@
             value=2.0 * done,
             took=(slow_took if slow else took)[second % 4],
         )
-        add(kinds.Second(span=10_000, vhosts={"clip": clip}, bes=bes, link=40.0), second)
+        add(kinds.Second(span=10_000, vhosts={"clip": clip}, backends=backends, link=40.0), second)
     out.mkdir(parents=True, exist_ok=True)
     file, part = None, 0
     for line in lines:
@@ -171,9 +171,9 @@
     return write(*told)
 
 
-def make(out: Path, seed: int, gateways: int, bes: int, seconds: int) -> tuple[Fleet, int]:
+def make(out: Path, seed: int, gateways: int, backends: int, seconds: int) -> tuple[Fleet, int]:
     """All records; returns the truth and the bytes."""
-    fleet = Fleet(seed, gateways, bes, seconds)
+    fleet = Fleet(seed, gateways, backends, seconds)
     with multiprocessing.Pool() as pool:
         size = sum(pool.map(_one, [(fleet, number, out / f"g{number:03}") for number in range(gateways)]))
     (out / "truth.json").write_text(json.dumps(fleet.truth(), indent=1) + "\n")
@@ -188,8 +188,10 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--out", required=True, metavar="DIR")
     given = parser.parse_args(words)
-    _, size = make(Path(given.out), given.seed, given.gateways, given.bes, given.seconds)
-    print(f"{size / 1e6:.0f} MB of records: {given.gateways} gateways, {given.bes} bes, {given.seconds} s")
+    _, size = make(Path(given.out), given.seed, given.gateways, given.backends, given.seconds)
+    print(
+        f"{size / 1e6:.0f} MB of records: {given.gateways} gateways, {given.backends} bes, {given.seconds} s"
+    )
     return 0
 
 
--- a/rigs/checker.py
+++ b/rigs/checker.py
@@ -55,7 +55,7 @@
     """One dispatch as a box saw it."""
 
     def __init__(self, entry: Entry) -> None:
-        self.ref, self.be, self.conn, self.began = entry["ref"], entry["who"], entry["conn"], entry["at"]
+        self.ref, self.backend, self.conn, self.began = entry["ref"], entry["who"], entry["conn"], entry["at"]
         self.over: float | None = None
         self.word = ""  # how it ended: a word of the box's, undo, or closed
 
@@ -63,15 +63,15 @@
 def check(entries: list[Entry], limits: Limits) -> list[Breach]:
     """All breaches in entries that are sorted by time."""
     out: list[Breach] = []
-    reqs = {entry["ref"]: entry for entry in entries if entry["what"] == "req"}
+    requests = {entry["ref"]: entry for entry in entries if entry["what"] == "req"}
     dispatches = _dispatches(entries)
-    out += _answers(entries, reqs)
+    out += _answers(entries, requests)
     if limits.attempts:
-        out += _beginnings(entries, reqs)
-    out += _effects(entries, reqs, dispatches, limits)
+        out += _beginnings(entries, requests)
+    out += _effects(entries, requests, dispatches, limits)
     out += _drains(entries)
-    out += _colds(entries, reqs, limits)
-    out += _purges(entries, reqs, limits)
+    out += _colds(entries, requests, limits)
+    out += _purges(entries, requests, limits)
     return sorted(out, key=lambda breach: breach.at)
 
 
@@ -82,7 +82,7 @@
         if entry["what"] == "do":
             one = Dispatch(entry)
             found[one.ref].append(one)
-            out[one.be, one.conn, one.ref] = one
+            out[one.backend, one.conn, one.ref] = one
         elif entry["what"] in ("end", "undo"):
             one = out.pop((entry["who"], entry["conn"], entry["ref"]), None)
             if one:
@@ -98,7 +98,7 @@
     return found
 
 
-def _answers(entries: list[Entry], reqs: dict[str, Entry]) -> list[Breach]:
+def _answers(entries: list[Entry], requests: dict[str, Entry]) -> list[Breach]:
     """Rule 1."""
     out, answered, left = [], {}, {}
     for entry in entries:
@@ -115,21 +115,21 @@
             if ref in answered:
                 out.append(Breach(1, entry["at"], entry["who"], f"{ref} answered twice"))
             answered[ref] = entry["at"]
-            req = reqs[ref]
-            if entry["at"] > req["at"] + req["allow"] + SLACK:
-                late = entry["at"] - req["at"] - req["allow"]
+            request = requests[ref]
+            if entry["at"] > request["at"] + request["allow"] + SLACK:
+                late = entry["at"] - request["at"] - request["allow"]
                 out.append(Breach(1, entry["at"], entry["who"], f"{ref} answered {late:.3f} s too late"))
             if entry["word"] == "200" and not entry["whole"]:
                 out.append(Breach(1, entry["at"], entry["who"], f"{ref} served with what no cache made"))
     last = entries[-1]["at"] if entries else 0.0
-    for ref, req in reqs.items():
-        over = req["at"] + req["allow"] + SLACK
+    for ref, request in requests.items():
+        over = request["at"] + request["allow"] + SLACK
         if ref not in answered and ref not in left and over < last:
-            out.append(Breach(1, over, req["who"], f"{ref} never answered"))
+            out.append(Breach(1, over, request["who"], f"{ref} never answered"))
     return out
 
 
-def _beginnings(entries: list[Entry], reqs: dict[str, Entry]) -> list[Breach]:
+def _beginnings(entries: list[Entry], requests: dict[str, Entry]) -> list[Breach]:
     """The operators' terms on attempts, as parts of rule 1: none begins for who has left, and none is told
     more time than its client has. That counts from when the request was written, where its client says so."""
     out, left = [], {}
@@ -137,27 +137,27 @@
     for entry in entries:
         if entry["what"] == "left":
             left[entry["ref"]] = entry["at"]
-        elif entry["what"] == "do" and entry["ref"] in reqs:
-            ref, at, req = entry["ref"], entry["at"], reqs[entry["ref"]]
+        elif entry["what"] == "do" and entry["ref"] in requests:
+            ref, at, request = entry["ref"], entry["at"], requests[entry["ref"]]
             if ref in left and at > left[ref] + GONE + SLACK:
                 late = at - left[ref]
                 out.append(Breach(1, at, entry["who"], f"{ref} begun {late:.3f} s after its client left"))
-            over = entry.get("limit", 0.0) - (written.get(ref, req["at"]) + req["allow"] - at)
+            over = entry.get("limit", 0.0) - (written.get(ref, request["at"]) + request["allow"] - at)
             if "limit" in entry and over > TIME_SLACK:
                 out.append(Breach(1, at, entry["who"], f"{ref} told {over:.3f} s more than its client has"))
     return out
 
 
 def _effects(
-    entries: list[Entry], reqs: dict[str, Entry], dispatches: dict[str, list[Dispatch]], limits: Limits
+    entries: list[Entry], requests: dict[str, Entry], dispatches: dict[str, list[Dispatch]], limits: Limits
 ) -> list[Breach]:
     """Rule 2."""
     out = []
     for ref, tries in dispatches.items():
-        effect = reqs[ref]["effect"] if ref in reqs else "replayable"
+        effect = requests[ref]["effect"] if ref in requests else "replayable"
         for one, two in zip(tries, tries[1:], strict=False):
             if one.over is None or two.began < one.over:
-                out.append(Breach(2, two.began, two.be, f"{ref} out twice: still at {one.be}"))
+                out.append(Breach(2, two.began, two.backend, f"{ref} out twice: still at {one.backend}"))
         ran = [one for one in tries if one.word not in NEVER_RAN]
         for again in ran[1:]:
             if effect == "non-replayable":
@@ -165,12 +165,14 @@
                     Breach(
                         2,
                         again.began,
-                        again.be,
-                        f"non-replayable {ref} sent again after {ran[0].be} may have run it",
+                        again.backend,
+                        f"non-replayable {ref} sent again after {ran[0].backend} may have run it",
                     )
                 )
             elif effect == "uniqued" and again.began - ran[0].began > limits.window + SLACK:
-                out.append(Breach(2, again.began, again.be, f"uniqued {ref} sent again after its window"))
+                out.append(
+                    Breach(2, again.began, again.backend, f"uniqued {ref} sent again after its window")
+                )
     effects: dict[str, Entry] = {}
     for entry in entries:
         if entry["what"] == "effect":
@@ -195,15 +197,15 @@
         if entry["what"] == "listed":
             told[entry["be"]] = (entry["state"], entry["at"])
         elif entry["what"] == "do":
-            for be in (entry["who"], entry.get("next")):
-                state, at = told.get(be, ("active", 0.0))
+            for backend in (entry["who"], entry.get("next")):
+                state, at = told.get(backend, ("active", 0.0))
                 if state != "active" and entry["at"] > at + DRAIN + SLACK:
-                    way = "sent to" if be == entry["who"] else f"{entry['who']} told to fill from"
-                    out.append(Breach(3, entry["at"], be, f"{entry['ref']} {way} a {state} be"))
+                    way = "sent to" if backend == entry["who"] else f"{entry['who']} told to fill from"
+                    out.append(Breach(3, entry["at"], backend, f"{entry['ref']} {way} a {state} be"))
     return out
 
 
-def _colds(entries: list[Entry], reqs: dict[str, Entry], limits: Limits) -> list[Breach]:
+def _colds(entries: list[Entry], requests: dict[str, Entry], limits: Limits) -> list[Breach]:
     """Rule 4: what all gateways together send a be in each fall span after its start, as time that one
     transfer at full pace takes, over what it can do then."""
     out = []
@@ -213,27 +215,27 @@
         if entry["what"] == "listed" and entry["started"]:
             started[entry["be"]] = (entry["started"], entry["capacity"], entry["kind"])
         elif entry["what"] == "do":
-            for be in {entry["who"], entry.get("next")} & started.keys():
-                at, capacity, kind = started[be]
+            for backend in {entry["who"], entry.get("next")} & started.keys():
+                at, capacity, kind = started[backend]
                 floor, warm, multiple = limits.cold[kind]
                 age = entry["at"] - at
                 if age >= warm:
                     continue
-                work = reqs[entry["ref"]]["kbytes"] / limits.pace if entry["ref"] in reqs else 0.0
-                sent[be].append((entry["at"], work))
-                first = bisect.bisect_left(sent[be], (entry["at"] - limits.fall, 0.0))
-                load = sum(work for _, work in sent[be][first:])
+                work = requests[entry["ref"]]["kbytes"] / limits.pace if entry["ref"] in requests else 0.0
+                sent[backend].append((entry["at"], work))
+                first = bisect.bisect_left(sent[backend], (entry["at"] - limits.fall, 0.0))
+                load = sum(work for _, work in sent[backend][first:])
                 most = multiple * (floor + (1 - floor) * age / warm) * capacity * limits.fall
                 if limits.chance and work:
                     calls = most / work
                     most += work * (2 * calls**0.5 + 2 if calls >= 30 else 3 * calls**0.5 + 3)
                 if load > most:
                     text = f"cold for {age:.2f} s, sent {load:.2f} s of work in {limits.fall:g} s"
-                    out.append(Breach(4, entry["at"], be, f"{text}, {most:.2f} can be borne"))
+                    out.append(Breach(4, entry["at"], backend, f"{text}, {most:.2f} can be borne"))
     return out
 
 
-def _purges(entries: list[Entry], reqs: dict[str, Entry], limits: Limits) -> list[Breach]:
+def _purges(entries: list[Entry], requests: dict[str, Entry], limits: Limits) -> list[Breach]:
     """Rule 5: no answer from a copy older than a purge that was told when its req was sent."""
     out = []
     purges: dict[str, list[float]] = defaultdict(list)
@@ -243,9 +245,9 @@
     for entry in entries:
         if entry["what"] != "answer" or entry["word"] != "200" or not entry.get("born"):
             continue
-        req = reqs[entry["ref"]]
-        for at in purges[req["key"]] + purges[f"group {req['group']}"]:
-            if entry["born"] < at and req["at"] > at + limits.told:
+        request = requests[entry["ref"]]
+        for at in purges[request["key"]] + purges[f"group {request['group']}"]:
+            if entry["born"] < at and request["at"] > at + limits.told:
                 text = f"{entry['ref']} served a copy {at - entry['born']:.2f} s older than a purge"
-                out.append(Breach(5, entry["at"], entry["who"], f"{text} {req['at'] - at:.2f} s before"))
+                out.append(Breach(5, entry["at"], entry["who"], f"{text} {request['at'] - at:.2f} s before"))
     return out
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -126,19 +126,19 @@
         self.ports = ports
         super().__init__()
 
-    def tell(self, number: int, be: Meta) -> None:
+    def tell(self, number: int, backend: Meta) -> None:
         """An event: how a be stands now. Nothing to a party that does not reach it."""
-        if be.name in self.ports:
+        if backend.name in self.ports:
             payload = bytearray(
                 record(
-                    int(be.name[2:], 16),
-                    self.ports[be.name],
-                    STATES[be.state],
-                    KINDS.index(be.kind),
-                    int(be.started * 1000),
+                    int(backend.name[2:], 16),
+                    self.ports[backend.name],
+                    STATES[backend.state],
+                    KINDS.index(backend.kind),
+                    int(backend.started * 1000),
                 )
             )
-            payload[11] = be.zone  # record() knows two locations only
+            payload[11] = backend.zone  # record() knows two locations only
             self.add(number, 2, bytes(payload))
 
     def _serve(self, sock: Any) -> None:
@@ -169,14 +169,14 @@
         self.zones, self.hubs = zones, hubs
         self.number = 1
         self.sockets, self.memory_mb = 1024, 192
-        self.bes: dict[str, Meta] = {}
+        self.backends: dict[str, Meta] = {}
         for number in range(zones * caches):
             self._be(number + 1, "small", number // caches)
         for number in range(parents):
             self._be(1000 + number, "parent", zones + number % hubs)
         self._be(int(ORIGIN[2:], 16), "origin", zones)
-        self.caches = [be for be in self.bes.values() if be.kind == "small"]
-        self.parents = [be for be in self.bes.values() if be.kind == "parent"]
+        self.caches = [backend for backend in self.backends.values() if backend.kind == "small"]
+        self.parents = [backend for backend in self.backends.values() if backend.kind == "parent"]
         self.gateways = [Gateway(self, number) for number in range(gateways)]  # type: ignore[arg-type]
         self.zone_of = {
             gateway.name: place * zones // gateways for place, gateway in enumerate(self.gateways)
@@ -195,7 +195,7 @@
 
     def _be(self, number: int, kind: str, zone: int) -> None:
         name = f"s-{number:08x}"
-        self.bes[name] = Meta(name, kind, zone, unused())
+        self.backends[name] = Meta(name, kind, zone, unused())
 
     # --- links ---
 
@@ -211,24 +211,24 @@
         for gateway in self.gateways:
             zone = self.zone_of[gateway.name]
             ports = {
-                be.name: self._link(zone, gateway.name, be.name, be.port)
-                for be in self.bes.values()
-                if be.kind != "small" or be.zone == zone
+                backend.name: self._link(zone, gateway.name, backend.name, backend.port)
+                for backend in self.backends.values()
+                if backend.kind != "small" or backend.zone == zone
             }
             feed = self.feeds[gateway.name] = Feed(ports)
             self._link(zone, gateway.name, "log", feed.port)
             for name, port in self.real.items():
                 self._link(zone, gateway.name, name, port)
         for name in self.planner_names:
-            self.feeds[name] = Feed({be.name: be.port for be in self.bes.values()})
+            self.feeds[name] = Feed({backend.name: backend.port for backend in self.backends.values()})
             for other, port in self.real.items():
                 if other != name:
                     self._link(self.zones, name, other, port)
-        for be in self.caches:
-            for source in [*self.parents, self.bes[ORIGIN]]:
-                self._link(self.zones, be.name, source.name, source.port)
-        for be in self.parents:
-            self._link(self.zones, be.name, ORIGIN, self.bes[ORIGIN].port)
+        for backend in self.caches:
+            for source in [*self.parents, self.backends[ORIGIN]]:
+                self._link(self.zones, backend.name, source.name, source.port)
+        for backend in self.parents:
+            self._link(self.zones, backend.name, ORIGIN, self.backends[ORIGIN].port)
 
     def _relay(self, place: int, ports: list[tuple[int, int]]) -> Worker:
         path = self.folder / f"relay-{place}.json"
@@ -260,8 +260,10 @@
     def of(self, site: int) -> list[Meta]:
         """The bes of a process: a location's, a hub's, or the last: the origin."""
         if site == self.zones + self.hubs:
-            return [self.bes[ORIGIN]]
-        return [be for be in self.bes.values() if be.zone == site and be.kind != "origin"]
+            return [self.backends[ORIGIN]]
+        return [
+            backend for backend in self.backends.values() if backend.zone == site and backend.kind != "origin"
+        ]
 
     def _site(self, place: int) -> Worker:
         return Worker(
@@ -270,12 +272,15 @@
 
     def start_site(self, place: int) -> None:
         mine = self.of(place)
-        names = {be.name for be in mine}
+        names = {backend.name for backend in mine}
         spec = {
             "seed": self.seed,
             "account": str(self.folder / f"account-{place}.jsonl"),
             "origin": ORIGIN,
-            "boxes": {be.name: {"kind": be.kind, "port": be.port, "started": be.started} for be in mine},
+            "boxes": {
+                backend.name: {"kind": backend.kind, "port": backend.port, "started": backend.started}
+                for backend in mine
+            },
             "sources": {
                 name: {whom: port for (who, whom), (_, _, port) in self.links.items() if who == name}
                 for name in names
@@ -289,31 +294,37 @@
         It is halted first: what it takes after the entry of its end would never be over, and what a gateway
         sends elsewhere, once it knows of the end, must come after the entry."""
         self.sites[place].halt()
-        for be in self.of(place):
-            self.account.write(be.name, "died")
+        for backend in self.of(place):
+            self.account.write(backend.name, "died")
         self.sites[place].kill()
 
     def box(self, names: Iterable[str], **told: Any) -> None:
         names = list(names)
         for place, site in self.sites.items():
-            mine = [be.name for be in self.of(place) if be.name in names]
+            mine = [backend.name for backend in self.of(place) if backend.name in names]
             if mine:
                 site.say({"boxes": mine, **told})
 
     # --- the change log ---
 
-    def listed(self, be: Meta) -> None:
+    def listed(self, backend: Meta) -> None:
         self.account.write(
-            "log", "listed", be=be.name, state=be.state, started=be.started, capacity=5.0, kind=be.kind
+            "log",
+            "listed",
+            backend=backend.name,
+            state=backend.state,
+            started=backend.started,
+            capacity=5.0,
+            kind=backend.kind,
         )
 
-    def tell(self, bes: Iterable[Meta]) -> None:
+    def tell(self, backends: Iterable[Meta]) -> None:
         """Their states have changed."""
-        for be in bes:
+        for backend in backends:
             self.number += 1
-            self.listed(be)
+            self.listed(backend)
             for feed in self.feeds.values():
-                feed.tell(self.number, be)
+                feed.tell(self.number, backend)
 
     def purge(self, key: str) -> None:
         self.number += 1
@@ -321,7 +332,7 @@
         self.account.write("log", "purge", at=now, key=key, group=0)
         for feed in self.feeds.values():
             feed.add(self.number, 3, struct.pack(">QQ", int(key, 16), int(now * 1000)))
-        self.timers.after(5.0, lambda: self.box(self.bes, drop=[key, now]))
+        self.timers.after(5.0, lambda: self.box(self.backends, drop=[key, now]))
 
     # --- gateways and planners ---
 
@@ -352,17 +363,17 @@
         names = [one for one in self.zone_of if self.zone_of[one] == zone]
         targets = [
             {
-                "uid": be.name,
-                "endpoint": f"127.0.0.1:{feed.ports[be.name]}",
-                "model": be.kind,
-                "state": be.state,
-                "az": f"z{be.zone}" if be.zone < self.zones else f"h{be.zone - self.zones}",
+                "uid": backend.name,
+                "endpoint": f"127.0.0.1:{feed.ports[backend.name]}",
+                "model": backend.kind,
+                "state": backend.state,
+                "az": f"z{backend.zone}" if backend.zone < self.zones else f"h{backend.zone - self.zones}",
                 "pod_group": 0,
                 "capacity_hint": 5,
-                "boot_ms": int(be.started * 1000),
+                "boot_ms": int(backend.started * 1000),
             }
-            for be in self.bes.values()
-            if be.name in feed.ports
+            for backend in self.backends.values()
+            if backend.name in feed.ports
         ]
         port = self.links[name, "log"][2] if (name, "log") in self.links else feed.port
         known = {"seq": self.number, "fleet": {"rev": 1, "all": True, "targets": targets}}
@@ -424,8 +435,8 @@
 
     def start(self) -> None:
         """All processes; boxes and relays first."""
-        for be in self.bes.values():
-            self.listed(be)
+        for backend in self.backends.values():
+            self.listed(backend)
         with ThreadPoolExecutor(8) as pool:
             list(pool.map(lambda one: one.start(), self.relays))
             list(pool.map(self.start_site, self.sites))
@@ -459,22 +470,22 @@
         return {
             "cache": self.caches[number : number + 1],
             "parent": self.parents[number : number + 1],
-            "zone": [be for be in self.caches if be.zone == number],
-            "hub": [be for be in self.parents if be.zone == self.zones + number],
-            "origin": [self.bes[ORIGIN]],
+            "zone": [backend for backend in self.caches if backend.zone == number],
+            "hub": [backend for backend in self.parents if backend.zone == self.zones + number],
+            "origin": [self.backends[ORIGIN]],
         }.get(fault.whom, [])
 
     def actions(self, fault: Fault) -> list[tuple[float, Callable[[], None]]]:
         """What a fault is here: what to do, and when."""
         at, span, end = fault.at / SECOND, fault.span / SECOND, fault.end / SECOND
-        names = [be.name for be in self.struck(fault)]
+        names = [backend.name for backend in self.struck(fault)]
         number = int(fault.which) if fault.which.isdigit() else 0
         to = [(gateway.name, name) for gateway in self.gateways for name in names]
         gateways = self.gateways[int(fault.which) : int(fault.which) + 1] if fault.whom == "gateway" else []
         of = [
             (who, whom)
             for who, whom in self.links
-            if who in {one.name for one in gateways} and whom in self.bes
+            if who in {one.name for one in gateways} and whom in self.backends
         ]
         if fault.kind == "silent":
             return [
@@ -499,11 +510,11 @@
             ]
         if fault.kind == "apart":
             mine = {one for one, zone in self.zone_of.items() if zone == int(fault.which)}
-            mine |= {be.name for be in self.caches if be.zone == int(fault.which)}
+            mine |= {backend.name for backend in self.caches if backend.zone == int(fault.which)}
             pairs = [
                 (who, whom)
                 for who, whom in self.links
-                if who in mine and whom in self.bes and self.bes[whom].kind != "small"
+                if who in mine and whom in self.backends and self.backends[whom].kind != "small"
             ]
             return [
                 (at, lambda: self.cut(pairs, seconds=span + 1, stall=True)),
@@ -545,17 +556,17 @@
 
     def _born(self, place: int) -> None:
         now = time.time()
-        for be in self.of(place):
-            be.started = now
+        for backend in self.of(place):
+            backend.started = now
         self.start_site(place)
         self.tell(self.of(place))
-        self.births += [(be.name, time.time()) for be in self.of(place)]
+        self.births += [(backend.name, time.time()) for backend in self.of(place)]
 
     def _state(self, names: list[str], state: str) -> None:
-        bes = [self.bes[name] for name in names]
-        for be in bes:
-            be.state = state
-        self.tell(bes)
+        backends = [self.backends[name] for name in names]
+        for backend in backends:
+            backend.state = state
+        self.tell(backends)
 
     def _halted(self, gateways: list[Gateway], seconds: float) -> None:
         now = time.time()
@@ -603,16 +614,16 @@
         was cut, where nobody could tell its box; a req whose gateway the script had stopped or killed; a
         purge that its gateway could not have been told of. Cold boxes are judged by what came from gateways
         that had been told of the start, as it is they who are to keep the budget."""
-        reqs = {entry["ref"]: entry for entry in entries if entry["what"] == "req"}
+        requests = {entry["ref"]: entry for entry in entries if entry["what"] == "req"}
         names = {gateway.port: gateway.name for gateway in self.gateways}
         told = [
             entry
             for entry in entries
             if entry["what"] != "do"
-            or not self._unknowing(entry, names.get(reqs.get(entry["ref"], {}).get("gateway")))
+            or not self._unknowing(entry, names.get(requests.get(entry["ref"], {}).get("gateway")))
         ]
         all_ = check(entries, self.limits())
-        real = [one for one in all_ if one.rule != 4 and not self._excused(one, reqs, names)]
+        real = [one for one in all_ if one.rule != 4 and not self._excused(one, requests, names)]
         real += [one for one in check(told, self.limits()) if one.rule == 4]
         return sorted(real, key=lambda one: one.at), len(all_) - len(real)
 
@@ -625,15 +636,15 @@
 
     def _unknowing(self, entry: dict[str, Any], name: str | None) -> bool:
         """Was a dispatch sent by a gateway that could not know of its boxes' last starts?"""
-        for be in (entry["who"], entry.get("next")):
-            births = [at for other, at in self.births if other == be and at - LONGEST <= entry["at"]]
+        for backend in (entry["who"], entry.get("next")):
+            births = [at for other, at in self.births if other == backend and at - LONGEST <= entry["at"]]
             if births and (
                 entry["at"] <= births[-1] + TOLD or self._unlogged(name, entry["at"] - TOLD, entry["at"])
             ):
                 return True
         return False
 
-    def _excused(self, breach: Breach, reqs: dict[str, Any], names: dict[int, str]) -> bool:
+    def _excused(self, breach: Breach, requests: dict[str, Any], names: dict[int, str]) -> bool:
         words = breach.text.split()
         if breach.rule == 2 and "out twice" in breach.text:
             return any(whom == words[-1] and begin <= breach.at <= end for _, whom, begin, end in self.cuts)
@@ -641,15 +652,15 @@
             return any(
                 whom == breach.who and since <= breach.at <= over for _, whom, since, over in self.cuts
             )
-        req = reqs.get(words[0])
-        if req is None:
+        request = requests.get(words[0])
+        if request is None:
             return False
         if breach.rule == 1:
             return any(word in breach.text for word in ("lost", "too late", "never")) and any(
-                port == req["gateway"] and begin <= breach.at and req["at"] <= end
+                port == request["gateway"] and begin <= breach.at and request["at"] <= end
                 for port, begin, end in self.halted
             )
-        return breach.rule == 5 and self._unlogged(names[req["gateway"]], req["at"], breach.at)
+        return breach.rule == 5 and self._unlogged(names[request["gateway"]], request["at"], breach.at)
 
 
 def drawn(seed: int, seconds: float, count: int, sizes: dict[str, int]) -> list[Fault]:
--- a/rigs/gate.py
+++ b/rigs/gate.py
@@ -23,46 +23,50 @@
 from lilacloft.emulator.fleet import START, Fleet
 from lilacloft.emulator.worlds import SECOND, WORLDS, World
 from lilacloft.experiment.plan import Reader
-from lilacloft.state import Refusal
+from lilacloft.state import RejectReason
 
 SENT = "sent"
 
 
-def side(router: Router, be: Any) -> str:
+def side(router: Router, backend: Any) -> str:
     """Which kind of be: cache, parent or origin."""
-    return "cache" if be in router.caches else "parent" if be in router.parents else "origin"
+    return "cache" if backend in router.caches else "parent" if backend in router.parents else "origin"
 
 
-def reason(router: Router, req: Any, be: Any, source: Any, held_only: bool = False) -> str:
+def reason(router: Router, request: Any, backend: Any, source: Any, held_only: bool = False) -> str:
     """The first condition of the gate that refuses this dispatch, or `SENT`: asked before the gate is."""
-    vhost, now = router.vhosts[req.vhost], router.host.now()
-    if req.closed or req.out:
+    vhost, now = router.vhosts[request.vhost], router.host.now()
+    if request.closed or request.out:
         return "open"
-    if be.status != 1 or source.status != 1:
+    if backend.status != 1 or source.status != 1:
         return "status"
-    if req.first_ran is not None and vhost.effect != "replayable":
-        held = {"all": True, "zone": be.zone == req.ran_at.zone, "cell": be.cell == req.ran_at.cell}
-        until = req.first_ran + vhost.window - router.tick
+    if request.first_executed_at is not None and vhost.effect != "replayable":
+        held = {
+            "all": True,
+            "zone": backend.zone == request.first_executed_by.zone,
+            "cell": backend.cell == request.first_executed_by.cell,
+        }
+        until = request.first_executed_at + vhost.window - router.tick
         if vhost.effect != "uniqued" or not held[vhost.group] or now >= until:
             return "effect"
-    touched = (be,) if be is source else (be, source)
+    touched = (backend,) if backend is source else (backend, source)
     for peer in touched:
-        if peer.suspect and (now < peer.retry_at or peer.trial or vhost.effect != "replayable"):
+        if peer.ejected and (now < peer.retry_at or peer.trial or vhost.effect != "replayable"):
             return f"suspect {side(router, peer)}"
-    look = be is source and be in router.caches
-    fill = not look and (be is source or not router._held(req, be))
+    look = backend is source and backend in router.caches
+    fill = not look and (backend is source or not router._held(request, backend))
     way = None if not fill else source.way if held_only else router.link
-    favour = min(max(vhost.value / req.work * router.work / (router.value or 1.0), 1 / FAVOUR), FAVOUR)
-    if req.work > vhost.large and vhost.answered_large < FAIR * vhost.answered:
+    favour = min(max(vhost.value / request.work * router.work / (router.value or 1.0), 1 / FAVOUR), FAVOUR)
+    if request.work > vhost.large and vhost.answered_large < FAIR * vhost.answered:
         favour = max(favour, EASED)
-    if be.crowd > max(1.0, GENEROUS * favour) * turn(req, be):
+    if backend.crowd > max(1.0, GENEROUS * favour) * turn(request, backend):
         return "crowd"
-    if not be.way.open(favour, now):
-        return f"limit {side(router, be)}"
+    if not backend.way.open(favour, now):
+        return f"limit {side(router, backend)}"
     if way and not way.open(favour, now):
         return "link" if way is router.link else f"limit {side(router, source)}"
     for peer in touched:
-        if not router._room(peer, req.kbytes / router.pace or vhost.work):
+        if not router._room(peer, request.kbytes / router.pace or vhost.work):
             return f"cold {side(router, peer)}"
     return SENT
 
@@ -75,33 +79,36 @@
     held: dict[int, collections.Counter[str]] = {}  # by the req's id, while it is open
     when: collections.Counter[int] = collections.Counter()  # given up, by the second of the world
 
-    def _send(self, req: Any, be: Any, source: Any, held_only: bool = False) -> bool:
-        said = reason(self, req, be, source, held_only)
-        sent = super()._send(req, be, source, held_only)
+    def _send(self, request: Any, backend: Any, source: Any, held_only: bool = False) -> bool:
+        said = reason(self, request, backend, source, held_only)
+        sent = super()._send(request, backend, source, held_only)
         if sent != (said == SENT):
             self.disagreed[f"model {said}, gate {'sent' if sent else 'refused'}"] += 1
         if not sent:
-            self.held.setdefault(id(req), collections.Counter())[said] += 1
+            self.held.setdefault(id(request), collections.Counter())[said] += 1
         return sent
 
-    def give_up(self, req: Any, why: Refusal) -> None:
-        if not req.closed:
-            held = self.held.get(id(req))
-            over = req.tries >= min(TRIES, self.max_dispatches) or self.host.now() >= req.until - self.tick
+    def give_up(self, request: Any, why: RejectReason) -> None:
+        if not request.closed:
+            held = self.held.get(id(request))
+            over = (
+                request.tries >= min(TRIES, self.max_dispatches)
+                or self.host.now() >= request.until - self.tick
+            )
             cause = "tries or time" if over else " + ".join(sorted(held)) if held else "no way"
             self.tally[cause] += 1
             self.when[(self.host.now() - START) // SECOND] += 1
-        self.held.pop(id(req), None)
-        super().give_up(req, why)
+        self.held.pop(id(request), None)
+        super().give_up(request, why)
 
-    def left(self, req: Any) -> None:
-        super().left(req)
-        self.held.pop(id(req), None)
+    def left(self, request: Any) -> None:
+        super().left(request)
+        self.held.pop(id(request), None)
 
-    def ended(self, req: Any, *told: Any) -> None:
-        super().ended(req, *told)
-        if req.closed:
-            self.held.pop(id(req), None)
+    def ended(self, request: Any, *told: Any) -> None:
+        super().ended(request, *told)
+        if request.closed:
+            self.held.pop(id(request), None)
 
 
 def watched(told: tuple[World, tuple[Any, ...], int]) -> dict[str, Any]:
--- a/rigs/model.py
+++ b/rigs/model.py
@@ -3,7 +3,7 @@
 import math
 
 from lilacloft.decide import Router
-from lilacloft.state import Be, Req
+from lilacloft.state import Backend, Request
 
 SEC = 10_000
 SENDS_SEEN = 2000  # of late, that are looked through
@@ -79,39 +79,49 @@
         self.history, self.purges, self.listed, self.asked, self.withdrawn = {}, [], {}, [], []
         self.shown = 0.0  # the most transfers at once, over a fall span, that it sent a warm cache
         self.gone = {}  # since when the clients of reqs may have gone, as the host knows it
-        self.caches = [Be(f"c{n}") for n in range(caches)]
-        self.parents = [Be(f"p{n}") for n in range(parents)]
-        self.origin = Be("origin")
+        self.caches = [Backend(f"c{n}") for n in range(caches)]
+        self.parents = [Backend(f"p{n}") for n in range(parents)]
+        self.origin = Backend("origin")
         self.router = Router(self, config)
-        self.list("full", [(be, 1, 0) for be in [*self.caches, *self.parents, self.origin]])
+        self.list("full", [(backend, 1, 0) for backend in [*self.caches, *self.parents, self.origin]])
 
-    def kind(self, be):
-        return 0 if be in self.caches else 1 if be in self.parents else 2
+    def kind(self, backend):
+        return 0 if backend in self.caches else 1 if backend in self.parents else 2
 
     def list(self, mode, rows):
-        for be, status, started in rows:
-            self.listed[be] = (status, started, self.time)
+        for backend, status, started in rows:
+            self.listed[backend] = (status, started, self.time)
         self.router.listed(
             mode,
             [
-                (be, 0, self.kind(be), len(be.name + be.name.strip("13")) % 2, status, 5.0, started)
-                for be, status, started in rows
+                (
+                    backend,
+                    0,
+                    self.kind(backend),
+                    len(backend.name + backend.name.strip("13")) % 2,
+                    status,
+                    5.0,
+                    started,
+                )
+                for backend, status, started in rows
             ],
         )
 
     def ask(self, key="k", part=0, kbytes=400.0, vhost=0, left=4 * SEC, group=1, **more):
-        req = Req(key, part, group, kbytes, self.time, self.time + left, vhost, **more)
-        self.history[req] = []
-        self.router.arrived(req)
-        return req
-
-    def end(self, req, outcome="done", note=0, took=None, final=None):
-        seq, be, _, at = self.history[req][-1][:4]
-        self.history[req][-1][4] = outcome
+        request = Request(key, part, group, kbytes, self.time, self.time + left, vhost, **more)
+        self.history[request] = []
+        self.router.arrived(request)
+        return request
+
+    def end(self, request, outcome="done", note=0, took=None, final=None):
+        seq, backend, _, at = self.history[request][-1][:4]
+        self.history[request][-1][4] = outcome
         final = outcome == "done" if final is None else final
-        if final and not req.closed:
-            self.final(req)
-        self.router.ended(req, be, seq, outcome, self.time - at if took is None else took, final, note, 0, [])
+        if final and not request.closed:
+            self.final(request)
+        self.router.ended(
+            request, backend, seq, outcome, self.time - at if took is None else took, final, note, 0, []
+        )
 
     def run(self, span):
         """Let time pass, waking the module when it asked to be."""
@@ -127,67 +137,71 @@
 
     def called_off(self):
         while self.asked:
-            req = self.asked.pop()
-            if self.out(req):
-                self.end(req, "cancelled", final=req.closed)
+            request = self.asked.pop()
+            if self.out(request):
+                self.end(request, "cancelled", final=request.closed)
 
-    def out(self, req):
-        return bool(self.history[req]) and self.history[req][-1][4] is None
+    def out(self, request):
+        return bool(self.history[request]) and self.history[request][-1][4] is None
 
     # --- host ---
 
     def now(self):
         return self.time
 
-    def look(self, req, be, limit):
+    def look(self, request, backend, limit):
         raise AssertionError("a plain look carries no age")
 
-    def fetch(self, req, be, limit, source, rank, age, join, held_only, no_trace, renew):
-        past = self.history[req]
-        self.must(not any(call is req for call, _ in self.finals), "sent after the end")
+    def fetch(self, request, backend, limit, source, rank, age, join, held_only, no_trace, renew):
+        past = self.history[request]
+        self.must(not any(call is request for call, _ in self.finals), "sent after the end")
         self.must(all(entry[4] for entry in past), "two out at once")
         self.must(len(past) < self.config["limits"]["max_dispatches"], "too many dispatches")
-        gone = self.gone.get(req)
+        gone = self.gone.get(request)
         self.must(gone is None or self.time - gone <= GONE, "begun for who has left")
-        self.must(limit > 0 and self.time + limit <= req.until, "time-out past the client's")
-        config = self.config["vhosts"][req.vhost]
+        self.must(limit > 0 and self.time + limit <= request.until, "time-out past the client's")
+        config = self.config["vhosts"][request.vhost]
         ran = [entry for entry in past if entry[4] not in ("full", "unreached", "unsent", "miss")]
         if ran and config["effect"] == "non-replayable":
             self.must(False, "non-replayable sent again")
         if ran and config["effect"] == "uniqued":
             self.must(self.time - ran[0][3] < config["repeat_window"], "uniqued sent again too late")
-            held = {"all": True, "zone": be.zone == ran[0][1].zone, "cell": be.cell == ran[0][1].cell}
+            held = {
+                "all": True,
+                "zone": backend.zone == ran[0][1].zone,
+                "cell": backend.cell == ran[0][1].cell,
+            }
             self.must(held[config["repeat_group"]], "uniqued left its group")
-        for peer in (be, source):
+        for peer in (backend, source):
             status, _, told = self.listed[peer]
             self.must(
                 status == 1 or self.time - told <= self.config["rules"]["drain_grace"],
                 "sent to a draining be",
             )
         for key, group, at in self.purges:
-            if (key == req.key or (not key and group == req.group)) and (
+            if (key == request.key or (not key and group == request.group)) and (
                 self.time - at <= self.config["family"]["purge_done"]
             ):
                 self.must(0 < age <= max(1, self.time - at), "older than a purge")
-        self.sends.append((self.time, req, be, source))
-        if be in self.caches and not (
-            self.listed[be][1] and self.time - self.listed[be][1] < self.config["rules"]["cold"]
+        self.sends.append((self.time, request, backend, source))
+        if backend in self.caches and not (
+            self.listed[backend][1] and self.time - self.listed[backend][1] < self.config["rules"]["cold"]
         ):
             span = self.config["rules"]["fall"]
-            sent = sum(at > self.time - span for at, _, to, _ in self.sends[-SENDS_SEEN:] if to is be)
+            sent = sum(at > self.time - span for at, _, to, _ in self.sends[-SENDS_SEEN:] if to is backend)
             work = 400 / self.config["family"]["pace_kb_per_s"] * SEC
             self.shown = max(self.shown, sent * work / span)
         past.append(
             [
                 len(past),
-                be,
+                backend,
                 source,
                 self.time,
                 None,
                 dict(rank=rank, age=age, join=join, renew=renew, held=held_only),
             ]
         )
-        for peer in {be, source}:
+        for peer in {backend, source}:
             self.must(self.weigh(peer), f"cold {'parent' if peer in self.parents else 'cache'} pushed over")
 
     def weigh(self, peer):
@@ -210,8 +224,8 @@
         work = 400 / family["pace_kb_per_s"] * SEC
         sent = sum(
             work
-            for at, _, be, source in self.sends
-            if peer in (be, source) and at > self.time - rules["fall"]
+            for at, _, backend, source in self.sends
+            if peer in (backend, source) and at > self.time - rules["fall"]
         )
         share = cold[0] + (1 - cold[0]) * age / cold[1]
         part = cold[2] * share * told * rules["fall"] / gateways
@@ -222,21 +236,21 @@
             part = math.ceil(part / work) * work
         return sent <= part
 
-    def departed(self, req):
-        return self.gone.get(req)
+    def departed(self, request):
+        return self.gone.get(request)
 
-    def cancel(self, req, seq):
+    def cancel(self, request, seq):
         self.must(self.config["limits"]["cancel"], "cancelled where none may be")
-        self.asked.append(req)
+        self.asked.append(request)
 
     def subscribe(self, on):
         self.must(self.config["discovery"] == "subscribe" and on, "asked where changes come by themselves")
 
-    def withdraw(self, req, seq):
-        self.withdrawn.append((req, seq))
+    def withdraw(self, request, seq):
+        self.withdrawn.append((request, seq))
 
-    def deny(self, req, after):
-        past, config = self.history[req], self.config["vhosts"][req.vhost]
+    def deny(self, request, after):
+        past, config = self.history[request], self.config["vhosts"][request.vhost]
         ran = [entry for entry in past if entry[4] not in ("full", "unreached", "unsent", "miss")]
         self.must(
             not ran
@@ -244,29 +258,31 @@
             or (config["effect"] == "uniqued" and config["repeat_group"] == "all"),
             "denied though it may have run",
         )
-        self.final(req)
+        self.final(request)
 
-    def abort(self, req):
-        self.final(req)
+    def abort(self, request):
+        self.final(request)
 
-    def final(self, req):
-        self.must(not any(call is req for call, _ in self.finals), "two final answers")
-        self.must(self.time <= req.until + self.config["rules"].get("answer_slack", 80), "answered too late")
-        self.finals.append((req, self.time))
+    def final(self, request):
+        self.must(not any(call is request for call, _ in self.finals), "two final answers")
+        self.must(
+            self.time <= request.until + self.config["rules"].get("answer_slack", 80), "answered too late"
+        )
+        self.finals.append((request, self.time))
 
     def wake(self, at, token):
         self.wakes.append((at, token))
 
-    def check(self, be):
+    def check(self, backend):
         pass
 
     def log(self, text):
         pass
 
-    def believe(self, be, what, why):
-        self.beliefs.append((self.time, be, what, why))
+    def believe(self, backend, what, why):
+        self.beliefs.append((self.time, backend, what, why))
 
-    def limited(self, be, was, limit, late):
+    def limited(self, backend, was, limit, late):
         pass
 
     def must(self, held, text):
--- a/rigs/ramp.py
+++ b/rigs/ramp.py
@@ -113,35 +113,37 @@
             CAPACITY * pace / KBYTES,
         )
 
-    def begin(self, bes: list[Meta], delays: dict[str, float]) -> None:
+    def begin(self, backends: list[Meta], delays: dict[str, float]) -> None:
         """Some caches have started just now, and each gateway hears of it after a delay."""
         now, first = time.time(), self.number + 1
-        for be in bes:
-            be.started = now
+        for backend in backends:
+            backend.started = now
             self.number += 1
-            self.listed(be)
+            self.listed(backend)
         for gateway in self.gateways:
-            self.timers.after(delays[gateway.name], lambda name=gateway.name: self._hears(name, first, bes))
+            self.timers.after(
+                delays[gateway.name], lambda name=gateway.name: self._hears(name, first, backends)
+            )
 
-    def _hears(self, name: str, first: int, bes: list[Meta]) -> None:
-        for place, be in enumerate(bes):
-            self.heard.setdefault((name, be.name), time.time())
-            self.feeds[name].tell(first + place, be)
+    def _hears(self, name: str, first: int, backends: list[Meta]) -> None:
+        for place, backend in enumerate(backends):
+            self.heard.setdefault((name, backend.name), time.time())
+            self.feeds[name].tell(first + place, backend)
 
-    def restart(self, gateway: Gateway, bes: list[Meta]) -> None:
+    def restart(self, gateway: Gateway, backends: list[Meta]) -> None:
         """It is killed and started anew, and its configuration tells it of all starts so far."""
-        for be in bes:
-            self.heard.setdefault((gateway.name, be.name), time.time())
+        for backend in backends:
+            self.heard.setdefault((gateway.name, backend.name), time.time())
         self._again(gateway)
 
     def trial(self, number: int, load: Load) -> dict[str, float]:
         """One slow start, or two at once; returns the caches by their starts."""
         chance = self.chance(f"trial {number}")
         load.weights = [chance.paretovariate(UNEVEN) for _ in self.gateways]
-        bes = chance.sample(self.caches, 2 if number % 3 == 2 else 1)
+        backends = chance.sample(self.caches, 2 if number % 3 == 2 else 1)
         self.heard.clear()
         self.begin(
-            bes,
+            backends,
             {
                 gateway.name: chance.uniform(0, LATEST) if chance.random() < LATE else 0.0
                 for gateway in self.gateways
@@ -150,9 +152,9 @@
         begun = time.monotonic()
         for at, gateway in self._restarts(chance, number):
             time.sleep(max(0.0, begun + at - time.monotonic()))
-            self.restart(gateway, bes)
+            self.restart(gateway, backends)
         time.sleep(max(0.0, begun + self.warm + 0.5 - time.monotonic()))
-        return {be.name: be.started for be in bes}
+        return {backend.name: backend.started for backend in backends}
 
     def _restarts(self, chance: Random, number: int) -> list[tuple[float, Gateway]]:
         """When which gateways are restarted: in every fourth trial a few, each at its time; in every fourth
--- a/rigs/scene.py
+++ b/rigs/scene.py
@@ -404,7 +404,13 @@
 
     def listed(self, box: Box) -> None:
         self.account.write(
-            "log", "listed", be=box.name, state=box.state, started=box.started, capacity=5.0, kind=box.kind
+            "log",
+            "listed",
+            backend=box.name,
+            state=box.state,
+            started=box.started,
+            capacity=5.0,
+            kind=box.kind,
         )
 
     def config(self, gateway: Gateway) -> dict[str, Any]:
--- a/rigs/sizes.py
+++ b/rigs/sizes.py
@@ -18,7 +18,7 @@
 from lilacloft.emulator import faults as language
 from lilacloft.emulator.fleet import Fleet
 from lilacloft.emulator.worlds import WORLDS, World
-from lilacloft.state import Refusal
+from lilacloft.state import RejectReason
 from rigs.gate import world
 
 FEW = 50  # reqs of a vhost below which a tenth tells nothing
@@ -29,19 +29,21 @@
 
     rows: dict[int, list[Any]] = {}  # by the req's id: the req, and whether it was answered
 
-    def arrived(self, req: Any) -> None:
-        self.rows[id(req)] = [req, None]  # it holds the req, so no other has its id
-        super().arrived(req)
+    def arrived(self, request: Any) -> None:
+        self.rows[id(request)] = [request, None]  # it holds the req, so no other has its id
+        super().arrived(request)
 
-    def give_up(self, req: Any, why: Refusal) -> None:
-        if not req.closed:
-            self.rows[id(req)][1] = False
-        super().give_up(req, why)
+    def give_up(self, request: Any, why: RejectReason) -> None:
+        if not request.closed:
+            self.rows[id(request)][1] = False
+        super().give_up(request, why)
 
-    def ended(self, req: Any, be: Any, seq: int, outcome: str, took: int, final: bool, *more: Any) -> None:
-        if outcome == "done" and not req.closed:
-            self.rows[id(req)][1] = True
-        super().ended(req, be, seq, outcome, took, final, *more)
+    def ended(
+        self, request: Any, backend: Any, seq: int, outcome: str, took: int, final: bool, *more: Any
+    ) -> None:
+        if outcome == "done" and not request.closed:
+            self.rows[id(request)][1] = True
+        super().ended(request, backend, seq, outcome, took, final, *more)
 
 
 def play(told: tuple[World, tuple[Any, ...], int]) -> list[tuple[int, float, bool]]:
@@ -50,7 +52,9 @@
     Counted.rows = {}
     Fleet(chosen, seed, faults, Counted).run()
     return [
-        (req.vhost, req.kbytes, answered) for req, answered in Counted.rows.values() if answered is not None
+        (request.vhost, request.kbytes, answered)
+        for request, answered in Counted.rows.values()
+        if answered is not None
     ]
 
 
--- a/rigs/soak.py
+++ b/rigs/soak.py
@@ -260,22 +260,23 @@
         self.purged.append((self.number + 1, key, time.time()))
         super().purge(key)
 
-    def _excused(self, breach: Any, reqs: dict[str, Any], names: dict[int, str]) -> bool:
+    def _excused(self, breach: Any, requests: dict[str, Any], names: dict[int, str]) -> bool:
         """Also what a client sends again whose gateway was killed: it may have run there; and what a gateway
         answers late that was stopped."""
-        if super()._excused(breach, reqs, names):
+        if super()._excused(breach, requests, names):
             return True
         name = re.search(r"\b[0-9a-f]{16}\b", breach.text)
-        req = reqs.get(name[0]) if name else None
-        if req is None:
+        request = requests.get(name[0]) if name else None
+        if request is None:
             return False
         if breach.rule == 1:
-            spans = self.paused.get(names.get(req["gateway"], ""), ())
+            spans = self.paused.get(names.get(request["gateway"], ""), ())
             return "too late" in breach.text and any(
-                begin <= breach.at and req["at"] <= end for begin, end in spans
+                begin <= breach.at and request["at"] <= end for begin, end in spans
             )
         return breach.rule == 2 and any(
-            port == req["gateway"] and begin - TOLD <= req["at"] <= end for port, begin, end in self.halted
+            port == request["gateway"] and begin - TOLD <= request["at"] <= end
+            for port, begin, end in self.halted
         )
 
 
--- a/rigs/upgrade.py
+++ b/rigs/upgrade.py
@@ -96,17 +96,17 @@
 
 def warmth(entries: list[dict[str, Any]], began: float, ended: float) -> dict[str, float]:
     """Hit share and dispatches a req of the reads that were sent in a time."""
-    reqs = {
+    requests = {
         entry["ref"]
         for entry in entries
         if entry["what"] == "req" and entry["vhost"] == "clip" and began <= entry["at"] < ended
     }
-    sent = sum(entry["what"] == "do" and entry["ref"] in reqs for entry in entries)
-    notes = [entry["note"] for entry in entries if entry["what"] == "end" and entry["ref"] in reqs]
+    sent = sum(entry["what"] == "do" and entry["ref"] in requests for entry in entries)
+    notes = [entry["note"] for entry in entries if entry["what"] == "end" and entry["ref"] in requests]
     return {
-        "reqs": len(reqs),
+        "reqs": len(requests),
         "hit_share": notes.count("TCP_HIT") / max(1, len(notes)),
-        "dispatches": sent / max(1, len(reqs)),
+        "dispatches": sent / max(1, len(requests)),
     }
 
 
--- a/tests/test_carried.py
+++ b/tests/test_carried.py
@@ -6,10 +6,10 @@
 import msgspec
 import pytest
 
-from lilacloft.carried import KEPT, give, take
+from lilacloft.carried import ATTRIBUTES, KEPT, give, take
 from lilacloft.decide import Limit, Router, Vhost
 from lilacloft.net.conn import Conn
-from lilacloft.state import Be, Obj, Req
+from lilacloft.state import Backend, ObjectPart, Request
 from lilacloft.upgrade import form
 from rigs.inprocess import handed_over, limits, until
 from rigs.model import SEC, Model, settings, vhost
@@ -28,41 +28,49 @@
     """Another Router with records of its own goes on; returns the open reqs as it has them."""
     old = model.router
     # one that is listed no more is no part of the gateway's state: what the test remembers of it stays
-    bes = {
-        be.name: be if not (be.status or be.reqs) else Be(be.name)
-        for be in [*model.caches, *model.parents, model.origin]
+    backends = {
+        backend.name: backend if not (backend.status or backend.requests) else Backend(backend.name)
+        for backend in [*model.caches, *model.parents, model.origin]
     }
-    places = list(old.objs)
+    places = list(old.object_parts)
     given = carried(give(old, open_reqs, places))
-    was = {be: bes[be.name] for be in [*model.caches, *model.parents, model.origin]}
-    model.caches = [was[be] for be in model.caches]
-    model.parents = [was[be] for be in model.parents]
+    was = {backend: backends[backend.name] for backend in [*model.caches, *model.parents, model.origin]}
+    model.caches = [was[backend] for backend in model.caches]
+    model.parents = [was[backend] for backend in model.parents]
     model.origin = was[model.origin]
-    model.listed = {was[be]: told for be, told in model.listed.items()}
+    model.listed = {was[backend]: told for backend, told in model.listed.items()}
     model.wakes = []
     model.router = Router(model, model.config)
     model.router.listed(
         "cached",
         [
-            (be, 0, model.kind(be), len(be.name + be.name.strip("13")) % 2, status, 5.0, started)
-            for be, (status, started, _) in model.listed.items()
+            (
+                backend,
+                0,
+                model.kind(backend),
+                len(backend.name + backend.name.strip("13")) % 2,
+                status,
+                5.0,
+                started,
+            )
+            for backend, (status, started, _) in model.listed.items()
         ],
     )
-    reqs = take(model.router, given, bes)
-    new = dict(zip(open_reqs, reqs, strict=True))
+    requests = take(model.router, given, backends)
+    new = dict(zip(open_reqs, requests, strict=True))
     model.history = {
-        new.get(req, req): [
-            [was.get(part, part) if isinstance(part, Be) else part for part in entry] for entry in past
+        new.get(request, request): [
+            [was.get(part, part) if isinstance(part, Backend) else part for part in entry] for entry in past
         ]
-        for req, past in model.history.items()
+        for request, past in model.history.items()
     }
     model.sends = [
-        (at, new.get(req, req), was.get(be, be), was.get(source, source))
-        for at, req, be, source in model.sends
+        (at, new.get(request, request), was.get(backend, backend), was.get(source, source))
+        for at, request, backend, source in model.sends
     ]
-    model.finals = [(new.get(req, req), at) for req, at in model.finals]
-    model.asked = [new.get(req, req) for req in model.asked]
-    return reqs
+    model.finals = [(new.get(request, request), at) for request, at in model.finals]
+    model.asked = [new.get(request, request) for request in model.asked]
+    return requests
 
 
 def play(seed, over, steps=160):
@@ -81,7 +89,7 @@
     open_reqs, decided, seen = [], [], 0
     for _ in range(steps):
         model.run(chance.choice([5, 50, 300, 2000]))
-        open_reqs = [req for req in open_reqs if not req.closed or model.out(req)]
+        open_reqs = [request for request in open_reqs if not request.closed or model.out(request)]
         if when.random() < 0.2 and over:
             open_reqs = replace(model, open_reqs)
         doing = chance.random()
@@ -98,29 +106,37 @@
                     )
                 )
         elif doing < 0.7:
-            be = model.caches[chance.randrange(len(model.caches))]
+            backend = model.caches[chance.randrange(len(model.caches))]
             status = chance.choice([0, 1, 1, 2])
-            started = model.time if status == 1 and chance.random() < 0.4 else model.listed[be][1]
-            model.list("delta", [(be, status, started)])
+            started = model.time if status == 1 and chance.random() < 0.4 else model.listed[backend][1]
+            model.list("delta", [(backend, status, started)])
         elif doing < 0.8:
             what = (f"k{chance.randrange(20)}", 0) if chance.random() < 0.7 else ("", 1)
             model.purges.append((*what, model.time))
             model.router.purged(*what, 0)
         elif doing < 0.85:
-            be = model.caches[chance.randrange(len(model.caches))]
-            model.router.checked(be, 20, "done", [chance.randrange(30), chance.random()])
-        for req in list(open_reqs):
-            if model.out(req) and chance.random() < 0.5:
+            backend = model.caches[chance.randrange(len(model.caches))]
+            model.router.checked(backend, 20, "done", [chance.randrange(30), chance.random()])
+        for request in list(open_reqs):
+            if model.out(request) and chance.random() < 0.5:
                 outcome = chance.choice(OUTCOMES)
                 if outcome != "hang":
                     note, took = chance.choice([0, 0, 1, 2, 3, 7]), chance.choice([None, 30, 9000])
-                    model.end(req, outcome, note, took)
+                    model.end(request, outcome, note, took)
         decided += [
-            (at, req.key, req.part, req.tries, be.name, source.name, model.history[req][-1][5])
-            for at, req, be, source in model.sends[seen:]
+            (
+                at,
+                request.key,
+                request.part,
+                request.tries,
+                backend.name,
+                source.name,
+                model.history[request][-1][5],
+            )
+            for at, request, backend, source in model.sends[seen:]
         ]
         seen = len(model.sends)
-    decided += [("final", at, req.key, req.part, req.arrived) for req, at in model.finals]
+    decided += [("final", at, request.key, request.part, request.arrived) for request, at in model.finals]
     return decided, model.wrong
 
 
@@ -133,11 +149,16 @@
 
 
 def test_every_kept_name_is_a_field_of_its_record_and_of_the_form():
-    records = {"be": Be("x"), "obj": Obj(), "req": Req("k", 0, 0, 1.0, 0, 0, 0), "limit": Limit(1.0, 1.0)}
-    forms = {"be": form.Be, "obj": form.Obj, "req": form.Req, "limit": form.Limit}
+    records = {
+        "be": Backend("x"),
+        "obj": ObjectPart(),
+        "req": Request("k", 0, 0, 1.0, 0, 0, 0),
+        "limit": Limit(1.0, 1.0),
+    }
+    forms = {"be": form.Backend, "obj": form.ObjectPart, "req": form.Request, "limit": form.Limit}
     for kind, record in records.items():
-        assert all(hasattr(record, name) for name in KEPT[kind])
-        assert set(KEPT[kind]) <= set(forms[kind].__struct_fields__)
+        assert all(hasattr(record, ATTRIBUTES.get(name, name)) for name in KEPT[kind])
+        assert set(KEPT[kind]) <= set(forms[kind].__struct_encode_fields__)
     config = settings([vhost()])
     assert all(hasattr(Vhost(config["vhosts"][0], config["family"], 0), name) for name in KEPT["vhost"])
 
@@ -147,16 +168,16 @@
 
     def spent(over):
         model = Model(settings([vhost()], fresh=(SEC,)), caches=1)
-        reqs = []
+        requests = []
         model.list("delta", [(model.caches[0], 1, model.time)])
         model.run(3 * SEC)
         for number in range(30):
-            reqs.append(model.ask(f"k{number}"))
+            requests.append(model.ask(f"k{number}"))
         if over:
-            reqs = replace(model, [req for req in reqs if not req.closed])
+            requests = replace(model, [request for request in requests if not request.closed])
         for number in range(30, 60):
             model.ask(f"k{number}")
-        return len([be for _, _, be, _ in model.sends if be is model.caches[0]]), model.wrong
+        return len([backend for _, _, backend, _ in model.sends if backend is model.caches[0]]), model.wrong
 
     assert spent(True) == spent(False) and spent(True)[1] == []
     assert spent(True)[0] < 60
@@ -166,24 +187,24 @@
     model = Model(settings([vhost()], fresh=(SEC,)), caches=2)
     model.run(SEC)
     model.router.yields(True)
-    req = model.ask("k")
-    assert model.out(req) and not model.history[req][-1][5]["renew"]
-    model.list("delta", [(be, 1, model.time) for be in model.caches])
+    request = model.ask("k")
+    assert model.out(request) and not model.history[request][-1][5]["renew"]
+    model.list("delta", [(backend, 1, model.time) for backend in model.caches])
     model.run(14 * SEC)
     over = model.ask("other")
-    assert not {over.be, over.source} & set(model.caches)  # past the caches, which are cold
+    assert not {over.backend, over.source} & set(model.caches)  # past the caches, which are cold
     model.router.yields(False)
-    assert model.ask("third").be in model.caches
+    assert model.ask("third").backend in model.caches
 
 
 def test_what_was_learned_of_an_earlier_life_of_a_cache_is_passed_over():
     model = Model(settings())
-    model.caches[0].suspect, model.caches[0].strikes = True, 9
+    model.caches[0].ejected, model.caches[0].consecutive_failures = True, 9
     given = carried(give(model.router, (), ()))
     new = Model(settings())
     new.list("delta", [(new.caches[0], 1, new.time)])
-    take(new.router, given, {be.name: be for be in [*new.caches, *new.parents, new.origin]})
-    assert not new.caches[0].suspect and new.caches[0].strikes == 0
+    take(new.router, given, {backend.name: backend for backend in [*new.caches, *new.parents, new.origin]})
+    assert not new.caches[0].ejected and new.caches[0].consecutive_failures == 0
 
 
 # --- the form ---
@@ -207,7 +228,7 @@
     found = form.read(form._write(plain), form.State)
     assert (found.last, found.checks, found.module.due) == (41, 0, [])
     new = Model(settings())
-    take(new.router, form.plain(found.module), {be.name: be for be in new.caches})
+    take(new.router, form.plain(found.module), {backend.name: backend for backend in new.caches})
 
 
 @pytest.mark.parametrize(
@@ -239,8 +260,11 @@
     world.asker().ask(b"pay", replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     until(lambda: world.held()["out"] == 1)
     (call,) = world.does(lambda: list(world.owner.calls.values()))
-    call.req.first_ran, call.req.ran_at = call.req.sent - 1_000, call.req.be  # an attempt that may have run
+    call.request.first_executed_at, call.request.first_executed_by = (
+        call.request.sent - 1_000,
+        call.request.backend,
+    )  # an attempt that may have run
     with handed_over(world) as told:
         (sent,) = told.again
         window = world.owner.effects[call.vhost].window
-        assert window and sent.window_over == told.owner.steadily(call.req.first_ran + window)
+        assert window and sent.window_over == told.owner.steadily(call.request.first_executed_at + window)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -147,14 +147,14 @@
     world.log.add(2, 3, struct.pack(">QQ", 4, now))
     told = ("s-00000001", ("127.0.0.1", world.caches[0].port), 0, 0, 0, 1, 5.0, now - 300)
     world.log.add(3, 2, record(1, world.caches[0].port, started=now - 300))
-    until(lambda: world.does(lambda: world.owner.bes["s-00000001"].started))
+    until(lambda: world.does(lambda: world.owner.backends["s-00000001"].started))
     state, _ = world.does(lambda: carry.tell(world.owner, "drain", []))
     successor = Owner({**world.config, "listen": "127.0.0.1:0"}, follows=True)
     try:
         carry.Told(successor).make(form.read(msgspec.msgpack.encode(state), form.State), [].__getitem__)
-        started = successor.bes["s-00000001"].started
-        assert started == world.owner.bes["s-00000001"].started
+        started = successor.backends["s-00000001"].started
+        assert started == world.owner.backends["s-00000001"].started
         successor.told(("delta", [told]), None, Heard(successor.steady, current=False))
-        assert successor.bes["s-00000001"].started == started
+        assert successor.backends["s-00000001"].started == started
     finally:
         successor.front.sock.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,7 +16,7 @@
 from lilacloft.net.budgets import RESERVED, budgets
 from lilacloft.net.conn import End
 from lilacloft.settings import settings
-from lilacloft.state import Be
+from lilacloft.state import Backend
 from rigs.inprocess import waits_for
 from rigs.stands import ENV, Asker, Log, Stand, record, serves
 
@@ -37,12 +37,12 @@
     monkeypatch.setattr(Line, "start", lambda self: None)
     now = [1]
     back = Back(print, lambda: now[0], print, print, settings(ENV), 4)
-    bes, sents = [Be(f"c{number}") for number in range(6)], []
+    backends, sents = [Backend(f"c{number}") for number in range(6)], []
     call = lambda: SimpleNamespace(lines=[])  # noqa: E731
-    for number, be in enumerate(bes):
+    for number, backend in enumerate(backends):
         now[0] += 1
-        back.place(be, ("127.0.0.1", 9))
-        sents.append(Sent(call(), be, 0, b"%d" % number, b"x", now[0]))
+        back.place(backend, ("127.0.0.1", 9))
+        sents.append(Sent(call(), backend, 0, b"%d" % number, b"x", now[0]))
         if number < 4:
             assert back.dispatch(sents[-1]) is None
     lines = [sent.conn for sent in sents[:4]]
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -54,7 +54,7 @@
     def asked(faulty):
         fleet = Fleet(BRIEF, 3, faulty)
         fleet.run()
-        return [(told.name, told.until) for told in fleet.checker.reqs.values()]
+        return [(told.name, told.until) for told in fleet.checker.requests.values()]
 
     calm, rough = asked([]), asked([Fault("slow", "origin", at=0, span=SECOND, hard=5.0)])
     assert [one.split()[1:] for one, _ in calm[:100]] == [one.split()[1:] for one, _ in rough[:100]]
@@ -81,34 +81,34 @@
 class Twice(Router):
     """Sends what is out once more."""
 
-    def _overdue(self, req):
-        req.out = False
-        self._walk(req)
+    def _overdue(self, request):
+        request.out = False
+        self._walk(request)
 
 
 class Forgets(Router):
     """Sends again what may have run."""
 
-    def _send(self, req, be, source, held_only=False):
-        req.first_ran = None
-        return super()._send(req, be, source, held_only)
+    def _send(self, request, backend, source, held_only=False):
+        request.first_executed_at = None
+        return super()._send(request, backend, source, held_only)
 
 
 class Silent(Router):
     """Gives no final answer to some."""
 
-    def give_up(self, req, why):
-        req.closed = True
+    def give_up(self, request, why):
+        request.closed = True
 
 
 class Late(Router):
     """Gives its answers after the client's time."""
 
-    def give_up(self, req, why):
-        if self.host.now() < req.until + 3000:
-            self._push(req.until + 3000, req, -1)
+    def give_up(self, request, why):
+        if self.host.now() < request.until + 3000:
+            self._push(request.until + 3000, request, -1)
         else:
-            super().give_up(req, why)
+            super().give_up(request, why)
 
 
 class Deaf(Router):
@@ -121,7 +121,7 @@
 class Hot(Router):
     """Takes cold boxes for warm ones."""
 
-    def _room(self, be, work):
+    def _room(self, backend, work):
         return True
 
 
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -28,7 +28,7 @@
 from lilacloft.net.owner import Owner, Phase
 from lilacloft.net.resp import encode
 from lilacloft.settings import settings
-from lilacloft.state import Be
+from lilacloft.state import Backend
 from rigs.inprocess import InProcessWorld, closes, forgets, halves, limits, resets, until, waits_for
 from rigs.stands import ENV, Asker, Log, Stand, World, framed, record, serves, silent, unused
 
@@ -54,9 +54,9 @@
     assert late.begun.acquire(timeout=5)
     sent = waiting(world)
     if drains == "cache":
-        place = int(sent.be.name[2:], 16)
+        place = int(sent.backend.name[2:], 16)
         world.log.add(2, 2, record(place, world.caches[place - 1].port, state=1))
-        until(lambda: world.does(lambda: sent.be.status) == 2)
+        until(lambda: world.does(lambda: sent.backend.status) == 2)
     else:
         assert b"next=s-00000003" in sent.data
         world.log.add(2, 2, record(3, world.parent.port, state=1, kind=2))
@@ -66,7 +66,7 @@
     if drains == "cache":
         assert not waits_for(world.caches[place - 1], 0.1)
     else:
-        place = int(sent.be.name[2:], 16)
+        place = int(sent.backend.name[2:], 16)
         assert b"next=s-00000003" not in world.caches[place - 1].next()[2][2]
     world.rests()
 
@@ -473,9 +473,9 @@
         config,
         2,
     )
-    be = Be("s-1", status=1)
-    back.place(be, server.getsockname())
-    out = [Sent(None, be, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)]
+    backend = Backend("s-1", status=1)
+    back.place(backend, server.getsockname())
+    out = [Sent(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)]
     assert not any(back.dispatch(sent) for sent in out)
     peers = [server.accept()[0] for _ in range(2)]
     line = out[0].conn
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -13,7 +13,7 @@
 from lilacloft.net import front
 from lilacloft.net.owner import Phase
 from lilacloft.net.resp import encode
-from lilacloft.state import Refusal
+from lilacloft.state import RejectReason
 from rigs.failing import BROKEN, Failures, put_under
 from rigs.inprocess import forgets, until
 from rigs.stands import serves, silent
@@ -46,7 +46,7 @@
     tag = asker.ask()
     world.caches[0].next()
     failing.next("send", errno.ENOBUFS, errno.ENOMEM, errno.ENOBUFS)
-    world.does(lambda: world.owner.router.give_up(next(iter(world.owner.calls)), Refusal.ENDING))
+    world.does(lambda: world.owner.router.give_up(next(iter(world.owner.calls)), RejectReason.ENDING))
     assert asker.answer()[:2] == [tag, b"503"]
     until(lambda: not failing.due["send"])
     world.rests()
@@ -131,9 +131,9 @@
     word = asker.answer()[:2]
     failing.due["connect"].clear()
     assert word == [tag, b"200" if times == 1 else b"503"]
-    (be,) = world.does(lambda: world.owner.router.caches)
-    assert not be.suspect
-    assert be.strikes == 0
+    (backend,) = world.does(lambda: world.owner.router.caches)
+    assert not backend.ejected
+    assert backend.consecutive_failures == 0
     tag = asker.ask(key=2)
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     world.rests()
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,12 +1,12 @@
 """One small test for each failure found on the bench's days."""
 
 from lilacloft.decide import Limit
-from lilacloft.state import Be, Req
+from lilacloft.state import Backend, Request
 from rigs.model import SEC, Model, settings
 
 
-def last(model, req):
-    return model.history[req][-1]
+def last(model, request):
+    return model.history[request][-1]
 
 
 def homes(model, key, part=0):
@@ -16,10 +16,10 @@
 def test_all_gateways_pick_one_home_and_one_parent_and_join_there():
     ours, theirs = Model(settings()), Model(settings())
     for n in range(50):
-        reqs = ours.ask(f"k{n}"), theirs.ask(f"k{n}")
-        mine, other = last(ours, reqs[0]), last(theirs, reqs[1])
-        ours.end(reqs[0])
-        theirs.end(reqs[1])
+        requests = ours.ask(f"k{n}"), theirs.ask(f"k{n}")
+        mine, other = last(ours, requests[0]), last(theirs, requests[1])
+        ours.end(requests[0])
+        theirs.end(requests[1])
         assert (mine[1].name, mine[2].name) == (other[1].name, other[2].name)
         assert mine[5]["join"]
     assert len({send[2] for send in ours.sends}) == 4 and len({send[3] for send in ours.sends}) == 2
@@ -32,9 +32,9 @@
     met = {}
     for part in range(40):
         for model in (ours, theirs):
-            req = model.ask("hot", part=part)
-            met.setdefault(part, set()).add(last(model, req)[2].name)
-            model.end(req)
+            request = model.ask("hot", part=part)
+            met.setdefault(part, set()).add(last(model, request)[2].name)
+            model.end(request)
     assert all(len(parents) == 1 for parents in met.values())
     counts = [sum(name in parents for parents in met.values()) for name in ("p0", "p1", "p2", "p3")]
     assert max(counts) <= 20 and min(counts) >= 4
@@ -44,11 +44,11 @@
     model = Model(settings(fresh=(10 * SEC,), grace=(5 * SEC,)))
     marks = []
     for _ in range(40):
-        req = model.ask()
-        marks.append(last(model, req)[5]["renew"])
-        assert last(model, req)[5]["age"] == 15 * SEC
+        request = model.ask()
+        marks.append(last(model, request)[5]["renew"])
+        assert last(model, request)[5]["age"] == 15 * SEC
         model.run(500)
-        model.end(req)
+        model.end(request)
         model.run(SEC - 500)
     assert marks.count(True) == 5  # one each 8 of 40 seconds
     assert not last(plain := Model(settings()), plain.ask())[5]["renew"]
@@ -70,7 +70,7 @@
 def test_a_crowd_is_denied_at_once_and_small_reqs_last():
     model = Model(settings())
     large = [model.ask(f"k{n}", kbytes=4000.0) for n in range(200)]
-    refused = [req for req in large if req.closed]
+    refused = [request for request in large if request.closed]
     assert refused and all(at == model.time for _, at in model.finals)
     assert not model.ask("small", kbytes=40.0).closed
 
@@ -78,67 +78,71 @@
 def test_a_silent_cache_is_left_and_its_reqs_sent_on_without_join():
     model = Model(settings())
     home = homes(model, "k")[0]
-    reqs = [model.ask("k", left=4 * SEC) for _ in range(4)]
-    assert all(last(model, req)[1] is home for req in reqs)
+    requests = [model.ask("k", left=4 * SEC) for _ in range(4)]
+    assert all(last(model, request)[1] is home for request in requests)
     model.run(7000)
-    assert home.suspect
-    assert all(last(model, req)[1] is not home and not last(model, req)[5]["join"] for req in reqs)
+    assert home.ejected
+    assert all(
+        last(model, request)[1] is not home and not last(model, request)[5]["join"] for request in requests
+    )
     assert all(last(model, model.ask("k"))[1] is not home for _ in range(5))
 
 
 def test_spoilt_and_unsent_dispatches_go_to_the_same_cache_again_and_blame_none():
     model = Model(settings())
-    req = model.ask()
+    request = model.ask()
     home, source = model.sends[-1][2:]
     for outcome in ("spoilt", "unsent"):
-        model.end(req, outcome)
-        assert model.sends[-1][1:] == (req, home, source) and not home.strikes
-    model.end(req)
+        model.end(request, outcome)
+        assert model.sends[-1][1:] == (request, home, source) and not home.consecutive_failures
+    model.end(request)
     limit = home.way.limit
     for number in range(40):  # nor does chance narrow any limit
-        req = model.ask(f"other {number}")
+        request = model.ask(f"other {number}")
         for _ in range(3):
-            model.end(req, "spoilt")
-        assert req.closed
-    assert not any(be.suspect for be in model.caches) and home.way.limit == limit and not model.wrong
+            model.end(request, "spoilt")
+        assert request.closed
+    assert (
+        not any(backend.ejected for backend in model.caches) and home.way.limit == limit and not model.wrong
+    )
 
 
 def test_a_reset_alone_leaves_no_cache_alone_but_a_closed_door_does():
     """Nor does it narrow a limit, or send the req elsewhere, where it would be filled anew."""
     model = Model(settings())
-    req = model.ask()
+    request = model.ask()
     home = model.sends[-1][2]
     for _ in range(20):
         before = (home.way.late, model.router.link.late)
-        model.end(req, "reset", took=4)
-        assert model.sends[-1][1:3] == (req, home) and not home.suspect
+        model.end(request, "reset", took=4)
+        assert model.sends[-1][1:3] == (request, home) and not home.ejected
         assert (home.way.late, model.router.link.late) == before
-        model.end(req, took=4)
-        req = model.ask()
-    while not home.suspect:
-        req = model.ask()
+        model.end(request, took=4)
+        request = model.ask()
+    while not home.ejected:
+        request = model.ask()
         assert model.sends[-1][2] is home
-        model.end(req, "unreached")
+        model.end(request, "unreached")
     assert not model.wrong
 
 
 def test_a_gateway_that_lags_blames_no_cache_and_refuses_what_lay_unread_for_long():
     """Else answers that lie unread here count as late, and cache after cache is left alone for it."""
     model = Model(settings())
-    reqs = [model.ask("k", left=4 * SEC) for _ in range(4)]
-    home = last(model, reqs[0])[1]
+    requests = [model.ask("k", left=4 * SEC) for _ in range(4)]
+    home = last(model, requests[0])[1]
     model.time += 7000  # held up: nothing was read, and all is due
     model.router.lagged(7000)
     model.run(1)
-    assert not home.strikes and all(model.out(req) for req in reqs)
-    for req in reqs:
-        model.end(req, took=1000)
+    assert not home.consecutive_failures and all(model.out(request) for request in requests)
+    for request in requests:
+        model.end(request, took=1000)
     model.run(7000)
-    assert not home.suspect
-    req = Req("k", 0, 1, 400.0, model.time - 9000, model.time + SEC, 0)
-    model.history[req] = []
-    model.router.arrived(req)
-    assert req.closed and model.finals[-1] == (req, model.time), "at once"
+    assert not home.ejected
+    request = Request("k", 0, 1, 400.0, model.time - 9000, model.time + SEC, 0)
+    model.history[request] = []
+    model.router.arrived(request)
+    assert request.closed and model.finals[-1] == (request, model.time), "at once"
     assert not model.ask("k").closed and not model.wrong
 
 
@@ -156,38 +160,38 @@
 def test_a_suspect_gets_one_trial_at_a_time_and_returns_with_its_answer():
     model = Model(settings())
     home = homes(model, "k")[0]
-    home.suspect, home.retry_at = True, model.time
+    home.ejected, home.retry_at = True, model.time
     trial, other = model.ask("k"), model.ask("k")
     assert last(model, trial)[1] is home and last(model, other)[1] is not home
     model.end(trial)
-    assert not home.suspect
+    assert not home.ejected
 
 
 def slow_fills(model, parents):
     """Fills by turns from each parent, those from some late."""
-    at_home = {be: [] for be in model.parents}
+    at_home = {backend: [] for backend in model.parents}
     for n in range(400):
         at_home[model.router._order(model.parents, f"k{n} 0")[0]].append(f"k{n}")
     for key in [key for turns in zip(*at_home.values(), strict=False) for key in turns][:60]:
-        req = model.ask(key, left=5 * SEC)
-        late = last(model, req)[2] in parents
-        for be in model.caches:
-            be.heard = model.time + 1  # all caches go on answering others
+        request = model.ask(key, left=5 * SEC)
+        late = last(model, request)[2] in parents
+        for backend in model.caches:
+            backend.heard = model.time + 1  # all caches go on answering others
         model.run(8000 if late else 500)
-        if model.out(req):
-            model.end(req)
+        if model.out(request):
+            model.end(request)
 
 
 def test_a_parent_is_left_when_its_fills_are_late_and_the_others_are_not():
     model = Model(settings())
     slow_fills(model, model.parents[:1])
-    assert model.parents[0].late > 0.5 and model.parents[0].suspect and not model.parents[1].suspect
+    assert model.parents[0].late > 0.5 and model.parents[0].ejected and not model.parents[1].ejected
 
 
 def test_what_all_parents_show_is_the_origins():
     model = Model(settings())
     slow_fills(model, model.parents)
-    assert not any(be.suspect for be in model.parents + [model.origin])
+    assert not any(backend.ejected for backend in model.parents + [model.origin])
 
 
 def test_a_lost_answer_is_asked_for_again_though_the_cache_answers_others():
@@ -206,23 +210,23 @@
     router = model.router
 
     def fill():
-        req = model.ask()
+        request = model.ask()
         model.run(100)
-        model.end(req)
+        model.end(request)
         model.run(100)
-        return req, last(model, req)[1]
+        return request, last(model, request)[1]
 
-    req, be = fill()
-    assert router._held(req, be)
+    request, backend = fill()
+    assert router._held(request, backend)
     router.purged("k", 1, 50)
-    assert not router._held(req, be)
-    req, be = fill()
-    model.list("delta", [(be, 1, model.time)])
-    assert not router._held(req, be)
-    model.list("delta", [(be, 1, 0)])
-    be.started = 0
+    assert not router._held(request, backend)
+    request, backend = fill()
+    model.list("delta", [(backend, 1, model.time)])
+    assert not router._held(request, backend)
+    model.list("delta", [(backend, 1, 0)])
+    backend.started = 0
     model.run(11 * SEC)
-    assert not router._held(req, be)
+    assert not router._held(request, backend)
 
 
 def test_a_cold_cache_takes_no_more_than_it_can_do():
@@ -232,11 +236,11 @@
     sent = []
     for _ in range(400):
         model.run(100)
-        req = model.ask("k")
-        if model.history[req] and last(model, req)[1] is home:
+        request = model.ask("k")
+        if model.history[request] and last(model, request)[1] is home:
             sent.append(model.time)
-        if model.out(req):
-            model.end(req, took=100)
+        if model.out(request):
+            model.end(request, took=100)
     assert sent and model.wrong == []
     assert max(sum(at <= t < at + SEC for t in sent) * 2000 for at in sent) <= 2 * 0.5 * 5 * SEC / 2
 
@@ -263,11 +267,11 @@
 def test_where_the_link_has_no_room_the_home_is_asked_for_what_it_or_the_parent_holds_only():
     model = Model(settings())
     model.router.link.open = lambda favour, now: False
-    req = model.ask("k")
-    assert last(model, req)[1] is homes(model, "k")[0] and last(model, req)[2] in model.parents
-    assert last(model, req)[5]["held"]
-    model.end(req, "miss")
-    assert req.closed and model.finals == [(req, model.time)]
+    request = model.ask("k")
+    assert last(model, request)[1] is homes(model, "k")[0] and last(model, request)[2] in model.parents
+    assert last(model, request)[5]["held"]
+    model.end(request, "miss")
+    assert request.closed and model.finals == [(request, model.time)]
 
 
 def test_what_the_home_does_not_hold_is_asked_for_there_once():
@@ -275,9 +279,9 @@
     no connection that had not carried it: a closed door, as it seemed, for which the cache was left alone."""
     model = Model(settings())
     model.router.link.open = lambda favour, now: False
-    req = model.ask("k")
-    model.end(req, "miss", 8)
-    assert req.closed and len(model.history[req]) == 1
+    request = model.ask("k")
+    model.end(request, "miss", 8)
+    assert request.closed and len(model.history[request]) == 1
     model.router.link.open = lambda favour, now: True
     other = model.ask("other")
     model.router.link.open = lambda favour, now: False
@@ -288,16 +292,16 @@
 def test_fills_late_from_a_slow_source_leave_no_cache_alone_nor_most_of_a_location():
     model = Model(settings())
     model.parents[0].late = model.parents[1].late = 0.5
-    reqs = [model.ask(f"k{n}") for n in range(8)]
+    requests = [model.ask(f"k{n}") for n in range(8)]
     model.run(2 * SEC)
-    assert reqs and not any(be.suspect for be in model.caches)
-    for be in model.caches:
-        model.router._suspect(be, model.time)
-    assert sum(be.suspect for be in model.caches) == 2
-    for be in model.caches:
+    assert requests and not any(backend.ejected for backend in model.caches)
+    for backend in model.caches:
+        model.router._suspect(backend, model.time)
+    assert sum(backend.ejected for backend in model.caches) == 2
+    for backend in model.caches:
         for _ in range(2):  # closed doors are the caches' doing, however many there are
-            model.router._strike(be, model.time, 2)
-    assert all(be.suspect for be in model.caches)
+            model.router._strike(backend, model.time, 2)
+    assert all(backend.ejected for backend in model.caches)
 
 
 def test_late_fills_count_against_a_cache_whose_hits_are_late_not_the_link():
@@ -305,8 +309,8 @@
         model = Model(settings())
         home = homes(model, "k")[0]
         home.way.late = slow
-        req = model.ask("k")
-        model.end(req, took=3 * SEC)
+        request = model.ask("k")
+        model.end(request, took=3 * SEC)
         assert (model.router.link.late > 0) == (slow == 0) and (home.way.late > slow) == (slow > 0)
 
 
@@ -331,13 +335,15 @@
 
 def test_a_gateway_keeps_to_its_location_and_forgets_what_is_gone():
     model = Model(settings())
-    far, old = Be("far"), model.caches[0]
+    far, old = Backend("far"), model.caches[0]
     model.router.listed("delta", [(far, 7, 0, 0, 1, 5.0, 0)])
     assert far not in model.router.known
-    req = next(req for req in (model.ask(f"k{n}") for n in range(99)) if last(model, req)[1] is old)
+    request = next(
+        request for request in (model.ask(f"k{n}") for n in range(99)) if last(model, request)[1] is old
+    )
     model.list("delta", [(old, 0, 0)])
     assert old in model.router.known
-    model.end(req)
+    model.end(request)
     for other in [other for other in model.history if model.out(other)]:
         model.end(other)
     model.list("delta", [(model.caches[1], 1, 0)])
@@ -347,24 +353,24 @@
 def test_what_a_gate_let_go_passes_it_again_where_it_has_not_gone_out():
     """A drain, a start or a purge may be told while a dispatch waits for its connection."""
     model = Model(settings())
-    reqs = [model.ask(f"k{n}", group=n % 2) for n in range(8)]
-    sends = {req: last(model, req) for req in reqs}
-    be, source = sends[reqs[0]][1], sends[reqs[0]][2]
+    requests = [model.ask(f"k{n}", group=n % 2) for n in range(8)]
+    sends = {request: last(model, request) for request in requests}
+    backend, source = sends[requests[0]][1], sends[requests[0]][2]
 
     def withdrawn():
-        out, model.withdrawn = {req for req, seq in model.withdrawn if seq == req.tries - 1}, []
+        out, model.withdrawn = {request for request, seq in model.withdrawn if seq == request.tries - 1}, []
         return out
 
     assert not withdrawn()
-    model.list("delta", [(be, 2, 0)])
-    assert withdrawn() == {req for req in reqs if sends[req][1] is be}
-    model.list("delta", [(be, 1, 0)])
+    model.list("delta", [(backend, 2, 0)])
+    assert withdrawn() == {request for request in requests if sends[request][1] is backend}
+    model.list("delta", [(backend, 1, 0)])
     model.list("delta", [(source, 1, model.time)])
-    assert withdrawn() == {req for req in reqs if sends[req][2] is source}
+    assert withdrawn() == {request for request in requests if sends[request][2] is source}
     model.router.purged("k3", 0, 0)
-    assert withdrawn() == {reqs[3]}
+    assert withdrawn() == {requests[3]}
     model.router.purged("", 1, 0)
-    assert withdrawn() == {req for req in reqs if req.group == 1}
+    assert withdrawn() == {request for request in requests if request.group == 1}
 
 
 def test_a_renewal_that_did_not_go_out_is_asked_for_by_the_next_req():
@@ -378,14 +384,14 @@
         ("done", False),
     ):
         model = Model(settings(fresh=(10 * SEC,), grace=(5 * SEC,)))
-        req = model.ask("k")
-        assert last(model, req)[5]["renew"]
+        request = model.ask("k")
+        assert last(model, request)[5]["renew"]
         if outcome == "cancelled":
-            model.router.left(req)
-            model.finals.append((req, model.time))
+            model.router.left(request)
+            model.finals.append((request, model.time))
             model.called_off()
         else:
-            model.end(req, outcome)
+            model.end(request, outcome)
         sent_again = outcome in ("unsent", "unreached", "full")
-        follows = last(model, req if sent_again else model.ask("k"))
+        follows = last(model, request if sent_again else model.ask("k"))
         assert follows[5]["renew"] == again, outcome
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -186,8 +186,8 @@
     fleet = Fleet(tmp_path, 1, 4, 1, caches=1)
     try:
         told, cut = fleet.gateways[0], fleet.gateways[1]
-        be, start = fleet.caches[0], 1000.0
-        fleet.births.append((be.name, start + 0.3))
+        backend, start = fleet.caches[0], 1000.0
+        fleet.births.append((backend.name, start + 0.3))
         fleet.cuts.append((cut.name, "log", start - 5.0, start + 9.0))
 
         def entries(gateway):
@@ -196,7 +196,7 @@
                     "at": start,
                     "who": "log",
                     "what": "listed",
-                    "be": be.name,
+                    "be": backend.name,
                     "state": "active",
                     "started": start,
                     "capacity": 5.0,
@@ -220,8 +220,15 @@
                         "effect": "replayable",
                         "gateway": gateway.port,
                     },
-                    {"at": at, "who": be.name, "what": "do", "conn": 1, "ref": ref, "next": None},
-                    {"at": at + 0.005, "who": be.name, "what": "end", "conn": 1, "ref": ref, "word": "data"},
+                    {"at": at, "who": backend.name, "what": "do", "conn": 1, "ref": ref, "next": None},
+                    {
+                        "at": at + 0.005,
+                        "who": backend.name,
+                        "what": "end",
+                        "conn": 1,
+                        "ref": ref,
+                        "word": "data",
+                    },
                     {
                         "at": at + 0.005,
                         "who": "clients",
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -19,7 +19,7 @@
 from lilacloft.net.owner import Owner
 from lilacloft.net.resp import Buffer, fields
 from lilacloft.settings import settings
-from lilacloft.state import Be, Req
+from lilacloft.state import Backend, Request
 from rigs.stands import ENV, Asker, Log, Stand, World, encode, made, record, serves
 
 CLIP = b"x" * 200_000
@@ -260,8 +260,8 @@
         client, [b"EXEC", b"1", b"clip", b"ref=%016x,allow=9,lookup=%016x,nth=0,batch=7,room=4" % (1, 1), b""]
     )
     call = client.open[b"1"]
-    call.req = Req(call.key, call.part, call.group, call.kbytes, 0, owner.time + 90, call.vhost)
-    call.history = owner.history(call, call.req)
+    call.request = Request(call.key, call.part, call.group, call.kbytes, 0, owner.time + 90, call.vhost)
+    call.history = owner.history(call, call.request)
     owner._final(call, "denied", b"503")
     assert told == [1] and client.taken == client.settled
     owner._final(call, "denied", b"503")
@@ -334,9 +334,9 @@
     config = settings(ENV)
     note = lambda *told: ends.append(told[:2])  # noqa: E731
     back = Back(lambda *event: events.put(event), lambda: 0, note, note, config, 2)
-    be, ends = Be("s-1", status=1), []
-    back.place(be, server.getsockname())
-    out = [Sent(None, be, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)]
+    backend, ends = Backend("s-1", status=1), []
+    back.place(backend, server.getsockname())
+    out = [Sent(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)]
     assert not any(back.dispatch(sent) for sent in out)
     line = out[0].conn
     out = [sent for sent in out if sent.conn is line]
@@ -378,13 +378,13 @@
 
 def test_what_was_given_up_on_a_new_connection_counts_once_the_far_side_has_taken_it_in():
     events, server, time_now = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0)), [0]
-    told, config, be = [], settings(ENV), Be("s-1", status=1)
+    told, config, backend = [], settings(ENV), Backend("s-1", status=1)
     post, now = (lambda *event: events.put(event)), (lambda: time_now[0])
     back = Back(post, now, print, lambda *what: told.append(what), config, 2)
     slack, patience = config["rules"]["answer_slack"], config["limits"]["connect_timeout"]
-    back.place(be, server.getsockname())
+    back.place(backend, server.getsockname())
     call = types.SimpleNamespace(lines=[], departed=lambda: None)
-    first, second, third = (Sent(call, be, 0, b"%d" % n, encode(b"do", b"%d" % n), 0) for n in range(3))
+    first, second, third = (Sent(call, backend, 0, b"%d" % n, encode(b"do", b"%d" % n), 0) for n in range(3))
     back.dispatch(first)
     peer, _ = server.accept()
     peer.recv(100)
@@ -555,14 +555,14 @@
 
 def test_an_answer_counts_from_when_it_was_read_and_a_fault_ends_one_event_only(monkeypatch, world):
     owner = Owner({**world().config, "listen": "127.0.0.1:0"})
-    told, be = [], owner.bes["s-00000001"]
+    told, backend = [], owner.backends["s-00000001"]
     monkeypatch.setattr(owner.router, "ended", lambda *args: told.append(args[4]))
     call = types.SimpleNamespace(
-        req=types.SimpleNamespace(closed=True), tag=b"1", client=None, name="1", history=None
+        request=types.SimpleNamespace(closed=True), tag=b"1", client=None, name="1", history=None
     )
     monkeypatch.setattr(owner.front, "close", lambda _: False)
     owner._tick()
-    sent = Sent(call, be, 0, b"1", b"", owner.time - 3000)
+    sent = Sent(call, backend, 0, b"1", b"", owner.time - 3000)
     owner.back_ended(sent, End.DATA, 1, 0, [], b"", owner.steady - 2000)
     owner.back_ended(sent, End.TIME_UP, 0, 0, [], b"")
     assert told == [1000, 3000]
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,7 +5,7 @@
 
 from lilacloft.invariants import Begun, Effect, History, Invariants, Promise, chance
 from lilacloft.settings import settings
-from lilacloft.state import Be
+from lilacloft.state import Backend
 from rigs.inprocess import until
 from rigs.stands import ENV, serves
 
@@ -25,8 +25,8 @@
     return Invariants(settings(ENV), lambda promise, name, detail: seen.append(promise))
 
 
-def be(name="a", cell=1, **more):
-    return Be(name, cell=cell, status=1, size=5.0, **more)
+def backend(name="a", cell=1, **more):
+    return Backend(name, cell=cell, status=1, size=5.0, **more)
 
 
 def history(effect=Effect("replayable")):
@@ -39,11 +39,11 @@
 
 
 def test_a_plain_course_breaks_nothing(checks, seen):
-    one, cache, parent = history(ONE), be(), be("p", kind=2)
+    one, cache, parent = history(ONE), backend(), backend("p", kind=2)
     assert checks.sends(one, cache, parent, 1_000, NOW)
     assert checks.begins(begun())
     checks.ended(one, "reset")
-    assert checks.sends(one, be("b"), parent, 1_000, NOW + SECOND)
+    assert checks.sends(one, backend("b"), parent, 1_000, NOW + SECOND)
     checks.ended(one, "done")
     checks.answers(one, NOW + SECOND)
     assert seen == []
@@ -53,18 +53,18 @@
 @pytest.mark.parametrize(
     "effect, outcome, other, after, promise",
     [
-        (Effect("non-replayable"), "reset", be("b"), 0, Promise.SENT_AGAIN),
-        (Effect("non-replayable"), "unsent", be("b"), 0, None),
-        (Effect("replayable"), "timeout", be("b"), 0, None),
-        (ONE, "timeout", be("b", cell=2), 0, Promise.SENT_AGAIN),
-        (ONE, "unreached", be("b", cell=2), 0, None),
-        (ONE, "error", be("b"), 2 * SECOND - 1, None),
-        (ONE, "error", be("b"), 2 * SECOND, Promise.WINDOW_OVER),
+        (Effect("non-replayable"), "reset", backend("b"), 0, Promise.SENT_AGAIN),
+        (Effect("non-replayable"), "unsent", backend("b"), 0, None),
+        (Effect("replayable"), "timeout", backend("b"), 0, None),
+        (ONE, "timeout", backend("b", cell=2), 0, Promise.SENT_AGAIN),
+        (ONE, "unreached", backend("b", cell=2), 0, None),
+        (ONE, "error", backend("b"), 2 * SECOND - 1, None),
+        (ONE, "error", backend("b"), 2 * SECOND, Promise.WINDOW_OVER),
     ],
 )
 def test_repeats(checks, seen, effect, outcome, other, after, promise):
     one = history(effect)
-    assert checks.sends(one, be(), be(), 1_000, NOW)
+    assert checks.sends(one, backend(), backend(), 1_000, NOW)
     checks.ended(one, outcome)
     assert checks.sends(one, other, other, 1_000, NOW + after) == (promise is None)
     assert seen == ([promise] if promise else [])
@@ -72,10 +72,10 @@
 
 def test_two_at_once_and_what_is_settled(checks, seen):
     one, other = history(), history()
-    assert checks.sends(one, be(), be(), 1_000, NOW)
-    assert not checks.sends(one, be("b"), be("b"), 1_000, NOW)
+    assert checks.sends(one, backend(), backend(), 1_000, NOW)
+    assert not checks.sends(one, backend("b"), backend("b"), 1_000, NOW)
     checks.leaves(other)
-    assert not checks.sends(other, be(), be(), 1_000, NOW)
+    assert not checks.sends(other, backend(), backend(), 1_000, NOW)
     assert seen == [Promise.TWO_OUT, Promise.SETTLED]
 
 
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("status", [0, 2])
 @pytest.mark.parametrize("source", [False, True])
 def test_drains_also_of_sources_and_until_they_are_ready_again(checks, seen, status, source):
-    cache, parent = be(), be("p", kind=2)
+    cache, parent = backend(), backend("p", kind=2)
     drains = parent if source else cache
     checks.listed(drains.name, status, NOW, 7)
     assert checks.sends(history(), cache, parent, 1_000, NOW + 10_000)
@@ -113,14 +113,14 @@
 
 def test_a_cold_start_that_one_process_overruns(checks, seen):
     """By the settings 2 s of work in the first second: 20 calls of 0.1 s, and what chance may add."""
-    cold = be(started=NOW)
+    cold = backend(started=NOW)
     sent = 0
     while checks.sends(history(), cold, cold, 1_000, NOW):
         sent += 1
     assert sent == int(20 + chance(20))
     assert seen == [Promise.SLOW_START]
     assert checks.sends(history(), cold, cold, 1_000, NOW + SECOND + 1)  # the window has moved on
-    assert checks.sends(history(), be("w", started=NOW - 15 * SECOND), cold, 1_000, NOW + SECOND + 1)
+    assert checks.sends(history(), backend("w", started=NOW - 15 * SECOND), cold, 1_000, NOW + SECOND + 1)
 
 
 def test_answers(checks, seen):
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -6,6 +6,7 @@
 import pytest
 
 from lilacloft import carried
+from lilacloft.carried import ATTRIBUTES
 from lilacloft.store import learned
 from lilacloft.store.learned import BE, DAY, HALF, LINK, MOMENT, TRUST, VHOST, WHOLE, Changes, aged, parts
 from rigs.model import SEC, Model, settings
@@ -18,13 +19,13 @@
     chance, model = random.Random(seed), Model(settings())
     bad = model.caches[1]
     for _ in range(150):
-        req = model.ask(f"k{chance.randrange(30)}", kbytes=100.0 + chance.randrange(900))
+        request = model.ask(f"k{chance.randrange(30)}", kbytes=100.0 + chance.randrange(900))
         model.run(chance.randrange(1, 900))
-        if model.out(req):
-            if req.be is bad and chance.random() < 0.8:
-                model.end(req, "reset")
+        if model.out(request):
+            if request.backend is bad and chance.random() < 0.8:
+                model.end(request, "reset")
             else:
-                model.end(req, "done", took=chance.randrange(50, 9000))
+                model.end(request, "done", took=chance.randrange(50, 9000))
     return model
 
 
@@ -40,9 +41,9 @@
     """Another process starts so long after; returns its model."""
     new = Model(settings())
     new.time = model.time + age - back
-    bes = {be.name: be for be in [*new.caches, *new.parents, new.origin]}
-    starts = {name: be.way.limit for name, be in bes.items() if be.way}
-    carried.take(new.router, aged(kept(model), new.time, ["v"], starts, new.router.link.limit), bes)
+    backends = {backend.name: backend for backend in [*new.caches, *new.parents, new.origin]}
+    starts = {name: backend.way.limit for name, backend in backends.items() if backend.way}
+    carried.take(new.router, aged(kept(model), new.time, ["v"], starts, new.router.link.limit), backends)
     return new
 
 
@@ -51,14 +52,15 @@
     model = busy(seed)
     fresh, near = Model(settings()), again(model)
     for one, other, start in zip(model.caches, near.caches, fresh.caches, strict=True):
-        if not one.suspect or one.retry_at > model.time:
-            names = (*FIELDS, "retry_at", "backoff") if one.suspect else FIELDS
+        if not one.ejected or one.retry_at > model.time:
+            names = (*FIELDS, "retry_at", "backoff") if one.ejected else FIELDS
+            names = [ATTRIBUTES.get(name, name) for name in names]
             assert [getattr(one, name) for name in names] == [getattr(other, name) for name in names]
         assert other.way.limit == pytest.approx(one.way.limit) and other.way.late == one.way.late
-        assert not other.reqs and other.trial is None and other.strikes == 0
+        assert not other.requests and other.trial is None and other.consecutive_failures == 0
         before = abs(one.way.limit - start.way.limit)
         for age in (HALF // 2, HALF, 3 * HALF, 20 * HALF):
-            later = next(be for be in again(model, age).caches if be.name == one.name)
+            later = next(backend for backend in again(model, age).caches if backend.name == one.name)
             gap = abs(later.way.limit - start.way.limit)
             assert gap <= before + 1e-9 and later.late <= one.late
             before = gap
@@ -94,12 +96,12 @@
         "crowd": 7.0,
         "way": None,
     }
-    got = learned.be(told, 10.0, 400, 100)
+    got = learned.backend(told, 10.0, 400, 100)
     assert (got["suspect"], got["retry_at"], got["backoff"], got["crowd"]) == (True, 500, 90, 7.0)
-    assert "suspect" not in learned.be(told, 10.0, 500, 100)
-    assert "suspect" not in learned.be({**told, "retry_at": 10**9}, 10.0, 400, TRUST + 1)
-    assert learned.be({**told, "retry_at": 10**9}, 10.0, 400, 0)["retry_at"] == 400 + TRUST
-    assert "crowd" not in learned.be(told, 10.0, 400, MOMENT + 1) and got["holds"] == 4.0
+    assert "suspect" not in learned.backend(told, 10.0, 500, 100)
+    assert "suspect" not in learned.backend({**told, "retry_at": 10**9}, 10.0, 400, TRUST + 1)
+    assert learned.backend({**told, "retry_at": 10**9}, 10.0, 400, 0)["retry_at"] == 400 + TRUST
+    assert "crowd" not in learned.backend(told, 10.0, 400, MOMENT + 1) and got["holds"] == 4.0
 
 
 def test_a_clock_put_back_leaves_only_what_holds_for_a_day():
@@ -107,18 +109,18 @@
     back, fresh = again(model, back=5 * SEC), Model(settings())
     assert back.router.vhosts[0].work == model.router.vhosts[0].work
     for one, start in zip(back.caches, fresh.caches, strict=True):
-        assert one.way.limit == pytest.approx(start.way.limit) and not one.suspect and one.late < 1e-9
+        assert one.way.limit == pytest.approx(start.way.limit) and not one.ejected and one.late < 1e-9
 
 
 def test_the_first_reqs_after_a_crash_pass_over_a_cache_that_was_silent_before():
     def first(model):
-        return [model.ask(f"n{key}").be for key in range(40)]
+        return [model.ask(f"n{key}").backend for key in range(40)]
 
     model = Model(settings())
     bad = model.caches[2]
-    bad.suspect, bad.retry_at, bad.backoff = True, model.time + 20 * SEC, 4 * SEC
-    assert any(be and be.name == bad.name for be in first(Model(settings())))
-    assert not any(be and be.name == bad.name for be in first(again(model, SEC)))
+    bad.ejected, bad.retry_at, bad.backoff = True, model.time + 20 * SEC, 4 * SEC
+    assert any(backend and backend.name == bad.name for backend in first(Model(settings())))
+    assert not any(backend and backend.name == bad.name for backend in first(again(model, SEC)))
 
 
 def test_only_what_has_changed_is_kept_again_and_what_is_gone_goes():
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -25,7 +25,7 @@
     assert [due.number for due in first] == list(range(1, len(first) + 1))
     fleet = Fleet(dataclasses.replace(SMALL, habits=dataclasses.replace(SMALL.habits, retries=0)), 4)
     fleet.run()
-    asked = [told.name.split(" ", 1)[1] for told in fleet.checker.reqs.values()]
+    asked = [told.name.split(" ", 1)[1] for told in fleet.checker.requests.values()]
     assert asked == [f"({SMALL.vhosts[due.ask.vhost].name} {due.ask.key}/{due.ask.part})" for due in first]
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,7 +14,7 @@
 from lilacloft.net.conn import OUTCOMES, Conn, End
 from lilacloft.net.resp import FROM_CACHE, FROM_CLIENT, LARGEST, Buffer, GarbledError, encode, fields, listed
 from lilacloft.settings import settings
-from lilacloft.state import Be
+from lilacloft.state import Backend
 from rigs.stands import ENV, Log, Stand, framed, record
 
 
@@ -240,15 +240,15 @@
 def test_where_all_connections_have_carried_a_req_that_is_no_closed_door():
     """An id means one dispatch on a connection; with as many connections as a pool may have, all used by
     the same req, there is no way, and no cache is to blame for it."""
-    be, config = Be("c"), settings(ENV)
+    backend, config = Backend("c"), settings(ENV)
     found = back.Back(print, lambda: 0, print, print, config, 2)
-    found.place(be, ("127.0.0.1", 9))
-    pool = found.pools[be]
+    found.place(backend, ("127.0.0.1", 9))
+    pool = found.pools[backend]
     pool.lines = [back.Line(pool, print, print, address=pool.address) for _ in range(2)]
     call = SimpleNamespace(lines=list(pool.lines))
-    assert found.dispatch(back.Sent(call, be, 2, b"r", b"", 0)) is End.NO_LINE
+    assert found.dispatch(back.Sent(call, backend, 2, b"r", b"", 0)) is End.NO_LINE
     assert OUTCOMES[End.NO_LINE] == "unsent"
-    assert found.dispatch(back.Sent(SimpleNamespace(lines=[]), be, 0, b"s", b"", 0)) is None
+    assert found.dispatch(back.Sent(SimpleNamespace(lines=[]), backend, 0, b"s", b"", 0)) is None
 
 
 def test_what_is_not_taken_at_once_goes_out_later_whole_and_in_order():
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -127,7 +127,7 @@
     judge = judge or Judge()
     for name, mine in sights.items():
         judge.saw(name, mine, now)
-    return judge, {be for be, verdict in judge.judge(now).items() if verdict.out}
+    return judge, {backend for backend, verdict in judge.judge(now).items() if verdict.out}
 
 
 def test_a_quorum_of_those_that_have_looked_decides():
@@ -140,8 +140,8 @@
 
 
 def test_one_with_a_bad_path_or_gone_mad_blames_nobody():
-    healthy = {f"f{number}": {be: WELL for be in "abcdef"} for number in range(4)}
-    mad = {be: BAD for be in "abcdef"}
+    healthy = {f"f{number}": {backend: WELL for backend in "abcdef"} for number in range(4)}
+    mad = {backend: BAD for backend in "abcdef"}
     judge, out = judged({**healthy, "f9": mad})
     assert out == set() and judge.astray == {"f9": 1.0}
     judge, out = judged(
@@ -164,7 +164,9 @@
     assert judged(well, 100_000 + HOLD - 1, judge)[1] == {"a"}
     assert judged(well, 100_000 + HOLD, judge)[1] == set()
     judge, _ = judged({"f0": {"a": BAD}, "f1": {"a": BAD}})
-    assert {be for be, verdict in judge.judge(100_000 + FRESH + HOLD).items() if verdict.out} == {"a"}
+    assert {backend for backend, verdict in judge.judge(100_000 + FRESH + HOLD).items() if verdict.out} == {
+        "a"
+    }
     judge.gone("f0")
     judge.keep([])
     assert not judge.sights and not judge.verdicts
@@ -275,9 +277,11 @@
 SITE = Site(("p0", "p1", "p2"), 4000.0, {0: 40_000.0})
 
 
-def planner(name="p0", others=("p1", "p2"), bes=8, cold=(), now=0, number=1):
+def planner(name="p0", others=("p1", "p2"), backends=8, cold=(), now=0, number=1):
     one = Planner(name, 1, SITE)
-    one.listing([Listed(f"b{place}", 0, "cache", True, f"b{place}" in cold) for place in range(bes)], number)
+    one.listing(
+        [Listed(f"b{place}", 0, "cache", True, f"b{place}" in cold) for place in range(backends)], number
+    )
     for other in others:
         one.heard(Word(other, 1, 0, 0), now)
     one.tick(now)
@@ -325,11 +329,11 @@
 
 
 def test_no_more_than_half_of_a_location_is_left_alone():
-    plan, many = planner(bes=4), [follower(f"f{number}") for number in range(3)]
+    plan, many = planner(backends=4), [follower(f"f{number}") for number in range(3)]
     for one in many:
-        for be in ("b0", "b1", "b2"):
-            one.ended(be, "failed")
-            one.ended(be, "failed")
+        for backend in ("b0", "b1", "b2"):
+            one.ended(backend, "failed")
+            one.ended(backend, "failed")
         talk(one, plan, 10)
     plan.tick(2_500)
     assert plan.plan.out == {} and "so do most of its kind" in "\n".join(plan.explain("b0", 2_600))
@@ -414,9 +418,9 @@
 
 
 def test_limits_of_all_are_told_by_parts_and_renewals_by_turns():
-    plan, many = planner(bes=4), [follower(f"f{number}") for number in range(2)]
+    plan, many = planner(backends=4), [follower(f"f{number}") for number in range(2)]
     for nth, one in enumerate(many):
-        one.reqs, one.fills, one.worth = 30.0 * (1 + 2 * nth), {"clip": 40_000.0}, {"clip": 1.0}
+        one.requests, one.fills, one.worth = 30.0 * (1 + 2 * nth), {"clip": 40_000.0}, {"clip": 1.0}
         for _ in range(6):
             one.ended("b0", "late")
         one.state("b0", 3, False, 6.0)
@@ -507,9 +511,9 @@
     many = [Follower(f"f{number}", 1, number % 2, ("p0",), 10_000, 0.25, 0) for number in range(6)]
     plan.tick(0)
     for one in many:
-        for be in ("z0b1", "z1b2"):
-            one.ended(be, "failed")
-            one.ended(be, "failed")
+        for backend in ("z0b1", "z1b2"):
+            one.ended(backend, "failed")
+            one.ended(backend, "failed")
         plan.summary(one.summary("p0", 10), 10)
     plan.tick(2_500)
     told = [plan.summary(one.summary("p0", 2_600), 2_600) for one in many]
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -125,14 +125,25 @@
     summary.answered("clip", "denied", 3, 0)
     summary.counted({"unusable": 5})
     summary.counted({"unusable": 9})
-    bes = {"a": (2, 10.0, False, 1), "c": (0, 1.0, True, 1), "d": (0, 1.0, False, 1)}
-    second = summary.take(SPAN, bes, 7.0)
+    backends = {"a": (2, 10.0, False, 1), "c": (0, 1.0, True, 1), "d": (0, 1.0, False, 1)}
+    second = summary.take(SPAN, backends, 7.0)
     clip = second.vhosts["clip"]
-    assert (clip.reqs, clip.done, clip.late, clip.denied, clip.at_once, clip.value) == (1, 2, 1, 1, 1, 2.0)
+    assert (clip.requests, clip.done, clip.late, clip.denied, clip.at_once, clip.value) == (
+        1,
+        2,
+        1,
+        1,
+        1,
+        2.0,
+    )
     assert (clip.hits, clip.fills, clip.dispatches) == (1, {"TCP_MISS_ROOT": 1}, 1) and clip.took
-    assert second.bes["b"].ends == {"time_up": 1} and second.bes["b"].late == 1
-    assert (second.bes["p"].fills, second.bes["p"].waits, second.bes["p"].waited) == (2, 1, 900)
-    assert second.bes["a"].flight == 2 and second.bes["c"].suspect and "d" not in second.bes
+    assert second.backends["b"].ends == {"time_up": 1} and second.backends["b"].late == 1
+    assert (second.backends["p"].fills, second.backends["p"].waits, second.backends["p"].waited) == (
+        2,
+        1,
+        900,
+    )
+    assert second.backends["a"].flight == 2 and second.backends["c"].ejected and "d" not in second.backends
     assert second.refused == {"unusable": 4} and second.span == SPAN
     assert not summary.take(2 * SPAN, {}, 7.0).vhosts
 
@@ -156,7 +167,7 @@
     path = folder / "n0.000000000000001-1.00001.jsonl"
     records = [kinds.Head(schema=1, gateway="n0", run="000000000000001-1")]
     records += [
-        kinds.Belief(number=number, wall=number, steady=number, be="a", what="back")
+        kinds.Belief(number=number, wall=number, steady=number, backend="a", what="back")
         for number in range(1, count)
     ]
     path.write_bytes(b"".join(kinds.encode(record) + b"\n" for record in records))
@@ -343,7 +354,7 @@
 
 
 def test_the_encoding_is_one_json_object_a_line():
-    record = kinds.Belief(number=3, wall=5, steady=7, be='a"\n', what="back")
+    record = kinds.Belief(number=3, wall=5, steady=7, backend='a"\n', what="back")
     data = kinds.encode(record)
     assert b"\n" not in data and json.loads(data)["be"] == 'a"\n' and kinds.decode(data) == record
 
--- a/tests/test_rigs.py
+++ b/tests/test_rigs.py
@@ -21,7 +21,7 @@
     return {"at": at, "who": who, "what": what, **more}
 
 
-def req(at, ref="r", effect="replayable", **more):
+def request(at, ref="r", effect="replayable", **more):
     return entry(
         at,
         "clients",
@@ -42,28 +42,28 @@
     return entry(at, "clients", "answer", **{"ref": ref, "word": "200", "whole": True, "born": None, **more})
 
 
-def do(at, be="a", conn=1, ref="r", **more):
-    return entry(at, be, "do", conn=conn, ref=ref, next=None, **more)
+def do(at, backend="a", conn=1, ref="r", **more):
+    return entry(at, backend, "do", conn=conn, ref=ref, next=None, **more)
 
 
-def end(at, be="a", conn=1, ref="r", word="data"):
-    return entry(at, be, "end", conn=conn, ref=ref, word=word)
+def end(at, backend="a", conn=1, ref="r", word="data"):
+    return entry(at, backend, "end", conn=conn, ref=ref, word=word)
 
 
-GOOD = [req(0.0), do(0.1), end(0.2), answer(0.3), entry(9.0, "script", "said")]
+GOOD = [request(0.0), do(0.1), end(0.2), answer(0.3), entry(9.0, "script", "said")]
 BAD = [
-    (1, "never answered", [req(0.0), entry(9.0, "script", "said")]),
-    (1, "too late", [req(0.0), answer(1.06), entry(9.0, "script", "said")]),
-    (1, "answered twice", [req(0.0), answer(0.1), answer(0.2)]),
-    (1, "nobody waits", [req(0.0), answer(0.1), entry(0.2, "clients", "extra", word="200")]),
-    (1, "lost", [req(0.0), entry(0.2, "clients", "lost", ref="r")]),
-    (1, "no cache made", [req(0.0), answer(0.1, whole=False)]),
-    (2, "out twice", [req(0.0), do(0.1), do(0.2, "b"), end(0.3), answer(0.4)]),
+    (1, "never answered", [request(0.0), entry(9.0, "script", "said")]),
+    (1, "too late", [request(0.0), answer(1.06), entry(9.0, "script", "said")]),
+    (1, "answered twice", [request(0.0), answer(0.1), answer(0.2)]),
+    (1, "nobody waits", [request(0.0), answer(0.1), entry(0.2, "clients", "extra", word="200")]),
+    (1, "lost", [request(0.0), entry(0.2, "clients", "lost", ref="r")]),
+    (1, "no cache made", [request(0.0), answer(0.1, whole=False)]),
+    (2, "out twice", [request(0.0), do(0.1), do(0.2, "b"), end(0.3), answer(0.4)]),
     (
         2,
         "sent again after",
         [
-            req(0.0, effect="non-replayable"),
+            request(0.0, effect="non-replayable"),
             do(0.1),
             end(0.2, word="failed"),
             do(0.3, "b"),
@@ -75,7 +75,7 @@
         2,
         "after its window",
         [
-            req(0.0, effect="uniqued"),
+            request(0.0, effect="uniqued"),
             do(0.1),
             entry(0.2, "a", "undo", conn=1, ref="r"),
             do(2.2, "b"),
@@ -87,7 +87,7 @@
         2,
         "came twice",
         [
-            req(0.0),
+            request(0.0),
             answer(0.1),
             entry(0.2, "a", "effect", ref="r", replay="x"),
             entry(0.3, "b", "effect", ref="s", replay="x"),
@@ -97,8 +97,10 @@
         3,
         "sent to a leaving",
         [
-            entry(0.0, "log", "listed", be="a", state="leaving", started=0.0, capacity=5.0, kind="small"),
-            req(1.0),
+            entry(
+                0.0, "log", "listed", backend="a", state="leaving", started=0.0, capacity=5.0, kind="small"
+            ),
+            request(1.0),
             do(1.2),
             end(1.3),
             answer(1.4),
@@ -108,8 +110,8 @@
         3,
         "fill from a left",
         [
-            entry(0.0, "log", "listed", be="p", state="left", started=0.0, capacity=5.0, kind="parent"),
-            req(1.0),
+            entry(0.0, "log", "listed", backend="p", state="left", started=0.0, capacity=5.0, kind="parent"),
+            request(1.0),
             {**do(1.2), "next": "p"},
             end(1.3),
             answer(1.4),
@@ -118,20 +120,20 @@
     (
         4,
         "cold for",
-        [entry(0.0, "log", "listed", be="a", state="active", started=0.01, capacity=5.0, kind="small")]
+        [entry(0.0, "log", "listed", backend="a", state="active", started=0.01, capacity=5.0, kind="small")]
         + [
             part
             for number in range(25)
             for part in (
-                req(0.1, str(number)),
+                request(0.1, str(number)),
                 do(0.1, ref=str(number)),
                 end(0.2, ref=str(number)),
                 answer(0.3, str(number)),
             )
         ],
     ),
-    (5, "than a purge", [entry(1.0, "log", "purge", key="k", group=0), req(2.0), answer(2.1, born=0.5)]),
-    (5, "than a purge", [entry(1.0, "log", "purge", key="", group=7), req(2.0), answer(2.1, born=0.5)]),
+    (5, "than a purge", [entry(1.0, "log", "purge", key="k", group=0), request(2.0), answer(2.1, born=0.5)]),
+    (5, "than a purge", [entry(1.0, "log", "purge", key="", group=7), request(2.0), answer(2.1, born=0.5)]),
 ]
 
 
@@ -139,14 +141,14 @@
     assert check(GOOD, LIMITS) == []
     told = [
         entry(1.0, "log", "purge", key="k", group=0),
-        req(1.1),
+        request(1.1),
         answer(1.2, born=0.5),  # not known yet
-        req(2.0, "s"),
+        request(2.0, "s"),
         answer(2.1, "s", born=1.5),
     ]
     assert check(told, LIMITS) == []
     twice = [
-        req(0.0, effect="non-replayable"),
+        request(0.0, effect="non-replayable"),
         do(0.1),
         end(0.2, word="full"),
         do(0.3, "b"),
@@ -217,7 +219,7 @@
     ],
 )
 def test_the_terms_on_attempts_are_judged_where_they_are_asked_for(limit, left, written, seen):
-    entries = [req(0.0), entry(written, "clients", "written", ref="r")]
+    entries = [request(0.0), entry(written, "clients", "written", ref="r")]
     entries += [] if left is None else [entry(left, "clients", "left", ref="r")]
     entries += [entry(0.19, "a", "do", conn=1, ref="r", next=None, limit=limit)]
     entries.sort(key=lambda one: one["at"])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,7 +29,7 @@
     open_reqs = []
     for _ in range(steps):
         model.run(chance.choice([5, 50, 300, 2000]))
-        open_reqs = [req for req in open_reqs if not req.closed or model.out(req)]
+        open_reqs = [request for request in open_reqs if not request.closed or model.out(request)]
         doing = chance.random()
         if doing < 0.6:
             for _ in range(chance.choice([1, 1, 1, 30])):
@@ -44,16 +44,16 @@
                     )
                 )
         elif doing < 0.9 and open_reqs:
-            req, outcome = chance.choice(open_reqs), chance.choice(OUTCOMES)
-            if model.out(req) and outcome != "hang":
-                if req.closed:
-                    model.end(req, "cancelled", final=False)
-                elif model.time <= req.until:
-                    model.end(req, outcome, took=chance.randrange(5, 6000))
+            request, outcome = chance.choice(open_reqs), chance.choice(OUTCOMES)
+            if model.out(request) and outcome != "hang":
+                if request.closed:
+                    model.end(request, "cancelled", final=False)
+                elif model.time <= request.until:
+                    model.end(request, outcome, took=chance.randrange(5, 6000))
         elif doing < 0.95:
-            be = chance.choice(model.caches + model.parents)
+            backend = chance.choice(model.caches + model.parents)
             started = chance.choice([0, model.time, model.time - SEC])
-            model.list("delta", [(be, chance.choice([0, 1, 1, 2]), started)])
+            model.list("delta", [(backend, chance.choice([0, 1, 1, 2]), started)])
         else:
             key, age = chance.choice(["", f"k{chance.randrange(20)}"]), chance.randrange(3000)
             model.purges.append((key, 1, model.time - age))
@@ -67,7 +67,7 @@
     model = play(seed)
     assert model.wrong == []
     assert len(model.sends) > 50
-    assert {req for req, _ in model.finals} == set(model.history), "each req has its final answer"
+    assert {request for request, _ in model.finals} == set(model.history), "each req has its final answer"
 
 
 BREAKS = {  # what the model must say, and the edits that break the rule
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -103,7 +103,7 @@
     asked, open_reqs, vhosts = [], [], config["vhosts"]
     for _ in range(steps):
         model.run(chance.choice([5, 50, 300, 2000]))
-        open_reqs = [req for req in open_reqs if not req.closed or model.out(req)]
+        open_reqs = [request for request in open_reqs if not request.closed or model.out(request)]
         doing = chance.random()
         if doing < 0.55:
             for _ in range(chance.choice([1, 1, 1, 30])):
@@ -115,31 +115,32 @@
                 )
                 asked.append(open_reqs[-1])
         elif doing < 0.85 and open_reqs:
-            req, outcome = chance.choice(open_reqs), chance.choice(OUTCOMES)
-            if model.out(req) and outcome != "hang":
-                if req.closed:
-                    model.end(req, "cancelled" if config["limits"]["cancel"] else outcome, final=False)
-                elif model.time <= req.until:
-                    model.end(req, outcome, took=chance.randrange(5, 6000))
+            request, outcome = chance.choice(open_reqs), chance.choice(OUTCOMES)
+            if model.out(request) and outcome != "hang":
+                if request.closed:
+                    model.end(request, "cancelled" if config["limits"]["cancel"] else outcome, final=False)
+                elif model.time <= request.until:
+                    model.end(request, outcome, took=chance.randrange(5, 6000))
         elif doing < 0.9 and open_reqs:
-            req = chance.choice(open_reqs)  # its client may have left, and nobody can tell
-            if not req.closed and chance.random() < 0.5:
-                model.router.half_closed(req, model.time)
+            request = chance.choice(open_reqs)  # its client may have left, and nobody can tell
+            if not request.closed and chance.random() < 0.5:
+                model.router.half_closed(request, model.time)
             else:
-                model.gone[req] = model.time  # known outside only, until it is asked for
+                model.gone[request] = model.time  # known outside only, until it is asked for
         elif doing < 0.95:
-            be = chance.choice(model.caches + model.parents)
+            backend = chance.choice(model.caches + model.parents)
             model.list(
-                "delta", [(be, chance.choice([0, 1, 1, 2]), chance.choice([0, model.time, model.time - SEC]))]
+                "delta",
+                [(backend, chance.choice([0, 1, 1, 2]), chance.choice([0, model.time, model.time - SEC]))],
             )
         else:
             key, age = chance.choice(["", f"k{chance.randrange(20)}"]), chance.randrange(3000)
             model.purges.append((key, 1, model.time - age))
             model.router.purged(key, 1, age)
     model.run(max(vhost["client_timeout"] for vhost in vhosts) + SEC)
-    for req in asked:
-        if model.out(req):
-            model.end(req, "timeout", final=False)
+    for request in asked:
+        if model.out(request):
+            model.end(request, "timeout", final=False)
     return model, asked
 
 
@@ -147,9 +148,14 @@
 def test_rules_hold_with_any_legal_settings_and_nothing_is_left_behind(seed):
     model, asked = play(seed)
     assert model.wrong == []
-    assert [req for req, _ in model.finals if req not in asked] == [] and len(model.finals) == len(asked)
+    assert [request for request, _ in model.finals if request not in asked] == [] and len(
+        model.finals
+    ) == len(asked)
     router = model.router
-    assert not any(be.reqs or be.load or be.trial or (be.way and be.way.count) for be in router.known)
+    assert not any(
+        backend.requests or backend.load or backend.trial or (backend.way and backend.way.count)
+        for backend in router.known
+    )
     assert router.link.count == 0
 
 
