--- a/tests/test_sign.py
+++ b/tests/test_sign.py
@@ -15,7 +15,7 @@
 from lilacloft.sign.issue import hmac_link, jwt_link, policy_link
 from lilacloft.sign.keys import SETTLES, Held, KeyFaultError, Keys, new, packed, sign, unpacked, verify
 from lilacloft.sign.paths import DEEPEST, LONGEST, PathError, canonical, covers
-from lilacloft.sign.verdict import FAR, SKEW, Key, Req, Rules, inside, judge, simple
+from lilacloft.sign.verdict import FAR, SKEW, Key, Request, Rules, inside, judge, simple
 
 NOW = 1_800_000_000
 SECRET = hashlib.sha512(b"a secret of the tests").digest()
@@ -24,15 +24,15 @@
 ALL = Keys([SHARED, *PRIVATE.values()])
 VERIFIERS = ALL.verifiers()
 HEAD = {"alg": "HS256", "kid": "h1"}
-MAP = Req("GET", "stops.example.org", "/map", "10.1.2.3")
+MAP = Request("GET", "stops.example.org", "/map", "10.1.2.3")
 
 
 def encoded(value):
     return base64.urlsafe_b64encode(json.dumps(value).encode()).rstrip(b"=").decode()
 
 
-def asked(token, form, req=MAP, now=NOW, rules=None, held=None):
-    return judge(token, form, req, held or VERIFIERS, rules or Rules(), now)
+def asked(token, form, request=MAP, now=NOW, rules=None, held=None):
+    return judge(token, form, request, held or VERIFIERS, rules or Rules(), now)
 
 
 # --- paths ---
@@ -168,8 +168,10 @@
     made = dict(made)
     if net := made.pop("net", ""):
         made.update({"network": net} if form == "hmac" else {"networks": [net]})
-    req = Req(**{"method": "GET", "host": "stops.example.org", "path": "/map", "address": "10.1.2.3", **sent})
-    got = asked(link(form, **made), form, req)
+    request = Request(
+        **{"method": "GET", "host": "stops.example.org", "path": "/map", "address": "10.1.2.3", **sent}
+    )
+    got = asked(link(form, **made), form, request)
     assert got.allowed == (not want) and re.search(want, got.why)
     if got.allowed:
         assert got.until == made.get("ends", NOW + 600) + SKEW and got.path == "/map" and got.key
@@ -179,18 +181,18 @@
 def test_hosts_are_held_to_where_patterns_or_settings_name_them(form):
     token = link(form, patterns=["//stops.example.org/map", "//other.example.org/**"])
     assert asked(token, form).allowed
-    assert not asked(token, form, Req("GET", "evil.example.org", "/map")).allowed
-    assert asked(token, form, Req("GET", "other.example.org", "/any/thing")).allowed
+    assert not asked(token, form, Request("GET", "evil.example.org", "/map")).allowed
+    assert asked(token, form, Request("GET", "other.example.org", "/any/thing")).allowed
     rules = Rules(hosts=("stops.example.org",))
-    assert not asked(link(form), form, Req("GET", "evil.example.org", "/map"), rules=rules).allowed
+    assert not asked(link(form), form, Request("GET", "evil.example.org", "/map"), rules=rules).allowed
 
 
 def test_a_link_for_one_uri_or_a_container_holds_for_no_other_host():
-    assert not asked(link("jwt"), "jwt", Req("GET", "evil.example.org", "/map")).allowed
+    assert not asked(link("jwt"), "jwt", Request("GET", "evil.example.org", "/map")).allowed
     token = link("jwt", regex="//stops\\.example\\.org/video/[0-9]+", renew=30, once="j1", issuer="rides")
-    got = asked(token, "jwt", Req("GET", "stops.example.org", "/video/12"))
+    got = asked(token, "jwt", Request("GET", "stops.example.org", "/video/12"))
     assert got.allowed and (got.renew, got.once) == (30, "j1")
-    assert not asked(token, "jwt", Req("GET", "stops.example.org", "/video/x")).allowed
+    assert not asked(token, "jwt", Request("GET", "stops.example.org", "/video/x")).allowed
     assert asked(token, "jwt", MAP, rules=Rules(issuers=("other",))).why.startswith("issuer")
     assert simple("//a/[0-9]+") and not any(map(simple, ("(a+)+", "(a)\\1", "a" * 600, "(?i)a", "a**", "[")))
 
@@ -282,7 +284,7 @@
 # --- beside a slow plain checker ---
 
 
-def plainly(token, req, now):
+def plainly(token, request, now):
     """The HMAC form in the plainest words: True only where everything is as it must be."""
     pieces = token.split("~hmac=")
     if len(pieces) != 2 or len(token) > 4096:
@@ -295,8 +297,8 @@
         fields["kid"] == "h1"
         and int(fields["exp"]) + SKEW >= now
         and "/map" in fields["acl"].split("!")
-        and req.path == "/map"
-        and req.method in ("GET", "HEAD")
+        and request.path == "/map"
+        and request.method in ("GET", "HEAD")
     )
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lilacloft.emulator.worlds import WORLDS
-from lilacloft.state import Refusal
+from lilacloft.state import RejectReason
 from rigs.model import Model, settings
 from rigs.sizes import FEW, fair, play, tenths
 
@@ -34,11 +34,11 @@
     model = Model(settings())
     vhost = model.router.vhosts[0]
     for number in range(200):  # sizes of 100 to 1,000 KB; the larger ones are refused
-        req = model.ask(f"k{number}", kbytes=100.0 * (1 + number % 10))
+        request = model.ask(f"k{number}", kbytes=100.0 * (1 + number % 10))
         if number % 10 < 7:
-            model.end(req, took=300)
+            model.end(request, took=300)
         else:
-            model.router.give_up(req, Refusal.NO_ROOM)
+            model.router.give_up(request, RejectReason.NO_ROOM)
             model.called_off()
     assert 500 / 4000 < vhost.large / 10_000 < 900 / 4000, "about the seventh tenth"
     assert vhost.answered_large < 0.2 < 0.5 < vhost.answered
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -12,10 +12,10 @@
 def served(model, seconds, late=False):
     """Reqs at a steady rate, each answered by its cache in half its time, or far too late."""
     for number in range(int(seconds * RATE)):
-        req = model.ask(f"k{number % 400}", part=number % 7)
+        request = model.ask(f"k{number % 400}", part=number % 7)
         model.run(SEC // RATE)
-        if model.out(req):
-            model.end(req, took=10 * SEC if late else WORK // 2)
+        if model.out(request):
+            model.end(request, took=10 * SEC if late else WORK // 2)
 
 
 def untold(**family):
@@ -23,15 +23,15 @@
     return settings(weight_source="silent", family={"feed_kb_per_s": [0.0], **family})
 
 
-def sent_to(model, be, since):
-    return [at for at, _, to, _ in model.sends if to is be and at >= since]
+def sent_to(model, backend, since):
+    return [at for at, _, to, _ in model.sends if to is backend and at >= since]
 
 
 def started(model):
     """The first cache has started just now."""
-    be, since = model.caches[0], model.time
-    model.list("delta", [(be, 1, model.time)])
-    return be, since
+    backend, since = model.caches[0], model.time
+    model.list("delta", [(backend, 1, model.time)])
+    return backend, since
 
 
 def test_a_cold_cache_gets_its_part_of_what_warm_ones_bear_in_time():
@@ -41,9 +41,9 @@
     served(model, 8)
     borne = RATE * WORK / SEC / len(model.caches)  # transfers at once
     assert model.router.borne == pytest.approx(borne, rel=0.25)
-    be, since = started(model)
+    backend, since = started(model)
     served(model, 10)
-    rules, calls = model.config["rules"], sent_to(model, be, since)
+    rules, calls = model.config["rules"], sent_to(model, backend, since)
     shares = [
         rules["start_capacity"] + (1 - rules["start_capacity"]) * (second + 0.5) * SEC / rules["cold"]
         for second in range(10)
@@ -62,13 +62,13 @@
 
 def test_what_was_seen_counts_while_the_whole_location_is_cold_and_not_before_anything_was_seen():
     model = Model(untold())
-    be, since = started(model)
-    part = model.router._part(be)
+    backend, since = started(model)
+    part = model.router._part(backend)
     assert part == 1 / model.config["family"]["zone_gateways"][0]
     model = Model(untold())
     served(model, 8)
     borne = model.router.borne
-    model.list("delta", [(be, 1, model.time) for be in model.caches])
+    model.list("delta", [(backend, 1, model.time) for backend in model.caches])
     served(model, 2)
     assert model.router.borne == borne and model.router._part(model.caches[0]) == borne
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -47,8 +47,8 @@
         ref, text = "0911c9969eddbcd5", "non-replayable 0911c9969eddbcd5 sent again after a may have run it"
         fleet.halted = [(fleet.gateways[0].port, 10.0, 13.0)]
         for place, excused in ((0, True), (1, False)):
-            req = {"gateway": fleet.gateways[place].port, "at": 9.9}
-            assert fleet._excused(Breach(2, 10.1, "b", text), {ref: req}, {}) is excused
+            request = {"gateway": fleet.gateways[place].port, "at": 9.9}
+            assert fleet._excused(Breach(2, 10.1, "b", text), {ref: request}, {}) is excused
     finally:
         fleet.close()
 
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -54,44 +54,49 @@
         self.run.records.append(record)
         return self
 
-    def start(self, at=0.0, why="start", bes=BES):
+    def start(self, at=0.0, why="start", backends=BES):
         self.add(at, kinds.Start(why=why))
         return self.add(
-            at, kinds.Listed(event=0, whole=True, bes=[(be, kind, "here", 1, 0, 5.0) for be, kind in bes])
+            at,
+            kinds.Listed(
+                event=0,
+                whole=True,
+                backends=[(backend, kind, "here", 1, 0, 5.0) for backend, kind in backends],
+            ),
         )
 
     def purge(self, at, key="k", true=None):
         true = at if true is None else true
         return self.add(at, kinds.Purge(event=1, key=key, at=UNIX + int(true * SEC)))
 
-    def seconds(self, begin, end, wait=400, asked=10, **bes):
+    def seconds(self, begin, end, wait=400, asked=10, **backends):
         """Well, but for what is said of a be: `silent`, or answers late."""
         for second in range(begin + 1, end + 1):
             said = {
-                be: kinds.Be(
+                backend: kinds.Backend(
                     dispatches=asked,
-                    done=0 if bes.get(be) == "silent" else asked,
-                    ends={"time_up": asked} if bes.get(be) == "silent" else {},
-                    late=asked if bes.get(be) == "late" else 0,
+                    done=0 if backends.get(backend) == "silent" else asked,
+                    ends={"time_up": asked} if backends.get(backend) == "silent" else {},
+                    late=asked if backends.get(backend) == "late" else 0,
                 )
-                for be in ("a", "b")
+                for backend in ("a", "b")
             }
             for parent in ("p", "q"):
-                slow = bes.get(parent) == "slow"
-                said[parent] = kinds.Be(fills=5, waits=5, waited=5 * (9000 if slow else wait))
-            done = sum(be.done for be in said.values())
+                slow = backends.get(parent) == "slow"
+                said[parent] = kinds.Backend(fills=5, waits=5, waited=5 * (9000 if slow else wait))
+            done = sum(backend.done for backend in said.values())
             self.add(
                 second,
                 kinds.Second(
                     span=SEC,
-                    bes=said,
-                    vhosts={"clip": kinds.Vhost(reqs=20, done=done, value=2.0 * done, dispatches=20)},
+                    backends=said,
+                    vhosts={"clip": kinds.Vhost(requests=20, done=done, value=2.0 * done, dispatches=20)},
                 ),
             )
         return self
 
-    def belief(self, at, be, what="left alone", why="3 symptoms in a row"):
-        return self.add(at, kinds.Belief(be=be, what=what, why=why))
+    def belief(self, at, backend, what="left alone", why="3 symptoms in a row"):
+        return self.add(at, kinds.Belief(backend=backend, what=what, why=why))
 
 
 def tell(*tellers):
@@ -319,9 +324,11 @@
 def test_drains_and_cold_returns_are_told_as_the_list_has_them():
     def told(name):
         one = Teller(name).start().seconds(0, 30)
-        one.add(5.0, kinds.Listed(event=2, bes=[("a", "small", "here", 2, 0, 5.0)]))
-        one.add(9.0, kinds.Listed(event=3, bes=[("a", "small", "here", 0, 0, 5.0)]))
-        return one.add(14.0, kinds.Listed(event=4, bes=[("a", "small", "here", 1, UNIX + 14 * SEC, 5.0)]))
+        one.add(5.0, kinds.Listed(event=2, backends=[("a", "small", "here", 2, 0, 5.0)]))
+        one.add(9.0, kinds.Listed(event=3, backends=[("a", "small", "here", 0, 0, 5.0)]))
+        return one.add(
+            14.0, kinds.Listed(event=4, backends=[("a", "small", "here", 1, UNIX + 14 * SEC, 5.0)])
+        )
 
     found = tell(told("n0"), told("n1"))
     assert [one.title() for one in found.episodes] == ["cache a drained", "cache a returned cold"]
@@ -384,13 +391,19 @@
         lost.add(
             second,
             kinds.Second(
-                span=SEC, bes={be: kinds.Be(dispatches=10, done=6, ends={"time_up": 4}) for be in ("a", "b")}
+                span=SEC,
+                backends={
+                    backend: kinds.Backend(dispatches=10, done=6, ends={"time_up": 4})
+                    for backend in ("a", "b")
+                },
             ),
         )
     assert kinds_of(tell(lost.seconds(25, 40))) == ["lost answers"]
     crowd = Teller("n0").start().seconds(0, 20)
     for second in range(21, 26):
-        crowd.add(second, kinds.Second(span=SEC, vhosts={"clip": kinds.Vhost(reqs=90, done=40, denied=50)}))
+        crowd.add(
+            second, kinds.Second(span=SEC, vhosts={"clip": kinds.Vhost(requests=90, done=40, denied=50)})
+        )
     assert kinds_of(tell(crowd.seconds(25, 40))) == ["crowd"]
 
 
@@ -487,7 +500,7 @@
 
 
 def test_names_that_look_like_markup_do_no_harm(tmp_path):
-    teller = Teller("<script>alert(1)</script>").start(bes=(("<b>&", "small"), ("b", "small")))
+    teller = Teller("<script>alert(1)</script>").start(backends=(("<b>&", "small"), ("b", "small")))
     teller.seconds(0, 10).belief(10.4, "<b>&").seconds(10, 14)
     from lilacloft.report.page import page
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -63,7 +63,9 @@
     places[-1] = Place(tuple(f"p{one}" for one in range(hub)), (), True)
     seen = {
         name: {
-            be: look for be in [*place.bes, *places[-1].bes] if (look := looks(zone, name, be)) is not None
+            backend: look
+            for backend in [*place.backends, *places[-1].backends]
+            if (look := looks(zone, name, backend)) is not None
         }
         for zone, place in places.items()
         for name in place.forwarders
@@ -72,7 +74,7 @@
 
 
 def caches_of(*zones):
-    return lambda zone, name, be: BAD if zone in zones and be[0] == "c" else GOOD
+    return lambda zone, name, backend: BAD if zone in zones and backend[0] == "c" else GOOD
 
 
 CASES = {
@@ -80,33 +82,38 @@
     "a location's caches": (caches_of(1), {1: CACHES}),
     "two of three: what they share": (caches_of(0, 1), {0: SHARED, 1: SHARED}),
     "all: everybody's": (caches_of(0, 1, 2), {0: SHARED, 1: SHARED, 2: SHARED}),
-    "one forwarder's bad path": (lambda zone, name, be: BAD if name == "f1-0" else GOOD, {}),
+    "one forwarder's bad path": (lambda zone, name, backend: BAD if name == "f1-0" else GOOD, {}),
     "half of a location's caches": (
-        lambda zone, name, be: BAD if zone == 1 and be in ("c1-0", "c1-1") else GOOD,
+        lambda zone, name, backend: BAD if zone == 1 and backend in ("c1-0", "c1-1") else GOOD,
         {},
     ),
     "three of four caches": (
-        lambda zone, name, be: BAD if zone == 1 and be in ("c1-0", "c1-1", "c1-2") else GOOD,
+        lambda zone, name, backend: BAD if zone == 1 and backend in ("c1-0", "c1-1", "c1-2") else GOOD,
         {1: CACHES},
     ),
     "two of three forwarders see it": (
-        lambda zone, name, be: BAD if zone == 1 and name != "f1-2" and be[0] == "c" else GOOD,
+        lambda zone, name, backend: BAD if zone == 1 and name != "f1-2" and backend[0] == "c" else GOOD,
         {},
     ),
-    "nobody has looked": (lambda zone, name, be: QUIET if zone == 1 and be[0] == "c" else GOOD, {1: FEW}),
+    "nobody has looked": (
+        lambda zone, name, backend: QUIET if zone == 1 and backend[0] == "c" else GOOD,
+        {1: FEW},
+    ),
     "one cache of four was looked at": (
-        lambda zone, name, be: (BAD if be == "c1-0" else QUIET) if zone == 1 and be[0] == "c" else GOOD,
+        lambda zone, name, backend: (BAD if backend == "c1-0" else QUIET)
+        if zone == 1 and backend[0] == "c"
+        else GOOD,
         {},
     ),
     "the hub's parents, asked past the caches": (
-        lambda zone, name, be: BAD if be[0] == "p" else GOOD,
+        lambda zone, name, backend: BAD if backend[0] == "p" else GOOD,
         {0: FEW, 1: FEW, 2: FEW, -1: SHARED},
     ),
     "fills of one location only": (
-        lambda zone, name, be: Look(unfilled=2)
-        if zone == 1 and be[0] == "p"
+        lambda zone, name, backend: Look(unfilled=2)
+        if zone == 1 and backend[0] == "p"
         else Look(filled=3)
-        if be[0] == "p"
+        if backend[0] == "p"
         else GOOD,
         {1: WAY},
     ),
@@ -124,7 +131,7 @@
 
 
 def test_one_hub_of_two_fails_as_seen_from_all_locations():
-    view = world(lambda zone, name, be: Look(unfilled=1) if be[0] == "p" else GOOD)
+    view = world(lambda zone, name, backend: Look(unfilled=1) if backend[0] == "p" else GOOD)
     view.places[-2] = Place(("q0", "q1"), (), True)
     for name in view.looks:
         view.looks[name].update(q0=Look(filled=1), q1=Look(filled=1))
@@ -141,22 +148,22 @@
 
 
 def test_who_sees_all_elsewhere_fail_as_well_sees_its_own_path():
-    def looks(zone, name, be):
+    def looks(zone, name, backend):
         if name in ("f1-0", "f1-1"):
             return BAD
-        return QUIET if name == "f1-2" and be[0] == "c" else GOOD
+        return QUIET if name == "f1-2" and backend[0] == "c" else GOOD
 
     found = judge(world(looks))  # two of three of a location, and the third has not looked
     assert found[1].why == FEW and not found[1].fails
-    seen = judge(world(lambda zone, name, be: GOOD if be[0] == "p" else looks(zone, name, be)))
+    seen = judge(world(lambda zone, name, backend: GOOD if backend[0] == "p" else looks(zone, name, backend)))
     assert seen[1].fails and seen[1].by == ("f1-0", "f1-1")  # they reach parents: the location it is
 
 
 def test_two_of_twelve_name_no_hub():
-    def looks(zone, name, be):
-        if be[0] != "p":
+    def looks(zone, name, backend):
+        if backend[0] != "p":
             return GOOD
-        return Look(unfilled=3) if be == "p0" and name in ("f0-0", "f1-0") else QUIET
+        return Look(unfilled=3) if backend == "p0" and name in ("f0-0", "f1-0") else QUIET
 
     view = world(looks, forwarders=4, hub=1)
     view.places[-2] = Place(("q0",), (), True)
@@ -184,17 +191,17 @@
             if not (
                 outside := [
                     look.fails()
-                    for be, look in view.looks[name].items()
-                    if be not in place.bes and look.fails() is not None
+                    for backend, look in view.looks[name].items()
+                    if backend not in place.backends and look.fails() is not None
                 ]
             )
             or not all(outside)
         ]
         pairs = {
-            (name, be): view.looks[name][be].fails()
+            (name, backend): view.looks[name][backend].fails()
             for name in names
-            for be in place.bes
-            if be in view.looks[name] and view.looks[name][be].fails() is not None
+            for backend in place.backends
+            if backend in view.looks[name] and view.looks[name][backend].fails() is not None
         }
         who = {name for name, _ in pairs}
         see = {
@@ -203,21 +210,21 @@
             if sum(bad for (one, _), bad in pairs.items() if one == name)
             >= 0.75 * sum(one == name for one, _ in pairs)
         }
-        bes = {be for _, be in pairs}
+        backends = {backend for _, backend in pairs}
         dead = {
-            be
-            for be in bes
-            if sum(bad for (_, one), bad in pairs.items() if one == be)
-            > sum(not bad for (_, one), bad in pairs.items() if one == be)
+            backend
+            for backend in backends
+            if sum(bad for (_, one), bad in pairs.items() if one == backend)
+            > sum(not bad for (_, one), bad in pairs.items() if one == backend)
         }
         if (
             len(see) >= max(min(2, len(place.forwarders)), len(names) / 4)
             and see
             and len(see) >= 0.75 * len(who)
-            and (2 * len(bes) >= len(place.bes) or len(bes) >= 8)
-            and len(bes) >= min(2, len(place.bes))
-            and bes
-            and len(dead) >= 0.75 * len(bes)
+            and (2 * len(backends) >= len(place.backends) or len(backends) >= 8)
+            and len(backends) >= min(2, len(place.backends))
+            and backends
+            and len(dead) >= 0.75 * len(backends)
         ):
             named.append(zone)
     return named if 2 * len(named) <= sum(not place.parents for place in view.places.values()) else []
@@ -230,7 +237,7 @@
     dead = {zone for zone in range(zones) if chance.random() < 0.35}
     lie = 0.3 * chance.random()
 
-    def looks(zone, name, be):
+    def looks(zone, name, backend):
         if chance.random() < 0.3:
             return None
         bad = (zone in dead) != (chance.random() < lie)
@@ -250,7 +257,7 @@
         f"f{zone}-{one}" for zone in range(3) for one in chance.sample(range(forwarders), forwarders // 5)
     }
 
-    def looks(zone, name, be):
+    def looks(zone, name, backend):
         return None if chance.random() < 0.2 else BAD if name in hurt else GOOD
 
     assert not any(one.fails for one in judge(world(looks, caches=8, forwarders=forwarders)).values())
