--- a/lilacloft/carried.py
+++ b/lilacloft/carried.py
@@ -12,58 +12,70 @@
 from lilacloft.decide import TABLE, Limit, Router
 from lilacloft.state import Backend, ObjectPart, Request
 
-# What the next process goes on with, by record (give, take): what a rule counts, what takes long to learn.
-# The rest is told anew, found by counting the open reqs (load, reqs, trial), or starts as at a start.
-KEPT = {
-    "router": ("late", "value", "work", "unit", "arrivals", "caught_up", "borne"),
-    "vhost": ("work", "usual"),
-    "limit": ("limit", "late", "calm", "ended", "took"),
-    "be": ("crowd", "holds", "asked", "heard", "strikes", "late", "suspect", "retry_at", "backoff", "budget"),
-    "obj": ("marked", "seen", "filled", "work"),
-    "req": (
-        "key",
-        "part",
-        "group",
-        "kbytes",
-        "arrived",
-        "until",
-        "vhost",
-        "tenant",
-        "write",
-        "repeat",
-        "flowing",
-        "out",
-        "tries",
-        "sent",
-        "units",
-        "work",
-        "fill",
-        "first_ran",
-        "renew",
-        "rejoin",
-        "looked",
-        "send_by",
-    ),
+# What the next process goes on with, by record: attribute and the key under which it goes over. It is what a
+# rule counts and what takes long to learn. The rest is told anew, found by counting the open requests, or
+# starts as at a start.
+ROUTER_KEYS = {name: name for name in ("late", "value", "work", "unit", "arrivals", "caught_up", "borne")}
+VHOST_KEYS = {"mean_transfer_time": "work", "usual_answer_time": "usual"}
+LIMIT_KEYS = {
+    "limit": "limit",
+    "late_share": "late",
+    "next_cut_at": "calm",
+    "last_ended_at": "ended",
+    "last_duration": "took",
 }
-
-
-# Attributes whose key in the handed-over state has another name.
-ATTRIBUTES = {
-    "strikes": "consecutive_failures",
-    "suspect": "ejected",
-    "first_ran": "first_executed_at",
-    "rejoin": "may_collapse",
+BACKEND_KEYS = {
+    "reported_load": "crowd",
+    "saturation_in_flight": "holds",
+    "health_checked_at": "asked",
+    "last_answer_at": "heard",
+    "consecutive_failures": "strikes",
+    "late_fill_share": "late",
+    "ejected": "suspect",
+    "retry_at": "retry_at",
+    "backoff": "backoff",
+    "recent_work": "budget",
+}
+OBJECT_PART_KEYS = {
+    "revalidated_at": "marked",
+    "request_count": "seen",
+    "filled_at": "filled",
+    "min_transfer_time": "work",
+}
+REQUEST_KEYS = {
+    "key": "key",
+    "part": "part",
+    "purge_group": "group",
+    "kbytes": "kbytes",
+    "arrived_at": "arrived",
+    "deadline": "until",
+    "vhost": "vhost",
+    "tenant": "tenant",
+    "is_write": "write",
+    "is_client_retry": "repeat",
+    "streaming": "flowing",
+    "in_flight": "out",
+    "attempts": "tries",
+    "sent_at": "sent",
+    "load_units": "units",
+    "transfer_time": "work",
+    "expects_fill": "fill",
+    "first_executed_at": "first_ran",
+    "revalidates": "renew",
+    "may_collapse": "rejoin",
+    "cache_only": "looked",
+    "send_by": "send_by",
 }
 
 
-def _kept(kind: str, of: Any) -> dict[str, Any]:
-    return {name: getattr(of, ATTRIBUTES.get(name, name)) for name in KEPT[kind]}
+def _export(record: Any, keys: Mapping[str, str]) -> dict[str, Any]:
+    return {key: getattr(record, attribute) for attribute, key in keys.items()}
 
 
-def _set(kind: str, of: Any, kept: Mapping[str, Any]) -> None:
-    for name in KEPT[kind]:
-        if name in kept:
-            setattr(of, ATTRIBUTES.get(name, name), kept[name])
+def _restore(record: Any, keys: Mapping[str, str], exported: Mapping[str, Any]) -> None:
+    for attribute, key in keys.items():
+        if key in exported:
+            setattr(record, attribute, exported[key])
 
 
 def give(
@@ -74,39 +86,45 @@
     backends = {
         backend.name: backend
         for request in requests
-        for backend in (request.backend, request.source, request.first_executed_by, *request.avoid)
+        for backend in (request.backend, request.source, request.first_executed_by, *request.failed_backends)
         if backend
     }
     backends.update((backend.name, backend) for backend in router.known)
     object_parts = [(place, router.object_parts[place]) for place in places if place in router.object_parts]
     return {
-        "router": _kept("router", router),
-        "vhosts": [_kept("vhost", vhost) for vhost in router.vhosts],
-        "link": _kept("limit", router.link),
+        "router": _export(router, ROUTER_KEYS),
+        "vhosts": [_export(vhost, VHOST_KEYS) for vhost in router.vhosts],
+        "link": _export(router.link, LIMIT_KEYS),
         "bes": {
             name: {
-                **_kept("be", backend),
+                **_export(backend, BACKEND_KEYS),
                 "started": backend.started,
-                "way": backend.way and _kept("limit", backend.way),
+                "way": backend.concurrency_limit and _export(backend.concurrency_limit, LIMIT_KEYS),
                 "reqs": [index[request] for request in backend.requests if request in index],
-                "trial": index.get(backend.trial),
+                "trial": index.get(backend.canary),
             }
             for name, backend in backends.items()
         },
         "objs": [
-            {"place": place, **_kept("obj", object_part), "home": object_part.home and object_part.home.name}
+            {
+                "place": place,
+                **_export(object_part, OBJECT_PART_KEYS),
+                "home": object_part.last_served_by and object_part.last_served_by.name,
+            }
             for place, object_part in object_parts
         ],
         "purges": list(router.purges.items()),
         "reqs": [
             {
-                **_kept("req", request),
+                **_export(request, REQUEST_KEYS),
                 "be": request.backend and request.backend.name,
                 "source": request.source and request.source.name,
                 "ran_at": request.first_executed_by and request.first_executed_by.name,
-                "avoid": [backend.name for backend in request.avoid],
+                "avoid": [backend.name for backend in request.failed_backends],
                 "cached": request.object_part is not None,
-                "way": "" if request.way is router.link else request.way and request.source.name,
+                "way": ""
+                if request.fill_limit is router.link
+                else request.fill_limit and request.source.name,
             }
             for request in requests
         ],
@@ -118,26 +136,26 @@
 
 def take(router: Router, given: Mapping[str, Any], backends: Mapping[str, Backend]) -> list[Request]:
     """Go on with what another gave, its list told; returns its reqs. What is of earlier lives is void."""
-    _set("router", router, given["router"])
+    _restore(router, ROUTER_KEYS, given["router"])
     for vhost, kept in zip(router.vhosts, given["vhosts"], strict=False):
-        _set("vhost", vhost, kept)
-    _set("limit", router.link, given["link"])
+        _restore(vhost, VHOST_KEYS, kept)
+    _restore(router.link, LIMIT_KEYS, given["link"])
     for name, kept in given["bes"].items():
         backend = backends.get(name)
         if backend and backend.started == kept["started"]:
-            _set("be", backend, kept)
-            backend.budget = [(at, work) for at, work in backend.budget]
+            _restore(backend, BACKEND_KEYS, kept)
+            backend.recent_work = [(at, work) for at, work in backend.recent_work]
             if kept["way"]:
-                backend.way = backend.way or Limit(1.0, 1 / router.gateways)
-                _set("limit", backend.way, kept["way"])
+                backend.concurrency_limit = backend.concurrency_limit or Limit(1.0, 1 / router.gateways)
+                _restore(backend.concurrency_limit, LIMIT_KEYS, kept["way"])
     recall(router, given["objs"], backends)
     router.purges.update((what, max(at, router.purges.get(what, 0))) for what, at in given["purges"])
     requests = [_resume(router, kept, backends) for kept in given["reqs"]]
     for name, kept in given["bes"].items():
         if name in backends:
             backends[name].requests = {requests[place]: None for place in kept["reqs"]}
-            backends[name].load = sum(request.units for request in backends[name].requests)
-            backends[name].trial = None if kept["trial"] is None else requests[kept["trial"]]
+            backends[name].in_flight_load = sum(request.load_units for request in backends[name].requests)
+            backends[name].canary = None if kept["trial"] is None else requests[kept["trial"]]
     for when, place, seq in given["due"]:
         router._push(when, requests[place], seq)
     return requests
@@ -150,26 +168,28 @@
     for kept in object_parts:
         place = tuple(kept["place"])
         object_part = router.object_parts[place] = router.object_parts.pop(place, None) or ObjectPart()
-        _set("obj", object_part, kept)
-        object_part.home = backends.get(kept["home"])
+        _restore(object_part, OBJECT_PART_KEYS, kept)
+        object_part.last_served_by = backends.get(kept["home"])
         if len(router.object_parts) > TABLE:
             del router.object_parts[next(iter(router.object_parts))]
 
 
 def _resume(router: Router, kept: Mapping[str, Any], backends: Mapping[str, Backend]) -> Request:
     """One open req of another process, with its dispatch if one is out: the counts it stands in."""
-    request = Request(**{ATTRIBUTES.get(name, name): kept[name] for name in KEPT["req"]})
+    request = Request(**{attribute: kept[key] for attribute, key in REQUEST_KEYS.items()})
     request.backend, request.source, request.first_executed_by = (
         backends.get(kept["be"]),
         backends.get(kept["source"]),
         backends.get(kept["ran_at"]),
     )
-    request.avoid = [backends[name] for name in kept["avoid"] if name in backends]
+    request.failed_backends = [backends[name] for name in kept["avoid"] if name in backends]
     if kept["cached"]:
         request.object_part = router.object_parts.setdefault((request.key, request.part), ObjectPart())
-    request.way = router.link if kept["way"] == "" else request.source.way if kept["way"] else None
-    if request.out:
-        for way in (request.backend.way, request.way):
+    request.fill_limit = (
+        router.link if kept["way"] == "" else request.source.concurrency_limit if kept["way"] else None
+    )
+    if request.in_flight:
+        for way in (request.backend.concurrency_limit, request.fill_limit):
             if way:
-                way.count += 1
+                way.in_flight += 1
     return request
--- a/lilacloft/decide.py
+++ b/lilacloft/decide.py
@@ -47,31 +47,38 @@
 
     def __init__(self, config: Mapping[str, Any], family: Mapping[str, Any], place: int) -> None:
         self.target = config["first_byte_target"]
-        self.stretch = config.get("aim_stretch") or 0.0
+        self.objective_stretch = config.get("aim_stretch") or 0.0
         self.value, self.effect = config["value"], config["effect"]
-        self.group, self.window = config.get("repeat_group", "cell"), config.get("repeat_window", 0)
+        self.idempotency_scope, self.idempotency_window = (
+            config.get("repeat_group", "cell"),
+            config.get("repeat_window", 0),
+        )
         self.fresh, self.grace, self.uncacheable = (
             (family.get(name) or [0] * (place + 1))[place] for name in ("fresh", "grace", "uncacheable")
         )
         # mean sending times, until one is seen what a target must leave room for; usual: without late answers
-        self.work = self.usual = self.target / 2
-        self.asked = False  # has one come?
-        self.answered = self.answered_large = 1.0  # shares of late: of all, and of the largest three tenths
-        self.large = 0.0  # the work beyond which a req is one of those
+        self.mean_transfer_time = self.usual_answer_time = self.target / 2
+        self.has_traffic = False  # has one come?
+        self.answered_share = self.large_answered_share = (
+            1.0  # shares of late: of all, and of the largest three tenths
+        )
+        self.large_threshold = 0.0  # the work beyond which a req is one of those
 
-    def met(self, work: float) -> None:
+    def record_arrival(self, work: float) -> None:
         """A req of so much work has come."""
-        self.large += LEARN * self.work * (0.7 if work > self.large else -0.3)
+        self.large_threshold += (
+            LEARN * self.mean_transfer_time * (0.7 if work > self.large_threshold else -0.3)
+        )
 
-    def told(self, work: float, answered: bool) -> None:
+    def record_outcome(self, work: float, answered: bool) -> None:
         """One has its final answer."""
-        self.answered += LEARN * (answered - self.answered)
-        if work > self.large:
-            self.answered_large += LEARN * (answered - self.answered_large)
+        self.answered_share += LEARN * (answered - self.answered_share)
+        if work > self.large_threshold:
+            self.large_answered_share += LEARN * (answered - self.large_answered_share)
 
-    def aim(self, work: float) -> int:
+    def latency_objective(self, work: float) -> int:
         """The span within which an answer earns the full value."""
-        return int(self.target + self.stretch * work)
+        return int(self.target + self.objective_stretch * work)
 
 
 class Limit:
@@ -79,24 +86,33 @@
     that could only be late is refused early. Where fewer cure nothing it falls below one at a time."""
 
     def __init__(self, limit: float, least: float) -> None:
-        self.limit, self.least, self.count, self.late, self.calm = limit, least, 0, 0.0, 0
-        self.ended, self.took, self.top = 0, 0, math.inf  # above `top` no plan lets it go
+        self.limit, self.minimum, self.in_flight, self.late_share, self.next_cut_at = limit, least, 0, 0.0, 0
+        self.last_ended_at, self.last_duration, self.ceiling = (
+            0,
+            0,
+            math.inf,
+        )  # above `top` no plan lets it go
 
-    def open(self, favour: float, now: int) -> bool:
+    def allows(self, favour: float, now: int) -> bool:
         """May one more go out, whose value for its work is so many times the usual? Below one at a time the
         way rests between dispatches, so that many gateways together keep to few."""
-        limit = min(self.limit, self.top) * favour
-        return self.count < limit and (limit >= 1 or now >= self.ended + self.took * (1 / limit - 1))
+        limit = min(self.limit, self.ceiling) * favour
+        return self.in_flight < limit and (
+            limit >= 1 or now >= self.last_ended_at + self.last_duration * (1 / limit - 1)
+        )
 
-    def heed(self, late: bool, now: int, took: int, span: int) -> None:
+    def record(self, late: bool, now: int, took: int, span: int) -> None:
         """Take in whether an answer came late; one cut in a span at most, as those out tell the same news."""
-        self.late += (late - self.late) / 8
-        self.ended, self.took = now, took
+        self.late_share += (late - self.late_share) / 8
+        self.last_ended_at, self.last_duration = now, took
         if not late:
-            if self.count + 1 >= self.limit / 2:
+            if self.in_flight + 1 >= self.limit / 2:
                 self.limit += min(self.limit / 2, 1 / self.limit)
-        elif self.late > TOLERATED and now >= self.calm:
-            self.limit, self.calm = max(self.least, CUT * min(self.limit, self.count + 1)), now + span
+        elif self.late_share > TOLERATED and now >= self.next_cut_at:
+            self.limit, self.next_cut_at = (
+                max(self.minimum, CUT * min(self.limit, self.in_flight + 1)),
+                now + span,
+            )
 
 
 def turn(request: Request, backend: Backend) -> float:
@@ -112,7 +128,7 @@
 
 def sized(request: Request) -> bool:
     """Is its sending time known? Else a long answer may be but a large one."""
-    return bool(request.kbytes or request.object_part is None or request.object_part.work)
+    return bool(request.kbytes or request.object_part is None or request.object_part.min_transfer_time)
 
 
 class Router:
@@ -167,7 +183,7 @@
         for backend in self.known:
             backend.status = backend.status if mode == "delta" else 0
         for backend, backend.zone, backend.kind, backend.cell, backend.status, size, started in entries:
-            backend.size = size if size > 0 else 1.0
+            backend.capacity = size if size > 0 else 1.0
             if started > backend.started:
                 anew[backend] = None
                 (
@@ -175,7 +191,7 @@
                     backend.ejected,
                     backend.consecutive_failures,
                     backend.backoff,
-                    backend.crowd,
+                    backend.reported_load,
                 ) = started, False, 0, 0, 0.0
             if (
                 self.across
@@ -196,9 +212,9 @@
         for backend in caches:
             self.far.setdefault(backend.zone, []).append(backend)
         for backend in ready:
-            if backend.way is None:
+            if backend.concurrency_limit is None:
                 least = 1 / (self.zone_gateways if backend in self.caches else self.gateways)
-                backend.way = Limit(max(1.0, GENEROUS * self._part(backend)), least)
+                backend.concurrency_limit = Limit(max(1.0, GENEROUS * self._part(backend)), least)
         # what the gate let go and has not gone out would come to a be that drains, or is cold now
         self._withdraw(
             request
@@ -213,41 +229,44 @@
         """A client asks."""
         vhost = self.vhosts[request.vhost]
         worth = max(vhost.value / (self.value or vhost.value or 1.0), 1 / FAVOUR)
-        if self.host.now() - request.arrived > LAG * vhost.target * worth:
+        if self.host.now() - request.arrived_at > LAG * vhost.target * worth:
             # at once, and that of less value first: all it has is late else
             return self.give_up(request, RejectReason.LAY_UNREAD)
-        if not vhost.asked:
-            vhost.asked, vhost.work = True, request.kbytes / self.pace or vhost.work
-            vhost.large = vhost.work
-        request.units = request.kbytes or 1.0
-        self.unit += LEARN * (request.units - self.unit) if self.unit else request.units
+        if not vhost.has_traffic:
+            vhost.has_traffic, vhost.mean_transfer_time = (
+                True,
+                request.kbytes / self.pace or vhost.mean_transfer_time,
+            )
+            vhost.large_threshold = vhost.mean_transfer_time
+        request.load_units = request.kbytes or 1.0
+        self.unit += LEARN * (request.load_units - self.unit) if self.unit else request.load_units
         self.value += LEARN * (vhost.value - self.value)
-        self._push(request.until - self.tick, request, -1)
+        self._push(request.deadline - self.tick, request, -1)
         self.arrivals += 1
         if self.asks and self.caches and self.arrivals % ASK == 0:
             backend = self.caches[self.arrivals // ASK % len(self.caches)]
-            if self.host.now() >= backend.asked + 2 * vhost.target:
-                backend.asked = self.host.now()
+            if self.host.now() >= backend.health_checked_at + 2 * vhost.target:
+                backend.health_checked_at = self.host.now()
                 self.host.check(backend)
-        if not (vhost.uncacheable or request.write):
+        if not (vhost.uncacheable or request.is_write):
             place = (request.key, request.part)
             request.object_part = self.object_parts.pop(place, None) or ObjectPart()
             self.object_parts[place] = request.object_part  # least lately asked first
             if len(self.object_parts) > TABLE:
                 del self.object_parts[next(iter(self.object_parts))]
-            request.object_part.seen += 1
-        request.work = (
+            request.object_part.request_count += 1
+        request.transfer_time = (
             request.kbytes / self.pace
-            or (request.object_part.work if request.object_part else 0.0)
-            or vhost.usual
+            or (request.object_part.min_transfer_time if request.object_part else 0.0)
+            or vhost.usual_answer_time
         )
-        self.work += LEARN * (request.work - self.work)
-        vhost.met(request.work)
+        self.work += LEARN * (request.transfer_time - self.work)
+        vhost.record_arrival(request.transfer_time)
         self._walk(request)
 
     def flowing(self, request: Request, seq: int) -> None:
         """A stream has begun: it has neither time-out nor client timeout any more."""
-        request.flowing = request.out and seq == request.tries - 1
+        request.streaming = request.in_flight and seq == request.attempts - 1
 
     def ended(
         self,
@@ -262,29 +281,33 @@
         load: list[float],
     ) -> None:
         """A dispatch is over."""
-        if not request.out or seq != request.tries - 1:
+        if not request.in_flight or seq != request.attempts - 1:
             return
-        trial = request.source.trial
+        trial = request.source.canary
         source = self._release(request, backend)
-        if request.renew and outcome in UNSPENT and request.object_part.marked == request.sent:
-            request.object_part.marked = None  # no cache renews for it: the next one may
+        if (
+            request.revalidates
+            and outcome in UNSPENT
+            and request.object_part.revalidated_at == request.sent_at
+        ):
+            request.object_part.revalidated_at = None  # no cache renews for it: the next one may
         self._blame(request, backend, source, outcome, took, note, trial)
-        if outcome == "done" and not request.closed:
-            self.vhosts[request.vhost].told(request.work, True)
-        request.closed = request.closed or final
-        if request.closed:
+        if outcome == "done" and not request.finished:
+            self.vhosts[request.vhost].record_outcome(request.transfer_time, True)
+        request.finished = request.finished or final
+        if request.finished:
             return
         if outcome in RAN and request.first_executed_at is None:
-            request.first_executed_at, request.first_executed_by = request.sent, backend
+            request.first_executed_at, request.first_executed_by = request.sent_at, backend
         lost = (
-            outcome == "cancelled" and not backend.ejected and backend.heard >= request.sent
+            outcome == "cancelled" and not backend.ejected and backend.last_answer_at >= request.sent_at
         )  # it answers others
         if outcome in ("spoilt", "unsent") or (outcome == "reset" and not backend.ejected):
             return self._walk(request)  # chance, wherever it goes; what was spoilt lies ready there now
         if note not in (6, 7, 8, 10) and not lost:
-            request.avoid.append(backend)
+            request.failed_backends.append(backend)
         if note != 9 and source is not backend:
-            request.avoid.append(source)
+            request.failed_backends.append(source)
         request.may_collapse = (
             request.may_collapse and outcome not in RAN
         )  # what just failed may be the fill itself
@@ -292,10 +315,10 @@
 
     def left(self, request: Request) -> None:
         """The client has gone."""
-        if not request.closed:
-            request.closed = True
-            if request.out and self.can_cancel and not request.flowing:
-                self.host.cancel(request, request.tries - 1)
+        if not request.finished:
+            request.finished = True
+            if request.in_flight and self.can_cancel and not request.streaming:
+                self.host.cancel(request, request.attempts - 1)
 
     def half_closed(self, request: Request, at: int) -> int:
         """Its client's input ended at a time: it may read on or have left, and nobody can tell before
@@ -320,26 +343,30 @@
             request
             for backend in self.known
             for request in backend.requests
-            if (request.key == key if key else request.group == group)
+            if (request.key == key if key else request.purge_group == group)
         )
 
     def _withdraw(self, requests: Iterable[Request]) -> None:
         """Have dispatches go through the gate anew, those of them that have not gone out."""
         for request in dict.fromkeys(requests):
-            self.host.withdraw(request, request.tries - 1)
+            self.host.withdraw(request, request.attempts - 1)
 
     def checked(self, backend: Backend, took: int, outcome: str, load: list[float]) -> None:
         """A health check is answered: how crowded is it? By what it holds over what it held when partly busy;
         not at all while it is not busy. Clears no suspect, which may answer checks alone."""
         told = dict(zip(self.names, load or [], strict=False))
-        crowd = 2 * GENEROUS if outcome in ("full", "timeout") else backend.crowd  # no room even for a check
+        crowd = (
+            2 * GENEROUS if outcome in ("full", "timeout") else backend.reported_load
+        )  # no room even for a check
         if "inflight" in told:
             crowd = busy = told["util"]
             if BUSY / 2 < busy < BUSY:
-                backend.holds += (told["inflight"] / busy - backend.holds) * (LEARN if backend.holds else 1)
-            elif busy >= BUSY and backend.holds:
-                crowd = told["inflight"] / backend.holds
-        backend.crowd += (crowd - backend.crowd) / 2
+                backend.saturation_in_flight += (told["inflight"] / busy - backend.saturation_in_flight) * (
+                    LEARN if backend.saturation_in_flight else 1
+                )
+            elif busy >= BUSY and backend.saturation_in_flight:
+                crowd = told["inflight"] / backend.saturation_in_flight
+        backend.reported_load += (crowd - backend.reported_load) / 2
 
     def lagged(self, late: int) -> None:
         self.caught_up = self.host.now() + late  # it runs late itself, and judges nobody else to be so
@@ -357,9 +384,13 @@
             self.armed = math.inf
             while self.due and self.due[0][0] <= now:
                 _, _, request, seq = heapq.heappop(self.due)
-                if seq < 0 and not request.flowing:
+                if seq < 0 and not request.streaming:
                     self.give_up(request, RejectReason.TIME_UP)
-                elif request.out and seq == request.tries - 1 and not (request.closed or request.flowing):
+                elif (
+                    request.in_flight
+                    and seq == request.attempts - 1
+                    and not (request.finished or request.streaming)
+                ):
                     self._overdue(request)
             self._arm()
 
@@ -377,14 +408,14 @@
     ) -> None:
         """What a plan sets (lilacloft/plan/): who is left alone until when, limits, parts of cold budgets,
         which objects are away from which locations (lilacloft/zones/)."""
-        self.link.top, self.shares = link or math.inf, shares
+        self.link.ceiling, self.shares = link or math.inf, shares
         before, self.away = self.away, left or {}
         for backend in self.known:
             if backend.zone in self.away and backend.zone not in before and backend.kind != self.origin_kind:
                 self._leave(backend)
         for backend in self.known:
-            if backend.way:
-                backend.way.top = ways.get(backend.name, math.inf)
+            if backend.concurrency_limit:
+                backend.concurrency_limit.ceiling = ways.get(backend.name, math.inf)
             if backend.name in out and backend.kind != self.origin_kind:
                 backend.ejected, backend.retry_at = True, out[backend.name]
             elif backend.name in self.left_out:
@@ -395,11 +426,19 @@
         """Its whole location is left: what it showed is not its own doing, and what waits for it goes on."""
         if backend.ejected:
             self.host.believe(backend, "back", "its location is left")
-        backend.consecutive_failures, backend.backoff, backend.ejected, backend.late = 0, 0, False, 0.0
-        if backend.way:
-            backend.way.limit, backend.way.late = max(backend.way.limit, GENEROUS * self._part(backend)), 0.0
+        backend.consecutive_failures, backend.backoff, backend.ejected, backend.late_fill_share = (
+            0,
+            0,
+            False,
+            0.0,
+        )
+        if backend.concurrency_limit:
+            backend.concurrency_limit.limit, backend.concurrency_limit.late_share = (
+                max(backend.concurrency_limit.limit, GENEROUS * self._part(backend)),
+                0.0,
+            )
         for request in list(backend.requests):
-            if request.backend is backend or request.fill:
+            if request.backend is backend or request.expects_fill:
                 self._recall(request)
 
     # --- the walk ---
@@ -410,7 +449,7 @@
         over = self._over(request, now)
         if over:
             return self.give_up(request, over)
-        passed = vhost.uncacheable or request.write
+        passed = vhost.uncacheable or request.is_write
         # by part for both: all of one hot object would weigh on one parent
         place = f"{request.key} {request.part}"
         away = {
@@ -424,15 +463,15 @@
         bound = self._bound(self.parents)
         fitting = [backend for backend in parents if self._fit(backend, bound, request)]
         sources = self.origins if passed else fitting + self.origins
-        sources = [backend for backend in sources if backend not in request.avoid] or self.origins
-        tried = [backend for backend in homes if backend not in request.avoid]
+        sources = [backend for backend in sources if backend not in request.failed_backends] or self.origins
+        tried = [backend for backend in homes if backend not in request.failed_backends]
         ways = []
         if self.direct and not passed and not (homes and self._held(request, homes[0])):
             # a suspect parent's trial goes straight to it: through a cache a hit would pass for its answer
             ways = [
                 (backend, [backend])
                 for backend in parents[:1]
-                if backend.ejected and backend not in request.avoid
+                if backend.ejected and backend not in request.failed_backends
             ]
         sources = [backend for backend in sources if not (self.direct and backend.ejected)]
         bound = self._bound(self.caches)
@@ -441,7 +480,9 @@
             for backend in sorted(tried, key=lambda backend: not self._fit(backend, bound, request))
         ]
         if self.direct and (
-            passed or gone or all(backend.ejected or not self._room(backend, vhost.work) for backend in tried)
+            passed
+            or gone
+            or all(backend.ejected or not self._room(backend, vhost.mean_transfer_time) for backend in tried)
         ):
             # past the caches: the way of uncacheable vhosts, else where all caches are suspect or cold
             over = [(backend, [backend]) for backend in sources]
@@ -450,7 +491,7 @@
                 over = [
                     (backend, sources)
                     for backend in self._order(there, place)[:1]
-                    if backend not in request.avoid
+                    if backend not in request.failed_backends
                 ] + over
             ways = over if gone else over + ways if passed else ways + over
         if any(self._send(request, backend, source) for backend, fills in ways for source in fills):
@@ -460,9 +501,9 @@
         if (
             passed
             or gone
-            or request.looked
+            or request.cache_only
             or not homes
-            or homes[0] in request.avoid
+            or homes[0] in request.failed_backends
             or not (
                 any(self._send(request, homes[0], parent, True) for parent in parents[:1])
                 or self._send(request, homes[0], homes[0])
@@ -472,9 +513,9 @@
 
     def _over(self, request: Request, now: int) -> RejectReason | None:
         """Why a req gets no further dispatch, wherever there is room; None where it may."""
-        if request.tries >= min(TRIES, self.max_dispatches):
+        if request.attempts >= min(TRIES, self.max_dispatches):
             return RejectReason.TRIES_USED
-        if now >= request.until - self.tick:
+        if now >= request.deadline - self.tick:
             return RejectReason.TIME_UP
         if request.send_by and now >= request.send_by:
             return self._passed(request)
@@ -487,7 +528,7 @@
 
         def draw(backend: Backend) -> float:
             drawn = int.from_bytes(blake2b(f"{key} {backend.name}".encode(), digest_size=8).digest(), "big")
-            return -math.log((drawn + 1) / 2**64) / backend.size
+            return -math.log((drawn + 1) / 2**64) / backend.capacity
 
         return sorted(pool, key=draw)
 
@@ -497,23 +538,27 @@
         if not pool:
             return 0.0, 0.0
         return (
-            sum(peer.crowd for peer in pool) / len(pool),
-            sum(peer.load for peer in pool) / sum(peer.size for peer in pool),
+            sum(peer.reported_load for peer in pool) / len(pool),
+            sum(peer.in_flight_load for peer in pool) / sum(peer.capacity for peer in pool),
         )
 
     def _fit(self, backend: Backend, bound: tuple[float, float], request: Request) -> bool:
         """The bound: too much of this gateway's own in flight there, or the cache known to be crowded?"""
         crowd, load = bound
-        if backend.crowd > 0.5 and backend.crowd > turn(request, backend) * max(GENEROUS, EVEN * crowd):
+        if backend.reported_load > 0.5 and backend.reported_load > turn(request, backend) * max(
+            GENEROUS, EVEN * crowd
+        ):
             return False
-        return backend.load <= max(FLOOR * self.unit, SPREAD * load * backend.size)
+        return backend.in_flight_load <= max(FLOOR * self.unit, SPREAD * load * backend.capacity)
 
     def _age(self, request: Request) -> int:
         """The oldest copy that will do (0: any): fresh or in the grace, never older than a known purge."""
         vhost, now = self.vhosts[request.vhost], self.host.now()
         age = vhost.fresh + vhost.grace if vhost.fresh else 0
         purges = [
-            at for at in (self.purges.get(request.key), self.purges.get(request.group)) if at is not None
+            at
+            for at in (self.purges.get(request.key), self.purges.get(request.purge_group))
+            if at is not None
         ]
         if purges and now - max(purges) <= self.purge_done:
             age = min(age or math.inf, max(1, now - max(purges) - 1))
@@ -522,16 +567,23 @@
     def _held(self, request: Request, backend: Backend) -> bool:
         """Is a copy that will do likely to lie there? As far as this gateway's own reqs tell."""
         object_part, vhost, now = request.object_part, self.vhosts[request.vhost], self.host.now()
-        if object_part is None or object_part.home is not backend or backend.started > object_part.filled:
+        if (
+            object_part is None
+            or object_part.last_served_by is not backend
+            or backend.started > object_part.filled_at
+        ):
             return False
-        if vhost.fresh and now - object_part.filled > vhost.fresh + vhost.grace:
+        if vhost.fresh and now - object_part.filled_at > vhost.fresh + vhost.grace:
             return False
-        return max(self.purges.get(request.key, 0), self.purges.get(request.group, 0)) < object_part.filled
+        return (
+            max(self.purges.get(request.key, 0), self.purges.get(request.purge_group, 0))
+            < object_part.filled_at
+        )
 
     def _send(self, request: Request, backend: Backend, source: Backend, held_only: bool = False) -> bool:
         """The gate that every dispatch passes: the rules on effects, drains, cold starts and purges."""
         vhost, now = self.vhosts[request.vhost], self.host.now()
-        if request.closed or request.out or backend.status != 1 or source.status != 1:
+        if request.finished or request.in_flight or backend.status != 1 or source.status != 1:
             return False
         if request.first_executed_at is not None and vhost.effect != "replayable":
             held = {
@@ -539,56 +591,68 @@
                 "zone": backend.zone == request.first_executed_by.zone,
                 "cell": backend.cell == request.first_executed_by.cell,
             }
-            until = request.first_executed_at + vhost.window - self.tick
-            if vhost.effect != "uniqued" or not held[vhost.group] or now >= until:
+            until = request.first_executed_at + vhost.idempotency_window - self.tick
+            if vhost.effect != "uniqued" or not held[vhost.idempotency_scope] or now >= until:
                 return False
             request.send_by = min(
                 request.send_by or math.inf, until
             )  # nor may it wait past that for its connection
         touched = (backend,) if backend is source else (backend, source)
         for peer in touched:
-            if peer.ejected and (now < peer.retry_at or peer.trial or vhost.effect != "replayable"):
+            if peer.ejected and (now < peer.retry_at or peer.canary or vhost.effect != "replayable"):
                 return False
         look = backend is source and backend in self.caches
         fill = not look and (backend is source or not self._held(request, backend))
-        way = None if not fill else source.way if held_only else self.link
-        favour = min(max(vhost.value / request.work * self.work / (self.value or 1.0), 1 / FAVOUR), FAVOUR)
-        if request.work > vhost.large and vhost.answered_large < FAIR * vhost.answered:
+        way = None if not fill else source.concurrency_limit if held_only else self.link
+        favour = min(
+            max(vhost.value / request.transfer_time * self.work / (self.value or 1.0), 1 / FAVOUR), FAVOUR
+        )
+        if (
+            request.transfer_time > vhost.large_threshold
+            and vhost.large_answered_share < FAIR * vhost.answered_share
+        ):
             favour = max(favour, EASED)
         if (
-            backend.crowd > max(1.0, GENEROUS * favour) * turn(request, backend)
-            or not backend.way.open(favour, now)
-            or (way and not way.open(favour, now))
+            backend.reported_load > max(1.0, GENEROUS * favour) * turn(request, backend)
+            or not backend.concurrency_limit.allows(favour, now)
+            or (way and not way.allows(favour, now))
         ):
             return False
-        if not all(self._room(peer, request.kbytes / self.pace or vhost.work) for peer in touched):
+        if not all(
+            self._room(peer, request.kbytes / self.pace or vhost.mean_transfer_time) for peer in touched
+        ):
             return False
         object_part = request.object_part
         renew = bool(object_part and vhost.fresh and not look and not held_only and not self.yielded) and (
-            object_part.marked is None or now - object_part.marked >= RENEW_FROM * vhost.fresh
+            object_part.revalidated_at is None or now - object_part.revalidated_at >= RENEW_FROM * vhost.fresh
         )
         if renew:
-            object_part.marked = now
+            object_part.revalidated_at = now
         for peer in touched:
             peer.requests[request] = None
-            peer.budget.append((now, request.kbytes / self.pace or vhost.work))
-            peer.load += request.units
+            peer.recent_work.append((now, request.kbytes / self.pace or vhost.mean_transfer_time))
+            peer.in_flight_load += request.load_units
             if peer.ejected:
-                peer.trial = request
-        request.backend, request.source, request.sent, request.out = backend, source, now, True
-        request.tries += 1
-        request.fill, request.renew, request.way, request.looked = fill, renew, way, look or held_only
-        backend.way.count += 1
+                peer.canary = request
+        request.backend, request.source, request.sent_at, request.in_flight = backend, source, now, True
+        request.attempts += 1
+        request.expects_fill, request.revalidates, request.fill_limit, request.cache_only = (
+            fill,
+            renew,
+            way,
+            look or held_only,
+        )
+        backend.concurrency_limit.in_flight += 1
         if way:
-            way.count += 1
-        self._push(now + vhost.aim(request.work), request, request.tries - 1)
+            way.in_flight += 1
+        self._push(now + vhost.latency_objective(request.transfer_time), request, request.attempts - 1)
         join = object_part is not None and self.joins and request.may_collapse
         self.host.fetch(
             request,
             backend,
-            request.until - self.tick - now,
+            request.deadline - self.tick - now,
             source,
-            min(object_part.seen, 2) if object_part else 0,
+            min(object_part.request_count, 2) if object_part else 0,
             self._age(request),
             join,
             held_only,
@@ -602,15 +666,15 @@
         can do since its start is cut into turns of one req, dealt to its gateways in a spread order, each
         good for one fall span: parts of a req would let nobody send; no span sees over two spans' turns."""
         now, back = self.host.now(), self.fall + self.tick
-        while backend.budget and backend.budget[0][0] < now - back:
-            backend.budget.pop(0)
+        while backend.recent_work and backend.recent_work[0][0] < now - back:
+            backend.recent_work.pop(0)
         floor, warm, multiple = self.cold_parent if backend.kind == self.parent_kind else self.cold_cache
         if backend.kind == self.origin_kind or not backend.started or now - backend.started >= warm:
             return True
         if self.yielded or self._elsewhere(backend):
             return False  # its own location's gateways have all of its budget
         # a guess at what nobody asks for would let many small reqs pass for one of its turns
-        turn = max([work, *(vhost.work for vhost in self.vhosts if vhost.asked)])
+        turn = max([work, *(vhost.mean_transfer_time for vhost in self.vhosts if vhost.has_traffic)])
         pace = (
             min(MARGIN * multiple / 2, BRISK)
             * self._part(backend)
@@ -623,7 +687,7 @@
             return pace * age * (floor + (1 - floor) * age / 2 / warm) + self.place
 
         mine = math.floor(turns(now - backend.started)) - math.floor(turns(now - backend.started - back))
-        return sum(sent for _, sent in backend.budget) + work <= mine * turn
+        return sum(sent for _, sent in backend.recent_work) + work <= mine * turn
 
     def _part(self, backend: Backend) -> float:
         """This gateway's part of what a be can carry, in transfers at full pace."""
@@ -631,7 +695,7 @@
         # a parent's link is made for what the locations' links bring in; a location's caches together send
         # twice what its link brings in, else most reqs were fills
         feed, by = (sum(self.feed) / 1.3, self.parents) if parent else (2 * self.feed[self.zone], self.caches)
-        capacity = backend.size if self.sizes_told else feed / self.pace / max(1, len(by))
+        capacity = backend.capacity if self.sizes_told else feed / self.pace / max(1, len(by))
         if parent or self._elsewhere(backend):
             return (capacity or 1.0) / self.gateways
         # where nothing is told, what this gateway has seen a cache bear; of all gateways, what all have seen
@@ -644,11 +708,11 @@
             backend
             for backend in self.caches
             if not backend.ejected
-            and backend.way.late <= TOLERATED
+            and backend.concurrency_limit.late_share <= TOLERATED
             and (not backend.started or now - backend.started >= self.cold_cache[1])
         ]
         if warm:
-            sent = sum(work for backend in warm for at, work in backend.budget if at >= now - back)
+            sent = sum(work for backend in warm for at, work in backend.recent_work if at >= now - back)
             self.borne += (sent / back / len(warm) - self.borne) / 8
 
     def _elsewhere(self, backend: Backend) -> bool:
@@ -659,28 +723,32 @@
         """Take a dispatch that is over out of the accounts; returns its source."""
         source = request.source
         for peer in (backend,) if backend is source else (backend, source):
-            peer.load = max(0.0, peer.load - request.units)
+            peer.in_flight_load = max(0.0, peer.in_flight_load - request.load_units)
             peer.requests.pop(request, None)
-            if peer.trial is request:
-                peer.trial = None
-        backend.way.count -= 1
-        if request.way:
-            request.way.count -= 1
-        request.out = request.flowing = False
+            if peer.canary is request:
+                peer.canary = None
+        backend.concurrency_limit.in_flight -= 1
+        if request.fill_limit:
+            request.fill_limit.in_flight -= 1
+        request.in_flight = request.streaming = False
         return source
 
     def give_up(self, request: Request, why: RejectReason) -> None:
         """The one place of final answers: denied where a repeat is harmless, else aborted."""
-        if request.closed:
+        if request.finished:
             return
         vhost = self.vhosts[request.vhost]
         request.reject_reason = why
-        vhost.told(request.work, False)
-        request.closed = True
-        ran = request.out or request.first_executed_at is not None
-        if request.out and self.can_cancel:
-            self.host.cancel(request, request.tries - 1)
-        if not ran or vhost.effect == "replayable" or (vhost.effect == "uniqued" and vhost.group == "all"):
+        vhost.record_outcome(request.transfer_time, False)
+        request.finished = True
+        ran = request.in_flight or request.first_executed_at is not None
+        if request.in_flight and self.can_cancel:
+            self.host.cancel(request, request.attempts - 1)
+        if (
+            not ran
+            or vhost.effect == "replayable"
+            or (vhost.effect == "uniqued" and vhost.idempotency_scope == "all")
+        ):
             self.host.deny(request, self.limits["max_retry_after"] if self.limits["retry_after"] else 0)
         else:
             self.host.abort(request)
@@ -699,36 +767,46 @@
     ) -> None:
         """Judge a cache and its source by how a dispatch ended."""
         now, vhost, object_part = self.host.now(), self.vhosts[request.vhost], request.object_part
-        late = outcome != "done" or took > vhost.aim(request.work)
+        late = outcome != "done" or took > vhost.latency_objective(request.transfer_time)
         if outcome in ("miss", "full") or (outcome == "done" and not (backend.ejected and late)):
             self._clear(backend)  # but an answer far too late brings back no suspect
-        filled = note in (2, 3, 6, 7, 10) if note else request.fill
+        filled = note in (2, 3, 6, 7, 10) if note else request.expects_fill
         if outcome not in ("cancelled", "unsent", "spoilt", "miss"):
             self.late += LEARN * (late - self.late)
             # a cache whose hits are late as well is to blame for its late fills: it grows slow, or is crowded
-            filled = filled and not (late and backend.way.late > TOLERATED)
+            filled = filled and not (late and backend.concurrency_limit.late_share > TOLERATED)
             # a reset tells of no crowd, nor do further errors for an object: a client's nonsense always fails
             if (
                 outcome != "reset"
                 and not self._proving(backend)
-                and (outcome != "error" or request.tries == (object_part.seen if object_part else 1) == 1)
+                and (
+                    outcome != "error"
+                    or request.attempts == (object_part.request_count if object_part else 1) == 1
+                )
             ):
-                way = (request.way or self.link) if filled else backend.way
-                was, _ = way.limit, way.heed(late, now, took, vhost.target)
-                self.host.limited(backend if way is backend.way else request.source, was, way.limit, way.late)
+                way = (request.fill_limit or self.link) if filled else backend.concurrency_limit
+                was, _ = way.limit, way.record(late, now, took, vhost.target)
+                self.host.limited(
+                    backend if way is backend.concurrency_limit else request.source,
+                    was,
+                    way.limit,
+                    way.late_share,
+                )
         if outcome == "done":
-            vhost.work += LEARN * ((request.kbytes / self.pace or took) - vhost.work)
-            vhost.usual += 0 if late else LEARN * (took - vhost.usual)
+            vhost.mean_transfer_time += LEARN * (
+                (request.kbytes / self.pace or took) - vhost.mean_transfer_time
+            )
+            vhost.usual_answer_time += 0 if late else LEARN * (took - vhost.usual_answer_time)
             if object_part is not None:
-                if request.fill or request.renew or object_part.home is not backend:
-                    object_part.home, object_part.filled = backend, request.sent
-                object_part.work = min(took, object_part.work or took)
-            if source is not backend and filled and took <= vhost.aim(request.work):
-                source.late -= source.late / 4
+                if request.expects_fill or request.revalidates or object_part.last_served_by is not backend:
+                    object_part.last_served_by, object_part.filled_at = backend, request.sent_at
+                object_part.min_transfer_time = min(took, object_part.min_transfer_time or took)
+            if source is not backend and filled and took <= vhost.latency_objective(request.transfer_time):
+                source.late_fill_share -= source.late_fill_share / 4
                 if request is trial and (note or not self.direct):
                     self._clear(source)
         elif outcome in ("unreached", "reset", "timeout") or (
-            outcome == "error" and not note and object_part and object_part.home
+            outcome == "error" and not note and object_part and object_part.last_served_by
         ):  # else it may be the client's
             self._strike(backend, now, 1 + (outcome == "unreached"))  # a closed door tells more
         elif note == 7:
@@ -738,7 +816,13 @@
         """It answers."""
         if backend.ejected:
             self.host.believe(backend, "back", "answers again")
-        backend.heard, backend.consecutive_failures, backend.backoff, backend.ejected, backend.late = (
+        (
+            backend.last_answer_at,
+            backend.consecutive_failures,
+            backend.backoff,
+            backend.ejected,
+            backend.late_fill_share,
+        ) = (
             self.host.now(),
             0,
             0,
@@ -756,9 +840,9 @@
     def _doubt(self, source: Backend, now: int) -> None:
         """Count a fill that came late, or not at all, through a cache that answers others. A parent that most
         fills wait for, while another's come, is suspect; what all parents show is the origin's."""
-        source.late += (1 - source.late) / 4
-        other = min((peer.late for peer in self.parents if peer is not source), default=1.0)
-        if source.ejected or (source.late > 0.5 and other < TOLERATED):
+        source.late_fill_share += (1 - source.late_fill_share) / 4
+        other = min((peer.late_fill_share for peer in self.parents if peer is not source), default=1.0)
+        if source.ejected or (source.late_fill_share > 0.5 and other < TOLERATED):
             self._suspect(source, now)
 
     def _proving(self, backend: Backend) -> bool:
@@ -782,47 +866,51 @@
         if not backend.ejected:
             backend.ejected = True
             why = (
-                f"{backend.late:.1f} of its fills late"
-                if backend.late
+                f"{backend.late_fill_share:.1f} of its fills late"
+                if backend.late_fill_share
                 else f"{backend.consecutive_failures} symptoms in a row"
             )
             self.host.believe(backend, "left alone", why)
             for request in list(backend.requests):
-                if request.sent > backend.heard and (request.backend is backend or request.fill):
+                if request.sent_at > backend.last_answer_at and (
+                    request.backend is backend or request.expects_fill
+                ):
                     self._recall(request)
 
     def _overdue(self, request: Request) -> None:
         """A dispatch takes far longer than its like."""
         if self.host.now() < self.caught_up:
-            return self._push(self.caught_up, request, request.tries - 1)
+            return self._push(self.caught_up, request, request.attempts - 1)
         now, backend, source, aim = (
             self.host.now(),
             request.backend,
             request.source,
-            self.vhosts[request.vhost].aim(request.work),
+            self.vhosts[request.vhost].latency_objective(request.transfer_time),
         )
-        again = now >= request.sent + 2 * aim
-        if backend.heard < request.sent and not (request.fill and source.late > TOLERATED):
+        again = now >= request.sent_at + 2 * aim
+        if backend.last_answer_at < request.sent_at and not (
+            request.expects_fill and source.late_fill_share > TOLERATED
+        ):
             if again or sized(request):  # nothing since, and no slow source explains it: the cache
                 self._strike(backend, now)
             if again and sized(request):
                 return self._recall(request)
-        elif request.fill and source is not backend and again != sized(request):
+        elif request.expects_fill and source is not backend and again != sized(request):
             self._doubt(source, now)  # the cache answers others: its source
         if not again:
-            self._push(request.sent + 2 * aim, request, request.tries - 1)
-        elif not request.fill and sized(request):  # a likely hit's answer is lost, though others come
+            self._push(request.sent_at + 2 * aim, request, request.attempts - 1)
+        elif not request.expects_fill and sized(request):  # a likely hit's answer is lost, though others come
             self._recall(request)
 
     def _recall(self, request: Request) -> None:
         """Call a dispatch back; its outcome sends the req on. Only where that can do no harm."""
         if (
-            request.out
+            request.in_flight
             and self.can_cancel
-            and not request.flowing
+            and not request.streaming
             and self.vhosts[request.vhost].effect == "replayable"
         ):
-            self.host.cancel(request, request.tries - 1)
+            self.host.cancel(request, request.attempts - 1)
 
     # --- due times ---
 
@@ -832,7 +920,9 @@
         self._arm()
 
     def _arm(self) -> None:
-        while self.due and (self.due[0][2].closed or self.due[0][3] not in (-1, self.due[0][2].tries - 1)):
+        while self.due and (
+            self.due[0][2].finished or self.due[0][3] not in (-1, self.due[0][2].attempts - 1)
+        ):
             heapq.heappop(self.due)  # what is over wakes nobody
         if self.due and self.due[0][0] < self.armed:
             self.armed = self.due[0][0]
--- a/lilacloft/drill/wire.py
+++ b/lilacloft/drill/wire.py
@@ -131,7 +131,7 @@
     # --- what the wire brings ---
 
     def _forget(self, request: Request) -> None:
-        if request.closed and not request.out and request in self.ids:
+        if request.finished and not request.in_flight and request in self.ids:
             del self.requests[self.ids.pop(request)]
 
     def _be(self, values: list[Any], place: int) -> Backend | None:
@@ -181,14 +181,14 @@
         request = Request(
             key=field(values, 8, str, "contentId", ""),
             part=field(values, 1, int, "part", 0),
-            group=field(values, 2, int, "group", 0),
+            purge_group=field(values, 2, int, "group", 0),
             kbytes=field(values, 3, NUMBER, "kbytes", 0),
-            arrived=now,
-            until=now + field(values, 4, int, "patienceLeftNs") // NS,
+            arrived_at=now,
+            deadline=now + field(values, 4, int, "patienceLeftNs") // NS,
             vhost=field(values, 6, int, "qos", 0),
             tenant=field(values, 7, int, "party", 0),
-            write=bool(bits & 4),
-            repeat=bool(bits & 2),
+            is_write=bool(bits & 4),
+            is_client_retry=bool(bits & 2),
         )
         self.requests[name] = request
         self.ids[request] = name
--- a/lilacloft/emulator/gateway.py
+++ b/lilacloft/emulator/gateway.py
@@ -112,7 +112,7 @@
             min(now, asked),
             asked + vhost.timeout,
             ask.vhost,
-            write=vhost.effect != "replayable",
+            is_write=vhost.effect != "replayable",
         )
         self.asks[request] = (number, ask)
         self.open[request] = None
@@ -134,7 +134,7 @@
             self.fleet.final(self, number, ask, word, after, dispatch)
 
     def _forget(self, request: Request) -> None:
-        if request.closed and not any(place[0] is request for place in self.out):
+        if request.finished and not any(place[0] is request for place in self.out):
             self.asks.pop(request, None)
 
     # --- what comes back ---
@@ -150,7 +150,7 @@
             self._final(request, "done", 0, dispatch)
         elif outcome == "done":
             self.fleet.wasted += 1
-        final = outcome == "done" or request.closed
+        final = outcome == "done" or request.finished
         self.router.ended(
             request, dispatch.backend, dispatch.seq, outcome, now - dispatch.sent, final, note, 0, load
         )
@@ -253,7 +253,7 @@
             self,
             request,
             backend,
-            request.tries - 1,
+            request.attempts - 1,
             box,
             (ask.key, ask.part),
             ask.group,
@@ -284,7 +284,7 @@
         if dispatch is not None and not dispatch.over:
             fleet = self.fleet
             sure = fleet.undo(dispatch)
-            if request.closed:
+            if request.finished:
                 fleet.events.at(fleet.events.now, NET, self.ended, dispatch, "cancelled", 0, [])
             else:
                 fleet.events.at(sure, NET, self.ended, dispatch, "cancelled", 0, [])
--- a/lilacloft/emulator/planes.py
+++ b/lilacloft/emulator/planes.py
@@ -91,7 +91,7 @@
                 request.vhost,
                 outcome,
                 took,
-                request.work,
+                request.transfer_time,
                 note,
                 dispatch.kbytes,
                 request.source,
--- a/lilacloft/emulator/policies.py
+++ b/lilacloft/emulator/policies.py
@@ -33,8 +33,8 @@
     def listed(self, mode: str, entries: Any) -> None:
         super().listed(mode, entries)
         for backend in self.known:
-            if backend.way is not None and not isinstance(backend.way, Open):
-                backend.way = Open(1e9, 1.0)
+            if backend.concurrency_limit is not None and not isinstance(backend.concurrency_limit, Open):
+                backend.concurrency_limit = Open(1e9, 1.0)
 
     def _strike(self, backend: Any, now: int, weight: int = 1) -> None:
         """Nobody is suspect."""
@@ -66,14 +66,16 @@
 
     def _order(self, pool: list[Any], key: str) -> list[Any]:
         drawn = super()._order(pool, key)
-        return sorted(drawn[:2], key=lambda backend: backend.load / backend.size) + drawn[2:]
+        return sorted(drawn[:2], key=lambda backend: backend.in_flight_load / backend.capacity) + drawn[2:]
 
 
 class Least(Drawn):
     """The one with the least of this gateway's own out."""
 
     def _order(self, pool: list[Any], key: str) -> list[Any]:
-        return sorted(super()._order(pool, key), key=lambda backend: backend.load / backend.size)
+        return sorted(
+            super()._order(pool, key), key=lambda backend: backend.in_flight_load / backend.capacity
+        )
 
 
 class Alone(Router):
@@ -89,7 +91,7 @@
 
     def _send(self, request: Any, backend: Any, source: Any, held_only: bool = False) -> bool:
         if request.object_part is not None:
-            request.object_part.marked = self.host.now()
+            request.object_part.revalidated_at = self.host.now()
         return super()._send(request, backend, source, held_only)
 
 
--- a/lilacloft/invariants.py
+++ b/lilacloft/invariants.py
@@ -221,7 +221,7 @@
             lately.popleft()
         mean = (sum(one for _, one in lately) + work) / (len(lately) + 1)
         share = rules.floor + (1 - rules.floor) * age / max(1, rules.warm)
-        calls = rules.multiple * share * backend.size * self.fall / max(mean, 1.0)
+        calls = rules.multiple * share * backend.capacity * self.fall / max(mean, 1.0)
         if len(lately) + 1 > calls + chance(calls):
             return self._break(Promise.SLOW_START, backend.name, f"{len(lately) + 1} of {calls:.1f} calls")
         lately.append((now, work))
--- a/lilacloft/net/owner.py
+++ b/lilacloft/net/owner.py
@@ -357,7 +357,7 @@
         self.report()
         for call in list(self.calls.values())[:INSPECTED]:
             trail = "; ".join(str(step) for step in self.trace.trail(call.name))
-            left = (call.request.until - self.time) / TENTHS
+            left = (call.request.deadline - self.time) / TENTHS
             logger.info("open: {} with {:.3f} s left: {}", call.name, left, trail)
 
     def _violated(self, promise: Promise, name: str, detail: str) -> None:
@@ -379,9 +379,9 @@
         history = History(
             call.name,
             self.effects[call.vhost],
-            request.until,
-            out=request.out,
-            sent=request.sent,
+            request.deadline,
+            out=request.in_flight,
+            sent=request.sent_at,
             backend=request.backend,
         )
         history.ran, history.first_executed_by = request.first_executed_at, request.first_executed_by
@@ -401,8 +401,9 @@
             "out": sum(sent.call is not None for sent in out),
             "checks": sum(sent.call is None for sent in out),
             "reqs": sum(len(backend.requests) for backend in backends),
-            "trials": sum(backend.trial is not None for backend in backends),
-            "limits": self.router.link.count + sum(backend.way.count for backend in backends if backend.way),
+            "trials": sum(backend.canary is not None for backend in backends),
+            "limits": self.router.link.in_flight
+            + sum(backend.concurrency_limit.in_flight for backend in backends if backend.concurrency_limit),
         }
 
     # --- what the front brings ---
@@ -415,7 +416,7 @@
         until = min(waits_until, self.by) if self.ending else waits_until
         self.arrival = self.time
         request = Request(
-            call.key, call.part, call.group, call.kbytes, at, until, call.vhost, write=bool(call.body)
+            call.key, call.part, call.group, call.kbytes, at, until, call.vhost, is_write=bool(call.body)
         )
         call.request = request
         self.calls[request] = call
@@ -456,7 +457,7 @@
     def _send_by_passed(self, call: Call) -> None:
         """Nothing goes out for it any more: what no cache has is given up at once."""
         sent = call.sent
-        if call.request.closed:
+        if call.request.finished:
             return
         if sent is not None and self._take_back(sent):
             return
@@ -512,7 +513,7 @@
                 self._final(call, "done", b"200", (("ok304", 1),))
             else:
                 self._final(call, "done", b"200", (), body)
-        final = outcome == "done" or call.request.closed
+        final = outcome == "done" or call.request.finished
         self.router.ended(call.request, sent.backend, sent.seq, outcome, took, final, note, waited, load)
         self._forget(call)
         return None
@@ -520,7 +521,7 @@
     def parted(self, sent: Sent, end: End, sure: int) -> None:
         """A dispatch was ended by us. Its req may go out again only once it is sure that the cache knows,
         else two could be out at once. Where nothing goes out any more it is told now."""
-        if sent.call is None or sent.call.request.closed or sure <= self.time:
+        if sent.call is None or sent.call.request.finished or sure <= self.time:
             self.back_ended(sent, end, 0, 0, [], b"")
         else:
             self.at(sure, self.back_ended, sent, end, 0, 0, [], b"")
@@ -551,7 +552,7 @@
     def _forget(self, call: Call) -> None:
         """What is closed is held no longer than its dispatch is out; nothing goes out for it any more, also
         where the settings let no dispatch be cancelled: one that has not gone out is none yet."""
-        if not call.request.closed:
+        if not call.request.finished:
             return
         if call.sent is None:
             self.calls.pop(call.request, None)
@@ -671,7 +672,7 @@
         ways: list[str],
     ) -> None:
         call, history = self.calls[request], self.calls[request].history
-        if not self.invariants.sends(history, backend, source or backend, request.work, self.time):
+        if not self.invariants.sends(history, backend, source or backend, request.transfer_time, self.time):
             return self.report_refused(call, backend)
         told = listed(
             (
@@ -689,11 +690,11 @@
         )
         name = call.name.encode()
         data = encode(b"do", name, told, call.body)
-        until = min(self.time + limit, request.until)
+        until = min(self.time + limit, request.deadline)
         sent = Sent(
             call,
             backend,
-            request.tries - 1,
+            request.attempts - 1,
             name,
             data,
             self.time,
@@ -719,7 +720,7 @@
 
     def report_refused(self, call: Call, backend: Backend) -> None:
         """A check found that a dispatch would break a promise: it ends before it begins."""
-        sent = Sent(call, backend, call.request.tries - 1, call.name.encode(), b"", self.time)
+        sent = Sent(call, backend, call.request.attempts - 1, call.name.encode(), b"", self.time)
         call.sent = sent
         self.report_end(sent, End.UNWRITTEN)
 
--- a/lilacloft/plan/agent.py
+++ b/lilacloft/plan/agent.py
@@ -57,7 +57,7 @@
                         backend.kind,
                         backend.cell,
                         backend.status,
-                        backend.size,
+                        backend.capacity,
                         backend.started,
                     )
                     for backend in owner.backends.values()
@@ -86,7 +86,14 @@
     def ended(self, call: Any, backend: Any, outcome: str, took: int, note: int) -> None:
         """A dispatch is over."""
         self.watch.ended(
-            backend, call.vhost, outcome, took, call.request.work, note, call.kbytes, call.request.source
+            backend,
+            call.vhost,
+            outcome,
+            took,
+            call.request.transfer_time,
+            note,
+            call.kbytes,
+            call.request.source,
         )
 
     def told(self, names: Iterable[str]) -> None:
--- a/lilacloft/plan/watch.py
+++ b/lilacloft/plan/watch.py
@@ -46,7 +46,7 @@
         to fill it, itself where nobody was."""
         mine = self.router.vhosts[vhost]
         how = (
-            ("late" if took > mine.aim(work) else "well")
+            ("late" if took > mine.latency_objective(work) else "well")
             if outcome in ANSWERED
             else "failed"
             if outcome in FAILED
@@ -56,7 +56,7 @@
             self.follower.ended(backend.name, how)
         direct = backend.kind in (self.router.parent_kind, self.router.origin_kind)
         keeper = self.follower.keeper
-        if keeper and outcome == "cancelled" and took > mine.aim(work):
+        if keeper and outcome == "cancelled" and took > mine.latency_objective(work):
             how = "failed"  # of a trial that was called back: it was given more than its time
         if how and keeper and backend.kind != self.router.origin_kind:
             keeper.ended(
@@ -107,9 +107,9 @@
                     backend.name,
                     len(backend.requests),
                     backend.ejected and backend.name not in router.left_out,
-                    backend.way.limit if backend.way else 0.0,
+                    backend.concurrency_limit.limit if backend.concurrency_limit else 0.0,
                     waits,
-                    time - backend.heard + 1 if backend.heard else 0,
+                    time - backend.last_answer_at + 1 if backend.last_answer_at else 0,
                     unfilled,
                 )
         self.listed((), number, time, steady)
@@ -126,14 +126,14 @@
         and of how many that others should have answered it is the source, while those answer others."""
         waits = unfilled = 0
         for request in backend.requests:
-            long = self.router.vhosts[request.vhost].aim(request.work) * (
-                2 * WAITS if request.fill else WAITS
+            long = self.router.vhosts[request.vhost].latency_objective(request.transfer_time) * (
+                2 * WAITS if request.expects_fill else WAITS
             )
-            if time - request.sent <= long:
+            if time - request.sent_at <= long:
                 continue
             if request.backend is backend:
-                waits += backend.heard < request.sent
-            elif request.fill and request.backend.heard >= request.sent:
+                waits += backend.last_answer_at < request.sent_at
+            elif request.expects_fill and request.backend.last_answer_at >= request.sent_at:
                 unfilled += 1
         return waits, unfilled
 
@@ -144,7 +144,7 @@
         power = floor + (1 - floor) * min(1.0, max(0, time - backend.started) / warm)
         most = min(MARGIN * multiple / 2, BRISK) * power * router._part(backend) * router.fall
         most *= router.shares.get(backend.name, 1.0)
-        return min(1.0, sum(work for _, work in backend.budget) / most) if most else 1.0
+        return min(1.0, sum(work for _, work in backend.recent_work) / most) if most else 1.0
 
     def act(self, time: int, steady: int) -> Effect:
         """Have the module keep what holds now, in its own time; returns it."""
--- a/lilacloft/record/writer.py
+++ b/lilacloft/record/writer.py
@@ -158,15 +158,17 @@
         self, call: Any, backend: Any, end: End, took: int, note: int, waited: int, load: list[float]
     ) -> None:
         request = call.request
-        source = request.source.name if request.fill and request.source is not None else None
-        late = took > self.owner.router.vhosts[request.vhost].aim(request.work)
+        source = request.source.name if request.expects_fill and request.source is not None else None
+        late = took > self.owner.router.vhosts[request.vhost].latency_objective(request.transfer_time)
         self.summary.ended(
             self.names[call.vhost], backend.name, source, end.name, OUTCOMES[end], took, late, note, waited
         )
 
     def answered(self, call: Any, kind: str) -> None:
-        took = self.owner.time - call.request.arrived if call.request else 0
-        self.summary.answered(self.names[call.vhost], kind, took, call.request.tries if call.request else 0)
+        took = self.owner.time - call.request.arrived_at if call.request else 0
+        self.summary.answered(
+            self.names[call.vhost], kind, took, call.request.attempts if call.request else 0
+        )
 
     def left(self, call: Any) -> None:
         self.summary.left(self.names[call.vhost])
@@ -187,7 +189,7 @@
                 what=what,
                 why=why,
                 consecutive_failures=backend.consecutive_failures,
-                late=round(backend.late, 3),
+                late=round(backend.late_fill_share, 3),
             )
         )
 
@@ -210,7 +212,11 @@
         self.note(kinds.Away(zone=zone, back=back, of=slices, failed=fails, why=why, alone=alone))
 
     def limited(self, backend: Any, was: float, limit: float, late: float) -> None:
-        way = backend.name if backend.way is not None and limit == backend.way.limit else "link"
+        way = (
+            backend.name
+            if backend.concurrency_limit is not None and limit == backend.concurrency_limit.limit
+            else "link"
+        )
         record = self.summary.limited(way, was, limit, late)
         if record:
             self.note(record)
@@ -234,7 +240,7 @@
                 zones[backend.zone],
                 backend.status,
                 backend.started,
-                backend.size,
+                backend.capacity,
             )
             for backend in backends
         ]
@@ -248,7 +254,7 @@
         return {
             backend.name: (
                 len(backend.requests),
-                backend.way.limit if backend.way else 0.0,
+                backend.concurrency_limit.limit if backend.concurrency_limit else 0.0,
                 backend.ejected,
                 backend.status,
             )
--- a/lilacloft/store/guard.py
+++ b/lilacloft/store/guard.py
@@ -118,7 +118,11 @@
             owner.told(event)
         if found.last > owner.known:
             owner.known = found.last
-        starts = {name: backend.way.limit for name, backend in owner.backends.items() if backend.way}
+        starts = {
+            name: backend.concurrency_limit.limit
+            for name, backend in owner.backends.items()
+            if backend.concurrency_limit
+        }
         kept = {key: (at, _read(data)) for key, (at, data) in found.learned.items()}
         names = [vhost["name"] for vhost in owner.vhosts]
         aged = learned.aged(kept, owner.time, names, starts, owner.router.link.limit)
@@ -127,9 +131,9 @@
             key, group = (what, 0) if isinstance(what, str) else ("", what)
             owner.router.purged(key, group, owner.time - owner.stamps.purge(owner.time, at))
         started = {name: backend.started for name, backend in owner.backends.items()}
-        most = {name: float(backend.size) * owner.router.fall for name, backend in owner.backends.items()}
+        most = {name: float(backend.capacity) * owner.router.fall for name, backend in owner.backends.items()}
         for name, budget in begin(found, started, owner.router.fall, owner.time, most).items():
-            owner.backends[name].budget = owner.backends[name].budget or list(
+            owner.backends[name].recent_work = owner.backends[name].recent_work or list(
                 budget
             )  # a process before tells better
 
@@ -196,7 +200,7 @@
             token, call = self._token(sent), sent.call
             if token not in self.keeper.out:
                 effect = self.owner.vhosts[call.vhost]["effect"]
-                self.keeper.adopt(token, self._key(call), effect, call.request.sent, sent.backend.cell)
+                self.keeper.adopt(token, self._key(call), effect, call.request.sent_at, sent.backend.cell)
             if token in self.keeper.out:
                 self.tokens[sent] = token
         for token in set(self.keeper.out) - set(self.tokens.values()):
@@ -296,7 +300,7 @@
                 if backend.kind == owner.router.parent_kind
                 else owner.router.cold_cache
             )
-            self.keeper.spent(backend.name, backend.started, backend.budget, warm)
+            self.keeper.spent(backend.name, backend.started, backend.recent_work, warm)
         self.seconds += 1
         if self.seconds % LEARNS == 0:
             given = carried.give(owner.router, (), ())
@@ -323,7 +327,7 @@
 
     def release(self, token: str) -> None:
         sent, until = self.held.pop(token)
-        over = sent.call.sent is not sent or sent.call.request.closed or self.owner.time >= until
+        over = sent.call.sent is not sent or sent.call.request.finished or self.owner.time >= until
         if over or sent.expired():
             return self.owner.report_end(sent, End.UNWRITTEN)
         sent.at = self.owner.time  # that it waited for the disk is no fault of its cache
--- a/lilacloft/upgrade/carry.py
+++ b/lilacloft/upgrade/carry.py
@@ -205,7 +205,7 @@
             backend.kind,
             backend.cell,
             backend.status,
-            backend.size,
+            backend.capacity,
             backend.started,
         )
 
@@ -357,7 +357,7 @@
             call.client.open[call.tag] = call
             self.owner.front.names[call.name] = call
         else:
-            request.closed = True
+            request.finished = True
         self.owner.calls[request] = call
         return call
 
@@ -372,7 +372,7 @@
             told.data,
             told.at,
             made=owner.steadily(told.at),
-            until=owner.steadily(told.until or call.request.until) if call else 0,
+            until=owner.steadily(told.until or call.request.deadline) if call else 0,
             send_by=owner.steadily(call.request.send_by) if call else 0,
             window_over=owner.window_over(call.history) if call else 0,
         )
@@ -412,7 +412,7 @@
             if sent.expired():
                 end: End | None = End.UNWRITTEN
             elif guard:
-                end = guard.dispatch(sent, sent.call.request.until)
+                end = guard.dispatch(sent, sent.call.request.deadline)
             else:
                 end = self.owner.back.dispatch(sent)
             if end is not None:
--- a/lilacloft/upgrade/form.py
+++ b/lilacloft/upgrade/form.py
@@ -18,6 +18,8 @@
 from crc32c import crc32c
 from msgspec import UNSET, Struct, UnsetType
 
+from lilacloft import carried
+
 VERSION = 2  # of the state; 1 had no lines that go over with what is out on them
 LEAST = 1  # the oldest reader that can go on with what is written now, if only in part
 MAGIC = b"llup"
@@ -58,17 +60,17 @@
 ELSE = 1 << 16
 
 
-# Keys on the wire, where the attributes here have other names.
-KEYS = {
-    "backend": "be",
-    "backends": "bes",
-    "requests": "reqs",
-    "object_parts": "objs",
-    "consecutive_failures": "strikes",
-    "ejected": "suspect",
-    "first_executed_at": "first_ran",
+# Keys on the wire, where the attributes here have other names (those of the decisions: lilacloft.carried).
+NAMES = {"backend": "be", "backends": "bes", "requests": "reqs", "object_parts": "objs"}
+LIMIT_KEYS = carried.LIMIT_KEYS
+BACKEND_KEYS = {**carried.BACKEND_KEYS, **NAMES, "concurrency_limit": "way", "canary": "trial"}
+OBJECT_PART_KEYS = {**carried.OBJECT_PART_KEYS, "last_served_by": "home"}
+REQUEST_KEYS = {
+    **carried.REQUEST_KEYS,
+    **NAMES,
     "first_executed_by": "ran_at",
-    "may_collapse": "rejoin",
+    "failed_backends": "avoid",
+    "fill_limit": "way",
 }
 
 
@@ -152,72 +154,72 @@
     counts: dict[str, int] = {}
 
 
-class Limit(Struct):
+class Limit(Struct, rename=LIMIT_KEYS):
     limit: float | UnsetType = UNSET
-    late: float | UnsetType = UNSET
-    calm: int | UnsetType = UNSET
-    ended: int | UnsetType = UNSET
-    took: int | UnsetType = UNSET
+    late_share: float | UnsetType = UNSET
+    next_cut_at: int | UnsetType = UNSET
+    last_ended_at: int | UnsetType = UNSET
+    last_duration: int | UnsetType = UNSET
 
 
-class Backend(Struct, rename=KEYS):
+class Backend(Struct, rename=BACKEND_KEYS):
     started: int
-    way: Limit | None = None
-    trial: int | None = None
+    concurrency_limit: Limit | None = None
+    canary: int | None = None
     requests: list[int] = []  # what is out there, in the order in which it was sent
-    crowd: float | UnsetType = UNSET
-    holds: float | UnsetType = UNSET
-    asked: int | UnsetType = UNSET
-    heard: int | UnsetType = UNSET
+    reported_load: float | UnsetType = UNSET
+    saturation_in_flight: float | UnsetType = UNSET
+    health_checked_at: int | UnsetType = UNSET
+    last_answer_at: int | UnsetType = UNSET
     consecutive_failures: int | UnsetType = UNSET
-    late: float | UnsetType = UNSET
+    late_fill_share: float | UnsetType = UNSET
     ejected: bool | UnsetType = UNSET
     retry_at: int | UnsetType = UNSET
     backoff: int | UnsetType = UNSET
-    budget: list[tuple[int, float]] = []
+    recent_work: list[tuple[int, float]] = []
 
 
-class ObjectPart(Struct, rename=KEYS):
+class ObjectPart(Struct, rename=OBJECT_PART_KEYS):
     place: tuple[str, int]
-    home: str | None = None
-    marked: int | None | UnsetType = UNSET
-    seen: int | UnsetType = UNSET
-    filled: int | UnsetType = UNSET
-    work: float | UnsetType = UNSET
+    last_served_by: str | None = None
+    revalidated_at: int | None | UnsetType = UNSET
+    request_count: int | UnsetType = UNSET
+    filled_at: int | UnsetType = UNSET
+    min_transfer_time: float | UnsetType = UNSET
 
 
-class Request(Struct, rename=KEYS):
+class Request(Struct, rename=REQUEST_KEYS):
     key: str
     part: int
-    group: int
+    purge_group: int
     kbytes: float
-    arrived: int
-    until: int
+    arrived_at: int
+    deadline: int
     vhost: int
     tenant: int = 0
-    write: bool = False
-    repeat: bool = False
-    flowing: bool = False
-    out: bool = False
-    tries: int = 0
-    sent: int = 0
-    units: float = 0.0
-    work: float = 0.0
-    fill: bool = False
+    is_write: bool = False
+    is_client_retry: bool = False
+    streaming: bool = False
+    in_flight: bool = False
+    attempts: int = 0
+    sent_at: int = 0
+    load_units: float = 0.0
+    transfer_time: float = 0.0
+    expects_fill: bool = False
     first_executed_at: int | None = None
-    renew: bool = False
+    revalidates: bool = False
     may_collapse: bool = True
-    looked: bool = False
+    cache_only: bool = False
     send_by: int = 0
     backend: str | None = None
     source: str | None = None
     first_executed_by: str | None = None
-    avoid: list[str] = []
+    failed_backends: list[str] = []
     cached: bool = False
-    way: str | None = None
+    fill_limit: str | None = None
 
 
-class Module(Struct, rename=KEYS):
+class Module(Struct, rename=NAMES):
     """What `Router.give` gives."""
 
     router: dict[str, int | float]
@@ -252,7 +254,7 @@
     moved: tuple[int, float] = (0, 0.0)
 
 
-class Line(Stream, kw_only=True, rename=KEYS):
+class Line(Stream, kw_only=True, rename=NAMES):
     backend: str
     host: str
     port: int
@@ -281,7 +283,7 @@
     lines: list[int] = []  # -1: one that has ended
 
 
-class Sent(Struct, rename=KEYS):
+class Sent(Struct, rename=NAMES):
     call: int | None
     backend: str
     seq: int
--- a/rigs/checker.py
+++ b/rigs/checker.py
@@ -195,7 +195,7 @@
     out, told = [], {}
     for entry in entries:
         if entry["what"] == "listed":
-            told[entry["be"]] = (entry["state"], entry["at"])
+            told[entry["backend"]] = (entry["state"], entry["at"])
         elif entry["what"] == "do":
             for backend in (entry["who"], entry.get("next")):
                 state, at = told.get(backend, ("active", 0.0))
@@ -213,7 +213,7 @@
     sent: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for entry in entries:
         if entry["what"] == "listed" and entry["started"]:
-            started[entry["be"]] = (entry["started"], entry["capacity"], entry["kind"])
+            started[entry["backend"]] = (entry["started"], entry["capacity"], entry["kind"])
         elif entry["what"] == "do":
             for backend in {entry["who"], entry.get("next")} & started.keys():
                 at, capacity, kind = started[backend]
--- a/rigs/gate.py
+++ b/rigs/gate.py
@@ -36,7 +36,7 @@
 def reason(router: Router, request: Any, backend: Any, source: Any, held_only: bool = False) -> str:
     """The first condition of the gate that refuses this dispatch, or `SENT`: asked before the gate is."""
     vhost, now = router.vhosts[request.vhost], router.host.now()
-    if request.closed or request.out:
+    if request.finished or request.in_flight:
         return "open"
     if backend.status != 1 or source.status != 1:
         return "status"
@@ -46,27 +46,32 @@
             "zone": backend.zone == request.first_executed_by.zone,
             "cell": backend.cell == request.first_executed_by.cell,
         }
-        until = request.first_executed_at + vhost.window - router.tick
-        if vhost.effect != "uniqued" or not held[vhost.group] or now >= until:
+        until = request.first_executed_at + vhost.idempotency_window - router.tick
+        if vhost.effect != "uniqued" or not held[vhost.idempotency_scope] or now >= until:
             return "effect"
     touched = (backend,) if backend is source else (backend, source)
     for peer in touched:
-        if peer.ejected and (now < peer.retry_at or peer.trial or vhost.effect != "replayable"):
+        if peer.ejected and (now < peer.retry_at or peer.canary or vhost.effect != "replayable"):
             return f"suspect {side(router, peer)}"
     look = backend is source and backend in router.caches
     fill = not look and (backend is source or not router._held(request, backend))
-    way = None if not fill else source.way if held_only else router.link
-    favour = min(max(vhost.value / request.work * router.work / (router.value or 1.0), 1 / FAVOUR), FAVOUR)
-    if request.work > vhost.large and vhost.answered_large < FAIR * vhost.answered:
+    way = None if not fill else source.concurrency_limit if held_only else router.link
+    favour = min(
+        max(vhost.value / request.transfer_time * router.work / (router.value or 1.0), 1 / FAVOUR), FAVOUR
+    )
+    if (
+        request.transfer_time > vhost.large_threshold
+        and vhost.large_answered_share < FAIR * vhost.answered_share
+    ):
         favour = max(favour, EASED)
-    if backend.crowd > max(1.0, GENEROUS * favour) * turn(request, backend):
+    if backend.reported_load > max(1.0, GENEROUS * favour) * turn(request, backend):
         return "crowd"
-    if not backend.way.open(favour, now):
+    if not backend.concurrency_limit.allows(favour, now):
         return f"limit {side(router, backend)}"
-    if way and not way.open(favour, now):
+    if way and not way.allows(favour, now):
         return "link" if way is router.link else f"limit {side(router, source)}"
     for peer in touched:
-        if not router._room(peer, request.kbytes / router.pace or vhost.work):
+        if not router._room(peer, request.kbytes / router.pace or vhost.mean_transfer_time):
             return f"cold {side(router, peer)}"
     return SENT
 
@@ -89,11 +94,11 @@
         return sent
 
     def give_up(self, request: Any, why: RejectReason) -> None:
-        if not request.closed:
+        if not request.finished:
             held = self.held.get(id(request))
             over = (
-                request.tries >= min(TRIES, self.max_dispatches)
-                or self.host.now() >= request.until - self.tick
+                request.attempts >= min(TRIES, self.max_dispatches)
+                or self.host.now() >= request.deadline - self.tick
             )
             cause = "tries or time" if over else " + ".join(sorted(held)) if held else "no way"
             self.tally[cause] += 1
@@ -107,7 +112,7 @@
 
     def ended(self, request: Any, *told: Any) -> None:
         super().ended(request, *told)
-        if request.closed:
+        if request.finished:
             self.held.pop(id(request), None)
 
 
--- a/rigs/model.py
+++ b/rigs/model.py
@@ -117,7 +117,7 @@
         seq, backend, _, at = self.history[request][-1][:4]
         self.history[request][-1][4] = outcome
         final = outcome == "done" if final is None else final
-        if final and not request.closed:
+        if final and not request.finished:
             self.final(request)
         self.router.ended(
             request, backend, seq, outcome, self.time - at if took is None else took, final, note, 0, []
@@ -139,7 +139,7 @@
         while self.asked:
             request = self.asked.pop()
             if self.out(request):
-                self.end(request, "cancelled", final=request.closed)
+                self.end(request, "cancelled", final=request.finished)
 
     def out(self, request):
         return bool(self.history[request]) and self.history[request][-1][4] is None
@@ -159,7 +159,7 @@
         self.must(len(past) < self.config["limits"]["max_dispatches"], "too many dispatches")
         gone = self.gone.get(request)
         self.must(gone is None or self.time - gone <= GONE, "begun for who has left")
-        self.must(limit > 0 and self.time + limit <= request.until, "time-out past the client's")
+        self.must(limit > 0 and self.time + limit <= request.deadline, "time-out past the client's")
         config = self.config["vhosts"][request.vhost]
         ran = [entry for entry in past if entry[4] not in ("full", "unreached", "unsent", "miss")]
         if ran and config["effect"] == "non-replayable":
@@ -179,7 +179,7 @@
                 "sent to a draining be",
             )
         for key, group, at in self.purges:
-            if (key == request.key or (not key and group == request.group)) and (
+            if (key == request.key or (not key and group == request.purge_group)) and (
                 self.time - at <= self.config["family"]["purge_done"]
             ):
                 self.must(0 < age <= max(1, self.time - at), "older than a purge")
@@ -266,7 +266,7 @@
     def final(self, request):
         self.must(not any(call is request for call, _ in self.finals), "two final answers")
         self.must(
-            self.time <= request.until + self.config["rules"].get("answer_slack", 80), "answered too late"
+            self.time <= request.deadline + self.config["rules"].get("answer_slack", 80), "answered too late"
         )
         self.finals.append((request, self.time))
 
--- a/rigs/sizes.py
+++ b/rigs/sizes.py
@@ -34,14 +34,14 @@
         super().arrived(request)
 
     def give_up(self, request: Any, why: RejectReason) -> None:
-        if not request.closed:
+        if not request.finished:
             self.rows[id(request)][1] = False
         super().give_up(request, why)
 
     def ended(
         self, request: Any, backend: Any, seq: int, outcome: str, took: int, final: bool, *more: Any
     ) -> None:
-        if outcome == "done" and not request.closed:
+        if outcome == "done" and not request.finished:
             self.rows[id(request)][1] = True
         super().ended(request, backend, seq, outcome, took, final, *more)
 
--- a/tests/test_carried.py
+++ b/tests/test_carried.py
@@ -6,7 +6,8 @@
 import msgspec
 import pytest
 
-from lilacloft.carried import ATTRIBUTES, KEPT, give, take
+from lilacloft import carried as snapshot
+from lilacloft.carried import give, take
 from lilacloft.decide import Limit, Router, Vhost
 from lilacloft.net.conn import Conn
 from lilacloft.state import Backend, ObjectPart, Request
@@ -89,7 +90,7 @@
     open_reqs, decided, seen = [], [], 0
     for _ in range(steps):
         model.run(chance.choice([5, 50, 300, 2000]))
-        open_reqs = [request for request in open_reqs if not request.closed or model.out(request)]
+        open_reqs = [request for request in open_reqs if not request.finished or model.out(request)]
         if when.random() < 0.2 and over:
             open_reqs = replace(model, open_reqs)
         doing = chance.random()
@@ -128,7 +129,7 @@
                 at,
                 request.key,
                 request.part,
-                request.tries,
+                request.attempts,
                 backend.name,
                 source.name,
                 model.history[request][-1][5],
@@ -136,7 +137,7 @@
             for at, request, backend, source in model.sends[seen:]
         ]
         seen = len(model.sends)
-    decided += [("final", at, request.key, request.part, request.arrived) for request, at in model.finals]
+    decided += [("final", at, request.key, request.part, request.arrived_at) for request, at in model.finals]
     return decided, model.wrong
 
 
@@ -150,17 +151,24 @@
 
 def test_every_kept_name_is_a_field_of_its_record_and_of_the_form():
     records = {
-        "be": Backend("x"),
-        "obj": ObjectPart(),
-        "req": Request("k", 0, 0, 1.0, 0, 0, 0),
-        "limit": Limit(1.0, 1.0),
+        "BACKEND": Backend("x"),
+        "OBJECT_PART": ObjectPart(),
+        "REQUEST": Request("k", 0, 0, 1.0, 0, 0, 0),
+        "LIMIT": Limit(1.0, 1.0),
+    }
+    forms = {
+        "BACKEND": form.Backend,
+        "OBJECT_PART": form.ObjectPart,
+        "REQUEST": form.Request,
+        "LIMIT": form.Limit,
     }
-    forms = {"be": form.Backend, "obj": form.ObjectPart, "req": form.Request, "limit": form.Limit}
     for kind, record in records.items():
-        assert all(hasattr(record, ATTRIBUTES.get(name, name)) for name in KEPT[kind])
-        assert set(KEPT[kind]) <= set(forms[kind].__struct_encode_fields__)
+        keys = getattr(snapshot, f"{kind}_KEYS")
+        assert all(hasattr(record, name) for name in keys)
+        assert set(keys) <= set(forms[kind].__struct_fields__)
+        assert set(keys.values()) <= set(forms[kind].__struct_encode_fields__)
     config = settings([vhost()])
-    assert all(hasattr(Vhost(config["vhosts"][0], config["family"], 0), name) for name in KEPT["vhost"])
+    assert all(hasattr(Vhost(config["vhosts"][0], config["family"], 0), name) for name in snapshot.VHOST_KEYS)
 
 
 def test_a_cold_caches_budget_goes_on_where_it_stood():
@@ -174,7 +182,7 @@
         for number in range(30):
             requests.append(model.ask(f"k{number}"))
         if over:
-            requests = replace(model, [request for request in requests if not request.closed])
+            requests = replace(model, [request for request in requests if not request.finished])
         for number in range(30, 60):
             model.ask(f"k{number}")
         return len([backend for _, _, backend, _ in model.sends if backend is model.caches[0]]), model.wrong
@@ -261,7 +269,7 @@
     until(lambda: world.held()["out"] == 1)
     (call,) = world.does(lambda: list(world.owner.calls.values()))
     call.request.first_executed_at, call.request.first_executed_by = (
-        call.request.sent - 1_000,
+        call.request.sent_at - 1_000,
         call.request.backend,
     )  # an attempt that may have run
     with handed_over(world) as told:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -82,7 +82,7 @@
     """Sends what is out once more."""
 
     def _overdue(self, request):
-        request.out = False
+        request.in_flight = False
         self._walk(request)
 
 
@@ -98,15 +98,15 @@
     """Gives no final answer to some."""
 
     def give_up(self, request, why):
-        request.closed = True
+        request.finished = True
 
 
 class Late(Router):
     """Gives its answers after the client's time."""
 
     def give_up(self, request, why):
-        if self.host.now() < request.until + 3000:
-            self._push(request.until + 3000, request, -1)
+        if self.host.now() < request.deadline + 3000:
+            self._push(request.deadline + 3000, request, -1)
         else:
             super().give_up(request, why)
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -56,23 +56,23 @@
 
 def test_late_answers_narrow_a_limit_and_good_ones_widen_it_again():
     limit = Limit(12.0, 0.1)
-    limit.count = 12
+    limit.in_flight = 12
     for n in range(40):
-        limit.heed(True, n * SEC, 500, 4000)
-    assert limit.limit < 6 and limit.open(1.0, 40 * SEC) is False
-    limit.count = 0  # below one at a time the way rests, in proportion to what the last one took
-    assert not limit.open(1.0, 39 * SEC + 500) and limit.open(1.0, 39 * SEC + 5000)
+        limit.record(True, n * SEC, 500, 4000)
+    assert limit.limit < 6 and limit.allows(1.0, 40 * SEC) is False
+    limit.in_flight = 0  # below one at a time the way rests, in proportion to what the last one took
+    assert not limit.allows(1.0, 39 * SEC + 500) and limit.allows(1.0, 39 * SEC + 5000)
     for n in range(60):
-        limit.heed(False, 0, 500, 4000)
+        limit.record(False, 0, 500, 4000)
     assert limit.limit > 1.9
 
 
 def test_a_crowd_is_denied_at_once_and_small_reqs_last():
     model = Model(settings())
     large = [model.ask(f"k{n}", kbytes=4000.0) for n in range(200)]
-    refused = [request for request in large if request.closed]
+    refused = [request for request in large if request.finished]
     assert refused and all(at == model.time for _, at in model.finals)
-    assert not model.ask("small", kbytes=40.0).closed
+    assert not model.ask("small", kbytes=40.0).finished
 
 
 def test_a_silent_cache_is_left_and_its_reqs_sent_on_without_join():
@@ -96,14 +96,16 @@
         model.end(request, outcome)
         assert model.sends[-1][1:] == (request, home, source) and not home.consecutive_failures
     model.end(request)
-    limit = home.way.limit
+    limit = home.concurrency_limit.limit
     for number in range(40):  # nor does chance narrow any limit
         request = model.ask(f"other {number}")
         for _ in range(3):
             model.end(request, "spoilt")
-        assert request.closed
+        assert request.finished
     assert (
-        not any(backend.ejected for backend in model.caches) and home.way.limit == limit and not model.wrong
+        not any(backend.ejected for backend in model.caches)
+        and home.concurrency_limit.limit == limit
+        and not model.wrong
     )
 
 
@@ -113,10 +115,10 @@
     request = model.ask()
     home = model.sends[-1][2]
     for _ in range(20):
-        before = (home.way.late, model.router.link.late)
+        before = (home.concurrency_limit.late_share, model.router.link.late_share)
         model.end(request, "reset", took=4)
         assert model.sends[-1][1:3] == (request, home) and not home.ejected
-        assert (home.way.late, model.router.link.late) == before
+        assert (home.concurrency_limit.late_share, model.router.link.late_share) == before
         model.end(request, took=4)
         request = model.ask()
     while not home.ejected:
@@ -142,8 +144,8 @@
     request = Request("k", 0, 1, 400.0, model.time - 9000, model.time + SEC, 0)
     model.history[request] = []
     model.router.arrived(request)
-    assert request.closed and model.finals[-1] == (request, model.time), "at once"
-    assert not model.ask("k").closed and not model.wrong
+    assert request.finished and model.finals[-1] == (request, model.time), "at once"
+    assert not model.ask("k").finished and not model.wrong
 
 
 def test_what_is_over_wakes_nobody():
@@ -176,7 +178,7 @@
         request = model.ask(key, left=5 * SEC)
         late = last(model, request)[2] in parents
         for backend in model.caches:
-            backend.heard = model.time + 1  # all caches go on answering others
+            backend.last_answer_at = model.time + 1  # all caches go on answering others
         model.run(8000 if late else 500)
         if model.out(request):
             model.end(request)
@@ -185,7 +187,9 @@
 def test_a_parent_is_left_when_its_fills_are_late_and_the_others_are_not():
     model = Model(settings())
     slow_fills(model, model.parents[:1])
-    assert model.parents[0].late > 0.5 and model.parents[0].ejected and not model.parents[1].ejected
+    assert (
+        model.parents[0].late_fill_share > 0.5 and model.parents[0].ejected and not model.parents[1].ejected
+    )
 
 
 def test_what_all_parents_show_is_the_origins():
@@ -200,7 +204,7 @@
     model.run(200)
     model.end(first)
     lost = model.ask()
-    last(model, lost)[1].heard = model.time + 1
+    last(model, lost)[1].last_answer_at = model.time + 1
     model.run(2 * SEC)
     assert len(model.history[lost]) > 1 and not last(model, lost)[5]["join"]
 
@@ -254,7 +258,7 @@
         for _ in range(60):
             model.run(SEC // 6)
             if model.router._room(parent, 2000):
-                parent.budget.append((model.time, 2000))
+                parent.recent_work.append((model.time, 2000))
                 count[model.time] = count.get(model.time, 0) + 2000
                 works += 1
     assert works > gateways / 2
@@ -266,32 +270,32 @@
 
 def test_where_the_link_has_no_room_the_home_is_asked_for_what_it_or_the_parent_holds_only():
     model = Model(settings())
-    model.router.link.open = lambda favour, now: False
+    model.router.link.allows = lambda favour, now: False
     request = model.ask("k")
     assert last(model, request)[1] is homes(model, "k")[0] and last(model, request)[2] in model.parents
     assert last(model, request)[5]["held"]
     model.end(request, "miss")
-    assert request.closed and model.finals == [(request, model.time)]
+    assert request.finished and model.finals == [(request, model.time)]
 
 
 def test_what_the_home_does_not_hold_is_asked_for_there_once():
     """With a location's link full, each req new to it was sent to its home three times, and the third found
     no connection that had not carried it: a closed door, as it seemed, for which the cache was left alone."""
     model = Model(settings())
-    model.router.link.open = lambda favour, now: False
+    model.router.link.allows = lambda favour, now: False
     request = model.ask("k")
     model.end(request, "miss", 8)
-    assert request.closed and len(model.history[request]) == 1
-    model.router.link.open = lambda favour, now: True
+    assert request.finished and len(model.history[request]) == 1
+    model.router.link.allows = lambda favour, now: True
     other = model.ask("other")
-    model.router.link.open = lambda favour, now: False
+    model.router.link.allows = lambda favour, now: False
     model.end(other, "full", 6)  # a fill that its source turned away has not asked for what is held
     assert len(model.history[other]) == 2 and last(model, other)[5]["held"]
 
 
 def test_fills_late_from_a_slow_source_leave_no_cache_alone_nor_most_of_a_location():
     model = Model(settings())
-    model.parents[0].late = model.parents[1].late = 0.5
+    model.parents[0].late_fill_share = model.parents[1].late_fill_share = 0.5
     requests = [model.ask(f"k{n}") for n in range(8)]
     model.run(2 * SEC)
     assert requests and not any(backend.ejected for backend in model.caches)
@@ -308,10 +312,12 @@
     for slow in (0.0, 0.5):
         model = Model(settings())
         home = homes(model, "k")[0]
-        home.way.late = slow
+        home.concurrency_limit.late_share = slow
         request = model.ask("k")
         model.end(request, took=3 * SEC)
-        assert (model.router.link.late > 0) == (slow == 0) and (home.way.late > slow) == (slow > 0)
+        assert (model.router.link.late_share > 0) == (slow == 0) and (
+            home.concurrency_limit.late_share > slow
+        ) == (slow > 0)
 
 
 def test_caches_are_asked_for_their_load_and_the_crowded_are_spared():
@@ -324,13 +330,13 @@
     home = homes(model, "k")[0]
     for _ in range(8):
         model.router.checked(home, 20, "done", [4.0, 0.8])
-    assert home.crowd < 1 and last(model, model.ask("k"))[1] is home
+    assert home.reported_load < 1 and last(model, model.ask("k"))[1] is home
     for _ in range(8):
         model.router.checked(home, 20, "done", [40.0, 1.0])
-    assert home.crowd > 6 and last(model, model.ask("k"))[1] is not home
-    home.crowd = 0.0
+    assert home.reported_load > 6 and last(model, model.ask("k"))[1] is not home
+    home.reported_load = 0.0
     model.router.checked(home, 2500, "timeout", None)
-    assert home.crowd > 1
+    assert home.reported_load > 1
 
 
 def test_a_gateway_keeps_to_its_location_and_forgets_what_is_gone():
@@ -358,7 +364,10 @@
     backend, source = sends[requests[0]][1], sends[requests[0]][2]
 
     def withdrawn():
-        out, model.withdrawn = {request for request, seq in model.withdrawn if seq == request.tries - 1}, []
+        out, model.withdrawn = (
+            {request for request, seq in model.withdrawn if seq == request.attempts - 1},
+            [],
+        )
         return out
 
     assert not withdrawn()
@@ -370,7 +379,7 @@
     model.router.purged("k3", 0, 0)
     assert withdrawn() == {requests[3]}
     model.router.purged("", 1, 0)
-    assert withdrawn() == {request for request in requests if request.group == 1}
+    assert withdrawn() == {request for request in requests if request.purge_group == 1}
 
 
 def test_a_renewal_that_did_not_go_out_is_asked_for_by_the_next_req():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -196,7 +196,7 @@
                     "at": start,
                     "who": "log",
                     "what": "listed",
-                    "be": backend.name,
+                    "backend": backend.name,
                     "state": "active",
                     "started": start,
                     "capacity": 5.0,
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -26,7 +26,7 @@
 
 
 def backend(name="a", cell=1, **more):
-    return Backend(name, cell=cell, status=1, size=5.0, **more)
+    return Backend(name, cell=cell, status=1, capacity=5.0, **more)
 
 
 def history(effect=Effect("replayable")):
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -6,7 +6,6 @@
 import pytest
 
 from lilacloft import carried
-from lilacloft.carried import ATTRIBUTES
 from lilacloft.store import learned
 from lilacloft.store.learned import BE, DAY, HALF, LINK, MOMENT, TRUST, VHOST, WHOLE, Changes, aged, parts
 from rigs.model import SEC, Model, settings
@@ -42,7 +41,11 @@
     new = Model(settings())
     new.time = model.time + age - back
     backends = {backend.name: backend for backend in [*new.caches, *new.parents, new.origin]}
-    starts = {name: backend.way.limit for name, backend in backends.items() if backend.way}
+    starts = {
+        name: backend.concurrency_limit.limit
+        for name, backend in backends.items()
+        if backend.concurrency_limit
+    }
     carried.take(new.router, aged(kept(model), new.time, ["v"], starts, new.router.link.limit), backends)
     return new
 
@@ -54,19 +57,28 @@
     for one, other, start in zip(model.caches, near.caches, fresh.caches, strict=True):
         if not one.ejected or one.retry_at > model.time:
             names = (*FIELDS, "retry_at", "backoff") if one.ejected else FIELDS
-            names = [ATTRIBUTES.get(name, name) for name in names]
+            names = [name for name, key in carried.BACKEND_KEYS.items() if key in names]
             assert [getattr(one, name) for name in names] == [getattr(other, name) for name in names]
-        assert other.way.limit == pytest.approx(one.way.limit) and other.way.late == one.way.late
-        assert not other.requests and other.trial is None and other.consecutive_failures == 0
-        before = abs(one.way.limit - start.way.limit)
+        assert (
+            other.concurrency_limit.limit == pytest.approx(one.concurrency_limit.limit)
+            and other.concurrency_limit.late_share == one.concurrency_limit.late_share
+        )
+        assert not other.requests and other.canary is None and other.consecutive_failures == 0
+        before = abs(one.concurrency_limit.limit - start.concurrency_limit.limit)
         for age in (HALF // 2, HALF, 3 * HALF, 20 * HALF):
             later = next(backend for backend in again(model, age).caches if backend.name == one.name)
-            gap = abs(later.way.limit - start.way.limit)
-            assert gap <= before + 1e-9 and later.late <= one.late
+            gap = abs(later.concurrency_limit.limit - start.concurrency_limit.limit)
+            assert gap <= before + 1e-9 and later.late_fill_share <= one.late_fill_share
             before = gap
-        assert before < 0.01 * start.way.limit
-    assert near.router.vhosts[0].work == model.router.vhosts[0].work != fresh.router.vhosts[0].work
-    assert again(model, DAY + 1).router.vhosts[0].work == fresh.router.vhosts[0].work
+        assert before < 0.01 * start.concurrency_limit.limit
+    assert (
+        near.router.vhosts[0].mean_transfer_time
+        == model.router.vhosts[0].mean_transfer_time
+        != fresh.router.vhosts[0].mean_transfer_time
+    )
+    assert (
+        again(model, DAY + 1).router.vhosts[0].mean_transfer_time == fresh.router.vhosts[0].mean_transfer_time
+    )
 
 
 def test_a_limit_goes_half_of_its_way_back_in_each_half_life():
@@ -107,9 +119,13 @@
 def test_a_clock_put_back_leaves_only_what_holds_for_a_day():
     model = busy(3)
     back, fresh = again(model, back=5 * SEC), Model(settings())
-    assert back.router.vhosts[0].work == model.router.vhosts[0].work
+    assert back.router.vhosts[0].mean_transfer_time == model.router.vhosts[0].mean_transfer_time
     for one, start in zip(back.caches, fresh.caches, strict=True):
-        assert one.way.limit == pytest.approx(start.way.limit) and not one.ejected and one.late < 1e-9
+        assert (
+            one.concurrency_limit.limit == pytest.approx(start.concurrency_limit.limit)
+            and not one.ejected
+            and one.late_fill_share < 1e-9
+        )
 
 
 def test_the_first_reqs_after_a_crash_pass_over_a_cache_that_was_silent_before():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,7 +29,7 @@
     open_reqs = []
     for _ in range(steps):
         model.run(chance.choice([5, 50, 300, 2000]))
-        open_reqs = [request for request in open_reqs if not request.closed or model.out(request)]
+        open_reqs = [request for request in open_reqs if not request.finished or model.out(request)]
         doing = chance.random()
         if doing < 0.6:
             for _ in range(chance.choice([1, 1, 1, 30])):
@@ -46,9 +46,9 @@
         elif doing < 0.9 and open_reqs:
             request, outcome = chance.choice(open_reqs), chance.choice(OUTCOMES)
             if model.out(request) and outcome != "hang":
-                if request.closed:
+                if request.finished:
                     model.end(request, "cancelled", final=False)
-                elif model.time <= request.until:
+                elif model.time <= request.deadline:
                     model.end(request, outcome, took=chance.randrange(5, 6000))
         elif doing < 0.95:
             backend = chance.choice(model.caches + model.parents)
@@ -72,26 +72,28 @@
 
 BREAKS = {  # what the model must say, and the edits that break the rule
     "two out at once": [
-        ("req.closed or req.out or be.status", "req.closed or be.status"),
-        ("return self._recall(req)", "return self._walk(req)"),
+        ("request.finished or request.in_flight or backend.status", "request.finished or backend.status"),
+        ("return self._recall(request)", "return self._walk(request)"),
     ],
     "sent to a draining be": [
-        ("be.status != 1 or source.status != 1", "False"),
-        ("if be.status == 1]", "if be.status]"),
+        ("backend.status != 1 or source.status != 1", "False"),
+        ("if backend.status == 1]", "if backend.status]"),
     ],
     "non-replayable sent again": [
-        ("if req.first_ran is not None and vhost.effect", "if False and vhost.effect")
+        ("if request.first_executed_at is not None and vhost.effect", "if False and vhost.effect")
     ],
-    "uniqued left its group": [("not held[vhost.group] or now", "now")],
+    "uniqued left its group": [("not held[vhost.idempotency_scope] or now", "now")],
     "uniqued sent again too late": [(" or now >= until", "")],
     "denied though it may have run": [("if not ran or vhost.effect", "if True or vhost.effect")],
     "cold cache pushed over": [
         ("if not all(self._room(", "if False and not all(self._room("),
-        ("return self.count < limit and", "return True or"),
+        ("return self.in_flight < limit and", "return True or"),
     ],
     "older than a purge": [("age = min(age or math.inf, max(1, now - max(purges) - 1))", "pass")],
-    "two final answers": [("        if req.closed:\n            return\n        vhost", "        vhost")],
-    "answered too late": [("self._push(req.until - self.tick, req, -1)", "pass")],
+    "two final answers": [
+        ("        if request.finished:\n            return\n        vhost", "        vhost")
+    ],
+    "answered too late": [("self._push(request.deadline - self.tick, request, -1)", "pass")],
 }
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -103,7 +103,7 @@
     asked, open_reqs, vhosts = [], [], config["vhosts"]
     for _ in range(steps):
         model.run(chance.choice([5, 50, 300, 2000]))
-        open_reqs = [request for request in open_reqs if not request.closed or model.out(request)]
+        open_reqs = [request for request in open_reqs if not request.finished or model.out(request)]
         doing = chance.random()
         if doing < 0.55:
             for _ in range(chance.choice([1, 1, 1, 30])):
@@ -117,13 +117,13 @@
         elif doing < 0.85 and open_reqs:
             request, outcome = chance.choice(open_reqs), chance.choice(OUTCOMES)
             if model.out(request) and outcome != "hang":
-                if request.closed:
+                if request.finished:
                     model.end(request, "cancelled" if config["limits"]["cancel"] else outcome, final=False)
-                elif model.time <= request.until:
+                elif model.time <= request.deadline:
                     model.end(request, outcome, took=chance.randrange(5, 6000))
         elif doing < 0.9 and open_reqs:
             request = chance.choice(open_reqs)  # its client may have left, and nobody can tell
-            if not request.closed and chance.random() < 0.5:
+            if not request.finished and chance.random() < 0.5:
                 model.router.half_closed(request, model.time)
             else:
                 model.gone[request] = model.time  # known outside only, until it is asked for
@@ -153,10 +153,13 @@
     ) == len(asked)
     router = model.router
     assert not any(
-        backend.requests or backend.load or backend.trial or (backend.way and backend.way.count)
+        backend.requests
+        or backend.in_flight_load
+        or backend.canary
+        or (backend.concurrency_limit and backend.concurrency_limit.in_flight)
         for backend in router.known
     )
-    assert router.link.count == 0
+    assert router.link.in_flight == 0
 
 
 def test_the_generated_settings_send_and_reach_their_ends():
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -40,15 +40,15 @@
         else:
             model.router.give_up(request, RejectReason.NO_ROOM)
             model.called_off()
-    assert 500 / 4000 < vhost.large / 10_000 < 900 / 4000, "about the seventh tenth"
-    assert vhost.answered_large < 0.2 < 0.5 < vhost.answered
-    ways = (model.router.link, *(one.way for one in model.caches))
+    assert 500 / 4000 < vhost.large_threshold / 10_000 < 900 / 4000, "about the seventh tenth"
+    assert vhost.large_answered_share < 0.2 < 0.5 < vhost.answered_share
+    ways = (model.router.link, *(one.concurrency_limit for one in model.caches))
 
     def goes(key):
         for way in ways:
-            way.count, way.limit = 2, 4.0  # a quarter of it is taken twice over, half is free
+            way.in_flight, way.limit = 2, 4.0  # a quarter of it is taken twice over, half is free
         return model.out(model.ask(key, kbytes=4000.0))
 
     assert goes("large")
-    vhost.answered_large = vhost.answered
+    vhost.large_answered_share = vhost.answered_share
     assert not goes("large, and they get their part")
