--- a/lilacloft/drill/wire.py
+++ b/lilacloft/drill/wire.py
@@ -7,22 +7,23 @@
 from typing import Any, BinaryIO, TextIO
 
 from lilacloft import needed
-from lilacloft.routing.model import Backend, Request
+from lilacloft.routing.host import AttemptResult, Dispatch, Endpoint, HealthChange, ListMode, Timer
+from lilacloft.routing.model import Backend, Outcome, Request
 from lilacloft.routing.router import Router
 from lilacloft.settings import NS, settings
 
 OUTCOMES = {
-    "Ok": "done",
-    "Failed": "error",
-    "QueueFull": "full",
-    "TimedOut": "timeout",
-    "ConnectError": "unreached",
-    "ResetByPeer": "reset",
-    "Canceled": "cancelled",
-    "Ignored": "unsent",
-    "Miss": "miss",
+    "Ok": Outcome.DONE,
+    "Failed": Outcome.ERROR,
+    "QueueFull": Outcome.QUEUE_FULL,
+    "TimedOut": Outcome.TIMEOUT,
+    "ConnectError": Outcome.CONNECT_FAILED,
+    "ResetByPeer": Outcome.RESET,
+    "Canceled": Outcome.CANCELLED,
+    "Ignored": Outcome.UNSENT,
+    "Miss": Outcome.MISS,
 }
-MODES = {0: "cached", 1: "failed", 2: "full", 3: "delta"}
+MODES = {0: ListMode.CACHED, 1: ListMode.FAILED, 2: ListMode.FULL, 3: ListMode.DELTA}
 
 
 class MalformedError(Exception):
@@ -44,6 +45,8 @@
 
 
 NUMBER = (int, float)
+# Bits of `fetchThrough`.
+BIT_COLLAPSE, BIT_CACHE_ONLY, BIT_REVALIDATE = 1, 2, 8
 
 
 class Gateway:
@@ -63,69 +66,58 @@
     def now(self) -> int:
         return self.t_ns // NS
 
-    def look(self, request: Request, backend: Backend, limit: int) -> None:
-        self.actions.append(["transmit", self.ids[request], backend.name, limit * NS])
-
-    def fetch(
-        self,
-        request: Request,
-        backend: Backend,
-        limit: int,
-        source: Backend,
-        rank: int,
-        age: int,
-        join: bool,
-        held_only: bool,
-        no_trace: bool,
-        renew: bool,
-    ) -> None:
-        bits = 1 * join + 2 * held_only + 4 * no_trace + 8 * renew
+    def dispatch(self, dispatch: Dispatch) -> None:
+        bits = (
+            BIT_COLLAPSE * dispatch.may_collapse
+            + BIT_CACHE_ONLY * dispatch.cache_only
+            + BIT_REVALIDATE * dispatch.revalidate
+        )
         self.actions.append(
-            ["fetchThrough", self.ids[request], backend.name, limit * NS, source.name, rank, age * NS, bits]
+            [
+                "fetchThrough",
+                self.ids[dispatch.request],
+                dispatch.backend.name,
+                dispatch.timeout * NS,
+                dispatch.source.name,
+                dispatch.cache_rank,
+                dispatch.max_age * NS,
+                bits,
+            ]
         )
 
-    def departed(self, request: Request) -> int | None:
+    def client_left_at(self, request: Request) -> int | None:
         """The simulator tells of it at once."""
 
-    def cancel(self, request: Request, seq: int) -> None:
-        self.actions.append(["undoSend", self.ids[request], seq])
+    def cancel(self, request: Request, attempt: int) -> None:
+        self.actions.append(["undoSend", self.ids[request], attempt])
 
-    def withdraw(self, request: Request, seq: int) -> None:
+    def withdraw(self, request: Request, attempt: int) -> None:
         """What is sent is out at once."""
 
-    def deny(self, request: Request, after: int) -> None:
-        self.actions.append(["notNow", self.ids[request], after * NS])
+    def reject(self, request: Request, retry_after: int) -> None:
+        self.actions.append(["notNow", self.ids[request], retry_after * NS])
         self.answered.append(request)
 
-    def abort(self, request: Request) -> None:
+    def fail(self, request: Request) -> None:
         self.actions.append(["reportFailure", self.ids[request]])
         self.answered.append(request)
 
-    def wake(self, at: int, token: str) -> None:
-        self.actions.append(["wakeMe", at * NS, token])
+    def wake(self, at: int, timer: Timer) -> None:
+        self.actions.append(["wakeMe", at * NS, timer])
 
-    def check(self, backend: Backend) -> None:
+    def check_health(self, backend: Backend) -> None:
         self.actions.append(["askLoad", backend.name])
 
-    def disconnect(self, backend: Backend) -> None:
-        self.actions.append(["release", backend.name])
-
-    def tell(self, peer: int, text: str) -> None:
-        self.actions.append(["notify", peer, text])
-
     def subscribe(self, on: bool) -> None:
         self.actions.append(["subscribe", on])
 
-    def snapshot(self) -> None:
-        self.actions.append(["snapshot"])
-
-    def log(self, text: str) -> None:
+    def health_changed(self, backend: Backend, change: HealthChange, reason: str) -> None:
+        text = f"{backend.name} {reason}"
+        if change is HealthChange.EJECTED:
+            text = f"{backend.name} {change}: {reason}"
         self.actions.append(["journalLine", text])
 
-    def believe(self, backend: Backend, what: str, why: str) -> None:
-        self.log(f"{backend.name} {why}" if what == "back" else f"{backend.name} {what}: {why}")
-
-    def limited(self, backend: Backend, was: float, limit: float, late: float) -> None:
+    def limit_recorded(self, backend: Backend, before: float, after: float, late_share: float) -> None:
         """The report has no place for it."""
 
     # --- what the wire brings ---
@@ -159,7 +151,7 @@
             if status not in (0, 1, 2):
                 raise MalformedError(f"status in the list is unknown: {status}")
             listed.append(
-                (
+                Endpoint(
                     self.backends.setdefault(name, Backend(name)),
                     field(row, 1, int, "zone", 0),
                     field(row, 2, int, "kind", 0),
@@ -169,7 +161,7 @@
                     field(row, 6, int, "startedAtNs", 0) // NS,
                 )
             )
-        self.router.listed(MODES[mode], listed)
+        self.router.endpoints_changed(MODES[mode], listed)
         self.backends = {
             name: backend for name, backend in self.backends.items() if backend.status or backend.requests
         }
@@ -192,43 +184,36 @@
         )
         self.requests[name] = request
         self.ids[request] = name
-        self.router.arrived(request)
+        self.router.request_arrived(request)
 
     def established(self, values: list[Any]) -> None:
         request = self.requests.get(field(values, 0, str, "id"))
         if request and self._be(values, 1):
-            self.router.flowing(request, field(values, 3, int, "sendNo", 0))
+            self.router.stream_started(request, field(values, 3, int, "sendNo", 0))
 
     def resolved(self, values: list[Any]) -> None:
         request = self.requests.get(field(values, 0, str, "id"))
-        seq = field(values, 1, int, "sendNo", 0)
+        attempt = field(values, 1, int, "sendNo", 0)
         backend = self._be(values, 2)
         code = field(values, 3, str, "stateCode")
         if code not in OUTCOMES:
             raise MalformedError(f"stateCode is unknown: {code}")
         final = field(values, 5, bool, "finished", False)
         if request and backend:
-            self.router.ended(
-                request,
-                backend,
-                seq,
-                OUTCOMES[code],
-                field(values, 4, int, "tookNs", 0) // NS,
-                final,
-                field(values, 6, int, "remark", 0),
-                field(values, 7, int, "sourceWaitNs", 0) // NS,
-                field(values, 8, list, "feedback", []),
-            )
+            duration, note = field(values, 4, int, "tookNs", 0) // NS, field(values, 6, int, "remark", 0)
+            field(values, 7, int, "sourceWaitNs", 0), field(values, 8, list, "feedback", [])  # not used
+            result = AttemptResult(attempt, OUTCOMES[code], duration, final, note)
+            self.router.attempt_ended(request, backend, result)
             self._forget(request)
 
     def cancelled_by_client(self, values: list[Any]) -> None:
         request = self.requests.get(field(values, 0, str, "id"))
         if request:
-            self.router.left(request)
+            self.router.client_disconnected(request)
             self._forget(request)
 
     def timeout_fired(self, values: list[Any]) -> None:
-        self.router.woke(field(values, 0, str, "ctx"))
+        self.router.timer_fired(field(values, 0, str, "ctx"))
 
     def status_back(self, values: list[Any]) -> None:
         backend = self._be(values, 0)
@@ -236,12 +221,8 @@
         if code not in OUTCOMES:
             raise MalformedError(f"stateCode is unknown: {code}")
         if backend:
-            self.router.checked(
-                backend,
-                field(values, 1, int, "tookNs", 0) // NS,
-                OUTCOMES[code],
-                field(values, 3, list, "feedback", []),
-            )
+            field(values, 1, int, "tookNs", 0)  # not used
+            self.router.health_checked(backend, OUTCOMES[code], field(values, 3, list, "feedback", []))
 
     def heard(self, values: list[Any]) -> None:
         field(values, 0, int, "by"), field(values, 1, str, "msg", "")  # gateways say nothing to each other
@@ -250,7 +231,7 @@
         key = values[0] if values and values[0] not in (0, None) else ""
         if not isinstance(key, str):
             raise MalformedError(f"contentId is no str: {key!r}")
-        self.router.purged(
+        self.router.object_purged(
             key, field(values, 1, int, "batchId", 0), field(values, 2, int, "copyAgeNs", 0) // NS
         )
 
--- a/lilacloft/emulator/fleet.py
+++ b/lilacloft/emulator/fleet.py
@@ -24,6 +24,8 @@
 from lilacloft.emulator.links import Flow, Link, Net
 from lilacloft.emulator.rules import Breach, Checker
 from lilacloft.emulator.worlds import SECOND, World
+from lilacloft.routing.model import Idempotency
+from lilacloft.routing.rendezvous import hash_order
 
 START = 1_000 * SECOND  # no world begins at 0, which means "never" in places
 SLACK = 200  # by which an answer may be late on its way to the client
@@ -149,8 +151,8 @@
             for key in self.clients.ranked[: 40 * self.world.caches]:
                 for part in range(self.world.habits.parts):
                     size, group = self.clients.size(key, part), self.clients.group(key)
-                    homes = self._homes(router, router.caches, f"{key} {part}")
-                    parents = self._homes(router, router.parents, f"{key} {part}")
+                    homes = self._homes(router, router.pools.caches, f"{key} {part}")
+                    parents = self._homes(router, router.pools.parents, f"{key} {part}")
                     for name in homes[:1] + parents[:1]:
                         # of some age, else all would grow old together
                         born = START - 1 - zlib.crc32(key.encode()) % (8 * SECOND)
@@ -158,7 +160,7 @@
 
     @staticmethod
     def _homes(router: Any, pool: list[Any], key: str) -> list[str]:
-        order = getattr(router, "home_order", router._order)
+        order = getattr(router, "home_order", hash_order)
         return [backend.name for backend in order(pool, key)]
 
     # --- time ---
@@ -320,7 +322,7 @@
     def effect(self, dispatch: Dispatch, origin: Box) -> None:
         """A write has come to the origin. A keyed one has its effect once, however often it comes."""
         if (
-            dispatch.gateway.router.vhosts[dispatch.request.vhost].effect == "uniqued"
+            dispatch.gateway.router.virtual_hosts[dispatch.request.vhost].idempotency is Idempotency.KEYED
             and dispatch.write in self.checker.effects
         ):
             return
--- a/lilacloft/emulator/gateway.py
+++ b/lilacloft/emulator/gateway.py
@@ -15,6 +15,8 @@
 from lilacloft.emulator.clients import Ask
 from lilacloft.emulator.events import CHECK, CLIENT, NET, TIMER
 from lilacloft.emulator.rules import Told
+from lilacloft.routing.host import AttemptResult, Endpoint, HealthChange, Timer
+from lilacloft.routing.host import Dispatch as Order
 from lilacloft.routing.model import Backend, Request
 from lilacloft.stamps import Hearing, Stamps
 
@@ -79,9 +81,7 @@
 
     def _thaw(self, life: int, since: int) -> None:
         if life == self.life and self.fleet.events.now >= self.frozen:
-            lagged = getattr(self.router, "lagged", None)  # earlier versions do not hear of it
-            if lagged:
-                lagged(self.fleet.events.now - since)
+            self.router.loop_lagged(self.fleet.events.now - since)
 
     def restart(self) -> None:
         """The process ends with all that is open, and another begins."""
@@ -118,13 +118,13 @@
         self.open[request] = None
         if ask.leave:
             fleet.events.at(fleet.events.now + ask.leave, CLIENT, self._leave, request, self.life)
-        return self.router.arrived(request)
+        return self.router.request_arrived(request)
 
     def _leave(self, request: Request, life: int) -> None:
         if life == self.life and request in self.open and not self.held(CLIENT, self._leave, request, life):
             del self.open[request]
             self.fleet.gone(self.asks[request][0])
-            self.router.left(request)
+            self.router.client_disconnected(request)
             self._forget(request)
 
     def _final(self, request: Request, word: str, after: int = 0, dispatch: Dispatch | None = None) -> None:
@@ -151,9 +151,8 @@
         elif outcome == "done":
             self.fleet.wasted += 1
         final = outcome == "done" or request.finished
-        self.router.ended(
-            request, dispatch.backend, dispatch.seq, outcome, now - dispatch.sent, final, note, 0, load
-        )
+        result = AttemptResult(dispatch.seq, outcome, now - dispatch.sent, final, note)
+        self.router.attempt_ended(request, dispatch.backend, result)
         self._forget(request)
 
     def time_up(self, dispatch: Dispatch) -> None:
@@ -175,7 +174,7 @@
                 backend = self.backends[box.name] = Backend(box.name)
                 self.boxes[backend] = getattr(box, "box", box)
             entries.append(
-                (
+                Endpoint(
                     backend,
                     box.zone,
                     box.kind,
@@ -187,12 +186,12 @@
             )
             self.knows[box.name] = box.started
             self.fleet.checker.listed(self.name, box.name, box.status != 1, self.fleet.events.now)
-        self.router.listed(mode, entries)
+        self.router.endpoints_changed(mode, entries)
 
     def purged(self, key: str, group: int, at: int) -> None:
         self.fleet.checker.purged(self.name, key or group, at)
         at = self.stamps.purge(self.now(), at, self._hearing())
-        self.router.purged(key, group, self.now() - at)
+        self.router.object_purged(key, group, self.now() - at)
         for name, started in self.stamps.revised().items():
             self.backends[name].started = started
 
@@ -203,50 +202,12 @@
 
     # --- Host: what the module calls ---
 
-    def look(self, request: Request, backend: Backend, limit: int) -> None:
-        self._send(request, backend, limit, None, 0, 0, False, True, False)
-
-    def fetch(
-        self,
-        request: Request,
-        backend: Backend,
-        limit: int,
-        source: Backend,
-        rank: int,
-        age: int,
-        join: bool,
-        held_only: bool,
-        no_trace: bool,
-        renew: bool,
-    ) -> None:
-        self._send(
-            request,
-            backend,
-            limit,
-            source if source is not backend else None,
-            rank,
-            age,
-            join,
-            held_only,
-            renew,
-        )
-
-    def _send(
-        self,
-        request: Request,
-        backend: Backend,
-        limit: int,
-        source: Backend | None,
-        rank: int,
-        age: int,
-        join: bool,
-        held_only: bool,
-        renew: bool,
-    ) -> None:
+    def dispatch(self, order: Order) -> None:
+        request, backend, now = order.request, order.backend, self.fleet.events.now
+        source = order.source if order.source is not order.backend else None
         fleet = self.fleet
         number, ask = self.asks[request]
         vhost, box = fleet.world.vhosts[ask.vhost], self.boxes[backend]
-        now = fleet.events.now
         fleet.sends += 1
         dispatch = Dispatch(
             fleet.sends,
@@ -259,12 +220,12 @@
             ask.group,
             request.kbytes,
             self.boxes[source] if source else None,
-            rank,
-            now - age if age else 0,
+            order.cache_rank,
+            now - order.max_age if order.max_age else 0,
             now - vhost.fresh if vhost.fresh else 0,
-            join,
-            held_only,
-            renew,
+            order.may_collapse,
+            order.cache_only,
+            order.revalidate,
             vhost.passes,
             ask.effect,
             now,
@@ -274,9 +235,9 @@
         self.out[request, dispatch.seq] = dispatch
         self.counts["dispatches"] += 1
         fleet.sending(dispatch, number, source)
-        fleet.events.at(now + limit, TIMER, self.time_up, dispatch)
+        fleet.events.at(now + order.timeout, TIMER, self.time_up, dispatch)
 
-    def departed(self, request: Request) -> int | None:
+    def client_left_at(self, request: Request) -> int | None:
         """Who leaves is told of at once."""
 
     def cancel(self, request: Request, seq: int) -> None:
@@ -292,49 +253,37 @@
     def withdraw(self, request: Request, seq: int) -> None:
         """What is sent is out at once."""
 
-    def deny(self, request: Request, after: int) -> None:
+    def reject(self, request: Request, after: int) -> None:
         self._final(request, "denied", after)
         self.fleet.events.at(self.fleet.events.now, CHECK, self._forget, request)
 
-    def abort(self, request: Request) -> None:
+    def fail(self, request: Request) -> None:
         self._final(request, "aborted")
         self.fleet.events.at(self.fleet.events.now, CHECK, self._forget, request)
 
-    def wake(self, at: int, token: str) -> None:
+    def wake(self, at: int, token: Timer) -> None:
         self.fleet.events.at(at - self.offset, TIMER, self._wake, token, self.life)
 
-    def _wake(self, token: str, life: int) -> None:
+    def _wake(self, token: Timer, life: int) -> None:
         if life == self.life and not self.held(TIMER, self._wake, token, life):
-            self.router.woke(token)
+            self.router.timer_fired(token)
 
-    def check(self, backend: Backend) -> None:
+    def check_health(self, backend: Backend) -> None:
         self.counts["checks"] += 1
         self.fleet.check(self, backend, self.boxes[backend], self.life)
 
     def checked(self, backend: Backend, took: int, outcome: str, load: list[float], life: int) -> None:
         """A health check is answered."""
         if life == self.life and not self.held(NET, self.checked, backend, took, outcome, load, life):
-            self.router.checked(backend, took, outcome, load)
-
-    def disconnect(self, backend: Backend) -> None:
-        """Connections cost nothing here."""
-
-    def tell(self, peer: int, text: str) -> None:
-        """Gateways do not talk here."""
+            self.router.health_checked(backend, outcome, load)
 
     def subscribe(self, on: bool) -> None:
         """The change log is always followed."""
 
-    def snapshot(self) -> None:
-        """The change log sends what there is."""
-
-    def log(self, text: str) -> None:
-        """Nobody reads it."""
-
-    def believe(self, backend: Backend, what: str, why: str) -> None:
-        self.fleet.believes += what != "back"
+    def health_changed(self, backend: Backend, change: HealthChange, reason: str) -> None:
+        self.fleet.believes += change is HealthChange.EJECTED
 
-    def limited(self, backend: Backend, was: float, limit: float, late: float) -> None:
+    def limit_recorded(self, backend: Backend, before: float, after: float, late_share: float) -> None:
         """Nobody looks."""
 
 
--- a/lilacloft/emulator/policies.py
+++ b/lilacloft/emulator/policies.py
@@ -1,162 +1,249 @@
-"""Decides where a req goes in other ways than the module does: baselines, for comparison only.
+"""Baselines for comparison only: routers that decide one thing otherwise than the gateway's own.
 
-Each is the module with one thing replaced, so that they all pass the same gate of the rules and differ in
-what they are named for: the order in which caches are tried, the bound, joins, renewals, health and limits.
-The oracle reads the world itself, which no gateway can, and so shows about how much there was to be had; it
-is no proof of an optimum. No I/O.
+Each is the `Router` with one or two of its rules replaced, so that they all pass the same checks of the
+five rules and differ in what they are named for: the order in which caches are tried, the load bound,
+request collapsing, revalidation, outlier detection and concurrency limits. The oracle reads the emulated
+world itself, which no gateway can, and so shows about how much there was to be had; it is no proof of an optimum. No I/O.
 """
 
 from __future__ import annotations
 
 import zlib
-from collections.abc import Callable
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Any
 
-from lilacloft.routing.router import Limit, Router
+from lilacloft.routing.concurrency import AdaptiveLimit
+from lilacloft.routing.dispatching import Dispatcher
+from lilacloft.routing.freshness import Freshness
+from lilacloft.routing.host import Endpoint, ListMode
+from lilacloft.routing.model import Backend, Request
+from lilacloft.routing.outliers import OutlierDetector
+from lilacloft.routing.rendezvous import PoolLoad, Rendezvous
+from lilacloft.routing.router import Router
+from lilacloft.routing.rules import Rules
+from lilacloft.routing.units import Ticks
 
+NO_LIMIT = 1e9
 
-class Open(Limit):
-    """A limit that refuses nothing."""
 
-    def open(self, favour: float, now: int) -> bool:
-        return True
+class Unlimited(AdaptiveLimit):
+    """A concurrency limit that allows everything."""
 
+    def __init__(self) -> None:
+        super().__init__(NO_LIMIT, 1.0)
 
-class Bare(Router):
-    """Without health and limits: a be that is listed is asked, however it answers."""
+    def allows(self, weight: float, now: Ticks) -> bool:
+        return True
 
-    def __init__(self, host: Any, settings: Any) -> None:
-        super().__init__(host, settings)
-        self.link = Open(1e9, 1.0)
-        self.asks = False
 
-    def listed(self, mode: str, entries: Any) -> None:
-        super().listed(mode, entries)
-        for backend in self.known:
-            if backend.concurrency_limit is not None and not isinstance(backend.concurrency_limit, Open):
-                backend.concurrency_limit = Open(1e9, 1.0)
+class NoOutliers(OutlierDetector):
+    """Ejects nobody."""
 
-    def _strike(self, backend: Any, now: int, weight: int = 1) -> None:
-        """Nobody is suspect."""
+    def record_failure(self, backend: Backend, weight: int = 1) -> None:
+        """Failures do not count."""
 
-    def _doubt(self, source: Any, now: int) -> None:
-        """Nobody is suspect."""
+    def record_missing_fill(self, source: Backend) -> None:
+        """Fills that do not come do not count."""
 
 
-class Unbounded:
-    """The home takes whatever comes."""
+class Unbounded(Rendezvous):
+    """Hash order without a load bound: the home takes whatever comes."""
 
-    def _fit(self, backend: Any, pool: Any, request: Any) -> bool:
+    def within_bound(self, backend: Backend, pool: PoolLoad, request: Request, mean_load: float) -> bool:
         return True
 
 
-class Drawn(Unbounded):
-    """Caches in a drawn order, another for each try."""
+class RandomOrder(Unbounded):
+    """Caches in a random order, another for each attempt."""
+
+    def __init__(self, seed: str) -> None:
+        self.seed = seed
+        self.orders = 0
+
+    def order(self, pool: Sequence[Backend], key: str) -> list[Backend]:
+        self.orders += 1
+        prefix = f"{self.seed} {self.orders}"
+        return sorted(pool, key=lambda backend: zlib.crc32(f"{prefix} {backend.name}".encode()))
+
+
+def own_load(backend: Backend) -> float:
+    """Return this gateway's own load at a backend, by its capacity."""
+    return backend.in_flight_load / backend.capacity
+
+
+class TwoChoices(RandomOrder):
+    """Of two random caches the one with less of this gateway's own load, then the others."""
+
+    def order(self, pool: Sequence[Backend], key: str) -> list[Backend]:
+        shuffled = super().order(pool, key)
+        return sorted(shuffled[:2], key=own_load) + shuffled[2:]
+
+
+class LeastLoaded(RandomOrder):
+    """The cache with the least of this gateway's own load."""
+
+    def order(self, pool: Sequence[Backend], key: str) -> list[Backend]:
+        return sorted(super().order(pool, key), key=own_load)
+
 
-    drawn = 0
+class BareRouter(Router):
+    """Without outlier detection and concurrency limits: listed backends are asked, however they answer."""
 
-    def _order(self, pool: list[Any], key: str) -> list[Any]:
-        self.drawn += 1
-        host = getattr(self.host, "name", "")
-        return sorted(pool, key=lambda backend: zlib.crc32(f"{host} {self.drawn} {backend.name}".encode()))
+    @staticmethod
+    def make_rules(host: Any, settings: Mapping[str, Any]) -> Rules:
+        rules = Rules.make(host, settings)
+        rules.link_limit = Unlimited()
+        rules.settings.health_checks = False
+        rules.outliers = NoOutliers(host, rules.pools, rules.virtual_hosts, rules.plan, rules.link_limit)
+        return rules
 
+    def endpoints_changed(self, mode: ListMode | str, endpoints: Iterable[Endpoint]) -> None:
+        super().endpoints_changed(mode, endpoints)
+        for backend in self.pools.backends:
+            limit = backend.concurrency_limit
+            if limit is not None and not isinstance(limit, Unlimited):
+                backend.concurrency_limit = Unlimited()
 
-class Two(Drawn):
-    """Of two that are drawn the one with less of this gateway's own, then the others."""
 
-    def _order(self, pool: list[Any], key: str) -> list[Any]:
-        drawn = super()._order(pool, key)
-        return sorted(drawn[:2], key=lambda backend: backend.in_flight_load / backend.capacity) + drawn[2:]
+def with_placement(base: type[Router], make: Callable[[Any], Rendezvous]) -> type[Router]:
+    """Return a router class with another placement. `make` gets the host."""
 
+    class Placed(base):
+        """A baseline with another placement."""
 
-class Least(Drawn):
-    """The one with the least of this gateway's own out."""
+        @staticmethod
+        def make_rules(host: Any, settings: Mapping[str, Any]) -> Rules:
+            rules = base.make_rules(host, settings)
+            rules.placement = make(host)
+            return rules
 
-    def _order(self, pool: list[Any], key: str) -> list[Any]:
-        return sorted(
-            super()._order(pool, key), key=lambda backend: backend.in_flight_load / backend.capacity
-        )
+    return Placed
 
 
-class Alone(Router):
+def host_name(host: Any) -> str:
+    """Return the name of the gateway whose decisions a host carries out."""
+    return getattr(host, "name", "")
+
+
+class NoCollapsing(Router):
     """Fills are never joined."""
 
-    def __init__(self, host: Any, settings: Any) -> None:
+    def __init__(self, host: Any, settings: Mapping[str, Any]) -> None:
         super().__init__(host, settings)
-        self.joins = False
+        self.settings.collapsing = False
 
 
-class Unrenewed(Router):
-    """Nothing is renewed behind: who finds a copy too old waits for a new one."""
+class NoRevalidationDispatcher(Dispatcher):
+    """Marks every copy as just revalidated before an attempt."""
 
-    def _send(self, request: Any, backend: Any, source: Any, held_only: bool = False) -> bool:
+    def try_dispatch(
+        self, request: Request, backend: Backend, source: Backend, cache_only: bool = False
+    ) -> bool:
         if request.object_part is not None:
             request.object_part.revalidated_at = self.host.now()
-        return super()._send(request, backend, source, held_only)
+        return super().try_dispatch(request, backend, source, cache_only)
 
 
-class Oracle(Bare):
-    """Knows who answers, who holds what, and how full all ways out are."""
+class NoRevalidation(Router):
+    """Nothing is revalidated behind an answer: whoever finds a copy too old waits for a new one."""
+
+    def __init__(self, host: Any, settings: Mapping[str, Any]) -> None:
+        super().__init__(host, settings)
+        self.dispatcher = NoRevalidationDispatcher(self.rules)
 
-    def _box(self, backend: Any) -> Any:
-        return self.host.boxes[backend]
 
-    def _order(self, pool: list[Any], key: str) -> list[Any]:
+class OraclePlacement(Rendezvous):
+    """Orders caches by what they really have and can send."""
+
+    def __init__(self, host: Any) -> None:
+        self.host = host
+
+    def order(self, pool: Sequence[Backend], key: str) -> list[Backend]:
         words = key.split()
-        place = (words[0], int(words[1]) if len(words) > 1 else 0)
+        part_key = (words[0], int(words[1]) if len(words) > 1 else 0)
         fleet = self.host.fleet
 
-        def reckoned(backend: Any) -> tuple[Any, ...]:
-            box = self._box(backend)
-            gone = box.silent or box.dead or fleet.cut(self.host, box) or fleet.cut(box, self.host)
-            room = box.out.capacity / max(1, len(box.out.flows) + 1)
-            full = len(box.open) >= box.slots
-            held = box.copies.peek(place) is not None or place in box.fills
-            return gone, full, room < 0.25 * fleet.pace, not held, -room, backend.name
+        def rank(backend: Backend) -> tuple[Any, ...]:
+            box = self.host.boxes[backend]
+            rate = box.out.capacity / max(1, len(box.out.flows) + 1)
+            is_full = len(box.open) >= box.slots
+            has_copy = box.copies.peek(part_key) is not None or part_key in box.fills
+            return (
+                self._is_lost(backend),
+                is_full,
+                rate < 0.25 * fleet.pace,
+                not has_copy,
+                -rate,
+                backend.name,
+            )
+
+        return sorted(pool, key=rank)
+
+    def _is_lost(self, backend: Backend) -> bool:
+        box, fleet = self.host.boxes[backend], self.host.fleet
+        return box.silent or box.dead or fleet.cut(self.host, box) or fleet.cut(box, self.host)
+
+    def within_bound(self, backend: Backend, pool: PoolLoad, request: Request, mean_load: float) -> bool:
+        box = self.host.boxes[backend]
+        return not (box.silent or box.dead or self.host.fleet.cut(self.host, box))
 
-        return sorted(pool, key=reckoned)
 
-    def _fit(self, backend: Any, pool: Any, request: Any) -> bool:
-        box = self._box(backend)
-        return not (box.silent or box.dead or self.host.fleet.cut(self.host, box))
+class OracleFreshness(Freshness):
+    """Knows which cache has a copy."""
+
+    host: Any = None
+
+    def likely_cached(self, request: Request, backend: Backend, now: Ticks) -> bool:
+        return self.host.boxes[backend].copies.peek(request.part_key) is not None
 
-    def _held(self, request: Any, backend: Any) -> bool:
-        return self._box(backend).copies.peek((request.key, request.part)) is not None
 
-    def _send(self, request: Any, backend: Any, source: Any, held_only: bool = False) -> bool:
-        """Nothing goes where it could only be late: what all together have under way there is known."""
-        box, fleet = self._box(backend), self.host.fleet
-        worth = self.vhosts[request.vhost].value / (self.value or 1.0)
-        room = 1.0 + min(1.0, max(0.0, worth / 2))
+class OracleDispatcher(Dispatcher):
+    """Sends nothing where it could only be late: what all gateways have under way there is known."""
+
+    def try_dispatch(
+        self, request: Request, backend: Backend, source: Backend, cache_only: bool = False
+    ) -> bool:
+        host = self.host
+        box, fleet = host.boxes[backend], host.fleet
+        value = self.virtual_hosts[request.vhost].value / (self.rules.averages.value or 1.0)
+        headroom = 1.0 + min(1.0, max(0.0, value / 2))
         links = [box.out]
-        if (
-            source is not backend
-            and not self._held(request, backend)
-            and (request.key, request.part) not in box.fills
-        ):
-            links += [fleet.ways_in[self.zone], self._box(source).out]
-        if any(link.wanted + fleet.pace > room * link.capacity for link in links) and request.kbytes > 4:
+        has_copy = self.freshness.likely_cached(request, backend, host.now())
+        if source is not backend and not has_copy and request.part_key not in box.fills:
+            links += [fleet.ways_in[self.settings.zone], host.boxes[source].out]
+        is_large = request.kbytes > 4
+        if is_large and any(link.wanted + fleet.pace > headroom * link.capacity for link in links):
             return False
-        return super()._send(request, backend, source, held_only)
+        return super().try_dispatch(request, backend, source, cache_only)
+
 
-    home_order = staticmethod(Router._order)  # where copies lie at the beginning
+class Oracle(BareRouter):
+    """Knows who answers, who has which copy, and how full all links are."""
 
+    def __init__(self, host: Any, settings: Mapping[str, Any]) -> None:
+        super().__init__(host, settings)
+        self.dispatcher = OracleDispatcher(self.rules)
 
-def made(name: str, *parts: type) -> type:
-    return type(name, parts, {"__doc__": parts[0].__doc__, "home_order": staticmethod(Router._order)})
+    @staticmethod
+    def make_rules(host: Any, settings: Mapping[str, Any]) -> Rules:
+        rules = BareRouter.make_rules(host, settings)
+        rules.placement = OraclePlacement(host)
+        rules.freshness = OracleFreshness(rules.virtual_hosts, rules.settings.purge_lifetime)
+        rules.freshness.host = host
+        return rules
 
 
 POLICIES: dict[str, Callable[[Any, Any], Any]] = {
     "module": Router,
-    "hash": made("Hash", Unbounded, Bare),
-    "bounded": Bare,
-    "random": made("Random", Drawn, Bare),
-    "two": made("TwoChoices", Two, Bare),
-    "least": made("LeastOut", Least, Bare),
-    "hash+health": made("HashHealth", Unbounded, Router),
-    "two+health": made("TwoHealth", Two, Router),
-    "least+health": made("LeastHealth", Least, Router),
-    "no-joins": Alone,
-    "no-renewals": Unrenewed,
+    "hash": with_placement(BareRouter, lambda host: Unbounded()),
+    "bounded": BareRouter,
+    "random": with_placement(BareRouter, lambda host: RandomOrder(host_name(host))),
+    "two": with_placement(BareRouter, lambda host: TwoChoices(host_name(host))),
+    "least": with_placement(BareRouter, lambda host: LeastLoaded(host_name(host))),
+    "hash+health": with_placement(Router, lambda host: Unbounded()),
+    "two+health": with_placement(Router, lambda host: TwoChoices(host_name(host))),
+    "least+health": with_placement(Router, lambda host: LeastLoaded(host_name(host))),
+    "no-joins": NoCollapsing,
+    "no-renewals": NoRevalidation,
     "oracle": Oracle,
 }
--- /dev/null
+++ b/lilacloft/experiment/packages.py
@@ -0,0 +1,59 @@
+"""Loads the decision modules from texts, as a package beside the running one.
+
+The records and the host's interface (`model`, `host`) are the running ones, as whoever runs a router shares
+them with it; all other modules are made of the texts.
+"""
+
+from __future__ import annotations
+
+import importlib
+import importlib.abc
+import importlib.machinery
+import sys
+import types
+from collections.abc import Mapping, Sequence
+from typing import TypeAlias
+
+Sources: TypeAlias = Mapping[str, str]  # texts by the names of modules, without their package
+SHARED = ("model", "host")
+RUNNING = "lilacloft.routing"
+
+
+class TextLoader(importlib.abc.MetaPathFinder, importlib.abc.Loader):
+    """Finds and executes the modules of one package that is made of texts."""
+
+    def __init__(self, package: str, sources: Sources) -> None:
+        self.package = package
+        self.sources = {name: self._rename_imports(text) for name, text in sources.items()}
+
+    def _rename_imports(self, text: str) -> str:
+        """Return a module's text with its imports of the package's other modules led here."""
+        renamed = text.replace(RUNNING, self.package)
+        for name in SHARED:
+            renamed = renamed.replace(f"{self.package}.{name}", f"{RUNNING}.{name}")
+        return renamed
+
+    def find_spec(
+        self, fullname: str, path: Sequence[str] | None = None, target: types.ModuleType | None = None
+    ) -> importlib.machinery.ModuleSpec | None:
+        package, _, name = fullname.rpartition(".")
+        if package != self.package or name not in self.sources:
+            return None
+        return importlib.machinery.ModuleSpec(fullname, self)
+
+    def exec_module(self, module: types.ModuleType) -> None:
+        name = module.__name__.rpartition(".")[2]
+        exec(compile(self.sources[name], module.__name__, "exec"), module.__dict__)
+
+
+def load(package: str, sources: Sources, name: str) -> types.ModuleType:
+    """Return the module `name` of a package that is made of texts. An earlier package of that name is
+    replaced. Raises SyntaxError, ImportError."""
+    for known in [known for known in sys.modules if known.partition(".")[0] == package]:
+        del sys.modules[known]
+    sys.meta_path[:] = [finder for finder in sys.meta_path if getattr(finder, "package", None) != package]
+    sys.meta_path.append(TextLoader(package, sources))
+    parent = types.ModuleType(package)
+    parent.__path__ = []
+    sys.modules[package] = parent
+    return importlib.import_module(f"{package}.{name}")
--- a/lilacloft/invariants.py
+++ b/lilacloft/invariants.py
@@ -3,8 +3,8 @@
 
 Owns the state of these checks and nothing else. It shares none with the decisions
 (lilacloft/routing/), whose mistakes it is to find: a plain account of what went out, ended and was answered.
-A guard that finds a promise about to be broken says so, counts it and tells the caller not to go on. No I/O and no clock; times
-and spans are whole tenths of a millisecond, by the clock that the caller names.
+A guard that finds a promise about to be broken says so, counts it and tells the caller not to go on. No I/O
+and no clock; times and spans are whole tenths of a millisecond, by the clock that the caller names.
 """
 
 from __future__ import annotations
--- a/lilacloft/net/back.py
+++ b/lilacloft/net/back.py
@@ -18,7 +18,7 @@
 from lilacloft.net.conn import Conn, End
 from lilacloft.net.resp import Buffer, GarbledError, encode, fields, listed
 from lilacloft.routing.model import Backend
-from lilacloft.routing.router import last_send
+from lilacloft.routing.retries import last_send_time
 from lilacloft.settings import NS, TENTHS
 
 WORDS = {
@@ -139,7 +139,7 @@
         if (self.send_by and now >= self.send_by) or (self.until and now >= self.until):
             return True
         gone = self.call.departed()
-        return gone is not None and now >= last_send(gone)
+        return gone is not None and now >= last_send_time(gone)
 
 
 class Line(Conn):
--- a/lilacloft/net/owner.py
+++ b/lilacloft/net/owner.py
@@ -27,6 +27,7 @@
 from lilacloft.net.front import Call, Client, Front
 from lilacloft.net.resp import encode, listed
 from lilacloft.net.trace import Trace
+from lilacloft.routing.host import AttemptResult, Dispatch, Endpoint, HealthChange, Timer
 from lilacloft.routing.model import Backend, RejectReason, Request
 from lilacloft.routing.router import Router
 from lilacloft.settings import NS, TENTHS, settings
@@ -213,7 +214,7 @@
             late = self.time - self.timers[0][0]
             lags, self.lags = self.lags, late > self.slack
             if self.lags:
-                self.router.lagged(late)
+                self.router.loop_lagged(late)
             if self.lags and not lags:
                 # the process was stopped, or starved: answers may lie unread, and no cache is to blame. Once
                 # only: where it lags turn after turn it has more to do than it can, and must not sleep
@@ -293,7 +294,7 @@
     def _last(self) -> None:
         """What is still open is given up."""
         for call in list(self.calls.values()):
-            self.router.give_up(call.request, RejectReason.ENDING)
+            self.router.reject(call.request, RejectReason.ENDING)
 
     def reload(self, config: dict[str, Any]) -> None:
         """The configuration was read again: what may change is taken over whole, or not at all."""
@@ -391,7 +392,7 @@
         """What is open, counted or held just now, for who looks whether anything has stayed behind."""
         lines = [line for pool in self.back.pools.values() for line in pool.lines]
         out = [sent for line in lines for sent in line.out.values()]
-        backends = self.router.known
+        backends = self.router.pools.backends
         return {
             "calls": len(self.calls),
             "names": len(self.front.names),
@@ -402,7 +403,7 @@
             "checks": sum(sent.call is None for sent in out),
             "reqs": sum(len(backend.requests) for backend in backends),
             "trials": sum(backend.canary is not None for backend in backends),
-            "limits": self.router.link.in_flight
+            "limits": self.router.link_limit.in_flight
             + sum(backend.concurrency_limit.in_flight for backend in backends if backend.concurrency_limit),
         }
 
@@ -427,7 +428,7 @@
             self.guard.knows(call, request)
         if self.recorder:
             self.recorder.arrived(call)
-        self.router.arrived(request)
+        self.router.request_arrived(request)
 
     def forgotten(self, call: Call) -> None:
         call.client.settled += 1
@@ -437,21 +438,21 @@
             self.trace.add(self.steady, call.name, "left")
             if self.recorder:
                 self.recorder.left(call)
-            self.router.left(call.request)
+            self.router.client_disconnected(call.request)
             self._forget(call)
 
     def garbled(self, client: Client) -> None:
         """A client writes what cannot be read: what it has open is given up, with its answers."""
         for call in list(client.open.values()):
             if call.request is not None:
-                self.router.give_up(call.request, RejectReason.GARBLED)
+                self.router.reject(call.request, RejectReason.GARBLED)
 
     def half_closed(self, client: Client, at: int) -> None:
         """A client's input ended at a time by the steady clock. It may have closed its half only, or have
         left: what waits is sent on for a moment more, what is out is answered."""
         for call in list(client.open.values()):
             if call.request is not None:
-                until = self.router.half_closed(call.request, self.time - max(0, self.steady - at))
+                until = self.router.client_half_closed(call.request, self.time - max(0, self.steady - at))
                 self.at(until, self._send_by_passed, call)
 
     def _send_by_passed(self, call: Call) -> None:
@@ -496,7 +497,7 @@
         if call is None:
             if self.recorder:
                 self.recorder.checked(sent.backend, OUTCOMES[end], load)
-            return self.router.checked(sent.backend, took, OUTCOMES[end], load)
+            return self.router.health_checked(sent.backend, OUTCOMES[end], load)
         call.sent = None
         outcome = call.last = OUTCOMES[end]
         if sent.made:  # else a check kept it back
@@ -514,7 +515,8 @@
             else:
                 self._final(call, "done", b"200", (), body)
         final = outcome == "done" or call.request.finished
-        self.router.ended(call.request, sent.backend, sent.seq, outcome, took, final, note, waited, load)
+        result = AttemptResult(sent.seq, outcome, took, final, note)
+        self.router.attempt_ended(call.request, sent.backend, result)
         self._forget(call)
         return None
 
@@ -580,7 +582,7 @@
             key, group, at = told
             if self.guard:
                 self.guard.purged(key, group, at * 10)
-            self.router.purged(key, group, self.time - self.stamps.purge(self.time, at * 10, hearing))
+            self.router.object_purged(key, group, self.time - self.stamps.purge(self.time, at * 10, hearing))
             return self._revise_starts()
         self.listed(
             mode or what,
@@ -595,13 +597,13 @@
             backend = self.backends.get(name)
             if backend is None:
                 backend = self.backends[name] = Backend(name)
-            entries.append((backend, zone, kind, cell, status, size, started))
+            entries.append(Endpoint(backend, zone, kind, cell, status, size, started))
             places.append((backend, place))
-        for backend, *_, status, _, _ in entries:
-            self.invariants.listed(backend.name, status, self.time, self.steady)
-        self.router.listed(mode, entries)
+        for entry in entries:
+            self.invariants.listed(entry.backend.name, entry.status, self.time, self.steady)
+        self.router.endpoints_changed(mode, entries)
         if self.agent:
-            self.agent.told([backend.name for backend, *_ in entries])
+            self.agent.told([entry.backend.name for entry in entries])
         for backend, place in places:
             if backend.status:
                 self.back.place(backend, place)
@@ -627,7 +629,7 @@
     def now(self) -> int:
         return self.time
 
-    def departed(self, request: Request) -> int | None:
+    def client_left_at(self, request: Request) -> int | None:
         gone = self.calls[request].departed()
         if gone is None:
             return None
@@ -638,39 +640,9 @@
         """A time of the module's by the steady clock; none (0) stays none."""
         return at and at - self.time + self.steady
 
-    def look(self, request: Request, backend: Backend, limit: int) -> None:
-        self._dispatch(request, backend, limit, None, 0, 0, [])
-
-    def fetch(
-        self,
-        request: Request,
-        backend: Backend,
-        limit: int,
-        source: Backend,
-        rank: int,
-        age: int,
-        join: bool,
-        held_only: bool,
-        no_trace: bool,
-        renew: bool,
-    ) -> None:
-        ways = [
-            word
-            for word, said in (("share", join), ("peek", held_only), ("pass", no_trace), ("swr", renew))
-            if said
-        ]
-        self._dispatch(request, backend, limit, source if source is not backend else None, rank, age, ways)
-
-    def _dispatch(
-        self,
-        request: Request,
-        backend: Backend,
-        limit: int,
-        source: Backend | None,
-        rank: int,
-        age: int,
-        ways: list[str],
-    ) -> None:
+    def dispatch(self, dispatch: Dispatch) -> None:
+        request, backend = dispatch.request, dispatch.backend
+        source = dispatch.source if dispatch.source is not backend else None
         call, history = self.calls[request], self.calls[request].history
         if not self.invariants.sends(history, backend, source or backend, request.transfer_time, self.time):
             return self.report_refused(call, backend)
@@ -679,18 +651,21 @@
                 ("profile", self.vhosts[request.vhost]["name"]),
                 ("thing", request.key),
                 ("nth", request.part),
-                ("max", max(1, limit // 10)),  # never longer than the gateway will wait
+                ("max", max(1, dispatch.timeout // 10)),  # never longer than the gateway will wait
                 ("replay", call.replay),
                 ("next", source.name if source else None),
-                ("admit", rank or None),
-                ("agelim", max(1, age // 10) if age else None),  # 0 would mean the whole fresh time
-                ("ways", "+".join(ways) or None),
+                ("admit", dispatch.cache_rank or None),
+                (
+                    "agelim",
+                    max(1, dispatch.max_age // 10) if dispatch.max_age else None,
+                ),  # 0 would mean the whole fresh time
+                ("ways", self._ways(dispatch)),
                 ("cached", call.got),
             )
         )
         name = call.name.encode()
         data = encode(b"do", name, told, call.body)
-        until = min(self.time + limit, request.deadline)
+        until = min(self.time + dispatch.timeout, request.deadline)
         sent = Sent(
             call,
             backend,
@@ -699,7 +674,7 @@
             data,
             self.time,
             made=self.steady,
-            limit=10 * max(1, limit // 10),
+            limit=10 * max(1, dispatch.timeout // 10),
             until=self.steadily(until),
             send_by=self.steadily(request.send_by),
             window_over=self.window_over(history),
@@ -718,6 +693,15 @@
             if request.send_by:
                 self.at(request.send_by, self._send_by_passed, call)
 
+    @staticmethod
+    def _ways(dispatch: Dispatch) -> str | None:
+        flags = (
+            ("share", dispatch.may_collapse),
+            ("peek", dispatch.cache_only),
+            ("swr", dispatch.revalidate),
+        )
+        return "+".join(word for word, is_set in flags if is_set) or None
+
     def report_refused(self, call: Call, backend: Backend) -> None:
         """A check found that a dispatch would break a promise: it ends before it begins."""
         sent = Sent(call, backend, call.request.attempts - 1, call.name.encode(), b"", self.time)
@@ -746,49 +730,38 @@
         if sent is not None and sent.seq == seq:
             self._take_back(sent)
 
-    def deny(self, request: Request, after: int) -> None:
+    def reject(self, request: Request, after: int) -> None:
         call = self.calls[request]
         self._final(call, "denied", b"503", (("cooldown", -(-after // 10)),) if after else ())
         self.after.append((self._forget, call))
 
-    def abort(self, request: Request) -> None:
+    def fail(self, request: Request) -> None:
         call = self.calls[request]
         self._final(call, "aborted", b"500")
         self.after.append((self._forget, call))
 
-    def wake(self, at: int, token: str) -> None:
-        self.at(at, self._wake, token)
+    def wake(self, at: int, timer: Timer) -> None:
+        self.at(at, self._wake, timer)
 
-    def _wake(self, token: str) -> None:
-        self.router.woke(token)
+    def _wake(self, timer: Timer) -> None:
+        self.router.timer_fired(timer)
 
-    def check(self, backend: Backend) -> None:
+    def check_health(self, backend: Backend) -> None:
         sent, end = self.back.check(backend)
         if end is not None:
             self.report_end(sent, end)
         else:
             self.at(self.time + self.back.patience, self._time_up, sent)
 
-    def disconnect(self, backend: Backend) -> None:
-        self.back.give_back(backend)
-
-    def tell(self, peer: int, text: str) -> None:
-        """Gateways of this protocol have no way to each other."""
-
     def subscribe(self, on: bool) -> None:
         """The change log is always followed."""
 
-    def snapshot(self) -> None:
-        """The change log sends the whole list where it must."""
-
-    def log(self, text: str) -> None:
-        logger.info("{}", text)
-
-    def believe(self, backend: Backend, what: str, why: str) -> None:
-        self.log(f"{backend.name} {why}" if what == "back" else f"{backend.name} {what}: {why}")
+    def health_changed(self, backend: Backend, change: HealthChange, reason: str) -> None:
+        ejected = change is HealthChange.EJECTED
+        logger.info("{}", f"{backend.name} {change}: {reason}" if ejected else f"{backend.name} {reason}")
         if self.recorder:
-            self.recorder.believed(backend, what, why)
+            self.recorder.believed(backend, change, reason)
 
-    def limited(self, backend: Backend, was: float, limit: float, late: float) -> None:
-        if self.recorder and limit != was:
-            self.recorder.limited(backend, was, limit, late)
+    def limit_recorded(self, backend: Backend, before: float, after: float, late_share: float) -> None:
+        if self.recorder and after != before:
+            self.recorder.limited(backend, before, after, late_share)
--- a/lilacloft/plan/agent.py
+++ b/lilacloft/plan/agent.py
@@ -14,6 +14,7 @@
 from lilacloft.plan.follow import EVERY, Follower
 from lilacloft.plan.watch import Watch
 from lilacloft.plan.wire import Dial, Peer
+from lilacloft.routing.host import Endpoint, ListMode
 from lilacloft.zones.keep import Keeper
 from lilacloft.zones.slices import SLICES
 
@@ -27,14 +28,14 @@
         """`leave`: whole locations may be left, `past` their caches or `across`, to others'."""
         self.owner = owner
         router = owner.router
-        keeper = Keeper(name, router.zone_gateways, router.cold_cache[1])
+        keeper = Keeper(name, router.settings.zone_gateways, router.settings.cache_slow_start.duration)
         follower = Follower(
             name,
             max(1, time.time_ns() // 1_000_000),
-            router.zone,
+            router.settings.zone,
             planners,
-            router.fall,
-            1 / router.zone_gateways,
+            router.settings.overload_window,
+            1 / router.settings.zone_gateways,
             owner.steady,
             restarted=True,
             keeper=None if leave == "never" else keeper,
@@ -47,11 +48,11 @@
         self.away: dict[int, int] = {}  # slices at home, of locations that have not all
         owner.agent = self
         if leave == "across":
-            router.across = True
-            router.listed(
-                "delta",
+            router.settings.cross_location = True
+            router.endpoints_changed(
+                ListMode.DELTA,
                 [
-                    (
+                    Endpoint(
                         backend,
                         backend.zone,
                         backend.kind,
--- a/lilacloft/plan/watch.py
+++ b/lilacloft/plan/watch.py
@@ -12,7 +12,8 @@
 from typing import Any
 
 from lilacloft.plan.follow import EVERY, Effect, Follower
-from lilacloft.routing.router import BRISK, MARGIN
+from lilacloft.routing.fleet_plan import PlanUpdate
+from lilacloft.routing.router import Router
 
 SECOND = 10_000
 WAITS = 0.5  # part of its aim that a dispatch may be out before it counts as not answered; a likely fill
@@ -26,7 +27,7 @@
 class Watch:
     """One forwarder's."""
 
-    def __init__(self, router: Any, vhosts: Sequence[str], follower: Follower) -> None:
+    def __init__(self, router: Router, vhosts: Sequence[str], follower: Follower) -> None:
         self.router, self.vhosts, self.follower = router, list(vhosts), follower
         self.fills: dict[str, float] = {}  # KB since the last look, by vhost
         self.past, self.mean = 0.0, 0.0  # KB of those that went past the caches; of a mean answer
@@ -44,7 +45,7 @@
     ) -> None:
         """A dispatch at one of the module's bes is over, so long after it was sent; `source`: the be that was
         to fill it, itself where nobody was."""
-        mine = self.router.vhosts[vhost]
+        mine = self.router.virtual_hosts[vhost]
         how = (
             ("late" if took > mine.latency_objective(work) else "well")
             if outcome in ANSWERED
@@ -54,11 +55,11 @@
         )
         if how:
             self.follower.ended(backend.name, how)
-        direct = backend.kind in (self.router.parent_kind, self.router.origin_kind)
+        direct = self.router.pools.is_parent(backend) or self.router.pools.is_origin(backend)
         keeper = self.follower.keeper
         if keeper and outcome == "cancelled" and took > mine.latency_objective(work):
             how = "failed"  # of a trial that was called back: it was given more than its time
-        if how and keeper and backend.kind != self.router.origin_kind:
+        if how and keeper and not self.router.pools.is_origin(backend):
             keeper.ended(
                 backend.zone,
                 how,
@@ -82,8 +83,8 @@
         router = self.router
         cold = [
             backend.name
-            for backend in router.caches
-            if backend.started and time - backend.started < router.cold_cache[1] + SECOND
+            for backend in router.pools.caches
+            if backend.started and time - backend.started < router.settings.cache_slow_start.duration + SECOND
         ]
         self.follower.list(names, number, cold, steady)
 
@@ -99,14 +100,14 @@
         follower.asked_kb = follower.requests * self.mean
         self.past = 0.0
         self.fills.clear()
-        for backend in router.known:
+        for backend in router.pools.backends:
             # what the origin answers tells a bad path of one's own from a location that fails
-            if backend.kind != router.origin_kind or follower.keeper:
+            if not router.pools.is_origin(backend) or follower.keeper:
                 waits, unfilled = self._waits(backend, time)
                 follower.state(
                     backend.name,
                     len(backend.requests),
-                    backend.ejected and backend.name not in router.left_out,
+                    backend.ejected and backend.name not in router.plan.ejections,
                     backend.concurrency_limit.limit if backend.concurrency_limit else 0.0,
                     waits,
                     time - backend.last_answer_at + 1 if backend.last_answer_at else 0,
@@ -115,8 +116,8 @@
         self.listed((), number, time, steady)
         follower.uses(
             {
-                backend.name: self._used(backend, time)
-                for backend in router.caches
+                backend.name: router.slow_start.used_share(backend, time)
+                for backend in router.pools.caches
                 if backend.name in follower.purses
             }
         )
@@ -126,7 +127,7 @@
         and of how many that others should have answered it is the source, while those answer others."""
         waits = unfilled = 0
         for request in backend.requests:
-            long = self.router.vhosts[request.vhost].latency_objective(request.transfer_time) * (
+            long = self.router.virtual_hosts[request.vhost].latency_objective(request.transfer_time) * (
                 2 * WAITS if request.expects_fill else WAITS
             )
             if time - request.sent_at <= long:
@@ -137,18 +138,9 @@
                 unfilled += 1
         return waits, unfilled
 
-    def _used(self, backend: Any, time: int) -> float:
-        """The part of what it may send a cold be that it has sent lately, as `Router._room` bounds it."""
-        router = self.router
-        floor, warm, multiple = router.cold_cache
-        power = floor + (1 - floor) * min(1.0, max(0, time - backend.started) / warm)
-        most = min(MARGIN * multiple / 2, BRISK) * power * router._part(backend) * router.fall
-        most *= router.shares.get(backend.name, 1.0)
-        return min(1.0, sum(work for _, work in backend.recent_work) / most) if most else 1.0
-
     def act(self, time: int, steady: int) -> Effect:
         """Have the module keep what holds now, in its own time; returns it."""
         effect = self.follower.effect(steady)
         out = {backend: until + time - steady if until else 0 for backend, until in effect.out.items()}
-        self.router.planned(out, effect.ways, effect.link, dict(effect.shares), effect.left)
+        self.router.plan_changed(PlanUpdate(out, effect.ways, effect.link, dict(effect.shares), effect.left))
         return effect
--- a/lilacloft/record/writer.py
+++ b/lilacloft/record/writer.py
@@ -122,7 +122,7 @@
 
     def end(self, why: str) -> None:
         """The gateway ends: what is known is written, for a short while at most."""
-        self.note(self.summary.take(self.owner.steady, self._bes(), self.owner.router.link.limit))
+        self.note(self.summary.take(self.owner.steady, self._bes(), self.owner.router.link_limit.limit))
         self.note(kinds.Over(why=why))
         self.over = True
         self.woken.set()
@@ -159,7 +159,7 @@
     ) -> None:
         request = call.request
         source = request.source.name if request.expects_fill and request.source is not None else None
-        late = took > self.owner.router.vhosts[request.vhost].latency_objective(request.transfer_time)
+        late = took > self.owner.router.virtual_hosts[request.vhost].latency_objective(request.transfer_time)
         self.summary.ended(
             self.names[call.vhost], backend.name, source, end.name, OUTCOMES[end], took, late, note, waited
         )
@@ -258,7 +258,7 @@
                 backend.ejected,
                 backend.status,
             )
-            for backend in self.owner.router.known
+            for backend in self.owner.router.pools.backends
         }
 
     def _tick(self) -> None:
@@ -270,7 +270,7 @@
             self.connects = owner.feed.connects
             self.note(kinds.Log(up=True, event=owner.feed.last))
         if self.summary.due(owner.steady):
-            second = self.summary.take(owner.steady, self._bes(), owner.router.link.limit)
+            second = self.summary.take(owner.steady, self._bes(), owner.router.link_limit.limit)
             self.note(second)
             if self.metrics:
                 self.metrics.add(second)
--- a/lilacloft/routing/host.py
+++ b/lilacloft/routing/host.py
@@ -1,77 +1,124 @@
-"""What the decision module is handed at start: the only way in which it acts."""
+"""How the decisions act: the interface of whoever runs a `Router`, and the messages across it.
+
+The gateway's event loop, the simulator's adapter, the emulator and the tests each are such a host.
+"""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+from enum import StrEnum
 from typing import Protocol
 
-from lilacloft.routing.model import Backend, Request
+from lilacloft.routing.model import Backend, CacheNote, Outcome, Request
+from lilacloft.routing.units import Ticks
 
 
-class Host(Protocol):
-    """One gateway's means of acting. Times and spans are whole tenths of a millisecond."""
+class Timer(StrEnum):
+    """What a router asks to be woken for; `Router.timer_fired` gets it back."""
 
-    def now(self) -> int:
-        """Tell the time."""
+    SUBSCRIBE = "subscribe"  # ask discovery for changes again
+    MAINTENANCE = "sweep"  # drop what is out of date, learn capacities
+    DEADLINE = "due"  # the earliest deadline has come
 
-    def look(self, request: Request, backend: Backend, limit: int) -> None:
-        """Dispatch a req to a be, which answers from its own fresh copy or misses."""
 
-    def fetch(
-        self,
-        request: Request,
-        backend: Backend,
-        limit: int,
-        source: Backend,
-        rank: int,
-        age: int,
-        join: bool,
-        held_only: bool,
-        no_trace: bool,
-        renew: bool,
-    ) -> None:
-        """Dispatch a req to a be: who fills a miss, the rank it is kept at, the oldest copy that will do."""
+class ListMode(StrEnum):
+    """How a message of discovery is to be read."""
 
-    def departed(self, request: Request) -> int | None:
-        """Since when nobody may wait for a req any more, as far as can be known without writing to its
-        client: its input has ended, it is cancelled, or what may say so lies unread. None: it waits."""
+    FULL = "full"  # the whole endpoint list
+    DELTA = "delta"  # changes of it
+    CACHED = "cached"  # a whole list that may be old
+    FAILED = "failed"  # discovery could not be asked
 
-    def cancel(self, request: Request, seq: int) -> None:
-        """Stop waiting on a dispatch, counted from 0 within its req."""
 
-    def withdraw(self, request: Request, seq: int) -> None:
-        """Take a dispatch back if nothing of it has gone out: its outcome is then `unsent`. What allowed it
-        holds no more. Nothing happens where it has gone out, or where all goes out at once."""
+class HealthChange(StrEnum):
+    """What a router thinks of a backend from now on."""
 
-    def deny(self, request: Request, after: int) -> None:
-        """Final answer: unserved, and safe to ask again after the given span (0: none named)."""
+    EJECTED = "left alone"
+    RESTORED = "back"
 
-    def abort(self, request: Request) -> None:
-        """Final answer: failed, with nothing promised."""
 
-    def wake(self, at: int, token: str) -> None:
-        """Ask for one `woke` event at or after a time."""
+@dataclass(frozen=True, slots=True)
+class Endpoint:
+    """One row of the endpoint list."""
 
-    def check(self, backend: Backend) -> None:
-        """Send a health check."""
+    backend: Backend
+    zone: int
+    kind: int
+    cell: int
+    status: int  # a BackendStatus
+    capacity: float  # 0 or less: not known
+    started: Ticks
 
-    def disconnect(self, backend: Backend) -> None:
-        """Give back idle connections."""
 
-    def tell(self, peer: int, text: str) -> None:
-        """Send a short message to a peer, or to all (-1)."""
+@dataclass(slots=True)
+class Dispatch:
+    """One attempt that is to be sent.
 
-    def subscribe(self, on: bool) -> None:
-        """Ask discovery for changes, or stop asking."""
+    `timeout` counts from now. A miss is filled from `source` (the backend itself: from nobody else).
+    `cache_rank` is the rank at which the copy is kept: 0 where it may not be kept, then by how often it was
+    asked for, at most 2. A copy older than `max_age` will not do (0: any will).
+    """
+
+    request: Request
+    backend: Backend
+    source: Backend
+    timeout: Ticks
+    cache_rank: int
+    max_age: Ticks
+    may_collapse: bool  # it may join a fill under way
+    cache_only: bool  # answer from a cached copy or with a miss
+    revalidate: bool  # revalidate the copy behind the answer
+
+
+@dataclass(slots=True)
+class AttemptResult:
+    """How an attempt ended."""
+
+    attempt: int  # its number within its request, from 0
+    outcome: Outcome | str
+    duration: Ticks
+    is_final: bool  # its request is answered, or owed no answer any more
+    note: CacheNote | int = CacheNote.NOTHING
+
+
+class Host(Protocol):
+    """One gateway's means of acting. Nothing here may call the router back before it returns."""
 
-    def snapshot(self) -> None:
-        """Ask discovery for the whole list once."""
+    def now(self) -> Ticks:
+        """Return the time."""
 
-    def log(self, text: str) -> None:
-        """Add a line to the report."""
+    def dispatch(self, dispatch: Dispatch) -> None:
+        """Send an attempt; `Router.attempt_ended` follows exactly once."""
+
+    def client_left_at(self, request: Request) -> Ticks | None:
+        """Return since when nobody may wait for a request any more, as far as can be known without writing to
+        its client: its input has ended, it is cancelled, or what may say so lies unread. None: it waits."""
+
+    def cancel(self, request: Request, attempt: int) -> None:
+        """Stop waiting for an attempt, given by its number within its request."""
+
+    def withdraw(self, request: Request, attempt: int) -> None:
+        """Take an attempt back if nothing of it has gone out; its outcome is then `UNSENT`. Nothing happens
+        where it has gone out."""
+
+    def reject(self, request: Request, retry_after: Ticks) -> None:
+        """Give the final answer: not served, and safe to ask again after a while (0: none is named)."""
+
+    def fail(self, request: Request) -> None:
+        """Give the final answer: failed, with nothing promised."""
+
+    def wake(self, at: Ticks, timer: Timer) -> None:
+        """Have `Router.timer_fired` called once, at a time or soon after it."""
+
+    def check_health(self, backend: Backend) -> None:
+        """Send a health check; `Router.health_checked` follows."""
+
+    def subscribe(self, on: bool) -> None:
+        """Ask discovery for changes, or stop asking."""
 
-    def believe(self, backend: Backend, what: str, why: str) -> None:
-        """Tell that the gateway thinks otherwise of a be: `left alone` or `back`, and why."""
+    def health_changed(self, backend: Backend, change: HealthChange, reason: str) -> None:
+        """Report that a backend was ejected or restored, and why."""
 
-    def limited(self, backend: Backend, was: float, limit: float, late: float) -> None:
-        """Tell that a limit was looked at: that on a be's dispatches, or, where the be is one that fills come
-        from, the one on likely fills; what it was and is, and the part of answers late on that way."""
+    def limit_recorded(self, backend: Backend, before: float, after: float, late_share: float) -> None:
+        """Report that a concurrency limit was looked at: the backend's own or, where the backend is one that
+        fills come from, that on likely fills; with the share of late answers under it."""
--- /dev/null
+++ b/lilacloft/routing/retries.py
@@ -0,0 +1,126 @@
+"""Attempts and retries: how many a request may have, which may be executed again, and where it goes next.
+
+No effect may happen twice (rule 2): once an attempt may have been executed, another may follow only as the
+virtual host's idempotency allows.
+"""
+
+from __future__ import annotations
+
+import math
+
+from lilacloft.routing.host import AttemptResult
+from lilacloft.routing.model import (
+    Backend,
+    CacheNote,
+    Idempotency,
+    IdempotencyScope,
+    Outcome,
+    RejectReason,
+    Request,
+)
+from lilacloft.routing.units import Ticks
+from lilacloft.routing.virtual_host import VirtualHost
+
+MAX_ATTEMPTS = 3  # that a request gets; more would add more load than they serve
+CLIENT_LEFT_GRACE: Ticks = (
+    500  # in which an attempt may begin for a client that may have left: it may read on
+)
+
+# Outcomes after which an attempt may have been executed.
+MAY_HAVE_EXECUTED = (
+    Outcome.ERROR,
+    Outcome.TIMEOUT,
+    Outcome.RESET,
+    Outcome.MALFORMED,
+    Outcome.CANCELLED,
+)
+# Outcomes after which an attempt surely had no copy revalidated.
+NOT_REVALIDATED = (Outcome.UNSENT, Outcome.CONNECT_FAILED, Outcome.QUEUE_FULL, Outcome.CANCELLED)
+# Notes that blame the source of a fill, not the cache that was asked.
+SOURCE_FAILED = (
+    CacheNote.SOURCE_REFUSED,
+    CacheNote.SOURCE_UNREACHABLE,
+    CacheNote.SOURCE_HAS_NO_COPY,
+    CacheNote.ORIGIN_FAILED,
+)
+
+
+def last_send_time(client_left_at: Ticks) -> Ticks:
+    """Return from when on no attempt may begin for a client that may have left at a time. Without state: any
+    thread may ask, of times by any clock."""
+    return client_left_at + CLIENT_LEFT_GRACE
+
+
+def attempts_used(request: Request, allowed: int) -> bool:
+    """Return whether a request has had as many attempts as it may have. `allowed`: by the settings."""
+    return request.attempts >= min(MAX_ATTEMPTS, allowed)
+
+
+def send_by_reason(request: Request) -> RejectReason:
+    """Return which of the two bounds of a request's `send_by` has passed."""
+    if request.first_executed_at is None:
+        return RejectReason.CLIENT_LEFT
+    return RejectReason.WINDOW_OVER
+
+
+def limit_send_by(request: Request, at: Ticks) -> None:
+    """Let nothing go out later for a request."""
+    request.send_by = min(request.send_by or math.inf, at)
+
+
+def may_repeat(request: Request, backend: Backend, vhost: VirtualHost, now: Ticks, tick: Ticks) -> bool:
+    """Return whether a request may go to a backend, where an attempt may have been executed before. It may
+    not wait for its connection past the end of its idempotency window then."""
+    if request.first_executed_at is None or vhost.is_safe:
+        return True
+    window_ends_at = request.first_executed_at + vhost.idempotency_window - tick
+    if (
+        vhost.idempotency is not Idempotency.KEYED
+        or not _knows_key(vhost.idempotency_scope, request.first_executed_by, backend)
+        or now >= window_ends_at
+    ):
+        return False
+    limit_send_by(request, window_ends_at)
+    return True
+
+
+def _knows_key(scope: IdempotencyScope, first: Backend | None, backend: Backend) -> bool:
+    """Return whether a backend knows an idempotency key that the first one has seen."""
+    if scope is IdempotencyScope.ALL:
+        return True
+    if first is None:
+        return False
+    return backend.zone == first.zone if scope is IdempotencyScope.ZONE else backend.cell == first.cell
+
+
+def may_reject(request: Request, vhost: VirtualHost) -> bool:
+    """Return whether a client may be told that asking again is safe."""
+    executed = request.in_flight or request.first_executed_at is not None
+    return (
+        not executed
+        or vhost.is_safe
+        or (vhost.idempotency is Idempotency.KEYED and vhost.idempotency_scope is IdempotencyScope.ALL)
+    )
+
+
+def record_failure(request: Request, backend: Backend, source: Backend, result: AttemptResult) -> None:
+    """Take in a failed attempt: whether it may have been executed, and who is not asked again.
+
+    Nobody is to blame for malformed, unsent and reset attempts, which may happen anywhere; after a malformed
+    answer the copy lies ready at the same backend.
+    """
+    outcome = result.outcome
+    if outcome in MAY_HAVE_EXECUTED and request.first_executed_at is None:
+        request.first_executed_at, request.first_executed_by = request.sent_at, backend
+    if outcome in (Outcome.MALFORMED, Outcome.UNSENT):
+        return
+    if outcome == Outcome.RESET and not backend.ejected:
+        return
+    # it answers others: this attempt is merely lost
+    lost = outcome == Outcome.CANCELLED and not backend.ejected and backend.last_answer_at >= request.sent_at
+    if result.note not in SOURCE_FAILED and not lost:
+        request.failed_backends.append(backend)
+    if result.note != CacheNote.FILL_QUEUE_FULL and source is not backend:
+        request.failed_backends.append(source)
+    # what has just failed may be the fill under way
+    request.may_collapse = request.may_collapse and outcome not in MAY_HAVE_EXECUTED
--- a/lilacloft/routing/snapshot.py
+++ b/lilacloft/routing/snapshot.py
@@ -9,13 +9,14 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
+from lilacloft.routing.concurrency import AdaptiveLimit
 from lilacloft.routing.model import Backend, ObjectPart, Request
-from lilacloft.routing.router import TABLE, Limit, Router
+from lilacloft.routing.router import Router
 
 # What the next process goes on with, by record: attribute and the key under which it goes over. It is what a
 # rule counts and what takes long to learn. The rest is told anew, found by counting the open requests, or
 # starts as at a start.
-ROUTER_KEYS = {name: name for name in ("late", "value", "work", "unit", "arrivals", "caught_up", "borne")}
+ROUTER_KEYS = ("late", "value", "work", "unit", "arrivals", "caught_up", "borne")
 VHOST_KEYS = {"mean_transfer_time": "work", "usual_answer_time": "usual"}
 LIMIT_KEYS = {
     "limit": "limit",
@@ -78,6 +79,29 @@
             setattr(record, attribute, exported[key])
 
 
+def _export_router(router: Router) -> dict[str, Any]:
+    return {
+        "late": router.outliers.late_share,
+        "value": router.averages.value,
+        "work": router.averages.transfer_time,
+        "unit": router.averages.load,
+        "arrivals": router.load_reports.request_count,
+        "caught_up": router.caught_up_at,
+        "borne": router.slow_start.learned_capacity,
+    }
+
+
+def _restore_router(router: Router, exported: Mapping[str, Any]) -> None:
+    values = _export_router(router) | {key: exported[key] for key in ROUTER_KEYS if key in exported}
+    router.outliers.late_share = values["late"]
+    router.averages.value = values["value"]
+    router.averages.transfer_time = values["work"]
+    router.averages.load = values["unit"]
+    router.load_reports.request_count = values["arrivals"]
+    router.caught_up_at = values["caught_up"]
+    router.slow_start.learned_capacity = values["borne"]
+
+
 def give(
     router: Router, requests: list[Request] | tuple[()], places: Iterable[tuple[str, int]]
 ) -> dict[str, Any]:
@@ -89,12 +113,16 @@
         for backend in (request.backend, request.source, request.first_executed_by, *request.failed_backends)
         if backend
     }
-    backends.update((backend.name, backend) for backend in router.known)
-    object_parts = [(place, router.object_parts[place]) for place in places if place in router.object_parts]
+    backends.update((backend.name, backend) for backend in router.pools.backends)
+    object_parts = [
+        (place, router.freshness.object_parts[place])
+        for place in places
+        if place in router.freshness.object_parts
+    ]
     return {
-        "router": _export(router, ROUTER_KEYS),
-        "vhosts": [_export(vhost, VHOST_KEYS) for vhost in router.vhosts],
-        "link": _export(router.link, LIMIT_KEYS),
+        "router": _export_router(router),
+        "vhosts": [_export(vhost, VHOST_KEYS) for vhost in router.virtual_hosts],
+        "link": _export(router.link_limit, LIMIT_KEYS),
         "bes": {
             name: {
                 **_export(backend, BACKEND_KEYS),
@@ -113,7 +141,7 @@
             }
             for place, object_part in object_parts
         ],
-        "purges": list(router.purges.items()),
+        "purges": list(router.freshness.purges.items()),
         "reqs": [
             {
                 **_export(request, REQUEST_KEYS),
@@ -123,33 +151,39 @@
                 "avoid": [backend.name for backend in request.failed_backends],
                 "cached": request.object_part is not None,
                 "way": ""
-                if request.fill_limit is router.link
+                if request.fill_limit is router.link_limit
                 else request.fill_limit and request.source.name,
             }
             for request in requests
         ],
         "due": [
-            (when, index[request], seq) for when, _, request, seq in sorted(router.due) if request in index
+            (when, index[request], seq)
+            for when, _, request, seq in sorted(router.deadlines.deadlines)
+            if request in index
         ],
     }
 
 
 def take(router: Router, given: Mapping[str, Any], backends: Mapping[str, Backend]) -> list[Request]:
     """Go on with what another gave, its list told; returns its reqs. What is of earlier lives is void."""
-    _restore(router, ROUTER_KEYS, given["router"])
-    for vhost, kept in zip(router.vhosts, given["vhosts"], strict=False):
+    _restore_router(router, given["router"])
+    for vhost, kept in zip(router.virtual_hosts, given["vhosts"], strict=False):
         _restore(vhost, VHOST_KEYS, kept)
-    _restore(router.link, LIMIT_KEYS, given["link"])
+    _restore(router.link_limit, LIMIT_KEYS, given["link"])
     for name, kept in given["bes"].items():
         backend = backends.get(name)
         if backend and backend.started == kept["started"]:
             _restore(backend, BACKEND_KEYS, kept)
             backend.recent_work = [(at, work) for at, work in backend.recent_work]
             if kept["way"]:
-                backend.concurrency_limit = backend.concurrency_limit or Limit(1.0, 1 / router.gateways)
+                backend.concurrency_limit = backend.concurrency_limit or AdaptiveLimit(
+                    1.0, 1 / router.settings.gateways
+                )
                 _restore(backend.concurrency_limit, LIMIT_KEYS, kept["way"])
     recall(router, given["objs"], backends)
-    router.purges.update((what, max(at, router.purges.get(what, 0))) for what, at in given["purges"])
+    router.freshness.purges.update(
+        (what, max(at, router.freshness.purges.get(what, 0))) for what, at in given["purges"]
+    )
     requests = [_resume(router, kept, backends) for kept in given["reqs"]]
     for name, kept in given["bes"].items():
         if name in backends:
@@ -157,7 +191,7 @@
             backends[name].in_flight_load = sum(request.load_units for request in backends[name].requests)
             backends[name].canary = None if kept["trial"] is None else requests[kept["trial"]]
     for when, place, seq in given["due"]:
-        router._push(when, requests[place], seq)
+        router.deadlines.add(when, requests[place], seq)
     return requests
 
 
@@ -167,11 +201,9 @@
     """Entries of the table that another process gave, least lately asked first."""
     for kept in object_parts:
         place = tuple(kept["place"])
-        object_part = router.object_parts[place] = router.object_parts.pop(place, None) or ObjectPart()
+        object_part = router.freshness.entry(place)
         _restore(object_part, OBJECT_PART_KEYS, kept)
         object_part.last_served_by = backends.get(kept["home"])
-        if len(router.object_parts) > TABLE:
-            del router.object_parts[next(iter(router.object_parts))]
 
 
 def _resume(router: Router, kept: Mapping[str, Any], backends: Mapping[str, Backend]) -> Request:
@@ -184,9 +216,11 @@
     )
     request.failed_backends = [backends[name] for name in kept["avoid"] if name in backends]
     if kept["cached"]:
-        request.object_part = router.object_parts.setdefault((request.key, request.part), ObjectPart())
+        request.object_part = router.freshness.object_parts.setdefault(
+            (request.key, request.part), ObjectPart()
+        )
     request.fill_limit = (
-        router.link if kept["way"] == "" else request.source.concurrency_limit if kept["way"] else None
+        router.link_limit if kept["way"] == "" else request.source.concurrency_limit if kept["way"] else None
     )
     if request.in_flight:
         for way in (request.backend.concurrency_limit, request.fill_limit):
--- /dev/null
+++ b/lilacloft/routing/units.py
@@ -0,0 +1,8 @@
+"""The unit of time of the decisions, and of most of the program."""
+
+from __future__ import annotations
+
+from typing import TypeAlias
+
+Ticks: TypeAlias = int  # a time or a duration, in tenths of a millisecond
+TICKS_PER_SECOND = 10_000
--- a/lilacloft/store/guard.py
+++ b/lilacloft/store/guard.py
@@ -59,7 +59,7 @@
         `reader` of what it wrote."""
         self.owner, self.path = owner, os.path.realpath(path)
         self.folder = Folder(path, passed=lock)
-        self.purge_done = owner.router.purge_done
+        self.purge_done = owner.router.freshness.purge_lifetime
         windows = [vhost.get("repeat_window", 0) for vhost in owner.vhosts]
         began = time.monotonic()
         bounds = kinds.limits(self.purge_done, owner.longest, max(windows))
@@ -125,17 +125,17 @@
         }
         kept = {key: (at, _read(data)) for key, (at, data) in found.learned.items()}
         names = [vhost["name"] for vhost in owner.vhosts]
-        aged = learned.aged(kept, owner.time, names, starts, owner.router.link.limit)
+        aged = learned.aged(kept, owner.time, names, starts, owner.router.link_limit.limit)
         snapshot.take(owner.router, aged, owner.backends)
         for what, at in found.purges.items():
             key, group = (what, 0) if isinstance(what, str) else ("", what)
-            owner.router.purged(key, group, owner.time - owner.stamps.purge(owner.time, at))
+            owner.router.object_purged(key, group, owner.time - owner.stamps.purge(owner.time, at))
         started = {name: backend.started for name, backend in owner.backends.items()}
-        most = {name: float(backend.capacity) * owner.router.fall for name, backend in owner.backends.items()}
-        for name, budget in begin(found, started, owner.router.fall, owner.time, most).items():
-            owner.backends[name].recent_work = owner.backends[name].recent_work or list(
-                budget
-            )  # a process before tells better
+        window = owner.router.settings.overload_window
+        most = {name: float(backend.capacity) * window for name, backend in owner.backends.items()}
+        for name, budget in begin(found, started, window, owner.time, most).items():
+            backend = owner.backends[name]
+            backend.recent_work = backend.recent_work or list(budget)  # a process before tells better
 
     def start(self) -> None:
         """The owner runs, and this process is the gateway."""
@@ -294,12 +294,8 @@
 
     def _second(self) -> None:
         owner = self.owner
-        for backend in owner.router.known:
-            _, warm, _ = (
-                owner.router.cold_parent
-                if backend.kind == owner.router.parent_kind
-                else owner.router.cold_cache
-            )
+        for backend in owner.router.pools.backends:
+            warm = owner.router.slow_start.profile(backend).duration
             self.keeper.spent(backend.name, backend.started, backend.recent_work, warm)
         self.seconds += 1
         if self.seconds % LEARNS == 0:
--- a/lilacloft/upgrade/offer.py
+++ b/lilacloft/upgrade/offer.py
@@ -374,7 +374,7 @@
     def go_on(self, emptied: bool) -> None:
         if emptied:
             self.rest.back(list(dict.fromkeys([*self.conns, *self.rest.moved])))
-            self.owner.router.yields(False)
+            self.owner.router.set_standby(False)
         self.conns = []
         if self.owner.guard:
             self.owner.guard.go_on(emptied)
@@ -386,7 +386,7 @@
         if self.owner.guard:
             self.owner.guard.hand_on(self._keep)
         if mode == phases.DRAIN:
-            self.owner.router.yields(True)
+            self.owner.router.set_standby(True)
             self.rest.release(doors=False)
 
     def _keep(self, ticket: int, kind: int, key: bytes, value: bytes | None) -> None:
@@ -398,7 +398,7 @@
 
     def cut(self) -> None:
         for call in list(self.owner.calls.values()):
-            self.owner.router.give_up(call.request, RejectReason.ENDING)
+            self.owner.router.reject(call.request, RejectReason.ENDING)
         for client in list(self.owner.front.clients):
             client.hold()  # nothing more is read, so what is unread goes over with the connection
             self.rest.held[client] = False
--- a/lilacloft/upgrade/rest.py
+++ b/lilacloft/upgrade/rest.py
@@ -36,9 +36,9 @@
     def table(self) -> list[tuple[str, int]]:
         """The places of the module's table, oldest first; what is asked for from now on is told once more."""
         router = self.owner.router
-        self.arrivals = router.arrivals
+        self.arrivals = router.load_reports.request_count
         self.touched = [(call.key, call.part) for call in self.owner.calls.values()]
-        return list(router.object_parts)
+        return list(router.freshness.object_parts)
 
     def slice(self, places: list[tuple[str, int]]) -> list[Any]:
         """Some entries of it."""
@@ -47,9 +47,9 @@
     def since(self) -> list[tuple[str, int]]:
         """The places that may have changed since `table`: each req moves its own to the end."""
         router = self.owner.router
-        count = router.arrivals - self.arrivals
+        count = router.load_reports.request_count - self.arrivals
         tail = []
-        for place in reversed(router.object_parts):
+        for place in reversed(router.freshness.object_parts):
             if len(tail) >= count:
                 break
             tail.append(place)
--- a/lilacloft/zones/keep.py
+++ b/lilacloft/zones/keep.py
@@ -36,7 +36,7 @@
     next: int = 0  # when the next trial may go, in the module's time
     to: tuple[tuple[int, float], ...] = ()
 
-    def away(self, place: str, harmless: bool, now: int) -> bool:
+    def is_away(self, place: str, harmless: bool, now: int) -> bool:
         """Is an object not to be asked for there? A trial is: one at a time, of a req whose repeat harms
         nobody."""
         if not away(place, self.zone, self.back):
@@ -46,12 +46,12 @@
             return False
         return True
 
-    def where(self, place: str) -> int:
+    def substitute(self, place: str) -> int:
         """The location that takes an object which is away; PAST: none, it goes past the caches."""
         return target(place, self.to) if self.to else PAST
 
     @property
-    def proving(self) -> bool:
+    def canaries_only(self) -> bool:
         """Do only trials go there?"""
         return self.back == 0
 
--- a/rigs/broken.py
+++ b/rigs/broken.py
@@ -7,13 +7,16 @@
 from __future__ import annotations
 
 import sys
+from dataclasses import replace
 from typing import Any
 
 from lilacloft.__main__ import main
 from lilacloft.invariants import Invariants
 from lilacloft.net.front import Front
-from lilacloft.routing import router as decide
+from lilacloft.routing import retries
+from lilacloft.routing.model import BackendStatus
 from lilacloft.routing.router import Router
+from lilacloft.routing.slow_start import SlowStart
 
 
 def answers_twice() -> None:
@@ -27,31 +30,31 @@
 
 
 def sends_again() -> None:
-    decide.RAN = ()  # nothing is taken to have run
+    retries.MAY_HAVE_EXECUTED = ()  # nothing is taken to have run
 
 
 def hears_no_drain() -> None:
-    listed = Router.listed
+    listed = Router.endpoints_changed
 
     def ready(self: Router, mode: str, entries: Any) -> None:
         listed(
             self,
             mode,
             [
-                (backend, zone, kind, cell, 1 if status == 2 else status, size, started)
-                for backend, zone, kind, cell, status, size, started in entries
+                replace(entry, status=BackendStatus.READY if entry.status else BackendStatus.GONE)
+                for entry in entries
             ],
         )
 
-    Router.listed = ready
+    Router.endpoints_changed = ready
 
 
 def spares_no_cold_one() -> None:
-    Router._room = lambda self, backend, work: True
+    SlowStart.allows = lambda self, backend, work, now: True
 
 
 def knows_no_purge() -> None:
-    Router.purged = lambda self, key, group, age: None
+    Router.object_purged = lambda self, key, group, age: None
 
 
 RULES = {
--- a/rigs/gate.py
+++ b/rigs/gate.py
@@ -1,10 +1,10 @@
 """Why reqs were refused: `python -m rigs.gate WORLD [--faults "..."] [--seeds N] [--json FILE]`.
 
-A plain model of the gate that every dispatch of the decision module passes (`Router._send`): the same
-conditions, written out one by one in the order in which the gate asks them, each with a name. A module that
-is watched by it tells, for each req it gives up, which conditions refused it on the way, so that a weak world
-found by the search is understood by what held its reqs back: the link's limit, a cache's limit, a cold
-budget, a suspect, a crowd. The model decides nothing: where it would say otherwise than the gate did, that is
+A plain model of the gate that every attempt passes (`Dispatcher.try_dispatch`): the same conditions,
+written out one by one in the order in which the gate asks them, each with a name. A module
+that is watched by it tells, for each request it rejects, which conditions refused it on the way, so that a
+weak world found by the search is understood by what held its requests back: the link's limit, a cache's
+limit, a cold budget, an ejected backend, load. The model decides nothing: where it would say otherwise than the gate did, that is
 counted as a disagreement, and a test holds it at none. It owns no state of the module; it reads it.
 """
 
@@ -22,96 +22,116 @@
 from lilacloft.emulator.fleet import START, Fleet
 from lilacloft.emulator.worlds import SECOND, WORLDS, World
 from lilacloft.experiment.plan import Reader
-from lilacloft.routing.model import RejectReason
-from lilacloft.routing.router import EASED, FAIR, FAVOUR, GENEROUS, TRIES, Router, turn
+from lilacloft.routing.admission import FAIR_LARGE_SHARE, LARGE_BOOST, MAX_PRIORITY
+from lilacloft.routing.concurrency import INITIAL_FACTOR
+from lilacloft.routing.dispatching import Dispatcher
+from lilacloft.routing.host import AttemptResult
+from lilacloft.routing.model import Backend, RejectReason, Request
+from lilacloft.routing.rendezvous import shed_order
+from lilacloft.routing.retries import MAX_ATTEMPTS
+from lilacloft.routing.router import Router
 
 SENT = "sent"
 
 
-def side(router: Router, backend: Any) -> str:
-    """Which kind of be: cache, parent or origin."""
-    return "cache" if backend in router.caches else "parent" if backend in router.parents else "origin"
+def side(router: Router, backend: Backend) -> str:
+    """Return which kind of backend it is: cache, parent or origin."""
+    pools = router.pools
+    return "cache" if backend in pools.caches else "parent" if backend in pools.parents else "origin"
 
 
-def reason(router: Router, request: Any, backend: Any, source: Any, held_only: bool = False) -> str:
-    """The first condition of the gate that refuses this dispatch, or `SENT`: asked before the gate is."""
-    vhost, now = router.vhosts[request.vhost], router.host.now()
+def reason(
+    router: Router, request: Request, backend: Backend, source: Backend, cache_only: bool = False
+) -> str:
+    """Return the first condition of the gate that refuses this attempt, or `SENT`; asked before the gate."""
+    vhost, now = router.virtual_hosts[request.vhost], router.host.now()
+    settings, averages = router.settings, router.averages
     if request.finished or request.in_flight:
         return "open"
     if backend.status != 1 or source.status != 1:
         return "status"
-    if request.first_executed_at is not None and vhost.effect != "replayable":
-        held = {
-            "all": True,
-            "zone": backend.zone == request.first_executed_by.zone,
-            "cell": backend.cell == request.first_executed_by.cell,
-        }
-        until = request.first_executed_at + vhost.idempotency_window - router.tick
-        if vhost.effect != "uniqued" or not held[vhost.idempotency_scope] or now >= until:
+    if request.first_executed_at is not None and vhost.idempotency != "replayable":
+        first = request.first_executed_by
+        known = {"all": True, "zone": backend.zone == first.zone, "cell": backend.cell == first.cell}
+        until = request.first_executed_at + vhost.idempotency_window - settings.tick
+        if vhost.idempotency != "uniqued" or not known[vhost.idempotency_scope] or now >= until:
             return "effect"
     touched = (backend,) if backend is source else (backend, source)
     for peer in touched:
-        if peer.ejected and (now < peer.retry_at or peer.canary or vhost.effect != "replayable"):
+        if peer.ejected and (now < peer.retry_at or peer.canary or vhost.idempotency != "replayable"):
             return f"suspect {side(router, peer)}"
-    look = backend is source and backend in router.caches
-    fill = not look and (backend is source or not router._held(request, backend))
-    way = None if not fill else source.concurrency_limit if held_only else router.link
-    favour = min(
-        max(vhost.value / request.transfer_time * router.work / (router.value or 1.0), 1 / FAVOUR), FAVOUR
-    )
+    look = backend is source and backend in router.pools.caches
+    fill = not look and (backend is source or not router.freshness.likely_cached(request, backend, now))
+    limit = None if not fill else source.concurrency_limit if cache_only else router.link_limit
+    value = vhost.value / request.transfer_time * averages.transfer_time / (averages.value or 1.0)
+    weight = min(max(value, 1 / MAX_PRIORITY), MAX_PRIORITY)
     if (
         request.transfer_time > vhost.large_threshold
-        and vhost.large_answered_share < FAIR * vhost.answered_share
+        and vhost.large_answered_share < FAIR_LARGE_SHARE * vhost.answered_share
     ):
-        favour = max(favour, EASED)
-    if backend.reported_load > max(1.0, GENEROUS * favour) * turn(request, backend):
+        weight = max(weight, LARGE_BOOST)
+    if backend.reported_load > max(1.0, INITIAL_FACTOR * weight) * shed_order(request, backend):
         return "crowd"
-    if not backend.concurrency_limit.allows(favour, now):
+    if not backend.concurrency_limit.allows(weight, now):
         return f"limit {side(router, backend)}"
-    if way and not way.allows(favour, now):
-        return "link" if way is router.link else f"limit {side(router, source)}"
+    if limit and not limit.allows(weight, now):
+        return "link" if limit is router.link_limit else f"limit {side(router, source)}"
+    work = request.kbytes / settings.transfer_rate or vhost.mean_transfer_time
     for peer in touched:
-        if not router._room(peer, request.kbytes / router.pace or vhost.mean_transfer_time):
+        if not router.slow_start.allows(peer, work, now):
             return f"cold {side(router, peer)}"
     return SENT
 
 
+class WatchedDispatcher(Dispatcher):
+    """The gate as it is, with the model asked before it."""
+
+    router: Watched
+
+    def try_dispatch(
+        self, request: Request, backend: Backend, source: Backend, cache_only: bool = False
+    ) -> bool:
+        said = reason(self.router, request, backend, source, cache_only)
+        sent = super().try_dispatch(request, backend, source, cache_only)
+        if sent != (said == SENT):
+            self.router.disagreed[f"model {said}, gate {'sent' if sent else 'refused'}"] += 1
+        if not sent:
+            self.router.held.setdefault(id(request), collections.Counter())[said] += 1
+        return sent
+
+
 class Watched(Router):
     """The module as it is, with the model beside its gate; `tally` counts by process, as runs are."""
 
     tally: collections.Counter[str] = collections.Counter()
     disagreed: collections.Counter[str] = collections.Counter()
-    held: dict[int, collections.Counter[str]] = {}  # by the req's id, while it is open
+    held: dict[int, collections.Counter[str]] = {}  # by the request's id, while it is open
     when: collections.Counter[int] = collections.Counter()  # given up, by the second of the world
 
-    def _send(self, request: Any, backend: Any, source: Any, held_only: bool = False) -> bool:
-        said = reason(self, request, backend, source, held_only)
-        sent = super()._send(request, backend, source, held_only)
-        if sent != (said == SENT):
-            self.disagreed[f"model {said}, gate {'sent' if sent else 'refused'}"] += 1
-        if not sent:
-            self.held.setdefault(id(request), collections.Counter())[said] += 1
-        return sent
+    def __init__(self, host: Any, settings: Any) -> None:
+        super().__init__(host, settings)
+        self.dispatcher = WatchedDispatcher(self.rules)
+        self.dispatcher.router = self
 
-    def give_up(self, request: Any, why: RejectReason) -> None:
+    def reject(self, request: Request, why: RejectReason) -> None:
         if not request.finished:
             held = self.held.get(id(request))
             over = (
-                request.attempts >= min(TRIES, self.max_dispatches)
-                or self.host.now() >= request.deadline - self.tick
+                request.attempts >= min(MAX_ATTEMPTS, self.settings.max_attempts)
+                or self.host.now() >= request.deadline - self.settings.tick
             )
             cause = "tries or time" if over else " + ".join(sorted(held)) if held else "no way"
             self.tally[cause] += 1
             self.when[(self.host.now() - START) // SECOND] += 1
         self.held.pop(id(request), None)
-        super().give_up(request, why)
+        super().reject(request, why)
 
-    def left(self, request: Any) -> None:
-        super().left(request)
+    def client_disconnected(self, request: Request) -> None:
+        super().client_disconnected(request)
         self.held.pop(id(request), None)
 
-    def ended(self, request: Any, *told: Any) -> None:
-        super().ended(request, *told)
+    def attempt_ended(self, request: Request, backend: Backend, result: AttemptResult) -> None:
+        super().attempt_ended(request, backend, result)
         if request.finished:
             self.held.pop(id(request), None)
 
--- a/rigs/model.py
+++ b/rigs/model.py
@@ -2,6 +2,7 @@
 
 import math
 
+from lilacloft.routing.host import AttemptResult, Endpoint
 from lilacloft.routing.model import Backend, Request
 from lilacloft.routing.router import Router
 
@@ -91,10 +92,10 @@
     def list(self, mode, rows):
         for backend, status, started in rows:
             self.listed[backend] = (status, started, self.time)
-        self.router.listed(
+        self.router.endpoints_changed(
             mode,
             [
-                (
+                Endpoint(
                     backend,
                     0,
                     self.kind(backend),
@@ -110,7 +111,7 @@
     def ask(self, key="k", part=0, kbytes=400.0, vhost=0, left=4 * SEC, group=1, **more):
         request = Request(key, part, group, kbytes, self.time, self.time + left, vhost, **more)
         self.history[request] = []
-        self.router.arrived(request)
+        self.router.request_arrived(request)
         return request
 
     def end(self, request, outcome="done", note=0, took=None, final=None):
@@ -119,9 +120,8 @@
         final = outcome == "done" if final is None else final
         if final and not request.finished:
             self.final(request)
-        self.router.ended(
-            request, backend, seq, outcome, self.time - at if took is None else took, final, note, 0, []
-        )
+        duration = self.time - at if took is None else took
+        self.router.attempt_ended(request, backend, AttemptResult(seq, outcome, duration, final, note))
 
     def run(self, span):
         """Let time pass, waking the module when it asked to be."""
@@ -131,7 +131,7 @@
             at, token = min(self.wakes)
             self.wakes.remove((at, token))
             self.time = max(self.time, at)
-            self.router.woke(token)
+            self.router.timer_fired(token)
             self.called_off()
         self.time = until
 
@@ -149,10 +149,9 @@
     def now(self):
         return self.time
 
-    def look(self, request, backend, limit):
-        raise AssertionError("a plain look carries no age")
-
-    def fetch(self, request, backend, limit, source, rank, age, join, held_only, no_trace, renew):
+    def dispatch(self, dispatch):
+        request, backend, source = dispatch.request, dispatch.backend, dispatch.source
+        limit, age = dispatch.timeout, dispatch.max_age
         past = self.history[request]
         self.must(not any(call is request for call, _ in self.finals), "sent after the end")
         self.must(all(entry[4] for entry in past), "two out at once")
@@ -198,7 +197,13 @@
                 source,
                 self.time,
                 None,
-                dict(rank=rank, age=age, join=join, renew=renew, held=held_only),
+                dict(
+                    rank=dispatch.cache_rank,
+                    age=age,
+                    join=dispatch.may_collapse,
+                    renew=dispatch.revalidate,
+                    held=dispatch.cache_only,
+                ),
             ]
         )
         for peer in {backend, source}:
@@ -236,7 +241,7 @@
             part = math.ceil(part / work) * work
         return sent <= part
 
-    def departed(self, request):
+    def client_left_at(self, request):
         return self.gone.get(request)
 
     def cancel(self, request, seq):
@@ -249,7 +254,7 @@
     def withdraw(self, request, seq):
         self.withdrawn.append((request, seq))
 
-    def deny(self, request, after):
+    def reject(self, request, after):
         past, config = self.history[request], self.config["vhosts"][request.vhost]
         ran = [entry for entry in past if entry[4] not in ("full", "unreached", "unsent", "miss")]
         self.must(
@@ -260,7 +265,7 @@
         )
         self.final(request)
 
-    def abort(self, request):
+    def fail(self, request):
         self.final(request)
 
     def final(self, request):
@@ -273,16 +278,13 @@
     def wake(self, at, token):
         self.wakes.append((at, token))
 
-    def check(self, backend):
-        pass
-
-    def log(self, text):
+    def check_health(self, backend):
         pass
 
-    def believe(self, backend, what, why):
+    def health_changed(self, backend, what, why):
         self.beliefs.append((self.time, backend, what, why))
 
-    def limited(self, backend, was, limit, late):
+    def limit_recorded(self, backend, was, limit, late):
         pass
 
     def must(self, held, text):
--- a/rigs/sizes.py
+++ b/rigs/sizes.py
@@ -17,7 +17,8 @@
 from lilacloft.emulator import faults as language
 from lilacloft.emulator.fleet import Fleet
 from lilacloft.emulator.worlds import WORLDS, World
-from lilacloft.routing.model import RejectReason
+from lilacloft.routing.host import AttemptResult
+from lilacloft.routing.model import Backend, Outcome, RejectReason, Request
 from lilacloft.routing.router import Router
 from rigs.gate import world
 
@@ -29,21 +30,19 @@
 
     rows: dict[int, list[Any]] = {}  # by the req's id: the req, and whether it was answered
 
-    def arrived(self, request: Any) -> None:
+    def request_arrived(self, request: Request) -> None:
         self.rows[id(request)] = [request, None]  # it holds the req, so no other has its id
-        super().arrived(request)
+        super().request_arrived(request)
 
-    def give_up(self, request: Any, why: RejectReason) -> None:
+    def reject(self, request: Request, why: RejectReason) -> None:
         if not request.finished:
             self.rows[id(request)][1] = False
-        super().give_up(request, why)
+        super().reject(request, why)
 
-    def ended(
-        self, request: Any, backend: Any, seq: int, outcome: str, took: int, final: bool, *more: Any
-    ) -> None:
-        if outcome == "done" and not request.finished:
+    def attempt_ended(self, request: Request, backend: Backend, result: AttemptResult) -> None:
+        if result.outcome == Outcome.DONE and not request.finished:
             self.rows[id(request)][1] = True
-        super().ended(request, backend, seq, outcome, took, final, *more)
+        super().attempt_ended(request, backend, result)
 
 
 def play(told: tuple[World, tuple[Any, ...], int]) -> list[tuple[int, float, bool]]:
--- a/tests/test_carried.py
+++ b/tests/test_carried.py
@@ -8,9 +8,12 @@
 
 from lilacloft.net.conn import Conn
 from lilacloft.routing import snapshot
+from lilacloft.routing.concurrency import AdaptiveLimit
+from lilacloft.routing.host import Endpoint
 from lilacloft.routing.model import Backend, ObjectPart, Request
-from lilacloft.routing.router import Limit, Router, Vhost
+from lilacloft.routing.router import Router
 from lilacloft.routing.snapshot import give, take
+from lilacloft.routing.virtual_host import VirtualHost
 from lilacloft.upgrade import form
 from rigs.inprocess import handed_over, limits, until
 from rigs.model import SEC, Model, settings, vhost
@@ -33,7 +36,7 @@
         backend.name: backend if not (backend.status or backend.requests) else Backend(backend.name)
         for backend in [*model.caches, *model.parents, model.origin]
     }
-    places = list(old.object_parts)
+    places = list(old.freshness.object_parts)
     given = carried(give(old, open_reqs, places))
     was = {backend: backends[backend.name] for backend in [*model.caches, *model.parents, model.origin]}
     model.caches = [was[backend] for backend in model.caches]
@@ -42,10 +45,10 @@
     model.listed = {was[backend]: told for backend, told in model.listed.items()}
     model.wakes = []
     model.router = Router(model, model.config)
-    model.router.listed(
+    model.router.endpoints_changed(
         "cached",
         [
-            (
+            Endpoint(
                 backend,
                 0,
                 model.kind(backend),
@@ -114,10 +117,10 @@
         elif doing < 0.8:
             what = (f"k{chance.randrange(20)}", 0) if chance.random() < 0.7 else ("", 1)
             model.purges.append((*what, model.time))
-            model.router.purged(*what, 0)
+            model.router.object_purged(*what, 0)
         elif doing < 0.85:
             backend = model.caches[chance.randrange(len(model.caches))]
-            model.router.checked(backend, 20, "done", [chance.randrange(30), chance.random()])
+            model.router.health_checked(backend, "done", [chance.randrange(30), chance.random()])
         for request in list(open_reqs):
             if model.out(request) and chance.random() < 0.5:
                 outcome = chance.choice(OUTCOMES)
@@ -154,7 +157,7 @@
         "BACKEND": Backend("x"),
         "OBJECT_PART": ObjectPart(),
         "REQUEST": Request("k", 0, 0, 1.0, 0, 0, 0),
-        "LIMIT": Limit(1.0, 1.0),
+        "LIMIT": AdaptiveLimit(1.0, 1.0),
     }
     forms = {
         "BACKEND": form.Backend,
@@ -168,7 +171,9 @@
         assert set(keys) <= set(forms[kind].__struct_fields__)
         assert set(keys.values()) <= set(forms[kind].__struct_encode_fields__)
     config = settings([vhost()])
-    assert all(hasattr(Vhost(config["vhosts"][0], config["family"], 0), name) for name in snapshot.VHOST_KEYS)
+    assert all(
+        hasattr(VirtualHost(config["vhosts"][0], config["family"], 0), name) for name in snapshot.VHOST_KEYS
+    )
 
 
 def test_a_cold_caches_budget_goes_on_where_it_stood():
@@ -194,14 +199,14 @@
 def test_a_gateway_that_has_yielded_leaves_cold_starts_and_renewals_to_the_next():
     model = Model(settings([vhost()], fresh=(SEC,)), caches=2)
     model.run(SEC)
-    model.router.yields(True)
+    model.router.set_standby(True)
     request = model.ask("k")
     assert model.out(request) and not model.history[request][-1][5]["renew"]
     model.list("delta", [(backend, 1, model.time) for backend in model.caches])
     model.run(14 * SEC)
     over = model.ask("other")
     assert not {over.backend, over.source} & set(model.caches)  # past the caches, which are cold
-    model.router.yields(False)
+    model.router.set_standby(False)
     assert model.ask("third").backend in model.caches
 
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -9,7 +9,7 @@
 
 from lilacloft.net.conn import Conn, End, State
 from lilacloft.net.resp import LARGEST, encode
-from lilacloft.routing import router as decide
+from lilacloft.routing import retries
 from lilacloft.settings import TENTHS
 from lilacloft.store.guard import Guard
 from rigs.inprocess import closes, forgets, halves, handed_over, limits, resets, until, waits_for
@@ -92,7 +92,7 @@
 def test_a_closed_half_leaves_time_to_what_is_about_to_go_out(in_process, late, monkeypatch):
     """A client that sends its req and closes its half at once is answered. The grace is long here, so that a
     slow machine comes within it as well."""
-    monkeypatch.setattr(decide, "GONE_GRACE", 5 * TENTHS)
+    monkeypatch.setattr(retries, "CLIENT_LEFT_GRACE", 5 * TENTHS)
     world = in_process(serves(CLIP))
     asker = world.asker()
     tag = asker.ask()
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -15,7 +15,10 @@
 from lilacloft.emulator.fleet import START, Fleet, run
 from lilacloft.emulator.rules import Checker, Told
 from lilacloft.emulator.worlds import SECOND, WORLDS, scaled
+from lilacloft.routing.dispatching import Dispatcher
+from lilacloft.routing.rendezvous import Rendezvous
 from lilacloft.routing.router import Router
+from lilacloft.routing.rules import Rules
 
 BRIEF = WORLDS["brief"]
 
@@ -81,54 +84,63 @@
 class Twice(Router):
     """Sends what is out once more."""
 
-    def _overdue(self, request):
+    def _attempt_overdue(self, request):
         request.in_flight = False
-        self._walk(request)
+        self._route(request)
+
+
+class ForgetsExecution(Dispatcher):
+    def try_dispatch(self, request, backend, source, cache_only=False):
+        request.first_executed_at = None
+        return super().try_dispatch(request, backend, source, cache_only)
 
 
 class Forgets(Router):
     """Sends again what may have run."""
 
-    def _send(self, request, backend, source, held_only=False):
-        request.first_executed_at = None
-        return super()._send(request, backend, source, held_only)
+    def __init__(self, host, settings):
+        super().__init__(host, settings)
+        self.dispatcher = ForgetsExecution(self.rules)
 
 
 class Silent(Router):
     """Gives no final answer to some."""
 
-    def give_up(self, request, why):
+    def reject(self, request, why):
         request.finished = True
 
 
 class Late(Router):
     """Gives its answers after the client's time."""
 
-    def give_up(self, request, why):
+    def reject(self, request, why):
         if self.host.now() < request.deadline + 3000:
-            self._push(request.deadline + 3000, request, -1)
+            self.deadlines.add(request.deadline + 3000, request)
         else:
-            super().give_up(request, why)
+            super().reject(request, why)
 
 
 class Deaf(Router):
     """Does not hear of drains."""
 
-    def listed(self, mode, entries):
-        super().listed(mode, [(*entry[:4], entry[4] and 1, *entry[5:]) for entry in entries])
+    def endpoints_changed(self, mode, entries):
+        super().endpoints_changed(
+            mode, [dataclasses.replace(entry, status=entry.status and 1) for entry in entries]
+        )
 
 
 class Hot(Router):
     """Takes cold boxes for warm ones."""
 
-    def _room(self, backend, work):
-        return True
+    def __init__(self, host, settings):
+        super().__init__(host, settings)
+        self.slow_start.allows = lambda backend, work, now: True
 
 
 class Unpurged(Router):
     """Forgets purges."""
 
-    def purged(self, key, group, age):
+    def object_purged(self, key, group, age):
         pass
 
 
@@ -372,11 +384,22 @@
     assert faults.SECOND == SECOND
 
 
+class ByObject(Rendezvous):
+    def __init__(self, pools):
+        self.pools = pools
+
+    def order(self, pool, key):
+        return super().order(pool, key.split()[0] if pool is self.pools.parents else key)
+
+
 class OneParent(Router):
     """All parts of an object have one parent, as before the parent by part."""
 
-    def _order(self, pool, key):
-        return super()._order(pool, key.split()[0] if pool is self.parents else key)
+    @staticmethod
+    def make_rules(host, settings):
+        rules = Rules.make(host, settings)
+        rules.placement = ByObject(rules.pools)
+        return rules
 
 
 def test_a_hot_object_of_many_parts_weighs_on_all_parents():
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -60,7 +60,7 @@
     else:
         assert b"next=s-00000003" in sent.data
         world.log.add(2, 2, record(3, world.parent.port, state=1, kind=2))
-        until(lambda: not world.does(lambda: world.owner.router.parents))
+        until(lambda: not world.does(lambda: world.owner.router.pools.parents))
     late.set()
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     if drains == "cache":
@@ -81,7 +81,7 @@
     assert b"agelim=10000" in waiting(world).data
     at = time.time_ns() // 10**6
     world.log.add(2, kind, struct.pack(">QQ", 5, at) if kind == 3 else struct.pack(">HQ", 7, at))
-    until(lambda: world.does(lambda: world.owner.router.purges))
+    until(lambda: world.does(lambda: world.owner.router.freshness.purges))
     late.set()
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     told = world.caches[0].next()[2][2]
@@ -782,7 +782,7 @@
         told = world.caches[2 - place].next()[2][2]
         assert int(told.split(b"agelim=")[1].split(b",")[0]) <= time.time_ns() // 10**6 - at
         assert not waits_for(world.caches[place - 1], 0.05) and world.owner.feed.events == 2
-        assert len(world.does(lambda: world.owner.router.caches)) == 1
+        assert len(world.does(lambda: world.owner.router.pools.caches)) == 1
         world.rests()
     finally:
         world.close()
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -212,8 +212,10 @@
 
 
 def test_the_module_of_a_revision_is_run_and_one_that_is_not_there_is_told(tmp_path, monkeypatch):
-    text = (revisions.PACKAGE / "routing" / "router.py").read_text()
-    monkeypatch.setattr(revisions, "text", lambda revision: text.replace("TRIES = 3", "TRIES = 1"))
+    texts = dict(revisions.current_sources())
+    assert "MAX_ATTEMPTS = 3" in texts["retries"]
+    texts["retries"] = texts["retries"].replace("MAX_ATTEMPTS = 3", "MAX_ATTEMPTS = 1")
+    monkeypatch.setattr(revisions, "sources", lambda revision: texts)
     made = revisions.policy("revision of-a-test")
     assert made is not POLICIES["module"] and made.__name__ == "Router"
     world = WORLDS["brief"].lasting(2.0)
@@ -223,7 +225,7 @@
     assert revisions.code("revision of-a-test") != revisions.code("module") == revisions.code("hash")
     monkeypatch.undo()
     with pytest.raises(revisions.RevisionError):
-        revisions.text("no-such-revision")
+        revisions.sources("no-such-revision")
 
 
 def test_two_levels_are_run_as_a_policy_beside_one():
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -46,7 +46,7 @@
     tag = asker.ask()
     world.caches[0].next()
     failing.next("send", errno.ENOBUFS, errno.ENOMEM, errno.ENOBUFS)
-    world.does(lambda: world.owner.router.give_up(next(iter(world.owner.calls)), RejectReason.ENDING))
+    world.does(lambda: world.owner.router.reject(next(iter(world.owner.calls)), RejectReason.ENDING))
     assert asker.answer()[:2] == [tag, b"503"]
     until(lambda: not failing.due["send"])
     world.rests()
@@ -131,7 +131,7 @@
     word = asker.answer()[:2]
     failing.due["connect"].clear()
     assert word == [tag, b"200" if times == 1 else b"503"]
-    (backend,) = world.does(lambda: world.owner.router.caches)
+    (backend,) = world.does(lambda: world.owner.router.pools.caches)
     assert not backend.ejected
     assert backend.consecutive_failures == 0
     tag = asker.ask(key=2)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,7 +1,8 @@
 """One small test for each failure found on the bench's days."""
 
+from lilacloft.routing.concurrency import AdaptiveLimit
+from lilacloft.routing.host import Endpoint
 from lilacloft.routing.model import Backend, Request
-from lilacloft.routing.router import Limit
 from rigs.model import SEC, Model, settings
 
 
@@ -10,7 +11,7 @@
 
 
 def homes(model, key, part=0):
-    return model.router._order(model.router.caches, f"{key} {part}")
+    return model.router.rules.placement.order(model.router.pools.caches, f"{key} {part}")
 
 
 def test_all_gateways_pick_one_home_and_one_parent_and_join_there():
@@ -55,7 +56,7 @@
 
 
 def test_late_answers_narrow_a_limit_and_good_ones_widen_it_again():
-    limit = Limit(12.0, 0.1)
+    limit = AdaptiveLimit(12.0, 0.1)
     limit.in_flight = 12
     for n in range(40):
         limit.record(True, n * SEC, 500, 4000)
@@ -115,10 +116,10 @@
     request = model.ask()
     home = model.sends[-1][2]
     for _ in range(20):
-        before = (home.concurrency_limit.late_share, model.router.link.late_share)
+        before = (home.concurrency_limit.late_share, model.router.link_limit.late_share)
         model.end(request, "reset", took=4)
         assert model.sends[-1][1:3] == (request, home) and not home.ejected
-        assert (home.concurrency_limit.late_share, model.router.link.late_share) == before
+        assert (home.concurrency_limit.late_share, model.router.link_limit.late_share) == before
         model.end(request, took=4)
         request = model.ask()
     while not home.ejected:
@@ -134,7 +135,7 @@
     requests = [model.ask("k", left=4 * SEC) for _ in range(4)]
     home = last(model, requests[0])[1]
     model.time += 7000  # held up: nothing was read, and all is due
-    model.router.lagged(7000)
+    model.router.loop_lagged(7000)
     model.run(1)
     assert not home.consecutive_failures and all(model.out(request) for request in requests)
     for request in requests:
@@ -143,7 +144,7 @@
     assert not home.ejected
     request = Request("k", 0, 1, 400.0, model.time - 9000, model.time + SEC, 0)
     model.history[request] = []
-    model.router.arrived(request)
+    model.router.request_arrived(request)
     assert request.finished and model.finals[-1] == (request, model.time), "at once"
     assert not model.ask("k").finished and not model.wrong
 
@@ -155,8 +156,10 @@
         model.end(model.ask(f"object {number}"), took=10)
     waits = model.ask("waits")
     model.wakes.clear()
-    model.router.woke("due")
-    assert [entry[2] for entry in model.router.due][:1] == [waits] and len(model.router.due) < 50 + 4
+    model.router.timer_fired("due")
+    assert [entry[2] for entry in model.router.deadlines.deadlines][:1] == [waits] and len(
+        model.router.deadlines.deadlines
+    ) < 50 + 4
 
 
 def test_a_suspect_gets_one_trial_at_a_time_and_returns_with_its_answer():
@@ -173,7 +176,7 @@
     """Fills by turns from each parent, those from some late."""
     at_home = {backend: [] for backend in model.parents}
     for n in range(400):
-        at_home[model.router._order(model.parents, f"k{n} 0")[0]].append(f"k{n}")
+        at_home[model.router.rules.placement.order(model.parents, f"k{n} 0")[0]].append(f"k{n}")
     for key in [key for turns in zip(*at_home.values(), strict=False) for key in turns][:60]:
         request = model.ask(key, left=5 * SEC)
         late = last(model, request)[2] in parents
@@ -221,16 +224,16 @@
         return request, last(model, request)[1]
 
     request, backend = fill()
-    assert router._held(request, backend)
-    router.purged("k", 1, 50)
-    assert not router._held(request, backend)
+    assert router.freshness.likely_cached(request, backend, model.time)
+    router.object_purged("k", 1, 50)
+    assert not router.freshness.likely_cached(request, backend, model.time)
     request, backend = fill()
     model.list("delta", [(backend, 1, model.time)])
-    assert not router._held(request, backend)
+    assert not router.freshness.likely_cached(request, backend, model.time)
     model.list("delta", [(backend, 1, 0)])
     backend.started = 0
     model.run(11 * SEC)
-    assert not router._held(request, backend)
+    assert not router.freshness.likely_cached(request, backend, model.time)
 
 
 def test_a_cold_cache_takes_no_more_than_it_can_do():
@@ -270,7 +273,7 @@
 
 def test_where_the_link_has_no_room_the_home_is_asked_for_what_it_or_the_parent_holds_only():
     model = Model(settings())
-    model.router.link.allows = lambda favour, now: False
+    model.router.link_limit.allows = lambda favour, now: False
     request = model.ask("k")
     assert last(model, request)[1] is homes(model, "k")[0] and last(model, request)[2] in model.parents
     assert last(model, request)[5]["held"]
@@ -282,13 +285,13 @@
     """With a location's link full, each req new to it was sent to its home three times, and the third found
     no connection that had not carried it: a closed door, as it seemed, for which the cache was left alone."""
     model = Model(settings())
-    model.router.link.allows = lambda favour, now: False
+    model.router.link_limit.allows = lambda favour, now: False
     request = model.ask("k")
     model.end(request, "miss", 8)
     assert request.finished and len(model.history[request]) == 1
-    model.router.link.allows = lambda favour, now: True
+    model.router.link_limit.allows = lambda favour, now: True
     other = model.ask("other")
-    model.router.link.allows = lambda favour, now: False
+    model.router.link_limit.allows = lambda favour, now: False
     model.end(other, "full", 6)  # a fill that its source turned away has not asked for what is held
     assert len(model.history[other]) == 2 and last(model, other)[5]["held"]
 
@@ -300,11 +303,11 @@
     model.run(2 * SEC)
     assert requests and not any(backend.ejected for backend in model.caches)
     for backend in model.caches:
-        model.router._suspect(backend, model.time)
+        model.router.outliers.eject(backend)
     assert sum(backend.ejected for backend in model.caches) == 2
     for backend in model.caches:
         for _ in range(2):  # closed doors are the caches' doing, however many there are
-            model.router._strike(backend, model.time, 2)
+            model.router.outliers.record_failure(backend, 2)
     assert all(backend.ejected for backend in model.caches)
 
 
@@ -315,7 +318,7 @@
         home.concurrency_limit.late_share = slow
         request = model.ask("k")
         model.end(request, took=3 * SEC)
-        assert (model.router.link.late_share > 0) == (slow == 0) and (
+        assert (model.router.link_limit.late_share > 0) == (slow == 0) and (
             home.concurrency_limit.late_share > slow
         ) == (slow > 0)
 
@@ -329,31 +332,31 @@
     assert len(asked) == 4 and set(asked) == set(model.caches)
     home = homes(model, "k")[0]
     for _ in range(8):
-        model.router.checked(home, 20, "done", [4.0, 0.8])
+        model.router.health_checked(home, "done", [4.0, 0.8])
     assert home.reported_load < 1 and last(model, model.ask("k"))[1] is home
     for _ in range(8):
-        model.router.checked(home, 20, "done", [40.0, 1.0])
+        model.router.health_checked(home, "done", [40.0, 1.0])
     assert home.reported_load > 6 and last(model, model.ask("k"))[1] is not home
     home.reported_load = 0.0
-    model.router.checked(home, 2500, "timeout", None)
+    model.router.health_checked(home, "timeout", None)
     assert home.reported_load > 1
 
 
 def test_a_gateway_keeps_to_its_location_and_forgets_what_is_gone():
     model = Model(settings())
     far, old = Backend("far"), model.caches[0]
-    model.router.listed("delta", [(far, 7, 0, 0, 1, 5.0, 0)])
-    assert far not in model.router.known
+    model.router.endpoints_changed("delta", [Endpoint(far, 7, 0, 0, 1, 5.0, 0)])
+    assert far not in model.router.pools.backends
     request = next(
         request for request in (model.ask(f"k{n}") for n in range(99)) if last(model, request)[1] is old
     )
     model.list("delta", [(old, 0, 0)])
-    assert old in model.router.known
+    assert old in model.router.pools.backends
     model.end(request)
     for other in [other for other in model.history if model.out(other)]:
         model.end(other)
     model.list("delta", [(model.caches[1], 1, 0)])
-    assert old not in model.router.known
+    assert old not in model.router.pools.backends
 
 
 def test_what_a_gate_let_go_passes_it_again_where_it_has_not_gone_out():
@@ -376,9 +379,9 @@
     model.list("delta", [(backend, 1, 0)])
     model.list("delta", [(source, 1, model.time)])
     assert withdrawn() == {request for request in requests if sends[request][2] is source}
-    model.router.purged("k3", 0, 0)
+    model.router.object_purged("k3", 0, 0)
     assert withdrawn() == {requests[3]}
-    model.router.purged("", 1, 0)
+    model.router.object_purged("", 1, 0)
     assert withdrawn() == {request for request in requests if request.purge_group == 1}
 
 
@@ -396,7 +399,7 @@
         request = model.ask("k")
         assert last(model, request)[5]["renew"]
         if outcome == "cancelled":
-            model.router.left(request)
+            model.router.client_disconnected(request)
             model.finals.append((request, model.time))
             model.called_off()
         else:
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -46,7 +46,9 @@
         for name, backend in backends.items()
         if backend.concurrency_limit
     }
-    snapshot.take(new.router, aged(kept(model), new.time, ["v"], starts, new.router.link.limit), backends)
+    snapshot.take(
+        new.router, aged(kept(model), new.time, ["v"], starts, new.router.link_limit.limit), backends
+    )
     return new
 
 
@@ -72,12 +74,13 @@
             before = gap
         assert before < 0.01 * start.concurrency_limit.limit
     assert (
-        near.router.vhosts[0].mean_transfer_time
-        == model.router.vhosts[0].mean_transfer_time
-        != fresh.router.vhosts[0].mean_transfer_time
+        near.router.virtual_hosts[0].mean_transfer_time
+        == model.router.virtual_hosts[0].mean_transfer_time
+        != fresh.router.virtual_hosts[0].mean_transfer_time
     )
     assert (
-        again(model, DAY + 1).router.vhosts[0].mean_transfer_time == fresh.router.vhosts[0].mean_transfer_time
+        again(model, DAY + 1).router.virtual_hosts[0].mean_transfer_time
+        == fresh.router.virtual_hosts[0].mean_transfer_time
     )
 
 
@@ -119,7 +122,7 @@
 def test_a_clock_put_back_leaves_only_what_holds_for_a_day():
     model = busy(3)
     back, fresh = again(model, back=5 * SEC), Model(settings())
-    assert back.router.vhosts[0].mean_transfer_time == model.router.vhosts[0].mean_transfer_time
+    assert back.router.virtual_hosts[0].mean_transfer_time == model.router.virtual_hosts[0].mean_transfer_time
     for one, start in zip(back.caches, fresh.caches, strict=True):
         assert (
             one.concurrency_limit.limit == pytest.approx(start.concurrency_limit.limit)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,13 +1,10 @@
 """The module beside the plain model of the rules, on generated events."""
 
-import inspect
 import random
-import sys
-import types
 
 import pytest
 
-from lilacloft.routing import router as decide
+from lilacloft.experiment import packages, revisions
 from rigs import model as plain
 from rigs.model import SEC, Model, settings, vhost
 
@@ -57,7 +54,7 @@
         else:
             key, age = chance.choice(["", f"k{chance.randrange(20)}"]), chance.randrange(3000)
             model.purges.append((key, 1, model.time - age))
-            model.router.purged(key, 1, age)
+            model.router.object_purged(key, 1, age)
     model.run(10 * SEC)
     return model
 
@@ -70,44 +67,63 @@
     assert {request for request, _ in model.finals} == set(model.history), "each req has its final answer"
 
 
-BREAKS = {  # what the model must say, and the edits that break the rule
+BREAKS = {  # what the model must say, and the edits that break the rule: module, text, what stands for it
     "two out at once": [
-        ("request.finished or request.in_flight or backend.status", "request.finished or backend.status"),
-        ("return self._recall(request)", "return self._walk(request)"),
+        ("dispatching", "if request.finished or request.in_flight:", "if request.finished:"),
+        ("router", "return self.cancel_if_safe(request)", "return self._route(request)"),
     ],
     "sent to a draining be": [
-        ("backend.status != 1 or source.status != 1", "False"),
-        ("if backend.status == 1]", "if backend.status]"),
+        (
+            "dispatching",
+            "if backend.status != BackendStatus.READY or source.status != BackendStatus.READY:",
+            "if False:",
+        ),
+        ("pools", "if backend.status == BackendStatus.READY]", "if backend.status]"),
     ],
     "non-replayable sent again": [
-        ("if request.first_executed_at is not None and vhost.effect", "if False and vhost.effect")
+        (
+            "retries",
+            "if request.first_executed_at is None or vhost.is_safe:\n        return True",
+            "return True",
+        )
+    ],
+    "uniqued left its group": [
+        (
+            "retries",
+            "        or not _knows_key(vhost.idempotency_scope, request.first_executed_by, backend)\n",
+            "",
+        )
     ],
-    "uniqued left its group": [("not held[vhost.idempotency_scope] or now", "now")],
-    "uniqued sent again too late": [(" or now >= until", "")],
+    "uniqued sent again too late": [("retries", "        or now >= window_ends_at\n", "")],
     "denied though it may have run": [
-        ("            not ran\n            or vhost.effect", "            True\n            or vhost.effect")
+        ("retries", "        not executed\n        or vhost", "        True\n        or vhost")
     ],
     "cold cache pushed over": [
-        ("if not all(\n            self._room(", "if False and not all(\n            self._room("),
-        ("return self.in_flight < limit and", "return True or"),
+        (
+            "dispatching",
+            "if not all(self.slow_start.allows(",
+            "if False and not all(self.slow_start.allows(",
+        ),
+        ("concurrency", "return self.in_flight < limit and", "return True or"),
+    ],
+    "older than a purge": [
+        ("freshness", "age = min(age or math.inf, max(1, now - max(purges) - 1))", "pass")
     ],
-    "older than a purge": [("age = min(age or math.inf, max(1, now - max(purges) - 1))", "pass")],
     "two final answers": [
-        ("        if request.finished:\n            return\n        vhost", "        vhost")
+        ("router", "        if request.finished:\n            return\n        vhost", "        vhost")
+    ],
+    "answered too late": [
+        ("router", "self.deadlines.add(request.deadline - self.settings.tick, request)", "pass")
     ],
-    "answered too late": [("self._push(request.deadline - self.tick, request, -1)", "pass")],
 }
 
 
 @pytest.mark.parametrize("told", BREAKS)
 def test_model_sees_a_rule_broken_by_hand(told, monkeypatch):
-    """Each rule taken out of the module's text in turn must be missed by the model."""
-    text = inspect.getsource(decide)
-    for kept, broken in BREAKS[told]:
-        assert text.count(kept) == 1
-        text = text.replace(kept, broken)
-    module = types.ModuleType("broken")
-    monkeypatch.setitem(sys.modules, "broken", module)
-    exec(compile(text, "broken", "exec"), module.__dict__)
-    monkeypatch.setattr(plain, "Router", module.Router)
+    """Each rule taken out of the modules' texts in turn must be missed by the model."""
+    texts = dict(revisions.current_sources())
+    for module, kept, broken in BREAKS[told]:
+        assert texts[module].count(kept) == 1
+        texts[module] = texts[module].replace(kept, broken)
+    monkeypatch.setattr(plain, "Router", packages.load("broken", texts, "router").Router)
     assert any(told in play(seed).wrong for seed in range(100))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -124,7 +124,7 @@
         elif doing < 0.9 and open_reqs:
             request = chance.choice(open_reqs)  # its client may have left, and nobody can tell
             if not request.finished and chance.random() < 0.5:
-                model.router.half_closed(request, model.time)
+                model.router.client_half_closed(request, model.time)
             else:
                 model.gone[request] = model.time  # known outside only, until it is asked for
         elif doing < 0.95:
@@ -136,7 +136,7 @@
         else:
             key, age = chance.choice(["", f"k{chance.randrange(20)}"]), chance.randrange(3000)
             model.purges.append((key, 1, model.time - age))
-            model.router.purged(key, 1, age)
+            model.router.object_purged(key, 1, age)
     model.run(max(vhost["client_timeout"] for vhost in vhosts) + SEC)
     for request in asked:
         if model.out(request):
@@ -157,9 +157,9 @@
         or backend.in_flight_load
         or backend.canary
         or (backend.concurrency_limit and backend.concurrency_limit.in_flight)
-        for backend in router.known
+        for backend in router.pools.backends
     )
-    assert router.link.in_flight == 0
+    assert router.link_limit.in_flight == 0
 
 
 def test_the_generated_settings_send_and_reach_their_ends():
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -32,17 +32,17 @@
 
 def test_large_reqs_that_get_less_meet_limits_as_the_mean_one_does_until_they_get_their_part():
     model = Model(settings())
-    vhost = model.router.vhosts[0]
+    vhost = model.router.virtual_hosts[0]
     for number in range(200):  # sizes of 100 to 1,000 KB; the larger ones are refused
         request = model.ask(f"k{number}", kbytes=100.0 * (1 + number % 10))
         if number % 10 < 7:
             model.end(request, took=300)
         else:
-            model.router.give_up(request, RejectReason.NO_ROOM)
+            model.router.reject(request, RejectReason.NO_ROOM)
             model.called_off()
     assert 500 / 4000 < vhost.large_threshold / 10_000 < 900 / 4000, "about the seventh tenth"
     assert vhost.large_answered_share < 0.2 < 0.5 < vhost.answered_share
-    ways = (model.router.link, *(one.concurrency_limit for one in model.caches))
+    ways = (model.router.link_limit, *(one.concurrency_limit for one in model.caches))
 
     def goes(key):
         for way in ways:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lilacloft.routing.router import BRISK
+from lilacloft.routing.slow_start import MAX_UTILIZATION
 from rigs.model import SEC, Model, settings
 
 WORK = 1000  # span that 400 KB take at full pace
@@ -40,7 +40,7 @@
     model = Model(untold())
     served(model, 8)
     borne = RATE * WORK / SEC / len(model.caches)  # transfers at once
-    assert model.router.borne == pytest.approx(borne, rel=0.25)
+    assert model.router.slow_start.learned_capacity == pytest.approx(borne, rel=0.25)
     backend, since = started(model)
     served(model, 10)
     rules, calls = model.config["rules"], sent_to(model, backend, since)
@@ -49,7 +49,11 @@
         for second in range(10)
     ]
     allowed = sum(shares) * borne * SEC / WORK
-    assert 0.5 * BRISK * allowed < len(calls) < BRISK * allowed * len(model.caches) / (len(model.caches) - 1)
+    assert (
+        0.5 * MAX_UTILIZATION * allowed
+        < len(calls)
+        < MAX_UTILIZATION * allowed * len(model.caches) / (len(model.caches) - 1)
+    )
     assert model.wrong == []
 
 
@@ -57,32 +61,38 @@
     """More would be sent to cold ones the more warm ones are overrun."""
     model = Model(untold())
     served(model, 4, late=True)
-    assert model.router.borne < 0.5 * RATE * WORK / SEC / len(model.caches)
+    assert model.router.slow_start.learned_capacity < 0.5 * RATE * WORK / SEC / len(model.caches)
 
 
 def test_what_was_seen_counts_while_the_whole_location_is_cold_and_not_before_anything_was_seen():
     model = Model(untold())
     backend, since = started(model)
-    part = model.router._part(backend)
+    part = model.router.slow_start.capacity_share(backend)
     assert part == 1 / model.config["family"]["zone_gateways"][0]
     model = Model(untold())
     served(model, 8)
-    borne = model.router.borne
+    borne = model.router.slow_start.learned_capacity
     model.list("delta", [(backend, 1, model.time) for backend in model.caches])
     served(model, 2)
-    assert model.router.borne == borne and model.router._part(model.caches[0]) == borne
+    assert (
+        model.router.slow_start.learned_capacity == borne
+        and model.router.slow_start.capacity_share(model.caches[0]) == borne
+    )
 
 
 def test_where_capacities_or_the_links_are_told_nothing_else_counts():
     for told in (settings(), settings(weight_source="silent")):
         model = Model(told)
-        before = model.router._part(model.caches[0])
+        before = model.router.slow_start.capacity_share(model.caches[0])
         served(model, 8)
-        assert model.router.borne > 0 and model.router._part(model.caches[0]) == before
+        assert (
+            model.router.slow_start.learned_capacity > 0
+            and model.router.slow_start.capacity_share(model.caches[0]) == before
+        )
 
 
 def test_a_cold_parent_gets_no_more_than_before():
     """Each fill through it is counted in full, and a cold cache before it lets more of them come to it."""
     model = Model(untold())
     served(model, 8)
-    assert model.router._part(model.parents[0]) == 1 / model.config["gateways"]
+    assert model.router.slow_start.capacity_share(model.parents[0]) == 1 / model.config["gateways"]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -72,5 +72,5 @@
 def test_an_exception_in_the_module_is_the_crash_action(monkeypatch):
     drill = Drill()
     batch(drill, ["up", 7, ENV], LIST)
-    monkeypatch.setattr(drill.gateways["gateway-0"].router, "arrived", lambda request: 1 / 0)
+    monkeypatch.setattr(drill.gateways["gateway-0"].router, "request_arrived", lambda request: 1 / 0)
     assert batch(drill, ASK) == [["die", "ZeroDivisionError: division by zero"]]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -507,7 +507,7 @@
 def test_a_plan_is_followed_down_at_once_and_up_at_its_pace():
     keeper = Keeper("f0", 4, 150_000)
     left = keeper.look({0: Told(0, rate=8.0)}, 0)[0]
-    assert left.back == 0 and left.proving
+    assert left.back == 0 and left.canaries_only
     keeper.look({0: Told(64, rate=8.0)}, 2_500)
     assert left.back == 2
     keeper.look({}, 5_000)  # another planner's, that knows nothing of it
@@ -565,7 +565,7 @@
             left = keeper.look(None, clock + now).get(0)
             back = left.back if left else SLICES
             backs.append(back)
-            if left is None or back or not left.away("k 0", True, clock + now):
+            if left is None or back or not left.is_away("k 0", True, clock + now):
                 keeper.ended(0, "well", True, clock + now, clock + now)
         asked.append((now, max(backs)))
         if min(backs) == SLICES and least_full is None:
@@ -592,19 +592,21 @@
 
 def test_trials_are_one_at_a_time_and_only_of_what_may_be_repeated():
     left = keep.Left(0, 0, True)
-    assert left.away("a 0", False, 10)
-    assert not left.away("a 0", True, 10) and left.away("b 0", True, 11)
-    assert not left.away("b 0", True, 10 + course.TURN)
+    assert left.is_away("a 0", False, 10)
+    assert not left.is_away("a 0", True, 10) and left.is_away("b 0", True, 11)
+    assert not left.is_away("b 0", True, 10 + course.TURN)
     keeper = Keeper("f0", 1, 150_000)
     mine = keeper.look({0: Told(0, trial="f0")}, 0)[0]
-    assert not mine.away("a 0", True, 0) and mine.away("a 0", True, 500)
+    assert not mine.is_away("a 0", True, 0) and mine.is_away("a 0", True, 500)
     keeper.ended(0, "well", True, 600, 600)
-    assert mine.away("a 0", True, 600) and not mine.away("a 0", True, 600 + keep.GAP)
+    assert mine.is_away("a 0", True, 600) and not mine.is_away("a 0", True, 600 + keep.GAP)
 
 
 def test_what_of_a_location_is_back_is_asked_for_at_home():
     left = keep.Left(3, 20)
-    homes = [place for place in (f"o{number} 0" for number in range(1000)) if not left.away(place, True, 0)]
+    homes = [
+        place for place in (f"o{number} 0" for number in range(1000)) if not left.is_away(place, True, 0)
+    ]
     assert 230 < len(homes) < 400 and all(ranks(3)[slice_of(place)] < 20 for place in homes)
 
 
--- a/tests/test_zones_world.py
+++ b/tests/test_zones_world.py
@@ -168,7 +168,7 @@
 def test_caches_elsewhere_are_shared_by_all_gateways_and_the_origin_is_divided_as_ever():
     """Found in reading: the origin, which is of no location, had been divided as others' caches are."""
     router = WatchedPlanes(world(*SIZES, span=1.0), 1, leave="across").gateways[0].router
-    own, far, origin = router.caches[0], router.far[2][0], router.origins[0]
+    own, far, origin = router.pools.caches[0], router.pools.caches_by_zone[2][0], router.pools.origins[0]
     assert (router.zone_gateways, router.gateways) == (3, 12)
-    assert router._part(own) == pytest.approx(4 * router._part(far))
-    assert router._part(origin) == pytest.approx(router._part(own))
+    assert router.slow_start.capacity_share(own) == pytest.approx(4 * router.slow_start.capacity_share(far))
+    assert router.slow_start.capacity_share(origin) == pytest.approx(router.slow_start.capacity_share(own))
