--- /dev/null
+++ b/rigs/stored_forms.py
@@ -0,0 +1,789 @@
+"""Reads and writes the stored and sent forms of the code, as plain values under names that do not change.
+
+tests/test_stored_forms.py compares these values and bytes with files in tests/data/ that an earlier version
+of the code wrote. Each function here only calls the code and maps its attributes to fixed names, which are
+those of the stored forms wherever there are any. So a renaming in the code changes this file, not the test.
+
+Where a function is named `..._written` or `..._frame`, it returns the bytes that the code writes for plain
+values. Times are whole tenths of a millisecond.
+"""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from lilacloft import carried, needed
+from lilacloft.config.reader import load
+from lilacloft.decide import Limit, Router
+from lilacloft.net import feed
+from lilacloft.net.conn import OUTCOMES, End
+from lilacloft.plan import form as plan_form
+from lilacloft.plan import words
+from lilacloft.plan.order import Name
+from lilacloft.plan.sights import Sight
+from lilacloft.record import kinds as records
+from lilacloft.record.book import Book
+from lilacloft.record.reader import read as read_records
+from lilacloft.record.summary import Summary
+from lilacloft.record.writer import Folder as RecordFolder
+from lilacloft.settings import settings
+from lilacloft.state import Be, Obj, Req
+from lilacloft.store import kinds, learned
+from lilacloft.store.files import Folder
+from lilacloft.store.form import Record
+from lilacloft.store.listing import Listing
+from lilacloft.store.log import Store
+from lilacloft.upgrade import form
+from lilacloft.upgrade.words import OWN
+from lilacloft.zones.course import Tally, Told
+
+Plain = dict[str, Any]
+
+
+def lists(value: Any) -> Any:
+    """The same value with lists instead of tuples, at any depth."""
+    if isinstance(value, dict):
+        return {key: lists(inner) for key, inner in value.items()}
+    return [lists(inner) for inner in value] if isinstance(value, list | tuple) else value
+
+
+# --- the store ---
+
+
+def store_values(folder: Path) -> Plain:
+    """What a store's files hold: how much was read, what is wrong with them, and every record kept as [kind,
+    key, value, stamp] with the value as bytes in hex."""
+    store = Store(Folder(str(folder), lock=False))
+    return {
+        "frames": store.found.frames,
+        "records": store.found.records,
+        "torn": store.found.torn,
+        "damage": store.found.damage,
+        "ignored": store.found.ignored,
+        "down": store.down,
+        "kept": [
+            [record.kind, record.key.decode(), (record.value or b"").hex(), record.stamp]
+            for kind in sorted(store.kept)
+            for record in store.all(kind)
+        ],
+        "dump": [
+            [kinds.NAMES[kind], record.key.decode(), lists(kinds.plain(record))]
+            for kind in sorted(store.kept)
+            for record in store.all(kind)
+        ],
+    }
+
+
+def _recovered(folder: Path, now: int, purge_done: int) -> kinds.Recovered:
+    store = Store(Folder(str(folder), lock=False))
+    return kinds.recovered([record for kind in store.kept for record in store.all(kind)], now, purge_done)
+
+
+def store_recovered(folder: Path, now: int, purge_done: int) -> Plain:
+    """What a gateway begins with after a crash; keys are texts."""
+    found = _recovered(folder, now, purge_done)
+    return {
+        "purges": found.purges,
+        "intents": {
+            key.decode(): {"sent": one.sent, "effect": one.effect, "over": one.over, "cell": one.cell}
+            for key, one in found.intents.items()
+        },
+        "cold": lists(found.cold),
+        "last": found.last,
+        "base": found.base,
+        "rows": {key.decode(): msgspec.msgpack.decode(row) for key, row in found.rows.items()},
+        "learned": {
+            key.decode(): [stamp, msgspec.msgpack.decode(data)]
+            for key, (stamp, data) in found.learned.items()
+        },
+        "skipped": found.skipped,
+    }
+
+
+def store_listing(folder: Path, now: int, purge_done: int, known: int) -> Plain:
+    """The list of backends with which a start goes on whose configuration is of the event `known`."""
+    found = _recovered(folder, now, purge_done)
+    rows = {key: msgspec.msgpack.decode(row) for key, row in found.rows.items()}
+    listing = Listing()
+    listing.read({key: (number, tuple(row)) for key, (number, row) in rows.items()}, found.base)
+    events, ask_from = listing.start(known, found.last)
+    return {"base": listing.base, "full": listing.full, "events": lists(events), "from": ask_from}
+
+
+def store_learned(
+    folder: Path, now: int, purge_done: int, vhosts: list[str], starts: dict[str, float], link: float
+) -> Plain:
+    """What of the learned state still holds after a crash, as the decisions take it."""
+    found = _recovered(folder, now, purge_done)
+    kept = {key: (at, msgspec.msgpack.decode(data)) for key, (at, data) in found.learned.items()}
+    return lists(learned.aged(kept, now, vhosts, starts, link))
+
+
+def _record(plain: Plain) -> Record:
+    """A store's record as its writers make it; `kind` is the stored number; no `value`: a removal."""
+    kind, key, value = plain["kind"], plain["key"], plain.get("value")
+    stored_key = kinds.key(key) if kind == kinds.PURGE else key.encode()
+    if value is None:
+        return Record(kind, stored_key, None, plain["stamp"])
+    if kind == kinds.PURGE:
+        data = kinds.WHEN.pack(value)
+    elif kind == kinds.INTENT:
+        data = kinds.Intent(value["sent"], value["effect"], value["over"], value["cell"]).pack()
+    elif kind == kinds.COLD:
+        data = kinds.spend(value)
+    elif kind == kinds.LAST:
+        data = kinds.NUMBERS.pack(*value)
+    else:
+        data = msgspec.msgpack.encode(value)
+    return Record(kind, stored_key, data, plain["stamp"])
+
+
+def store_written(folder: Path, before: list[list[Plain]], after: list[list[Plain]]) -> None:
+    """Write a store: commits of records, then a compaction, which leaves a snapshot, then more commits."""
+    files = Folder(str(folder))
+    store = Store(files)
+    for commits in (before, after):
+        for commit in commits:
+            for record in map(_record, commit):
+                store.put(record.kind, record.key, record.value, record.stamp)
+            store.commit()
+        if commits is before:
+            store.compact()
+    files.close()
+
+
+def listing_rows(mode: str, rows: list[list[Any]], number: int) -> Plain:
+    """What is to be kept of an event of the change log, by key; none for what goes."""
+    told = Listing().told(mode, [tuple(row) for row in rows], number)
+    return {key.decode(): lists(value) for key, value in told.items()}
+
+
+# --- records ---
+
+
+def records_values(folder: Path) -> Plain:
+    """All runs in a folder, by gateway; and what cannot be read."""
+    runs, damage = read_records([str(folder)])
+    return {
+        "damage": [str(one) for one in damage],
+        "runs": {
+            gateway: [
+                {
+                    "head": lists(msgspec.to_builtins(run.head)),
+                    "records": lists(msgspec.to_builtins(run.records)),
+                    "files": [Path(name).name for name in run.files],
+                }
+                for run in mine
+            ]
+            for gateway, mine in runs.items()
+        },
+    }
+
+
+def records_written(folder: Path, head: Plain, lines: list[Plain]) -> None:
+    """Write a run's file of records."""
+    book = Book(RecordFolder(str(folder), head["gateway"], head["run"]))
+    first, *rest = (records.encode(msgspec.convert(one, records.Any_)) + b"\n" for one in [head, *lines])
+    assert book.write(rest, first) == 0
+    book.close()
+
+
+def summary_values() -> Plain:
+    """The record of a second in which one of each thing has happened, by the hooks that the gateway calls."""
+    one = Summary({"clip": (4000, 30000, 2.5)}, 1000)
+    for tries, kind, took in ((1, "done", 300), (1, "done", 5000), (0, "denied", 0), (2, "aborted", 0)):
+        one.arrived("clip")
+        one.answered("clip", kind, took, tries)
+    one.left("clip")
+    for note, end in enumerate([End.DATA] * 11):
+        one.sent("clip", "s-1")
+        one.ended("clip", "s-1", None, end.name, OUTCOMES[end], 300, note == 2, note, 0)
+    for end in End:
+        if OUTCOMES.get(end) not in (None, "done"):
+            one.ended("clip", "s-1", "s-9", end.name, OUTCOMES[end], 300, False, 0, 0)
+    one.ended("clip", "s-1", "s-9", End.DATA.name, "done", 300, False, 2, 120)
+    one.checked("s-1", 0.75)
+    one.lagged(42)
+    one.counted({"unusable": 1})
+    one.counted({"unusable": 4})
+    return lists(msgspec.to_builtins(one.take(11000, {"s-1": (3, 12.5, True, 2)}, 6.25)))
+
+
+def cut_values(was: float, limit: float, late: float) -> Plain:
+    """The record of a limit that was cut."""
+    return lists(msgspec.to_builtins(Summary({}, 0).limited("s-1", was, limit, late)))
+
+
+def end_names() -> Plain:
+    """Every end of a connection or dispatch by the name that is stored and handed over, with its outcome."""
+    return {end.name: OUTCOMES[end] for end in End if end in OUTCOMES}
+
+
+# --- handover between processes ---
+
+PAYLOADS: dict[int, Any] = {  # by the number of the kind of frame
+    1: form.Ask,
+    2: form.Phase,
+    3: form.Hello,
+    4: form.Warm,
+    5: list[form.Obj],
+    7: int,
+    8: form.State,
+    13: form.Client,
+    14: form.Said,
+    17: form.Said,
+    18: form.Left,
+    19: form.Keep,
+    20: int,
+}
+
+
+def handover_values(data: bytes) -> list[list[Any]]:
+    """Frames one after the other: of each the form's version, its kind's number, and its payload's values."""
+    out = []
+    while data:
+        size = form.HEAD.size
+        kind, length, crc = form.head(data[:size])
+        payload = form.check(data[size : size + length], crc)
+        value = form.plain(form.read(payload, PAYLOADS[kind])) if kind in PAYLOADS else payload
+        out.append([data[4], int(kind), lists(value)])
+        data = data[size + length :]
+    return out
+
+
+def handover_kinds() -> list[int]:
+    """The numbers of all kinds of frames."""
+    return [int(kind) for kind in form.Kind]
+
+
+def handover_frame(kind: int, value: Any) -> bytes:
+    """One frame of plain values; none or empty bytes for one without a payload."""
+    if kind not in PAYLOADS:
+        return form.frame(form.Kind(kind))
+    return form.frame(form.Kind(kind), msgspec.convert(value, PAYLOADS[kind]))
+
+
+def process_options() -> list[str]:
+    """The options that one process of a gateway gives another."""
+    return list(OWN)
+
+
+class Idle:
+    """A host of decisions that carries out none of them."""
+
+    def __init__(self, time: int) -> None:
+        self.time = time
+
+    def now(self) -> int:
+        """Tell the time."""
+        return self.time
+
+    def __getattr__(self, name: str) -> Any:
+        return lambda *words: None
+
+
+def _taken(state: form.State, config: Plain) -> tuple[Router, list[Req], dict[str, Be]]:
+    """A router that goes on with a state's module, as the next process makes it."""
+    router = Router(Idle(state.time), settings(needed.told(config)))
+    bes = {one.name: Be(one.name) for one in state.listed}
+    rows = [
+        (bes[one.name], one.zone, one.kind, one.cell, one.status, one.size, one.started)
+        for one in state.listed
+    ]
+    router.listed("cached", rows)
+    return router, carried.take(router, form.plain(state.module), bes), bes
+
+
+def _state(data: bytes) -> form.State:
+    return form.read(data[form.HEAD.size :], form.State)
+
+
+def state_frame(data: bytes, config: Plain) -> bytes:
+    """A frame of a state, read, taken into a router, given again by that and written again."""
+    state = _state(data)
+    router, reqs, _ = _taken(state, config)
+    state.module = carried.give(router, reqs, list(router.objs))  # type: ignore[assignment]
+    return form.frame(form.Kind.STATE, state)
+
+
+def table_frame(data: bytes, config: Plain) -> bytes:
+    """The frame of the table's entries of a state that was taken."""
+    router, _, _ = _taken(_state(data), config)
+    return form.frame(form.Kind.TABLE, carried.give(router, (), list(router.objs))["objs"])
+
+
+def learned_values(data: bytes, config: Plain, vhosts: list[str]) -> dict[str, list[Any]]:
+    """The parts of the learned state that a store keeps of a state that was taken, by key: their values,
+    and their bytes in hex."""
+    router, _, _ = _taken(_state(data), config)
+    parts = learned.parts(carried.give(router, (), ()), vhosts)
+    return {key.decode(): [part, msgspec.msgpack.encode(part).hex()] for key, part in parts.items()}
+
+
+def _limit(limit: Limit | None) -> Plain | None:
+    if limit is None:
+        return None
+    return {
+        "limit": limit.limit,
+        "late": limit.late,
+        "calm": limit.calm,
+        "ended": limit.ended,
+        "took": limit.took,
+        "count": limit.count,
+    }
+
+
+def _backend(be: Be, reqs: list[Req]) -> Plain:
+    return {
+        "zone": be.zone,
+        "kind": be.kind,
+        "cell": be.cell,
+        "status": be.status,
+        "size": be.size,
+        "started": be.started,
+        "way": _limit(be.way),
+        "load": be.load,
+        "crowd": be.crowd,
+        "holds": be.holds,
+        "asked": be.asked,
+        "heard": be.heard,
+        "strikes": be.strikes,
+        "late": be.late,
+        "suspect": be.suspect,
+        "retry_at": be.retry_at,
+        "backoff": be.backoff,
+        "trial": None if be.trial is None else reqs.index(be.trial),
+        "budget": lists(be.budget),
+        "reqs": [reqs.index(req) for req in be.reqs],
+    }
+
+
+def _object(obj: Obj) -> Plain:
+    return {
+        "marked": obj.marked,
+        "seen": obj.seen,
+        "home": obj.home and obj.home.name,
+        "filled": obj.filled,
+        "work": obj.work,
+    }
+
+
+def _request(req: Req, router: Router) -> Plain:
+    return {
+        "key": req.key,
+        "part": req.part,
+        "group": req.group,
+        "kbytes": req.kbytes,
+        "arrived": req.arrived,
+        "until": req.until,
+        "vhost": req.vhost,
+        "tenant": req.tenant,
+        "write": req.write,
+        "repeat": req.repeat,
+        "send_by": req.send_by,
+        "flowing": req.flowing,
+        "out": req.out,
+        "tries": req.tries,
+        "be": req.be and req.be.name,
+        "source": req.source and req.source.name,
+        "sent": req.sent,
+        "units": req.units,
+        "work": req.work,
+        "way": None if req.way is None else "link" if req.way is router.link else "source",
+        "fill": req.fill,
+        "first_ran": req.first_ran,
+        "ran_at": req.ran_at and req.ran_at.name,
+        "avoid": [be.name for be in req.avoid],
+        "renew": req.renew,
+        "rejoin": req.rejoin,
+        "looked": req.looked,
+        "object": req.obj is not None and req.obj is router.objs[req.key, req.part],
+    }
+
+
+def state_taken(data: bytes, config: Plain) -> Plain:
+    """What the decisions of the next process go on with, from a frame of a state."""
+    router, reqs, bes = _taken(_state(data), config)
+    return {
+        "router": {
+            "late": router.late,
+            "value": router.value,
+            "work": router.work,
+            "unit": router.unit,
+            "arrivals": router.arrivals,
+            "caught_up": router.caught_up,
+            "borne": router.borne,
+        },
+        "vhosts": [{"work": vhost.work, "usual": vhost.usual} for vhost in router.vhosts],
+        "link": _limit(router.link),
+        "bes": {name: _backend(be, reqs) for name, be in bes.items()},
+        "objs": [[*place, _object(obj)] for place, obj in router.objs.items()],
+        "purges": lists(list(router.purges.items())),
+        "reqs": [_request(req, router) for req in reqs],
+        "due": [[when, reqs.index(req), seq] for when, _, req, seq in sorted(router.due)],
+    }
+
+
+# --- forwarders and planners ---
+
+
+def _message(data: bytes) -> Any:
+    size = plan_form.HEAD.size
+    assert plan_form.head(data[:size]) == len(data) - size
+    return plan_form.read(data[size:])
+
+
+def plan_frames(data: bytes) -> list[bytes]:
+    """Frames that follow one another."""
+    out = []
+    while data:
+        end = plan_form.HEAD.size + plan_form.head(data[: plan_form.HEAD.size])
+        out.append(data[:end])
+        data = data[end:]
+    return out
+
+
+def hello_values(data: bytes) -> Plain:
+    """A hello, and the version that is spoken with who said it."""
+    told = _message(data).hello
+    return {
+        "name": told.name,
+        "role": told.role,
+        "incarnation": told.incarnation,
+        "newest": told.newest,
+        "oldest": told.oldest,
+        "agreed": plan_form.agreed(told),
+    }
+
+
+def hello_frame(plain: Plain) -> bytes:
+    """The frame of a hello."""
+    return plan_form.hello(plain["name"], plain["role"], plain["incarnation"])
+
+
+def _name_values(name: Name) -> Plain:
+    return {"epoch": name.epoch, "number": name.number, "planner": name.planner}
+
+
+def _name(plain: Plain) -> Name:
+    return Name(plain["epoch"], plain["number"], plain["planner"])
+
+
+def _asks_values(asks: tuple[words.Ask, ...]) -> list[Plain]:
+    return [{"number": one.number, "be": one.be, "part": one.part, "span": one.span} for one in asks]
+
+
+def _asks(plain: list[Plain]) -> tuple[words.Ask, ...]:
+    return tuple(words.Ask(one["number"], one["be"], one["part"], one["span"]) for one in plain)
+
+
+def _given_values(given: tuple[words.Given, ...]) -> list[Plain]:
+    return [
+        {"number": one.number, "be": one.be, "part": one.part, "delay": one.delay, "span": one.span}
+        for one in given
+    ]
+
+
+def _given(plain: list[Plain]) -> tuple[words.Given, ...]:
+    return tuple(
+        words.Given(one["number"], one["be"], one["part"], one["delay"], one["span"]) for one in plain
+    )
+
+
+def _sight_values(sight: Sight) -> Plain:
+    return {
+        "well": sight.well,
+        "late": sight.late,
+        "failed": sight.failed,
+        "out": sight.out,
+        "alone": sight.alone,
+        "limit": sight.limit,
+        "streak": sight.streak,
+        "quiet": sight.quiet,
+        "unfilled": sight.unfilled,
+        "filled": sight.filled,
+    }
+
+
+def _sight(plain: Plain) -> Sight:
+    return Sight(
+        well=plain["well"],
+        late=plain["late"],
+        failed=plain["failed"],
+        out=plain["out"],
+        alone=plain["alone"],
+        limit=plain["limit"],
+        streak=plain["streak"],
+        quiet=plain["quiet"],
+        unfilled=plain["unfilled"],
+        filled=plain["filled"],
+    )
+
+
+def summary_of_forwarder(data: bytes) -> Plain:
+    """What a forwarder tells a planner, from its frame."""
+    told = plan_form.summarized(_message(data).summary)
+    return {
+        "name": told.name,
+        "incarnation": told.incarnation,
+        "number": told.number,
+        "zone": told.zone,
+        "listed": told.listed,
+        "reqs": told.reqs,
+        "fills": told.fills,
+        "worth": told.worth,
+        "sights": {be: _sight_values(sight) for be, sight in told.sights.items()},
+        "cold": lists(told.cold),
+        "asks": _asks_values(told.asks),
+        "given": _given_values(told.given),
+        "holds": _name_values(told.holds),
+        "leaves": told.leaves,
+        "asked": told.asked,
+        "past": told.past,
+        "tallies": {
+            zone: {"well": one.well, "late": one.late, "failed": one.failed, "hits": one.hits}
+            for zone, one in told.tallies.items()
+        },
+        "left": lists(told.left),
+    }
+
+
+def summary_frame(plain: Plain) -> bytes:
+    """The frame of a forwarder's summary."""
+    return plan_form.summary(
+        words.Summary(
+            name=plain["name"],
+            incarnation=plain["incarnation"],
+            number=plain["number"],
+            zone=plain["zone"],
+            listed=plain["listed"],
+            reqs=plain["reqs"],
+            fills=plain["fills"],
+            worth=plain["worth"],
+            sights={be: _sight(one) for be, one in plain["sights"].items()},
+            cold={be: (own, used) for be, (own, used) in plain["cold"].items()},
+            asks=_asks(plain["asks"]),
+            given=_given(plain["given"]),
+            holds=_name(plain["holds"]),
+            leaves=plain["leaves"],
+            asked=plain["asked"],
+            past=plain["past"],
+            tallies={
+                zone: Tally(one["well"], one["late"], one["failed"], one["hits"])
+                for zone, one in plain["tallies"].items()
+            },
+            left={zone: (back, fails) for zone, (back, fails) in plain["left"].items()},
+        )
+    )
+
+
+def _zone_values(told: Told) -> Plain:
+    return {
+        "back": told.back,
+        "fails": told.fails,
+        "rate": told.rate,
+        "trial": told.trial,
+        "why": told.why,
+        "to": lists(told.to),
+    }
+
+
+def _zone(plain: Plain) -> Told:
+    to = tuple((zone, part) for zone, part in plain["to"])
+    return Told(plain["back"], plain["fails"], plain["rate"], plain["trial"], plain["why"], to)
+
+
+def _plan_values(plan: words.Plan) -> Plain:
+    return {
+        "name": _name_values(plan.name),
+        "listed": plan.listed,
+        "out": plan.out,
+        "trials": plan.trials,
+        "ways": plan.ways,
+        "links": plan.links,
+        "parts": plan.parts,
+        "renews": lists(plan.renews),
+        "zones": {zone: _zone_values(one) for zone, one in plan.zones.items()},
+    }
+
+
+def _plan(plain: Plain) -> words.Plan:
+    return words.Plan(
+        name=_name(plain["name"]),
+        listed=plain["listed"],
+        out=plain["out"],
+        trials=plain["trials"],
+        ways=plain["ways"],
+        links=plain["links"],
+        parts=plain["parts"],
+        renews={zone: tuple(names) for zone, names in plain["renews"].items()},
+        zones={zone: _zone(one) for zone, one in plain["zones"].items()},
+    )
+
+
+def reply_values(data: bytes, before: Plain | None = None) -> Plain:
+    """What a planner answers, from its frame; `applied` is the plan that its delta makes of the plan
+    `before`."""
+    told = plan_form.replied(_message(data).reply)
+    delta = told.delta
+    applied = words.applied(_plan(before), delta) if before and delta else None
+    return {
+        "planner": told.planner,
+        "incarnation": told.incarnation,
+        "number": told.number,
+        "span": told.span,
+        "plan": told.plan and _plan_values(told.plan),
+        "delta": delta
+        and {"since": _name_values(delta.since), "name": _name_values(delta.name), "listed": delta.listed},
+        "applied": applied and _plan_values(applied),
+        "asks": _asks_values(told.asks),
+        "given": _given_values(told.given),
+        "whole": told.whole,
+    }
+
+
+def reply_frame(plain: Plain, before: Plain | None = None) -> bytes:
+    """The frame of a planner's reply: with its plan, or with what `applied` changes of the plan `before`."""
+    return plan_form.reply(
+        words.Reply(
+            planner=plain["planner"],
+            incarnation=plain["incarnation"],
+            number=plain["number"],
+            span=plain["span"],
+            plan=_plan(plain["plan"]) if plain["plan"] else None,
+            delta=words.delta(_plan(before), _plan(plain["applied"])) if before else None,
+            asks=_asks(plain["asks"]),
+            given=_given(plain["given"]),
+            whole=plain["whole"],
+        )
+    )
+
+
+def word_values(data: bytes) -> Plain:
+    """What a planner tells another, from its frame."""
+    told = plan_form.worded(_message(data).word)
+    return {
+        "name": told.name,
+        "incarnation": told.incarnation,
+        "epoch": told.epoch,
+        "seen": told.seen,
+        "rows": lists(told.rows),
+    }
+
+
+def word_frame(plain: Plain) -> bytes:
+    """The frame of a planner's word to another."""
+    rows = tuple(tuple(row) for row in plain["rows"])
+    return plan_form.word(
+        words.Word(plain["name"], plain["incarnation"], plain["epoch"], plain["seen"], rows)  # type: ignore[arg-type]
+    )
+
+
+def show_values(data: bytes) -> str:
+    """What somebody wants to be shown, from its frame."""
+    return str(_message(data).show.what)
+
+
+def show_frame(what: str) -> bytes:
+    """The frame that asks for something to be shown."""
+    return plan_form.show(what)
+
+
+def shown_values(data: bytes) -> list[str]:
+    """The lines shown, from their frame."""
+    return list(_message(data).shown.lines)
+
+
+def shown_frame(lines: list[str]) -> bytes:
+    """The frame of lines that are shown."""
+    return plan_form.shown(lines)
+
+
+# --- settings ---
+
+
+def platform_values(path: Path) -> Plain:
+    """The settings in a platform's configuration with what stands in for those left out, by the operators'
+    names without the unit; spans in tenths of a millisecond. Raises ValueError where it cannot be used."""
+    config = json.loads(path.read_text())
+    needed.config(config)
+    found = settings(needed.told(config["settings"]))
+    family, rules, limits = found["family"], found["rules"], found["limits"]
+    return {
+        "balancers": found["gateways"],
+        "discovery": found["discovery"],
+        "granularity": found["granularity"],
+        "zone": found["zone"],
+        "zones": found["zones"],
+        "kinds": found["kinds"],
+        "weightSource": found["weight_source"],
+        "slotNo": found["slot_no"],
+        "classes": [
+            {
+                "name": vhost["name"],
+                "promise": vhost["first_byte_target"],
+                "deadline": vhost["client_timeout"],
+                "gain": vhost["value"],
+                "repeat": vhost["effect"],
+                "aimStretch": vhost["aim_stretch"],
+                "dedupScope": vhost["repeat_group"],
+                "repeatWindow": vhost["repeat_window"],
+            }
+            for vhost in found["vhosts"]
+        ],
+        "stats": {"names": found["stats"]["names"]},
+        "familyInfo": {
+            "zoneBalancers": family["zone_gateways"],
+            "parentKind": family["parent_kind"],
+            "sourceKind": family["source_kind"],
+            "paceKbPerS": family["pace_kb_per_s"],
+            "feedKbPerS": family["feed_kb_per_s"],
+            "passThroughOk": family["pass_through_ok"],
+            "joins": family["joins"],
+            "purgeDone": family["purge_done"],
+            "parentFloor": family["parent_floor"],
+            "parentWarmsIn": family["parent_warms_in"],
+            "parentBreaksAt": family["parent_breaks_at"],
+            "freshFor": family["fresh"],
+            "staleFor": family["grace"],
+            "passOn": family["uncacheable"],
+        },
+        "obligations": {
+            "answerSlack": rules["answer_slack"],
+            "startCapacity": rules["start_capacity"],
+            "cold": rules["cold"],
+            "tipMultiple": rules["tip_multiple"],
+            "fall": rules["fall"],
+        },
+        "limits": {
+            "maxAttempts": limits["max_dispatches"],
+            "cancel": limits["cancel"],
+            "probes": limits["probes"],
+            "retryAfter": limits["retry_after"],
+            "maxRetryAfter": limits["max_retry_after"],
+            "streamsPerConn": limits["streams_per_conn"],
+            "connectTimeout": limits["connect_timeout"],
+            "keepalive": limits["keepalive"],
+        },
+    }
+
+
+def platform_events(path: Path) -> list[Any]:
+    """The events of the change log that a platform's configuration holds: number, what, and its rows."""
+    config = json.loads(path.read_text())
+    zones, names = config["settings"]["zones"], config["settings"]["kinds"]
+    return lists(list(feed.known(config["known"]["results"], zones, names)))
+
+
+def log_event(number: int, kind: int, payload: bytes) -> list[Any]:
+    """One event of the change log, from its frame: what, and its rows."""
+    return lists(feed.frame(number, kind, payload))
+
+
+def operators_values(path: Path) -> Plain:
+    """The operators' settings in a file, by their names; paths count from the folder of the file."""
+    return lists(load(str(path)))
