--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -11,6 +11,7 @@
 from __future__ import annotations
 
 import json
+import socket
 from pathlib import Path
 from typing import Any
 
@@ -21,6 +22,7 @@
 from lilacloft.decide import Limit, Router
 from lilacloft.net import feed
 from lilacloft.net.conn import OUTCOMES, End
+from lilacloft.net.owner import Owner
 from lilacloft.plan import form as plan_form
 from lilacloft.plan import words
 from lilacloft.plan.order import Name
@@ -35,9 +37,10 @@
 from lilacloft.store import kinds, learned
 from lilacloft.store.files import Folder
 from lilacloft.store.form import Record
+from lilacloft.store.keep import Keeper
 from lilacloft.store.listing import Listing
 from lilacloft.store.log import Store
-from lilacloft.upgrade import form
+from lilacloft.upgrade import carry, form
 from lilacloft.upgrade.words import OWN
 from lilacloft.zones.course import Tally, Told
 
@@ -428,6 +431,33 @@
     }
 
 
+def keeper_values(kept: Plain, folder: Path, now: int, purge_done: int) -> Plain:
+    """What a handover says of open effects, as the next process has taken it beside a store, and tells it
+    again."""
+    keeper = Keeper(Idle(now), _recovered(folder, now, purge_done))  # type: ignore[arg-type]
+    keeper.take(form.plain(msgspec.convert(kept, form.Kept)))
+    told = keeper.give()
+    chains = [form.Chain(**chain) for chain in told["chains"]]
+    return lists(form.plain(form.Kept(kept["folder"], chains, told["out"], told["budgets"], told["counts"])))
+
+
+def state_through_owner(data: bytes, config: Plain) -> tuple[Plain, bytes]:
+    """A state that a whole gateway has taken, connections and all, and tells again: its values, and its frame
+    with the moment of the frame that was taken. The gateway does not run; its sockets lead nowhere."""
+    before = _state(data)
+    owner = Owner({**config, "listen": "127.0.0.1:0"}, follows=True)
+    told, pairs = carry.Told(owner), [socket.socketpair() for _ in range(before.sockets)]
+    try:
+        told.make(before, lambda number: pairs[number][0])
+        after, _ = carry.tell(owner, before.mode, list(owner.router.objs))
+    finally:
+        owner.front.sock.close()
+        for one in (one for pair in pairs for one in pair):
+            one.close()
+    after.time, after.steady = before.time, before.steady
+    return lists(form.plain(after)), form.frame(form.Kind.STATE, after)
+
+
 # --- forwarders and planners ---
 
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -855,6 +855,62 @@
     [20, 12],
 ]
 PLATFORM = DATA / "platform.json"
+COUNTS = {
+    "answers": {
+        "done": 101,
+        "denied": 102,
+        "aborted": 103,
+        "left": 104,
+        "faults": 105,
+    },
+    "front": {
+        "checks": 106,
+        "choked": 107,
+        "closed_idle": 108,
+        "connections": 109,
+        "crossed": 110,
+        "forgotten": 111,
+        "not_taken": 112,
+        "reqs": 113,
+        "turned_away": 114,
+        "unusable": 115,
+    },
+    "back": {
+        "answers": 116,
+        "checks": 117,
+        "connections": 118,
+        "dispatches": 119,
+        "undone": 120,
+        "unknown": 121,
+        "unmade": 122,
+    },
+    "ends": {
+        "REFUSED": 123,
+        "UNMADE": 124,
+        "CLOSED": 125,
+        "RESET": 126,
+        "BROKEN": 127,
+        "GARBLED": 128,
+        "CHOKED": 129,
+        "SILENT": 130,
+        "RETIRED": 131,
+        "FAULT": 132,
+        "NO_LINE": 133,
+        "UNWRITTEN": 134,
+        "DATA": 135,
+        "UNCHANGED": 136,
+        "ABSENT": 137,
+        "FULL": 138,
+        "FAILED": 139,
+        "MOOT": 140,
+        "TIME_UP": 141,
+        "CALLED_OFF": 142,
+    },
+    "log": {
+        "connects": 143,
+        "events": 144,
+    },
+}
 
 
 def platform():
@@ -981,6 +1037,109 @@
     ]
 
 
+NEXT_CALL = {
+    "client": 0,
+    "tag": b"18",
+    "name": "00c0ffee00c0ffe1",
+    "vhost": 0,
+    "key": "00000000000000c1",
+    "part": 2,
+    "group": 7,
+    "kbytes": 410.5,
+    "allow": 15_001,
+    "at": 97_001,
+    "replay": None,
+    "got": None,
+    "body": b"",
+    "open": True,
+    "lines": [-1],
+}
+OWNER_STATE = {
+    **STATE,
+    "mode": "whole",
+    "listed": [*LISTED[:4], {**LISTED[4], "host": "", "port": 0}],
+    "clients": [{**CLIENT, "sock": 0}],
+    "lines": [
+        {**LINE, "sock": 1},
+        {
+            **LINE,
+            "sock": 2,
+            "be": "s-00000002",
+            "host": "10.0.0.2",
+            "port": 7002,
+            "life": NOW - 4_900_000,
+            "shunned": False,
+            "made": 414,
+        },
+    ],
+    "calls": [
+        NEXT_CALL,
+        {**STATE["calls"][0], "client": 0, "open": True, "lines": [1, -1]},
+        {**NEXT_CALL, "tag": b"19", "name": "00c0ffee00c0ffe2", "key": "00000000000000c3", "part": 0},
+    ],
+    "sents": [
+        {
+            "call": 0,
+            "be": "s-00000001",
+            "seq": 1,
+            "name": b"00c0ffee.1",
+            "data": b"do that",
+            "at": NOW - 500,
+            "line": None,
+            "place": 702,
+            "until": None,
+            "over": ["TIME_UP", NOW + 800],
+        },
+        {
+            "call": 1,
+            "be": "s-00000002",
+            "seq": 0,
+            "name": b"00c0ffee.0",
+            "data": b"do it",
+            "at": NOW - 600,
+            "line": 1,
+            "place": 802,
+            "until": NOW + 700,
+            "over": None,
+        },
+        {
+            "call": None,
+            "be": "s-00000001",
+            "seq": 4,
+            "name": b"top.4",
+            "data": b"top",
+            "at": NOW - 601,
+            "line": 0,
+            "place": 803,
+            "until": NOW + 701,
+            "over": None,
+        },
+    ],
+    "sockets": 3,
+    "reload": False,
+    "store": None,
+    "counts": COUNTS,
+}
+
+
+def test_a_gateway_that_has_taken_a_state_tells_the_same():
+    data = (DATA / "handover_owner.bin").read_bytes()
+    ((_, _, before),) = forms.handover_values(data)
+    after, written = forms.state_through_owner(data, json.loads(PLATFORM.read_text()))
+    assert before == after == OWNER_STATE
+    assert written == data
+
+
+def test_a_keeper_that_has_taken_what_was_open_tells_the_same():
+    before = struct.pack(">QBBH", NOW - 4_000, 1, 0, 513)
+    (chain,) = STATE["store"]["chains"]
+    for effect in (before, None):
+        kept = {**STATE["store"], "chains": [{**chain, "before": effect}]}
+        assert forms.keeper_values(kept, DATA / "store", NOW, PURGE_DONE) == kept
+    kept["chains"][0].update(earlier=False, sent=False, down=False)
+    assert forms.keeper_values(kept, DATA / "store", NOW, PURGE_DONE) == kept
+
+
 def test_processes_know_each_others_options():
     assert forms.process_options() == ["--takeover", "--status", "--listener", "--unserved-since"]
 
