--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -25,12 +25,14 @@
 from lilacloft.net.owner import Owner
 from lilacloft.plan import form as plan_form
 from lilacloft.plan import words
+from lilacloft.plan.follow import Effect
 from lilacloft.plan.order import Name
 from lilacloft.plan.sights import Sight
 from lilacloft.record import kinds as records
 from lilacloft.record.book import Book
 from lilacloft.record.reader import read as read_records
 from lilacloft.record.summary import Summary
+from lilacloft.record.writer import REFUSED, Recorder
 from lilacloft.record.writer import Folder as RecordFolder
 from lilacloft.settings import settings
 from lilacloft.state import Be, Obj, Req
@@ -221,6 +223,36 @@
     return lists(msgspec.to_builtins(Summary({}, 0).limited("s-1", was, limit, late)))
 
 
+def recorded_values(folder: Path, config: Plain) -> list[Plain]:
+    """A head, and what a gateway writes down of one thing of each kind, by the hooks that it calls; without
+    numbers and times."""
+    owner = Owner({**config, "listen": "127.0.0.1:0"})
+    owner.front.sock.close()
+    recorder = Recorder(owner, str(folder), "n0")
+    be = owner.bes["s-00000001"]
+    be.strikes, be.late, be.way.limit, be.started = 5, 0.375, 14.25, 900
+    recorder.phase("warming", "too slow")
+    recorder.believed(be, "left alone", "silent")
+    recorder.planned(Effect(name=Name(6, 12, "p1"), out={"s-2": 0, "s-1": 0}, ways={"s-1": 8.5}, link=17.5))
+    recorder.away("hub", 9, 64, 2, "lost", True)
+    recorder.limited(be, 20.5, 14.25, 0.5)
+    recorder.heard(("purge", ("00000000000000aa", 7, 1_699_999_999)), 42, 0)
+    gone = ("s-00000009", ("10.0.0.9", 7009), 1, 1, 4, 0, 1.5, 1_699_999_100)
+    recorder.heard(("delta", [("s-00000001",), gone]), 43, 0)
+    recorder.note(recorder.summary.take(owner.steady + 10_000, recorder._bes(), 6.25))
+    out = [recorder.head, *map(records.decode, recorder.queue.take()[0])]
+    unstable = ("number", "wall", "steady", "run", "version", "span")
+    return [
+        {key: value for key, value in lists(msgspec.to_builtins(one)).items() if key not in unstable}
+        for one in out
+    ]
+
+
+def refusal_names() -> list[str]:
+    """The counters of what is refused that are stored with each second's summary."""
+    return list(REFUSED)
+
+
 def end_names() -> Plain:
     """Every end of a connection or dispatch by the name that is stored and handed over, with its outcome."""
     return {end.name: OUTCOMES[end] for end in End if end in OUTCOMES}
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -438,6 +438,50 @@
     }
 
 
+def test_what_happens_is_written_down_under_the_stored_names(tmp_path):
+    assert forms.recorded_values(tmp_path, json.loads(PLATFORM.read_text())) == [
+        {
+            "kind": "head",
+            "schema": 1,
+            "gateway": "n0",
+            "zone": "here",
+            "gateways": 6,
+            "vhosts": {"clip": [4100, 31000, 2.5], "pay": [4200, 32000, 9], "book": [4300, 33000, 0]},
+        },
+        {"kind": "upgrade", "phase": "warming", "why": "too slow"},
+        {
+            "kind": "belief",
+            "be": "s-00000001",
+            "what": "left alone",
+            "why": "silent",
+            "strikes": 5,
+            "late": 0.375,
+        },
+        {
+            "kind": "planned",
+            "planner": "p1",
+            "epoch": 6,
+            "issued": 12,
+            "out": ["s-1", "s-2"],
+            "limits": 1,
+            "link": 17.5,
+        },
+        {"kind": "away", "zone": "hub", "back": 9, "of": 64, "failed": 2, "why": "lost", "alone": True},
+        {"kind": "cut", "be": "s-00000001", "was": 20.5, "limit": 14.25, "late": 0.5},
+        {"kind": "purge", "event": 42, "key": "00000000000000aa", "group": 7, "at": 16_999_999_990},
+        {
+            "kind": "listed",
+            "event": 43,
+            "bes": [
+                ["s-00000001", "small", "here", 1, 900, 5.0],
+                ["s-00000009", "large", "here", 0, 16_999_991_000, 1.5],
+            ],
+        },
+        {"kind": "second", "bes": {"s-00000002": {"limit": 0.0, "status": 2}}, "link": 6.25},
+    ]
+    assert forms.refusal_names() == ["unusable", "turned_away", "closed_idle", "choked", "not_taken"]
+
+
 ENDS = {
     "REFUSED": "unreached",
     "UNMADE": "unreached",
