--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -463,7 +463,7 @@
     }
 
 
-def keeper_values(kept: Plain, folder: Path, now: int, purge_done: int) -> Plain:
+def open_effects_values(kept: Plain, folder: Path, now: int, purge_done: int) -> Plain:
     """What a handover says of open effects, as the next process has taken it beside a store, and tells it
     again."""
     keeper = Keeper(Idle(now), _recovered(folder, now, purge_done))  # type: ignore[arg-type]
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -164,7 +164,7 @@
     ]
 
 
-def test_a_gateway_recovers_all_from_a_store():
+def test_a_gateway_recovers_everything_from_a_store():
     found = forms.store_recovered(DATA / "store", NOW, PURGE_DONE)
     assert found["purges"] == {"00000000000000aa": NOW - 51_000, 7: NOW - 49_500}
     assert found["intents"] == {
@@ -190,7 +190,7 @@
     assert found["learned"] == {name: [NOW, value] for name, value in LEARNED.items()}
 
 
-def test_a_start_goes_on_with_the_list_in_a_store():
+def test_a_start_uses_the_backend_list_in_a_store():
     listing = forms.store_listing(DATA / "store", NOW, PURGE_DONE, 34)
     assert listing == {"base": 31, "full": 35, "events": [["full", [BE_1, BE_2]]], "from": 44}
     listing = forms.store_listing(DATA / "store", NOW, PURGE_DONE, 40)
@@ -198,12 +198,12 @@
     assert forms.store_listing(DATA / "store", NOW, PURGE_DONE, 30)["from"] == 30
 
 
-def test_what_is_kept_of_the_list_is_what_a_store_holds_of_it():
+def test_change_log_events_become_the_rows_of_a_store():
     assert forms.listing_rows("full", [BE_1], 35) == {"#full": [35, []], "s-00000001": [35, BE_1]}
     assert forms.listing_rows("delta", [BE_3], 43) == {"s-00000003": [43, BE_3]}
 
 
-def test_what_was_learned_still_holds_in_part_after_a_while():
+def test_learned_state_is_weakened_by_its_age():
     age = 300_000
     starts = {"s-00000001": 2.0, "s-00000005": 2.0}
     found = forms.store_learned(DATA / "store", NOW + age, PURGE_DONE, ["clip", "pay"], starts, 50.0)
@@ -232,8 +232,8 @@
 
 
 def test_the_command_dumps_a_store():
-    code, told = cli("store", "dump", str(DATA / "store"))
-    lines = [json.loads(line) for line in told.splitlines()]
+    code, output = cli("store", "dump", str(DATA / "store"))
+    lines = [json.loads(line) for line in output.splitlines()]
     assert (code, len(lines)) == (0, 17)
     assert lines[1] == {"kind": "purge", "key": "#7", "stamp": NOW - 49_000, "value": NOW - 49_500}
     assert lines[-1] == {
@@ -349,12 +349,12 @@
 
 
 def test_the_command_shows_records():
-    code, told = cli("records", "cat", str(DATA / "records"))
-    lines = [json.loads(line) for line in told.splitlines()]
+    code, output = cli("records", "cat", str(DATA / "records"))
+    lines = [json.loads(line) for line in output.splitlines()]
     assert code == 0
     assert lines == [{"gateway": "n0", "run": "017000000000000-77", **record} for record in RECORDS]
-    code, told = cli("records", "cat", "--kind", "belief", "--be", "s-1", str(DATA / "records"))
-    assert (code, json.loads(told)["what"]) == (0, "left alone")
+    code, output = cli("records", "cat", "--kind", "belief", "--be", "s-1", str(DATA / "records"))
+    assert (code, json.loads(output)["what"]) == (0, "left alone")
 
 
 def test_the_command_checks_records():
@@ -438,7 +438,7 @@
     }
 
 
-def test_what_happens_is_written_down_under_the_stored_names(tmp_path):
+def test_the_recorder_writes_every_event_under_the_stored_names(tmp_path):
     assert forms.recorded_values(tmp_path, json.loads(PLATFORM.read_text())) == [
         {
             "kind": "head",
@@ -506,7 +506,7 @@
 }
 
 
-def test_ends_have_the_names_that_are_stored():
+def test_outcomes_have_the_names_that_are_stored():
     assert forms.end_names() == ENDS
 
 
@@ -994,7 +994,7 @@
     assert forms.table_frame(frame(8), platform()) == frame(5)
 
 
-def test_what_a_store_keeps_of_a_state_is_what_was_kept_before():
+def test_learned_state_is_stored_with_the_same_bytes():
     found = forms.learned_values(frame(8), platform(), ["clip", "pay", "book"])
     assert list(found) == [
         "router",
@@ -1040,10 +1040,10 @@
 def test_the_next_process_goes_on_with_the_backends():
     found = taken()["bes"]
     assert list(found) == list(BES)
-    for told in LISTED:
-        one = found[told["name"]]
+    for row in LISTED:
+        one = found[row["name"]]
         fields = ("zone", "kind", "cell", "status", "size", "started")
-        assert {name: one[name] for name in fields} == {name: told[name] for name in fields}
+        assert {name: one[name] for name in fields} == {name: row[name] for name in fields}
     for name, kept in BES.items():
         one = dict(found[name])
         if kept["way"]:
@@ -1065,7 +1065,7 @@
 
 def test_the_next_process_goes_on_with_the_table():
     assert taken()["objs"] == [
-        [*told["place"], {key: value for key, value in told.items() if key != "place"}] for told in OBJS
+        [*row["place"], {key: value for key, value in row.items() if key != "place"}] for row in OBJS
     ]
 
 
@@ -1073,11 +1073,11 @@
     ways = {"s-00000004": "source", "": "link", None: None}
     assert taken()["reqs"] == [
         {
-            **{key: value for key, value in told.items() if key != "cached"},
-            "way": ways[told["way"]],
-            "object": told["cached"],
+            **{key: value for key, value in row.items() if key != "cached"},
+            "way": ways[row["way"]],
+            "object": row["cached"],
         }
-        for told in REQS
+        for row in REQS
     ]
 
 
@@ -1166,7 +1166,7 @@
 }
 
 
-def test_a_gateway_that_has_taken_a_state_tells_the_same():
+def test_a_whole_gateway_hands_over_the_state_that_it_was_handed():
     data = (DATA / "handover_owner.bin").read_bytes()
     ((_, _, before),) = forms.handover_values(data)
     after, written = forms.state_through_owner(data, json.loads(PLATFORM.read_text()))
@@ -1174,17 +1174,17 @@
     assert written == data
 
 
-def test_a_keeper_that_has_taken_what_was_open_tells_the_same():
+def test_open_effects_are_handed_over_unchanged_by_a_second_handover():
     before = struct.pack(">QBBH", NOW - 4_000, 1, 0, 513)
     (chain,) = STATE["store"]["chains"]
     for effect in (before, None):
         kept = {**STATE["store"], "chains": [{**chain, "before": effect}]}
-        assert forms.keeper_values(kept, DATA / "store", NOW, PURGE_DONE) == kept
+        assert forms.open_effects_values(kept, DATA / "store", NOW, PURGE_DONE) == kept
     kept["chains"][0].update(earlier=False, sent=False, down=False)
-    assert forms.keeper_values(kept, DATA / "store", NOW, PURGE_DONE) == kept
+    assert forms.open_effects_values(kept, DATA / "store", NOW, PURGE_DONE) == kept
 
 
-def test_processes_know_each_others_options():
+def test_options_between_processes():
     assert forms.process_options() == ["--takeover", "--status", "--listener", "--unserved-since"]
 
 
@@ -1517,6 +1517,6 @@
     }
 
 
-def test_the_command_says_that_settings_can_be_used():
-    code, told = cli("check", "--config", str(PLATFORM))
-    assert (code, told) == (0, f"{PLATFORM}: usable\n")
+def test_the_command_accepts_the_platform_settings():
+    code, output = cli("check", "--config", str(PLATFORM))
+    assert (code, output) == (0, f"{PLATFORM}: usable\n")
