--- a/lilacloft/emulator/policies.py
+++ b/lilacloft/emulator/policies.py
@@ -3,7 +3,8 @@
 Each is the `Router` with one or two of its rules replaced, so that they all pass the same checks of the
 five rules and differ in what they are named for: the order in which caches are tried, the load bound,
 request collapsing, revalidation, outlier detection and concurrency limits. The oracle reads the emulated
-world itself, which no gateway can, and so shows about how much there was to be had; it is no proof of an optimum. No I/O.
+world itself, which no gateway can, and so shows about how much there was to be had; it is no proof of an
+optimum. No I/O.
 """
 
 from __future__ import annotations
--- a/rigs/gate.py
+++ b/rigs/gate.py
@@ -4,8 +4,9 @@
 written out one by one in the order in which the gate asks them, each with a name. A module
 that is watched by it tells, for each request it rejects, which conditions refused it on the way, so that a
 weak world found by the search is understood by what held its requests back: the link's limit, a cache's
-limit, a cold budget, an ejected backend, load. The model decides nothing: where it would say otherwise than the gate did, that is
-counted as a disagreement, and a test holds it at none. It owns no state of the module; it reads it.
+limit, a cold budget, an ejected backend, load. The model decides nothing: where it would say otherwise than
+the gate did, that is counted as a disagreement, and a test holds it at none. It owns no state of the module;
+it reads it.
 """
 
 from __future__ import annotations
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -17,9 +17,8 @@
 
 import msgspec
 
-from lilacloft import carried, needed
+from lilacloft import needed
 from lilacloft.config.reader import load
-from lilacloft.decide import Limit, Router
 from lilacloft.net import feed
 from lilacloft.net.conn import OUTCOMES, End
 from lilacloft.net.owner import Owner
@@ -34,8 +33,12 @@
 from lilacloft.record.summary import Summary
 from lilacloft.record.writer import REFUSED, Recorder
 from lilacloft.record.writer import Folder as RecordFolder
+from lilacloft.routing import snapshot
+from lilacloft.routing.concurrency import AdaptiveLimit
+from lilacloft.routing.host import Endpoint
+from lilacloft.routing.model import Backend, ObjectPart, Request
+from lilacloft.routing.router import Router
 from lilacloft.settings import settings
-from lilacloft.state import Be, Obj, Req
 from lilacloft.store import kinds, learned
 from lilacloft.store.files import Folder
 from lilacloft.store.form import Record
@@ -229,13 +232,18 @@
     owner = Owner({**config, "listen": "127.0.0.1:0"})
     owner.front.sock.close()
     recorder = Recorder(owner, str(folder), "n0")
-    be = owner.bes["s-00000001"]
-    be.strikes, be.late, be.way.limit, be.started = 5, 0.375, 14.25, 900
+    backend = owner.backends["s-00000001"]
+    (
+        backend.consecutive_failures,
+        backend.late_fill_share,
+        backend.concurrency_limit.limit,
+        backend.started,
+    ) = 5, 0.375, 14.25, 900
     recorder.phase("warming", "too slow")
-    recorder.believed(be, "left alone", "silent")
+    recorder.believed(backend, "left alone", "silent")
     recorder.planned(Effect(name=Name(6, 12, "p1"), out={"s-2": 0, "s-1": 0}, ways={"s-1": 8.5}, link=17.5))
     recorder.away("hub", 9, 64, 2, "lost", True)
-    recorder.limited(be, 20.5, 14.25, 0.5)
+    recorder.limited(backend, 20.5, 14.25, 0.5)
     recorder.heard(("purge", ("00000000000000aa", 7, 1_699_999_999)), 42, 0)
     gone = ("s-00000009", ("10.0.0.9", 7009), 1, 1, 4, 0, 1.5, 1_699_999_100)
     recorder.heard(("delta", [("s-00000001",), gone]), 43, 0)
@@ -265,7 +273,7 @@
     2: form.Phase,
     3: form.Hello,
     4: form.Warm,
-    5: list[form.Obj],
+    5: list[form.ObjectPart],
     7: int,
     8: form.State,
     13: form.Client,
@@ -321,16 +329,16 @@
         return lambda *words: None
 
 
-def _taken(state: form.State, config: Plain) -> tuple[Router, list[Req], dict[str, Be]]:
+def _taken(state: form.State, config: Plain) -> tuple[Router, list[Request], dict[str, Backend]]:
     """A router that goes on with a state's module, as the next process makes it."""
     router = Router(Idle(state.time), settings(needed.told(config)))
-    bes = {one.name: Be(one.name) for one in state.listed}
+    backends = {one.name: Backend(one.name) for one in state.listed}
     rows = [
-        (bes[one.name], one.zone, one.kind, one.cell, one.status, one.size, one.started)
+        Endpoint(backends[one.name], one.zone, one.kind, one.cell, one.status, one.size, one.started)
         for one in state.listed
     ]
-    router.listed("cached", rows)
-    return router, carried.take(router, form.plain(state.module), bes), bes
+    router.endpoints_changed("cached", rows)
+    return router, snapshot.take(router, form.plain(state.module), backends), backends
 
 
 def _state(data: bytes) -> form.State:
@@ -340,126 +348,139 @@
 def state_frame(data: bytes, config: Plain) -> bytes:
     """A frame of a state, read, taken into a router, given again by that and written again."""
     state = _state(data)
-    router, reqs, _ = _taken(state, config)
-    state.module = carried.give(router, reqs, list(router.objs))  # type: ignore[assignment]
+    router, requests, _ = _taken(state, config)
+    state.module = snapshot.give(router, requests, list(router.freshness.object_parts))  # type: ignore[assignment]
     return form.frame(form.Kind.STATE, state)
 
 
 def table_frame(data: bytes, config: Plain) -> bytes:
     """The frame of the table's entries of a state that was taken."""
     router, _, _ = _taken(_state(data), config)
-    return form.frame(form.Kind.TABLE, carried.give(router, (), list(router.objs))["objs"])
+    return form.frame(form.Kind.TABLE, snapshot.give(router, (), list(router.freshness.object_parts))["objs"])
 
 
 def learned_values(data: bytes, config: Plain, vhosts: list[str]) -> dict[str, list[Any]]:
     """The parts of the learned state that a store keeps of a state that was taken, by key: their values,
     and their bytes in hex."""
     router, _, _ = _taken(_state(data), config)
-    parts = learned.parts(carried.give(router, (), ()), vhosts)
+    parts = learned.parts(snapshot.give(router, (), ()), vhosts)
     return {key.decode(): [part, msgspec.msgpack.encode(part).hex()] for key, part in parts.items()}
 
 
-def _limit(limit: Limit | None) -> Plain | None:
+def _limit(limit: AdaptiveLimit | None) -> Plain | None:
     if limit is None:
         return None
     return {
         "limit": limit.limit,
-        "late": limit.late,
-        "calm": limit.calm,
-        "ended": limit.ended,
-        "took": limit.took,
-        "count": limit.count,
+        "late": limit.late_share,
+        "calm": limit.next_cut_at,
+        "ended": limit.last_ended_at,
+        "took": limit.last_duration,
+        "count": limit.in_flight,
     }
 
 
-def _backend(be: Be, reqs: list[Req]) -> Plain:
+def _backend(backend: Backend, requests: list[Request]) -> Plain:
     return {
-        "zone": be.zone,
-        "kind": be.kind,
-        "cell": be.cell,
-        "status": be.status,
-        "size": be.size,
-        "started": be.started,
-        "way": _limit(be.way),
-        "load": be.load,
-        "crowd": be.crowd,
-        "holds": be.holds,
-        "asked": be.asked,
-        "heard": be.heard,
-        "strikes": be.strikes,
-        "late": be.late,
-        "suspect": be.suspect,
-        "retry_at": be.retry_at,
-        "backoff": be.backoff,
-        "trial": None if be.trial is None else reqs.index(be.trial),
-        "budget": lists(be.budget),
-        "reqs": [reqs.index(req) for req in be.reqs],
+        "zone": backend.zone,
+        "kind": backend.kind,
+        "cell": backend.cell,
+        "status": backend.status,
+        "size": backend.capacity,
+        "started": backend.started,
+        "way": _limit(backend.concurrency_limit),
+        "load": backend.in_flight_load,
+        "crowd": backend.reported_load,
+        "holds": backend.saturation_in_flight,
+        "asked": backend.health_checked_at,
+        "heard": backend.last_answer_at,
+        "strikes": backend.consecutive_failures,
+        "late": backend.late_fill_share,
+        "suspect": backend.ejected,
+        "retry_at": backend.retry_at,
+        "backoff": backend.backoff,
+        "trial": None if backend.canary is None else requests.index(backend.canary),
+        "budget": lists(backend.recent_work),
+        "reqs": [requests.index(request) for request in backend.requests],
     }
 
 
-def _object(obj: Obj) -> Plain:
+def _object(object_part: ObjectPart) -> Plain:
     return {
-        "marked": obj.marked,
-        "seen": obj.seen,
-        "home": obj.home and obj.home.name,
-        "filled": obj.filled,
-        "work": obj.work,
+        "marked": object_part.revalidated_at,
+        "seen": object_part.request_count,
+        "home": object_part.last_served_by and object_part.last_served_by.name,
+        "filled": object_part.filled_at,
+        "work": object_part.min_transfer_time,
     }
 
 
-def _request(req: Req, router: Router) -> Plain:
+def _request(request: Request, router: Router) -> Plain:
     return {
-        "key": req.key,
-        "part": req.part,
-        "group": req.group,
-        "kbytes": req.kbytes,
-        "arrived": req.arrived,
-        "until": req.until,
-        "vhost": req.vhost,
-        "tenant": req.tenant,
-        "write": req.write,
-        "repeat": req.repeat,
-        "send_by": req.send_by,
-        "flowing": req.flowing,
-        "out": req.out,
-        "tries": req.tries,
-        "be": req.be and req.be.name,
-        "source": req.source and req.source.name,
-        "sent": req.sent,
-        "units": req.units,
-        "work": req.work,
-        "way": None if req.way is None else "link" if req.way is router.link else "source",
-        "fill": req.fill,
-        "first_ran": req.first_ran,
-        "ran_at": req.ran_at and req.ran_at.name,
-        "avoid": [be.name for be in req.avoid],
-        "renew": req.renew,
-        "rejoin": req.rejoin,
-        "looked": req.looked,
-        "object": req.obj is not None and req.obj is router.objs[req.key, req.part],
+        "key": request.key,
+        "part": request.part,
+        "group": request.purge_group,
+        "kbytes": request.kbytes,
+        "arrived": request.arrived_at,
+        "until": request.deadline,
+        "vhost": request.vhost,
+        "tenant": request.tenant,
+        "write": request.is_write,
+        "repeat": request.is_client_retry,
+        "send_by": request.send_by,
+        "flowing": request.streaming,
+        "out": request.in_flight,
+        "tries": request.attempts,
+        "be": request.backend and request.backend.name,
+        "source": request.source and request.source.name,
+        "sent": request.sent_at,
+        "units": request.load_units,
+        "work": request.transfer_time,
+        "way": None
+        if request.fill_limit is None
+        else "link"
+        if request.fill_limit is router.link_limit
+        else "source",
+        "fill": request.expects_fill,
+        "first_ran": request.first_executed_at,
+        "ran_at": request.first_executed_by and request.first_executed_by.name,
+        "avoid": [backend.name for backend in request.failed_backends],
+        "renew": request.revalidates,
+        "rejoin": request.may_collapse,
+        "looked": request.cache_only,
+        "object": request.object_part is not None
+        and request.object_part is router.freshness.object_parts[request.key, request.part],
     }
 
 
 def state_taken(data: bytes, config: Plain) -> Plain:
     """What the decisions of the next process go on with, from a frame of a state."""
-    router, reqs, bes = _taken(_state(data), config)
+    router, requests, backends = _taken(_state(data), config)
     return {
         "router": {
-            "late": router.late,
-            "value": router.value,
-            "work": router.work,
-            "unit": router.unit,
-            "arrivals": router.arrivals,
-            "caught_up": router.caught_up,
-            "borne": router.borne,
+            "late": router.outliers.late_share,
+            "value": router.averages.value,
+            "work": router.averages.transfer_time,
+            "unit": router.averages.load,
+            "arrivals": router.load_reports.request_count,
+            "caught_up": router.caught_up_at,
+            "borne": router.slow_start.learned_capacity,
         },
-        "vhosts": [{"work": vhost.work, "usual": vhost.usual} for vhost in router.vhosts],
-        "link": _limit(router.link),
-        "bes": {name: _backend(be, reqs) for name, be in bes.items()},
-        "objs": [[*place, _object(obj)] for place, obj in router.objs.items()],
-        "purges": lists(list(router.purges.items())),
-        "reqs": [_request(req, router) for req in reqs],
-        "due": [[when, reqs.index(req), seq] for when, _, req, seq in sorted(router.due)],
+        "vhosts": [
+            {"work": vhost.mean_transfer_time, "usual": vhost.usual_answer_time}
+            for vhost in router.virtual_hosts
+        ],
+        "link": _limit(router.link_limit),
+        "bes": {name: _backend(backend, requests) for name, backend in backends.items()},
+        "objs": [
+            [*place, _object(object_part)] for place, object_part in router.freshness.object_parts.items()
+        ],
+        "purges": lists(list(router.freshness.purges.items())),
+        "reqs": [_request(request, router) for request in requests],
+        "due": [
+            [when, requests.index(request), seq]
+            for when, _, request, seq in sorted(router.deadlines.deadlines)
+        ],
     }
 
 
@@ -481,7 +502,7 @@
     told, pairs = carry.Told(owner), [socket.socketpair() for _ in range(before.sockets)]
     try:
         told.make(before, lambda number: pairs[number][0])
-        after, _ = carry.tell(owner, before.mode, list(owner.router.objs))
+        after, _ = carry.tell(owner, before.mode, list(owner.router.freshness.object_parts))
     finally:
         owner.front.sock.close()
         for one in (one for pair in pairs for one in pair):
@@ -536,7 +557,7 @@
 
 
 def _asks_values(asks: tuple[words.Ask, ...]) -> list[Plain]:
-    return [{"number": one.number, "be": one.be, "part": one.part, "span": one.span} for one in asks]
+    return [{"number": one.number, "be": one.backend, "part": one.part, "span": one.span} for one in asks]
 
 
 def _asks(plain: list[Plain]) -> tuple[words.Ask, ...]:
@@ -545,7 +566,7 @@
 
 def _given_values(given: tuple[words.Given, ...]) -> list[Plain]:
     return [
-        {"number": one.number, "be": one.be, "part": one.part, "delay": one.delay, "span": one.span}
+        {"number": one.number, "be": one.backend, "part": one.part, "delay": one.delay, "span": one.span}
         for one in given
     ]
 
@@ -595,10 +616,10 @@
         "number": told.number,
         "zone": told.zone,
         "listed": told.listed,
-        "reqs": told.reqs,
+        "reqs": told.requests,
         "fills": told.fills,
         "worth": told.worth,
-        "sights": {be: _sight_values(sight) for be, sight in told.sights.items()},
+        "sights": {backend: _sight_values(sight) for backend, sight in told.sights.items()},
         "cold": lists(told.cold),
         "asks": _asks_values(told.asks),
         "given": _given_values(told.given),
@@ -623,11 +644,11 @@
             number=plain["number"],
             zone=plain["zone"],
             listed=plain["listed"],
-            reqs=plain["reqs"],
+            requests=plain["reqs"],
             fills=plain["fills"],
             worth=plain["worth"],
-            sights={be: _sight(one) for be, one in plain["sights"].items()},
-            cold={be: (own, used) for be, (own, used) in plain["cold"].items()},
+            sights={backend: _sight(one) for backend, one in plain["sights"].items()},
+            cold={backend: (own, used) for backend, (own, used) in plain["cold"].items()},
             asks=_asks(plain["asks"]),
             given=_given(plain["given"]),
             holds=_name(plain["holds"]),
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -272,8 +272,9 @@
     assert main(["emulate", "brief", "--policy", "best"]) == 2
 
     class Deaf(POLICIES["module"]):
-        def listed(self, mode, entries):
-            super().listed(mode, [(*entry[:4], entry[4] and 1, *entry[5:]) for entry in entries])
+        def endpoints_changed(self, mode, entries):
+            ready = [dataclasses.replace(entry, status=entry.status and 1) for entry in entries]
+            super().endpoints_changed(mode, ready)
 
     monkeypatch.setitem(POLICIES, "deaf", Deaf)
     text = (
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -260,7 +260,7 @@
         model.list("delta", [(parent, 1, start)])
         for _ in range(60):
             model.run(SEC // 6)
-            if model.router._room(parent, 2000):
+            if model.router.slow_start.allows(parent, 2000, model.time):
                 parent.recent_work.append((model.time, 2000))
                 count[model.time] = count.get(model.time, 0) + 2000
                 works += 1
@@ -326,7 +326,7 @@
 def test_caches_are_asked_for_their_load_and_the_crowded_are_spared():
     model = Model(settings())
     asked = []
-    model.check = asked.append
+    model.check_health = asked.append
     for n in range(24):
         model.end(model.ask(f"k{n}"))
     assert len(asked) == 4 and set(asked) == set(model.caches)
