--- a/lilacloft/emulator/policies.py
+++ b/lilacloft/emulator/policies.py
@@ -25,6 +25,7 @@
 from lilacloft.routing.units import Ticks
 
 NO_LIMIT = 1e9
+SMALL_KB = 4  # requests so small fit anywhere
 
 
 class Unlimited(AdaptiveLimit):
@@ -134,23 +135,21 @@
         self.settings.collapsing = False
 
 
-class NoRevalidationDispatcher(Dispatcher):
-    """Marks every copy as just revalidated before an attempt."""
+class NeverRevalidated(Freshness):
+    """Has no copy revalidated."""
 
-    def try_dispatch(
-        self, request: Request, backend: Backend, source: Backend, cache_only: bool = False
-    ) -> bool:
-        if request.object_part is not None:
-            request.object_part.revalidated_at = self.host.now()
-        return super().try_dispatch(request, backend, source, cache_only)
+    def needs_revalidation(self, request: Request, now: Ticks) -> bool:
+        return False
 
 
 class NoRevalidation(Router):
     """Nothing is revalidated behind an answer: whoever finds a copy too old waits for a new one."""
 
-    def __init__(self, host: Any, settings: Mapping[str, Any]) -> None:
-        super().__init__(host, settings)
-        self.dispatcher = NoRevalidationDispatcher(self.rules)
+    @staticmethod
+    def make_rules(host: Any, settings: Mapping[str, Any]) -> Rules:
+        rules = Rules.make(host, settings)
+        rules.freshness = NeverRevalidated(rules.virtual_hosts, rules.settings.purge_lifetime)
+        return rules
 
 
 class OraclePlacement(Rendezvous):
@@ -201,21 +200,21 @@
 class OracleDispatcher(Dispatcher):
     """Sends nothing where it could only be late: what all gateways have under way there is known."""
 
-    def try_dispatch(
-        self, request: Request, backend: Backend, source: Backend, cache_only: bool = False
+    def source_accepts(
+        self, request: Request, backend: Backend, source: Backend, cache_only: bool, weight: float
     ) -> bool:
         host = self.host
         box, fleet = host.boxes[backend], host.fleet
-        value = self.virtual_hosts[request.vhost].value / (self.rules.averages.value or 1.0)
+        value = self.rules.virtual_hosts[request.vhost].value / (self.rules.averages.value or 1.0)
         headroom = 1.0 + min(1.0, max(0.0, value / 2))
         links = [box.out]
         has_copy = self.freshness.likely_cached(request, backend, host.now())
         if source is not backend and not has_copy and request.part_key not in box.fills:
             links += [fleet.ways_in[self.settings.zone], host.boxes[source].out]
-        is_large = request.kbytes > 4
+        is_large = request.kbytes > SMALL_KB
         if is_large and any(link.wanted + fleet.pace > headroom * link.capacity for link in links):
             return False
-        return super().try_dispatch(request, backend, source, cache_only)
+        return super().source_accepts(request, backend, source, cache_only, weight)
 
 
 class Oracle(BareRouter):
--- a/lilacloft/routing/deadlines.py
+++ b/lilacloft/routing/deadlines.py
@@ -41,7 +41,8 @@
         """Set a deadline of a request, or of its attempt with this number."""
         self.count += 1
         heapq.heappush(self.deadlines, Deadline(due_at, self.count, request, attempt))
-        self._arm()
+        if due_at < self.wakes_at:
+            self._arm()
 
     def due(self, now: Ticks) -> Iterator[Deadline]:
         """Take out what is due, also what is added meanwhile; the host has just woken us."""
@@ -51,8 +52,9 @@
         self._arm()
 
     def _arm(self) -> None:
-        while self.deadlines and self.deadlines[0].is_over():
-            heapq.heappop(self.deadlines)
-        if self.deadlines and self.deadlines[0].due_at < self.wakes_at:
-            self.wakes_at = self.deadlines[0].due_at
+        deadlines = self.deadlines
+        while deadlines and deadlines[0].is_over():
+            heapq.heappop(deadlines)
+        if deadlines and deadlines[0].due_at < self.wakes_at:
+            self.wakes_at = deadlines[0].due_at
             self.host.wake(self.wakes_at, Timer.DEADLINE)
--- a/lilacloft/routing/dispatching.py
+++ b/lilacloft/routing/dispatching.py
@@ -1,27 +1,23 @@
 """The gate that every attempt passes, and the counts of what is in flight.
 
-The rules on effects, draining, slow start and purges hold here for every attempt, whoever asks for it.
+The rules on effects, draining, slow start and load hold here for every attempt, whoever asks for it.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from collections.abc import Iterable
 
 from lilacloft.routing import admission, retries
 from lilacloft.routing.concurrency import AdaptiveLimit
 from lilacloft.routing.host import Dispatch
 from lilacloft.routing.model import Backend, BackendStatus, Request
+from lilacloft.routing.routes import Route
 from lilacloft.routing.rules import Rules
+from lilacloft.routing.units import Ticks
+from lilacloft.routing.virtual_host import VirtualHost
 
 MAX_CACHE_RANK = 2
-
-
-class AttemptKind(NamedTuple):
-    """What an attempt would be."""
-
-    is_plain: bool  # not only for a cached copy
-    expects_fill: bool
-    fill_limit: AdaptiveLimit | None  # that its fill counts to
+READY = BackendStatus.READY
 
 
 class Dispatcher:
@@ -31,66 +27,90 @@
         self.rules = rules
         self.host = rules.host
         self.settings = rules.settings
-        self.virtual_hosts = rules.virtual_hosts
+        self.pools = rules.pools
         self.slow_start = rules.slow_start
         self.freshness = rules.freshness
         self.outliers = rules.outliers
 
-    def try_dispatch(
-        self, request: Request, backend: Backend, source: Backend, cache_only: bool = False
-    ) -> bool:
-        """Send a request to a backend, its miss filled from a source, if all rules allow it; return whether
-        it was sent. The rules on effects, draining, slow start and purges hold here for every attempt."""
-        vhost, now = self.virtual_hosts[request.vhost], self.host.now()
+    def send_first(self, request: Request, routes: Iterable[Route], cache_only: bool = False) -> bool:
+        """Send a request on the first of its routes that all rules allow; return whether it was sent.
+        `cache_only`: ask only for a cached copy."""
         if request.finished or request.in_flight:
             return False
-        if backend.status != BackendStatus.READY or source.status != BackendStatus.READY:
-            return False
-        if not retries.may_repeat(request, backend, vhost, now, self.settings.tick):
-            return False
-        touched = (backend,) if backend is source else (backend, source)
-        if not all(self.outliers.may_send(peer, vhost, now) for peer in touched):
-            return False
-        kind = self._attempt_kind(request, backend, source, cache_only)
+        vhost, now = self.rules.virtual_hosts[request.vhost], self.host.now()
         weight = admission.priority_weight(vhost, request, self.rules.averages)
-        if admission.is_overloaded(backend, request, weight):
-            return False
-        if not backend.concurrency_limit.allows(weight, now):
-            return False
-        if kind.fill_limit is not None and not kind.fill_limit.allows(weight, now):
+        for backend, sources in routes:
+            if not sources or not self.backend_accepts(request, backend, vhost, weight, now):
+                continue
+            for source in sources:
+                if self.source_accepts(request, backend, source, cache_only, weight):
+                    self._send(request, backend, source, cache_only)
+                    return True
+        return False
+
+    def backend_accepts(
+        self, request: Request, backend: Backend, vhost: VirtualHost, weight: float, now: Ticks
+    ) -> bool:
+        """Return whether a backend may take a request, whoever fills a miss there."""
+        return (
+            backend.status == READY
+            and retries.may_repeat(request, backend, vhost, now, self.settings.tick)
+            and (not backend.ejected or self.outliers.may_send_canary(backend, vhost, now))
+            and not admission.is_overloaded(backend, request, weight)
+            and backend.concurrency_limit.allows(weight, now)
+        )
+
+    def source_accepts(
+        self, request: Request, backend: Backend, source: Backend, cache_only: bool, weight: float
+    ) -> bool:
+        """Return whether a miss at a backend that accepts a request may be filled from a source, and neither
+        of them is too cold."""
+        vhost, now = self.rules.virtual_hosts[request.vhost], self.host.now()
+        if source is not backend:
+            if source.status != READY:
+                return False
+            if source.ejected and not self.outliers.may_send_canary(source, vhost, now):
+                return False
+        limit = self._fill_limit(request, backend, source, cache_only)
+        if limit is not None and not limit.allows(weight, now):
             return False
         work = request.kbytes / self.settings.transfer_rate or vhost.mean_transfer_time
-        if not all(self.slow_start.allows(peer, work, now) for peer in touched):
+        if not self.slow_start.allows(backend, work, now):
             return False
-        self._reserve(request, backend, source, kind, work)
-        self.rules.deadlines.add(
-            now + vhost.latency_objective(request.transfer_time), request, request.attempts - 1
-        )
-        self.host.dispatch(self._dispatch(request, cache_only))
-        return True
+        return source is backend or self.slow_start.allows(source, work, now)
+
+    def _is_lookup(self, backend: Backend, source: Backend) -> bool:
+        """Return whether an attempt asks a cache for a copy that it would fill from nobody."""
+        return source is backend and backend in self.pools.caches
 
-    def _attempt_kind(
+    def _expects_fill(self, request: Request, backend: Backend, source: Backend) -> bool:
+        """Return whether an attempt is likely to need a fill."""
+        if source is backend:
+            return backend not in self.pools.caches
+        return not self.freshness.likely_cached(request, backend, self.host.now())
+
+    def _fill_limit(
         self, request: Request, backend: Backend, source: Backend, cache_only: bool
-    ) -> AttemptKind:
-        is_lookup = backend is source and backend in self.rules.pools.caches
-        is_plain = not is_lookup and not cache_only
-        expects_fill = not is_lookup and (
-            backend is source or not self.freshness.likely_cached(request, backend, self.host.now())
-        )
-        if not expects_fill:
-            return AttemptKind(is_plain, False, None)
-        return AttemptKind(is_plain, True, source.concurrency_limit if cache_only else self.rules.link_limit)
-
-    def _reserve(
-        self, request: Request, backend: Backend, source: Backend, kind: AttemptKind, work: float
-    ) -> None:
-        """Count an attempt, which takes `work` ticks to send, where it will be in flight."""
-        now = self.host.now()
+    ) -> AdaptiveLimit | None:
+        """Return the limit that the fill of an attempt counts to; None where none is likely."""
+        if not self._expects_fill(request, backend, source):
+            return None
+        return source.concurrency_limit if cache_only else self.rules.link_limit
+
+    def _send(self, request: Request, backend: Backend, source: Backend, cache_only: bool) -> None:
+        """Count an attempt where it will be in flight, and send it."""
+        vhost, now = self.rules.virtual_hosts[request.vhost], self.host.now()
+        request.fill_limit = self._fill_limit(request, backend, source, cache_only)
+        request.expects_fill = request.fill_limit is not None
+        request.cache_only = cache_only or self._is_lookup(backend, source)
         request.revalidates = (
-            kind.is_plain and not self.rules.plan.standby and self.freshness.needs_revalidation(request, now)
+            not request.cache_only
+            and not self.rules.plan.standby
+            and self.freshness.needs_revalidation(request, now)
         )
         if request.revalidates:
             request.object_part.revalidated_at = now
+        work = request.kbytes / self.settings.transfer_rate or vhost.mean_transfer_time
         for peer in (backend,) if backend is source else (backend, source):
             peer.requests[request] = None
             peer.recent_work.append((now, work))
@@ -99,18 +119,19 @@
                 peer.canary = request
         request.backend, request.source, request.sent_at, request.in_flight = backend, source, now, True
         request.attempts += 1
-        request.expects_fill, request.fill_limit = kind.expects_fill, kind.fill_limit
-        request.cache_only = not kind.is_plain
         backend.concurrency_limit.in_flight += 1
-        if kind.fill_limit:
-            kind.fill_limit.in_flight += 1
-
-    def _dispatch(self, request: Request, cache_only: bool) -> Dispatch:
-        now, object_part = self.host.now(), request.object_part
+        if request.fill_limit is not None:
+            request.fill_limit.in_flight += 1
+        overdue_at = now + vhost.latency_objective(request.transfer_time)
+        self.rules.deadlines.add(overdue_at, request, request.attempts - 1)
+        self.host.dispatch(self._dispatch(request, cache_only, now))
+
+    def _dispatch(self, request: Request, cache_only: bool, now: Ticks) -> Dispatch:
+        object_part = request.object_part
         return Dispatch(
-            request=request,
-            backend=request.backend,
-            source=request.source,
+            request,
+            request.backend,
+            request.source,
             timeout=request.deadline - self.settings.tick - now,
             cache_rank=min(object_part.request_count, MAX_CACHE_RANK) if object_part else 0,
             max_age=self.freshness.max_age(request, now),
--- a/lilacloft/routing/outliers.py
+++ b/lilacloft/routing/outliers.py
@@ -24,6 +24,9 @@
 INITIAL_LATE_SHARE = 0.1
 REFUSED_WEIGHT = 2  # failures that a refused connection counts as
 
+DONE = Outcome.DONE
+# Outcomes that show that a backend answers, if not with what was asked for.
+ALIVE = (Outcome.MISS, Outcome.QUEUE_FULL)
 # Outcomes that tell nothing of how busy a backend is.
 UNTIMED = (Outcome.CANCELLED, Outcome.UNSENT, Outcome.MALFORMED, Outcome.MISS)
 # Notes of answers that waited for a fill, or failed for one.
@@ -65,7 +68,7 @@
 
     def is_late(self, request: Request, result: AttemptResult) -> bool:
         """Return whether an attempt brought no answer in time."""
-        return result.outcome != Outcome.DONE or result.duration > self._objective(request)
+        return result.outcome != DONE or result.duration > self._objective(request)
 
     def record(
         self,
@@ -78,9 +81,7 @@
         """Judge a backend and its source by how an attempt ended. `canary`: what was in flight at the source
         as its canary request."""
         late, outcome = self.is_late(request, result), result.outcome
-        if outcome in (Outcome.MISS, Outcome.QUEUE_FULL) or (
-            outcome == Outcome.DONE and not (backend.ejected and late)
-        ):
+        if outcome in ALIVE or (outcome == DONE and not (backend.ejected and late)):
             self.restore(backend)  # an answer far too late restores no ejected backend
         filled = result.note in FILL_NOTES if result.note else request.expects_fill
         if outcome not in UNTIMED:
@@ -89,7 +90,7 @@
             filled = filled and not (late and backend.concurrency_limit.late_share > TOLERATED_LATE_SHARE)
             if self._shows_load(request, backend, outcome):
                 self._record_in_limit(request, backend, result, late, filled)
-        if outcome == Outcome.DONE:
+        if outcome == DONE:
             if filled and source is not backend and result.duration <= self._objective(request):
                 self._record_fill_in_time(request, source, result, canary)
         elif self._is_failure(request, result):
@@ -205,9 +206,8 @@
         backend.consecutive_failures, backend.backoff = 0, 0
         backend.ejected, backend.late_fill_share = False, 0.0
 
-    def may_send(self, backend: Backend, vhost: VirtualHost, now: Ticks) -> bool:
-        """Return whether a backend may be sent a request: to an ejected one only a canary request, one at a
-        time, which may be executed any number of times."""
-        if not backend.ejected:
-            return True
+    @staticmethod
+    def may_send_canary(backend: Backend, vhost: VirtualHost, now: Ticks) -> bool:
+        """Return whether an ejected backend may be sent a canary request: one at a time, which may be
+        executed any number of times."""
         return now >= backend.retry_at and backend.canary is None and vhost.is_safe
--- a/lilacloft/routing/router.py
+++ b/lilacloft/routing/router.py
@@ -19,11 +19,12 @@
 from lilacloft.routing.host import AttemptResult, Endpoint, Host, ListMode, Timer
 from lilacloft.routing.model import Backend, BackendStatus, Outcome, RejectReason, Request
 from lilacloft.routing.outliers import has_known_size
-from lilacloft.routing.routes import RouteOptions, RoutePlanner
+from lilacloft.routing.routes import Route, RouteOptions, RoutePlanner
 from lilacloft.routing.rules import Rules
 from lilacloft.routing.units import Ticks
 
 MAINTENANCE_INTERVAL: Ticks = 5_000
+DEADLINE, DONE = Timer.DEADLINE, Outcome.DONE
 OVERDUE_FACTOR = 2  # an attempt that takes so many times its objective is cancelled, where that is safe
 
 
@@ -122,7 +123,7 @@
         if request.revalidates and result.outcome in retries.NOT_REVALIDATED:
             self.freshness.undo_revalidation(request)
         self.outliers.record(request, backend, source, result, canary)
-        if result.outcome == Outcome.DONE:
+        if result.outcome == DONE:
             self._learn_from_answer(request, backend, result)
         request.finished = request.finished or result.is_final
         if request.finished:
@@ -212,15 +213,15 @@
     def timer_fired(self, timer: Timer | str) -> None:
         """A time that was asked for has come."""
         now = self.host.now()
-        if timer == Timer.SUBSCRIBE:
-            self.host.subscribe(True)
+        if timer == DEADLINE:
+            for deadline in self.deadlines.due(now):
+                self._deadline_reached(deadline)
         elif timer == Timer.MAINTENANCE:
             self.freshness.drop_expired(now)
             self.slow_start.learn_capacity(now)
             self.host.wake(now + MAINTENANCE_INTERVAL, Timer.MAINTENANCE)
-        elif timer == Timer.DEADLINE:
-            for deadline in self.deadlines.due(now):
-                self._deadline_reached(deadline)
+        elif timer == Timer.SUBSCRIBE:
+            self.host.subscribe(True)
 
     def _deadline_reached(self, deadline: Deadline) -> None:
         request = deadline.request
@@ -298,8 +299,8 @@
         reason = self._exhausted(request)
         if reason is not None:
             return self.reject(request, reason)
-        options, send = self.routes.options(request), self.dispatcher.try_dispatch
-        if any(send(request, route.backend, source) for route in options.routes for source in route.sources):
+        options = self.routes.options(request)
+        if self.dispatcher.send_first(request, options.routes):
             return None
         if self._look_up(request, options):
             return None
@@ -308,12 +309,12 @@
     def _look_up(self, request: Request, options: RouteOptions) -> bool:
         """Ask the home for what it has cached, where there is no room for a fill: that needs no link. A miss
         comes back at once, and is tried once, as nothing of it lies there a moment later."""
-        home, send = options.home, self.dispatcher.try_dispatch
+        home, send_first = options.home, self.dispatcher.send_first
         if home is None or request.cache_only:
             return False
-        if any(send(request, home, parent, cache_only=True) for parent in options.parents[:1]):
+        if send_first(request, [Route(home, options.parents[:1])], cache_only=True):
             return True
-        return send(request, home, home)
+        return send_first(request, [Route(home, [home])])
 
     def _exhausted(self, request: Request) -> RejectReason | None:
         """Return why a request gets no further attempt, wherever there is room; None where it may."""
--- a/lilacloft/routing/routes.py
+++ b/lilacloft/routing/routes.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
 from lilacloft.routing.model import Backend, Request
@@ -23,7 +23,7 @@
 class RouteOptions(NamedTuple):
     """The routes of a request, and what may be looked up where none of them has room."""
 
-    routes: list[Route]
+    routes: Iterator[Route]  # best first, each made when it is asked for
     home: Backend | None  # the first cache in hash order; none where no copy may be looked up
     parents: list[Backend]  # in hash order
 
@@ -53,8 +53,7 @@
         sources = self._fill_sources(request, parents)
         if self.settings.zone in zones_away and self.settings.bypass_allowed:
             return RouteOptions(self._routes_elsewhere(request, sources), None, parents)
-        routes = self._canary_routes(request, homes, parents)
-        routes += self._routes_here(request, homes, sources)
+        routes = self._routes_here(request, homes, parents, sources)
         may_look_up = bool(homes) and not uncacheable and homes[0] not in request.failed_backends
         return RouteOptions(routes, homes[0] if may_look_up else None, parents)
 
@@ -78,45 +77,47 @@
         failed = request.failed_backends
         return [source for source in sources if source not in failed] or self.pools.origins
 
-    def _canary_routes(self, request: Request, homes: list[Backend], parents: list[Backend]) -> list[Route]:
-        """Return the route of an ejected parent's canary request: straight to it, as a cache's hit would pass
-        for its answer."""
-        if not self.settings.bypass_allowed or self.is_uncacheable(request):
-            return []
-        if homes and self.freshness.likely_cached(request, homes[0], self.rules.host.now()):
-            return []
-        return [
-            Route(parent, [parent])
-            for parent in parents[:1]
-            if parent.ejected and parent not in request.failed_backends
-        ]
-
-    def _routes_here(self, request: Request, homes: list[Backend], sources: list[Backend]) -> list[Route]:
-        """Return the routes through the caches of this location, and where allowed those past them: for what
+    def _routes_here(
+        self, request: Request, homes: list[Backend], parents: list[Backend], sources: list[Backend]
+    ) -> Iterator[Route]:
+        """Yield the routes through the caches of this location, and where allowed those past them: for what
         cannot be cached, and for all requests where every cache is ejected or cold."""
-        failed = request.failed_backends
-        caches = [home for home in homes if home not in failed]
+        uncacheable, bypass_allowed = self.is_uncacheable(request), self.settings.bypass_allowed
+        if bypass_allowed and not uncacheable:
+            yield from self._canary_routes(request, homes, parents)
+        caches = [home for home in homes if home not in request.failed_backends]
         usable = self._usable(sources)
-        through_caches = [Route(cache, usable) for cache in self._bounded_order(request, caches)]
-        if not self.settings.bypass_allowed:
-            return through_caches
-        past_caches = [Route(source, [source]) for source in usable]
-        if self.is_uncacheable(request):
-            return past_caches + through_caches
-        if any(self._takes_mean_request(cache, request) for cache in caches):
-            return through_caches
-        return through_caches + past_caches
-
-    def _routes_elsewhere(self, request: Request, sources: list[Backend]) -> list[Route]:
-        """Return the routes where this location is not used: through one cache elsewhere, where a plan says
-        so (it is never a cold one), and past the caches."""
+        if bypass_allowed and uncacheable:
+            yield from self._past_caches(usable)
+        for cache in self._bounded_order(request, caches):
+            yield Route(cache, usable)
+        if bypass_allowed and not uncacheable and not self._any_takes_mean_request(caches, request):
+            yield from self._past_caches(usable)
+
+    def _canary_routes(
+        self, request: Request, homes: list[Backend], parents: list[Backend]
+    ) -> Iterator[Route]:
+        """Yield the route of an ejected parent's canary request: straight to it, as a cache's hit would pass
+        for its answer."""
+        if not parents or not parents[0].ejected or parents[0] in request.failed_backends:
+            return
+        if not (homes and self.freshness.likely_cached(request, homes[0], self.rules.host.now())):
+            yield Route(parents[0], parents[:1])
+
+    @staticmethod
+    def _past_caches(sources: list[Backend]) -> Iterator[Route]:
+        for source in sources:
+            yield Route(source, [source])
+
+    def _routes_elsewhere(self, request: Request, sources: list[Backend]) -> Iterator[Route]:
+        """Yield the routes where this location is not used: through one cache elsewhere, where a plan says so
+        (it is never a cold one), and past the caches."""
         key, usable = request.placement_key, self._usable(sources)
         substitute = self.plan.failovers[self.settings.zone].substitute(key)
         caches = self.placement.order(self.pools.caches_by_zone.get(substitute, []), key)
-        through_substitute = [
-            Route(cache, usable) for cache in caches[:1] if cache not in request.failed_backends
-        ]
-        return through_substitute + [Route(source, [source]) for source in usable]
+        if caches and caches[0] not in request.failed_backends:
+            yield Route(caches[0], usable)
+        yield from self._past_caches(usable)
 
     def _usable(self, sources: list[Backend]) -> list[Backend]:
         """Return the sources that are not left to canary routes."""
@@ -130,6 +131,6 @@
             key=lambda cache: not self.placement.within_bound(cache, pool_load, request, mean_load),
         )
 
-    def _takes_mean_request(self, cache: Backend, request: Request) -> bool:
-        work = self.rules.virtual_hosts[request.vhost].mean_transfer_time
-        return not cache.ejected and self.rules.slow_start.allows(cache, work, self.rules.host.now())
+    def _any_takes_mean_request(self, caches: list[Backend], request: Request) -> bool:
+        work, now = self.rules.virtual_hosts[request.vhost].mean_transfer_time, self.rules.host.now()
+        return any(not cache.ejected and self.rules.slow_start.allows(cache, work, now) for cache in caches)
--- a/lilacloft/routing/virtual_host.py
+++ b/lilacloft/routing/virtual_host.py
@@ -22,6 +22,7 @@
         self.objective_stretch = config.get("aim_stretch") or 0.0
         self.value: float = config["value"]
         self.idempotency = Idempotency(config["effect"])
+        self.is_safe = self.idempotency is Idempotency.SAFE  # may be executed any number of times
         self.idempotency_scope = IdempotencyScope(config.get("repeat_group", "cell"))
         self.idempotency_window: Ticks = config.get("repeat_window", 0)
         self.fresh, self.grace, self.uncacheable = (
@@ -34,11 +35,6 @@
         self.answered_share = self.large_answered_share = 1.0  # of the requests lately, of the large ones
         self.large_threshold = 0.0  # transfer time beyond which a request is large
 
-    @property
-    def is_safe(self) -> bool:
-        """Whether its requests may be executed any number of times."""
-        return self.idempotency is Idempotency.SAFE
-
     def latency_objective(self, transfer_time: float) -> Ticks:
         """Return the duration within which an answer earns its full value."""
         return int(self.first_byte_target + self.objective_stretch * transfer_time)
--- a/rigs/gate.py
+++ b/rigs/gate.py
@@ -1,6 +1,6 @@
 """Why reqs were refused: `python -m rigs.gate WORLD [--faults "..."] [--seeds N] [--json FILE]`.
 
-A plain model of the gate that every attempt passes (`Dispatcher.try_dispatch`): the same conditions,
+A plain model of the gate that every attempt passes (`Dispatcher.send_first`): the same conditions,
 written out one by one in the order in which the gate asks them, each with a name. A module
 that is watched by it tells, for each request it rejects, which conditions refused it on the way, so that a
 weak world found by the search is understood by what held its requests back: the link's limit, a cache's
@@ -15,6 +15,7 @@
 import collections
 import json
 import sys
+from collections.abc import Iterable
 from multiprocessing import Pool
 from typing import Any
 
@@ -31,6 +32,7 @@
 from lilacloft.routing.rendezvous import shed_order
 from lilacloft.routing.retries import MAX_ATTEMPTS
 from lilacloft.routing.router import Router
+from lilacloft.routing.routes import Route
 
 SENT = "sent"
 
@@ -89,17 +91,28 @@
 
     router: Watched
 
-    def try_dispatch(
-        self, request: Request, backend: Backend, source: Backend, cache_only: bool = False
-    ) -> bool:
-        said = reason(self.router, request, backend, source, cache_only)
-        sent = super().try_dispatch(request, backend, source, cache_only)
-        if sent != (said == SENT):
-            self.router.disagreed[f"model {said}, gate {'sent' if sent else 'refused'}"] += 1
-        if not sent:
-            self.router.held.setdefault(id(request), collections.Counter())[said] += 1
+    def send_first(self, request: Request, routes: Iterable[Route], cache_only: bool = False) -> bool:
+        routes, router = list(routes), self.router
+        expected = self._expected(request, routes, cache_only)
+        sent = super().send_first(request, routes, cache_only)
+        found = (request.backend, request.source) if sent else None
+        if found != expected:
+            said = "sent" if expected else "refused"
+            router.disagreed[f"model {said}, gate {'sent' if sent else 'refused'}"] += 1
         return sent
 
+    def _expected(
+        self, request: Request, routes: Iterable[Route], cache_only: bool
+    ) -> tuple[Backend, Backend] | None:
+        """Return the attempt that the model sends, and note why it refuses those before it."""
+        for backend, sources in routes:
+            for source in sources:
+                said = reason(self.router, request, backend, source, cache_only)
+                if said == SENT:
+                    return backend, source
+                self.router.held.setdefault(id(request), collections.Counter())[said] += 1
+        return None
+
 
 class Watched(Router):
     """The module as it is, with the model beside its gate; `tally` counts by process, as runs are."""
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -90,9 +90,9 @@
 
 
 class ForgetsExecution(Dispatcher):
-    def try_dispatch(self, request, backend, source, cache_only=False):
+    def send_first(self, request, routes, cache_only=False):
         request.first_executed_at = None
-        return super().try_dispatch(request, backend, source, cache_only)
+        return super().send_first(request, routes, cache_only)
 
 
 class Forgets(Router):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -75,9 +75,10 @@
     "sent to a draining be": [
         (
             "dispatching",
-            "if backend.status != BackendStatus.READY or source.status != BackendStatus.READY:",
-            "if False:",
+            "backend.status == READY\n            and retries",
+            "retries",
         ),
+        ("dispatching", "if source.status != READY:", "if False:"),
         ("pools", "if backend.status == BackendStatus.READY]", "if backend.status]"),
     ],
     "non-replayable sent again": [
@@ -101,8 +102,13 @@
     "cold cache pushed over": [
         (
             "dispatching",
-            "if not all(self.slow_start.allows(",
-            "if False and not all(self.slow_start.allows(",
+            "if not self.slow_start.allows(backend, work, now):",
+            "if False:",
+        ),
+        (
+            "dispatching",
+            "return source is backend or self.slow_start.allows(source, work, now)",
+            "return True",
         ),
         ("concurrency", "return self.in_flight < limit and", "return True or"),
     ],
