--- a/lilacloft/cli/experiment.py
+++ b/lilacloft/cli/experiment.py
@@ -253,6 +253,7 @@
     from lilacloft.emulator.worlds import WORLDS
     from lilacloft.experiment import revisions
     from lilacloft.experiment.plan import Experiment, Run, Trouble
+    from lilacloft.experiment.runner import NAMES
 
     if world not in WORLDS:
         raise click.UsageError(f"no world {world}: {', '.join(WORLDS)}")
@@ -273,7 +274,8 @@
         return many(Experiment(world, [WORLDS[world]], [trouble], [policy], range(seed, seed + seeds)))
     run = Run(WORLDS[world], trouble, policy, seed)
     result = Fleet(run.world, seed, trouble.faults(run.world, seed), made).run()
-    for name, value in vars(result).items():
+    for attribute, value in vars(result).items():
+        name = NAMES.get(attribute, attribute)
         if name != "breaches":
             click.echo(f"{name}: {value:.4g}" if isinstance(value, float) else f"{name}: {value}")
     for breach in result.breaches:
--- a/lilacloft/experiment/runner.py
+++ b/lilacloft/experiment/runner.py
@@ -16,7 +16,8 @@
 from lilacloft.experiment.plan import LEVELS, Experiment, Run
 from lilacloft.experiment.results import Results
 
-ATTRIBUTES = {"reqs": "requests"}  # of results, where the name that is kept is another
+NAMES = {"requests": "reqs"}  # under which a result's attributes are kept and printed, where they differ
+ATTRIBUTES = {name: attribute for attribute, name in NAMES.items()}
 
 
 def done(run: Run) -> dict[str, Any]:
