--- a/lilacloft/drill/__main__.py
+++ b/lilacloft/simulator_adapter/__main__.py
@@ -2,6 +2,6 @@
 
 import sys
 
-from lilacloft.drill.wire import main
+from lilacloft.simulator_adapter.adapter import main
 
 sys.exit(main(sys.stdin.buffer, sys.stdout.buffer, sys.stderr))
--- a/lilacloft/drill/wire.py
+++ b/lilacloft/simulator_adapter/adapter.py
@@ -321,7 +321,7 @@
         try:
             reply = drill.batch(line)
         except MalformedError as wrong:
-            errors.write(f"lilacloft.drill: line {number}: {wrong}\n"[:400])
+            errors.write(f"lilacloft.simulator_adapter: line {number}: {wrong}\n"[:400])
             return 2
         replies.write(json.dumps(reply, separators=(",", ":")).encode() + b"\n")
         replies.flush()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from lilacloft.drill.wire import Drill, main
 from lilacloft.settings import settings
+from lilacloft.simulator_adapter.adapter import Drill, main
 from rigs.model import SEC
 
 ENV = json.loads("""{"balancers": 2, "discovery": "subscribe", "granularityNs": 2000000, "zone": 0,
