--- a/lilacloft/errors.py
+++ b/lilacloft/errors.py
@@ -1,15 +1,18 @@
-"""What ends a process before it serves, or instead of it: errors that the shell tells to who started it, and
-their codes. It knows nobody."""
+"""The errors of the program, and the exit codes of those that end a process. It imports no other module."""
 
 from __future__ import annotations
 
-UNUSABLE = 2  # the code of a configuration that cannot be used
-NOT_WANTED = 3  # the code of a new process that the old one did without
+UNUSABLE = 2  # exit code: a configuration or an input cannot be used
+NOT_WANTED = 3  # exit code of a new process that the old one did without
 
 
-class NotWantedError(Exception):
+class LilacloftError(Exception):
+    """The base of all errors that this program raises on purpose; the text says what is wrong."""
+
+
+class NotWantedError(LilacloftError):
     """Another process goes on as the gateway; the text says why."""
 
 
-class UnusableError(Exception):
+class UnusableError(LilacloftError):
     """The configuration cannot be used; the text names what is wrong."""
--- /dev/null
+++ b/lilacloft/simulator_adapter/instance.py
@@ -0,0 +1,246 @@
+"""One gateway in the simulator: its messages come in here, and its router's actions go out."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from lilacloft import needed
+from lilacloft.routing.host import AttemptResult, Dispatch, Endpoint, HealthChange, Timer
+from lilacloft.routing.model import Backend, Request
+from lilacloft.routing.router import Router
+from lilacloft.settings import NS, settings
+from lilacloft.simulator_adapter.messages import (
+    CACHE_ONLY_BIT,
+    CLIENT_RETRY_BIT,
+    COLLAPSE_BIT,
+    LIST_MODES,
+    NUMBER,
+    REVALIDATE_BIT,
+    WRITE_BIT,
+    MalformedError,
+    outcome_at,
+    value_at,
+)
+
+
+class Instance:
+    """One gateway in the simulator: the host of its router. It maps ids to records and collects actions."""
+
+    def __init__(self) -> None:
+        self.time_ns = 0
+        self.actions: list[list[Any]] = []
+        self.answered_requests: list[Request] = []
+        self.requests: dict[str, Request] = {}
+        self.request_ids: dict[Request, str] = {}
+        self.backends: dict[str, Backend] = {}
+        self.router: Router
+
+    # --- Host: what the router calls ---
+
+    def now(self) -> int:
+        """Return the simulator's time in ticks."""
+        return self.time_ns // NS
+
+    def dispatch(self, dispatch: Dispatch) -> None:
+        """Send an attempt."""
+        bits = (
+            COLLAPSE_BIT * dispatch.may_collapse
+            + CACHE_ONLY_BIT * dispatch.cache_only
+            + REVALIDATE_BIT * dispatch.revalidate
+        )
+        self.actions.append(
+            [
+                "fetchThrough",
+                self.request_ids[dispatch.request],
+                dispatch.backend.name,
+                dispatch.timeout * NS,
+                dispatch.source.name,
+                dispatch.cache_rank,
+                dispatch.max_age * NS,
+                bits,
+            ]
+        )
+
+    def client_left_at(self, request: Request) -> int | None:
+        """The simulator tells of it at once."""
+
+    def cancel(self, request: Request, attempt: int) -> None:
+        """Cancel an attempt."""
+        self.actions.append(["undoSend", self.request_ids[request], attempt])
+
+    def withdraw(self, request: Request, attempt: int) -> None:
+        """What is sent is out at once."""
+
+    def reject(self, request: Request, retry_after: int) -> None:
+        """Reject a request, with a time to come back."""
+        self.actions.append(["notNow", self.request_ids[request], retry_after * NS])
+        self.answered_requests.append(request)
+
+    def fail(self, request: Request) -> None:
+        """Fail a request."""
+        self.actions.append(["reportFailure", self.request_ids[request]])
+        self.answered_requests.append(request)
+
+    def wake(self, at: int, timer: Timer) -> None:
+        """Ask for a timer."""
+        self.actions.append(["wakeMe", at * NS, timer])
+
+    def check_health(self, backend: Backend) -> None:
+        """Ask for a load report."""
+        self.actions.append(["askLoad", backend.name])
+
+    def subscribe(self, on: bool) -> None:
+        """Ask discovery for changes, or stop asking."""
+        self.actions.append(["subscribe", on])
+
+    def health_changed(self, backend: Backend, change: HealthChange, reason: str) -> None:
+        text = f"{backend.name} {reason}"
+        if change is HealthChange.EJECTED:
+            text = f"{backend.name} {change}: {reason}"
+        self.actions.append(["journalLine", text])
+
+    def limit_recorded(self, backend: Backend, before: float, after: float, late_share: float) -> None:
+        """The report has no place for it."""
+
+    # --- messages of the simulator ---
+
+    def forget(self, request: Request) -> None:
+        """Drop a request that is finished and has no attempt in flight."""
+        if request.finished and not request.in_flight and request in self.request_ids:
+            del self.requests[self.request_ids.pop(request)]
+
+    def _backend(self, values: list[Any], index: int) -> Backend | None:
+        return self.backends.get(value_at(values, index, str, "cache"))
+
+    def up(self, values: list[Any]) -> None:
+        """A gateway starts, with its settings."""
+        value_at(values, 0, int, "initSeed")  # the module draws no chance
+        env = value_at(values, 1, dict, "env")
+        try:
+            self.router = Router(self, settings(needed.told(env, sockets=False)))
+        except ValueError as wrong:
+            raise MalformedError(str(wrong)) from wrong
+
+    def fleet(self, values: list[Any]) -> None:
+        """Discovery sends the endpoint list, or changes of it."""
+        mode = value_at(values, 1, int, "mode")
+        if mode not in LIST_MODES:
+            raise MalformedError(f"mode of the list is unknown: {mode}")
+        value_at(values, 0, int, "revision", 0)
+        listed = []
+        for row in value_at(values, 2, list, "nodesList", []):
+            if not isinstance(row, list):
+                raise MalformedError(f"an entry of the list is no array: {row!r}")
+            name = value_at(row, 0, str, "cache")
+            status = value_at(row, 4, int, "status")
+            if status not in (0, 1, 2):
+                raise MalformedError(f"status in the list is unknown: {status}")
+            listed.append(
+                Endpoint(
+                    self.backends.setdefault(name, Backend(name)),
+                    value_at(row, 1, int, "zone", 0),
+                    value_at(row, 2, int, "kind", 0),
+                    value_at(row, 3, int, "cohort", 0),
+                    status,
+                    value_at(row, 5, NUMBER, "size", 1.0),
+                    value_at(row, 6, int, "startedAtNs", 0) // NS,
+                )
+            )
+        self.router.endpoints_changed(LIST_MODES[mode], listed)
+        self.backends = {
+            name: backend for name, backend in self.backends.items() if backend.status or backend.requests
+        }
+
+    def ingress(self, values: list[Any]) -> None:
+        """A client sends a request."""
+        name = value_at(values, 0, str, "id")
+        bits = value_at(values, 5, int, "bits", 0)
+        now = self.now()
+        request = Request(
+            key=value_at(values, 8, str, "contentId", ""),
+            part=value_at(values, 1, int, "part", 0),
+            purge_group=value_at(values, 2, int, "group", 0),
+            kbytes=value_at(values, 3, NUMBER, "kbytes", 0),
+            arrived_at=now,
+            deadline=now + value_at(values, 4, int, "patienceLeftNs") // NS,
+            vhost=value_at(values, 6, int, "qos", 0),
+            tenant=value_at(values, 7, int, "party", 0),
+            is_write=bool(bits & WRITE_BIT),
+            is_client_retry=bool(bits & CLIENT_RETRY_BIT),
+        )
+        self.requests[name] = request
+        self.request_ids[request] = name
+        self.router.request_arrived(request)
+
+    def established(self, values: list[Any]) -> None:
+        """The answer to an attempt is a stream that has begun."""
+        request = self.requests.get(value_at(values, 0, str, "id"))
+        if request and self._backend(values, 1):
+            self.router.stream_started(request, value_at(values, 3, int, "sendNo", 0))
+
+    def resolved(self, values: list[Any]) -> None:
+        """An attempt is over."""
+        request = self.requests.get(value_at(values, 0, str, "id"))
+        attempt = value_at(values, 1, int, "sendNo", 0)
+        backend = self._backend(values, 2)
+        outcome = outcome_at(values, 3)
+        final = value_at(values, 5, bool, "finished", False)
+        if request and backend:
+            duration, note = (
+                value_at(values, 4, int, "tookNs", 0) // NS,
+                value_at(values, 6, int, "remark", 0),
+            )
+            value_at(values, 7, int, "sourceWaitNs", 0), value_at(values, 8, list, "feedback", [])  # not used
+            result = AttemptResult(attempt, outcome, duration, final, note)
+            self.router.attempt_ended(request, backend, result)
+            self.forget(request)
+
+    def cancelled_by_client(self, values: list[Any]) -> None:
+        """A client has gone."""
+        request = self.requests.get(value_at(values, 0, str, "id"))
+        if request:
+            self.router.client_disconnected(request)
+            self.forget(request)
+
+    def timeout_fired(self, values: list[Any]) -> None:
+        """A time that the router asked for has come."""
+        self.router.timer_fired(value_at(values, 0, str, "ctx"))
+
+    def status_back(self, values: list[Any]) -> None:
+        """A health check is answered."""
+        backend = self._backend(values, 0)
+        outcome = outcome_at(values, 2)
+        if backend:
+            value_at(values, 1, int, "tookNs", 0)  # not used
+            self.router.health_checked(backend, outcome, value_at(values, 3, list, "feedback", []))
+
+    def heard(self, values: list[Any]) -> None:
+        """Another gateway sends a message: ours send none."""
+        (
+            value_at(values, 0, int, "by"),
+            value_at(values, 1, str, "msg", ""),
+        )  # gateways say nothing to each other
+
+    def withdrawn_copy(self, values: list[Any]) -> None:
+        """An object or a group was purged."""
+        key = values[0] if values and values[0] not in (0, None) else ""
+        if not isinstance(key, str):
+            raise MalformedError(f"contentId is no str: {key!r}")
+        self.router.object_purged(
+            key, value_at(values, 1, int, "batchId", 0), value_at(values, 2, int, "copyAgeNs", 0) // NS
+        )
+
+
+HANDLERS: dict[str, Callable[[Instance, list[Any]], None]] = {
+    "up": Instance.up,
+    "fleet": Instance.fleet,
+    "ingress": Instance.ingress,
+    "established": Instance.established,
+    "resolved": Instance.resolved,
+    "cancelledByClient": Instance.cancelled_by_client,
+    "timeoutFired": Instance.timeout_fired,
+    "statusBack": Instance.status_back,
+    "heard": Instance.heard,
+    "withdrawnCopy": Instance.withdrawn_copy,
+}
--- /dev/null
+++ b/lilacloft/simulator_adapter/messages.py
@@ -0,0 +1,56 @@
+"""Values of the simulator's messages: their checks, and what their words mean to the decisions."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from lilacloft.errors import LilacloftError
+from lilacloft.routing.host import ListMode
+from lilacloft.routing.model import Outcome
+
+OUTCOMES = {  # by `stateCode`
+    "Ok": Outcome.DONE,
+    "Failed": Outcome.ERROR,
+    "QueueFull": Outcome.QUEUE_FULL,
+    "TimedOut": Outcome.TIMEOUT,
+    "ConnectError": Outcome.CONNECT_FAILED,
+    "ResetByPeer": Outcome.RESET,
+    "Canceled": Outcome.CANCELLED,
+    "Ignored": Outcome.UNSENT,
+    "Miss": Outcome.MISS,
+}
+LIST_MODES = {0: ListMode.CACHED, 1: ListMode.FAILED, 2: ListMode.FULL, 3: ListMode.DELTA}  # by `mode`
+NUMBER = (int, float)
+# Bits of `fetchThrough`.
+COLLAPSE_BIT, CACHE_ONLY_BIT, REVALIDATE_BIT = 1, 2, 8
+# Bits of `ingress`.
+CLIENT_RETRY_BIT, WRITE_BIT = 2, 4
+
+
+class MalformedError(LilacloftError):
+    """What came in is no message of the simulator; the text names what is wrong."""
+
+
+def value_at(
+    values: list[Any], index: int, kind: type | tuple[type, ...], name: str, default: Any = None
+) -> Any:
+    """Return one value of a message, or the default where it is absent or null. `name`: for the error.
+
+    Raises MalformedError where it is of another kind, or is missing and has no default.
+    """
+    value = values[index] if index < len(values) else None
+    if value is None:
+        if default is None:
+            raise MalformedError(f"{name} is missing")
+        return default
+    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+        raise MalformedError(f"{name} is no {kind if isinstance(kind, tuple) else kind.__name__}: {value!r}")
+    return value
+
+
+def outcome_at(values: list[Any], index: int) -> Outcome:
+    """Return the outcome that a `stateCode` stands for. Raises MalformedError."""
+    code = value_at(values, index, str, "stateCode")
+    if code not in OUTCOMES:
+        raise MalformedError(f"stateCode is unknown: {code}")
+    return OUTCOMES[code]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lilacloft.settings import settings
-from lilacloft.simulator_adapter.adapter import Drill, main
+from lilacloft.simulator_adapter.adapter import Adapter, main
 from rigs.model import SEC
 
 ENV = json.loads("""{"balancers": 2, "discovery": "subscribe", "granularityNs": 2000000, "zone": 0,
@@ -23,9 +23,9 @@
 ASK = ["ingress", "id-1", 0, 3, None, 4000000000, 0, 0, None, "91f0"]
 
 
-def batch(drill, *events, at=10**12, who="gateway-0"):
+def batch(adapter, *events, at=10**12, who="gateway-0"):
     line = json.dumps({"tNs": at, "parts": [{"who": who, "happened": list(events)}]}).encode()
-    return [act for part in drill.batch(line)["parts"] for act in part["actions"]]
+    return [act for part in adapter.batch(line)["parts"] for act in part["actions"]]
 
 
 def test_settings_are_renamed_and_converted_by_rote():
@@ -36,15 +36,17 @@
 
 
 def test_a_life_with_restart_in_one_batch_and_forgotten_ids():
-    drill = Drill()
-    assert drill.batch(b'{"tNs":1,"parts":[]}') == {"parts": []}
-    acts = batch(drill, ["up", 7, ENV], LIST, ASK)
+    adapter = Adapter()
+    assert adapter.batch(b'{"tNs":1,"parts":[]}') == {"parts": []}
+    acts = batch(adapter, ["up", 7, ENV], LIST, ASK)
     assert ["subscribe", True] in acts
     sent = next(act for act in acts if act[0] == "fetchThrough")
     assert sent[1:3] == ["id-1", "c.b"] and sent[4] == "c.a" and sent[6] == 8 * 10**9 and sent[7] & 1
     done = ["resolved", "id-1", 0, "c.b", "Ok", 9000000, True]
-    assert batch(drill, done, done, ["cancelledByClient", "id-1"], ["resolved", "id-9", 0, "c.z", "Ok"]) == []
-    acts = batch(drill, ["down"], ["up", 7, ENV], LIST, done)
+    assert (
+        batch(adapter, done, done, ["cancelledByClient", "id-1"], ["resolved", "id-9", 0, "c.z", "Ok"]) == []
+    )
+    acts = batch(adapter, ["down"], ["up", 7, ENV], LIST, done)
     assert [act[0] for act in acts].count("subscribe") == 1
 
 
@@ -70,7 +72,7 @@
 
 
 def test_an_exception_in_the_module_is_the_crash_action(monkeypatch):
-    drill = Drill()
-    batch(drill, ["up", 7, ENV], LIST)
-    monkeypatch.setattr(drill.gateways["gateway-0"].router, "request_arrived", lambda request: 1 / 0)
-    assert batch(drill, ASK) == [["die", "ZeroDivisionError: division by zero"]]
+    adapter = Adapter()
+    batch(adapter, ["up", 7, ENV], LIST)
+    monkeypatch.setattr(adapter.instances["gateway-0"].router, "request_arrived", lambda request: 1 / 0)
+    assert batch(adapter, ASK) == [["die", "ZeroDivisionError: division by zero"]]
