--- a/lilacloft/experiment/earlier.py
+++ b/lilacloft/experiment/earlier.py
@@ -39,11 +39,13 @@
     """The earlier interface of a host, in front of the present one."""
 
     def __init__(self, router: EarlierRouter, host: Host) -> None:
+        """Translate between an earlier router and a host."""
         self.router = router
         self.host = host
         self.name = getattr(host, "name", "")
 
     def now(self) -> Ticks:
+        """Return the time."""
         return self.host.now()
 
     def fetch(
@@ -56,9 +58,10 @@
         age: Ticks,
         join: bool,
         held_only: bool,
-        no_trace: bool,
+        no_trace: bool,  # noqa: ARG002, never set by any revision
         renew: bool,
     ) -> None:
+        """See `Host.dispatch`."""
         backends = self.router.backends
         self.host.dispatch(
             Dispatch(
@@ -75,33 +78,43 @@
         )
 
     def departed(self, req: Any) -> Ticks | None:
+        """See `Host.client_left_at`."""
         return self.host.client_left_at(self.router.request_of(req))
 
     def cancel(self, req: Any, seq: int) -> None:
+        """See `Host.cancel`."""
         self.host.cancel(self.router.request_of(req), seq)
 
     def withdraw(self, req: Any, seq: int) -> None:
+        """See `Host.withdraw`."""
         self.host.withdraw(self.router.request_of(req), seq)
 
     def deny(self, req: Any, after: Ticks) -> None:
+        """See `Host.reject`."""
         self.host.reject(self.router.request_of(req), after)
 
     def abort(self, req: Any) -> None:
+        """See `Host.fail`."""
         self.host.fail(self.router.request_of(req))
 
     def wake(self, at: Ticks, token: str) -> None:
+        """See `Host.wake`."""
         self.host.wake(at, Timer(token))
 
     def check(self, be: Any) -> None:
+        """See `Host.check_health`."""
         self.host.check_health(self.router.backends[be.name])
 
     def subscribe(self, on: bool) -> None:
+        """See `Host.subscribe`."""
         self.host.subscribe(on)
 
     def believe(self, be: Any, what: str, why: str) -> None:
+        """See `Host.health_changed`."""
         self.host.health_changed(self.router.backends[be.name], HealthChange(what), why)
 
     def limited(self, be: Any, was: float, limit: float, late: float) -> None:
+        """See `Host.limit_recorded`."""
         self.host.limit_recorded(self.router.backends[be.name], was, limit, late)
 
 
@@ -112,6 +125,7 @@
     records: types.ModuleType
 
     def __init__(self, host: Host, settings: Mapping[str, Any]) -> None:
+        """See `Router`."""
         self.backends: dict[str, Backend] = {}  # the host's, by name
         self.earlier_backends: dict[str, Any] = {}
         self.earlier_requests: dict[Request, Any] = {}
@@ -140,6 +154,7 @@
             del self.requests[req], self.earlier_requests[request]
 
     def endpoints_changed(self, mode: ListMode | str, endpoints: Iterable[Endpoint]) -> None:
+        """See `Router.endpoints_changed`."""
         rows = []
         for row in endpoints:
             backend = row.backend
@@ -152,6 +167,7 @@
         self.earlier.listed(str(mode), rows)
 
     def request_arrived(self, request: Request) -> None:
+        """See `Router.request_arrived`."""
         req = self.records.Req(
             request.key,
             request.part,
@@ -167,6 +183,7 @@
         self._update(request)
 
     def attempt_ended(self, request: Request, backend: Backend, result: AttemptResult) -> None:
+        """See `Router.attempt_ended`."""
         req = self.earlier_requests.get(request)
         if req is None:
             return
@@ -176,25 +193,30 @@
         self._update(request)
 
     def client_disconnected(self, request: Request) -> None:
+        """See `Router.client_disconnected`."""
         req = self.earlier_requests.get(request)
         if req is not None:
             self.earlier.left(req)
             self._update(request)
 
     def object_purged(self, key: str, group: int, age: Ticks) -> None:
+        """See `Router.object_purged`."""
         for name, backend in self.backends.items():
             self.earlier_backends[name].started = backend.started  # the host may have corrected it
         self.earlier.purged(key, group, age)
 
     def health_checked(self, backend: Backend, outcome: Outcome | str, report: Sequence[float]) -> None:
+        """See `Router.health_checked`."""
         self.earlier.checked(self.earlier_backends[backend.name], 0, str(outcome), list(report))
 
     def loop_lagged(self, late: Ticks) -> None:
+        """See `Router.loop_lagged`."""
         lagged = getattr(self.earlier, "lagged", None)  # still earlier versions do not hear of it
         if lagged:
             lagged(late)
 
     def timer_fired(self, timer: Timer | str) -> None:
+        """See `Router.timer_fired`."""
         self.earlier.woke(str(timer))
         for request in list(self.earlier_requests):
             self._update(request)
--- a/lilacloft/experiment/packages.py
+++ b/lilacloft/experiment/packages.py
@@ -11,7 +11,7 @@
 import importlib.machinery
 import sys
 import types
-from collections.abc import Mapping, Sequence
+from collections.abc import Mapping
 from typing import TypeAlias
 
 Sources: TypeAlias = Mapping[str, str]  # texts by the names of modules, without their package
@@ -23,6 +23,7 @@
     """Finds and executes the modules of one package that is made of texts."""
 
     def __init__(self, package: str, sources: Sources) -> None:
+        """Make the finder of the modules `package.NAME`."""
         self.package = package
         self.sources = {name: self._rename_imports(text) for name, text in sources.items()}
 
@@ -33,15 +34,15 @@
             renamed = renamed.replace(f"{self.package}.{name}", f"{RUNNING}.{name}")
         return renamed
 
-    def find_spec(
-        self, fullname: str, path: Sequence[str] | None = None, target: types.ModuleType | None = None
-    ) -> importlib.machinery.ModuleSpec | None:
+    def find_spec(self, fullname: str, *_: object) -> importlib.machinery.ModuleSpec | None:
+        """Return the spec of a module of this package; None for all others."""
         package, _, name = fullname.rpartition(".")
         if package != self.package or name not in self.sources:
             return None
         return importlib.machinery.ModuleSpec(fullname, self)
 
     def exec_module(self, module: types.ModuleType) -> None:
+        """Execute the text of a module."""
         name = module.__name__.rpartition(".")[2]
         exec(compile(self.sources[name], module.__name__, "exec"), module.__dict__)
 
--- a/lilacloft/routing/concurrency.py
+++ b/lilacloft/routing/concurrency.py
@@ -25,6 +25,7 @@
     """
 
     def __init__(self, limit: float, minimum: float) -> None:
+        """Start at a limit; it is never cut below `minimum`."""
         self.limit = limit
         self.minimum = minimum
         self.in_flight = 0
--- a/lilacloft/routing/deadlines.py
+++ b/lilacloft/routing/deadlines.py
@@ -32,6 +32,7 @@
     """Wakes its host no oftener than needed: at the earliest deadline that is not over."""
 
     def __init__(self, host: Host) -> None:
+        """Make an empty queue that wakes a host."""
         self.host = host
         self.deadlines: list[Deadline] = []  # a heap
         self.count = 0  # set so far
--- a/lilacloft/routing/dispatching.py
+++ b/lilacloft/routing/dispatching.py
@@ -24,6 +24,7 @@
     """Sends a gateway's attempts, those that all rules allow."""
 
     def __init__(self, rules: Rules) -> None:
+        """Send what these rules allow."""
         self.rules = rules
         self.host = rules.host
         self.settings = rules.settings
--- a/lilacloft/routing/freshness.py
+++ b/lilacloft/routing/freshness.py
@@ -21,6 +21,7 @@
     """The table of object parts and the purges that this gateway knows."""
 
     def __init__(self, virtual_hosts: Sequence[VirtualHost], purge_lifetime: Ticks) -> None:
+        """Make an empty table. A purge is remembered for `purge_lifetime`."""
         self.virtual_hosts = virtual_hosts
         self.purge_lifetime = purge_lifetime
         self.object_parts: dict[PartKey, ObjectPart] = {}  # least recently asked for first
--- a/lilacloft/routing/load_reports.py
+++ b/lilacloft/routing/load_reports.py
@@ -18,6 +18,7 @@
     """Asks the caches of a location in turn."""
 
     def __init__(self, settings: RoutingSettings) -> None:
+        """Ask as often as the settings allow."""
         self.settings = settings
         self.request_count = 0
 
--- a/lilacloft/routing/outliers.py
+++ b/lilacloft/routing/outliers.py
@@ -61,7 +61,7 @@
         self.virtual_hosts = virtual_hosts
         self.plan = plan
         self.link_limit = link_limit
-        self.cancel_if_safe: Callable[[Request], None] = lambda request: None  # set by the router
+        self.cancel_if_safe: Callable[[Request], None]  # set by the router
         self.late_share = INITIAL_LATE_SHARE  # of this gateway's attempts that come late, or not at all
 
     # --- what the end of an attempt shows ---
--- a/lilacloft/routing/pools.py
+++ b/lilacloft/routing/pools.py
@@ -13,6 +13,7 @@
     """The backends of one gateway. The pools hold ready backends only, ordered by name."""
 
     def __init__(self, settings: RoutingSettings) -> None:
+        """Make empty pools."""
         self.settings = settings
         self.backends: list[Backend] = []  # all that are listed, and those with an attempt in flight
         self.caches: list[Backend] = []  # of this location
--- a/lilacloft/routing/routes.py
+++ b/lilacloft/routing/routes.py
@@ -32,6 +32,7 @@
     """Orders the routes of a gateway's requests."""
 
     def __init__(self, rules: Rules) -> None:
+        """Order routes by these rules."""
         self.rules = rules
         self.settings = rules.settings
         self.pools = rules.pools
--- a/lilacloft/routing/slow_start.py
+++ b/lilacloft/routing/slow_start.py
@@ -36,6 +36,7 @@
         virtual_hosts: Sequence[VirtualHost],
         plan: FleetPlan,
     ) -> None:
+        """Keep to this gateway's share of the budgets of all backends in the pools."""
         self.settings = settings
         self.pools = pools
         self.virtual_hosts = virtual_hosts
--- a/lilacloft/simulator_adapter/adapter.py
+++ b/lilacloft/simulator_adapter/adapter.py
@@ -15,6 +15,7 @@
     """All instances of one adapter process."""
 
     def __init__(self) -> None:
+        """Start without any gateway."""
         self.instances: dict[str, Instance] = {}
 
     def _handle_event(self, who: str, event: Any, t_ns: int) -> list[list[Any]]:
--- a/lilacloft/simulator_adapter/instance.py
+++ b/lilacloft/simulator_adapter/instance.py
@@ -28,6 +28,7 @@
     """One gateway in the simulator: the host of its router. It maps ids to records and collects actions."""
 
     def __init__(self) -> None:
+        """Start before the settings have come."""
         self.time_ns = 0
         self.actions: list[list[Any]] = []
         self.answered_requests: list[Request] = []
@@ -95,6 +96,7 @@
         self.actions.append(["subscribe", on])
 
     def health_changed(self, backend: Backend, change: HealthChange, reason: str) -> None:
+        """Write a line of the report."""
         text = f"{backend.name} {reason}"
         if change is HealthChange.EJECTED:
             text = f"{backend.name} {change}: {reason}"
