--- a/lilacloft/report/charts.py
+++ b/lilacloft/report/charts.py
@@ -15,7 +15,7 @@
 from hdrh.histogram import HdrHistogram
 from numpy.typing import NDArray
 
-from lilacloft.timeline.course import Course
+from lilacloft.timeline.timeline import Course
 
 BINS = 240  # of a chart's width
 INK = "#010203"  # becomes the page's text colour
--- a/lilacloft/report/console.py
+++ b/lilacloft/report/console.py
@@ -23,7 +23,7 @@
 
 from lilacloft.record.reader import Damage, Run
 from lilacloft.report.facts import clock, span
-from lilacloft.timeline.course import Course, course
+from lilacloft.timeline.timeline import Course, course
 
 Read = Callable[[], tuple[dict[str, list[Run]], list[Damage]]]
 RECENT = 10_000.0  # ms that a row's figures are of
--- a/lilacloft/report/facts.py
+++ b/lilacloft/report/facts.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from lilacloft.record.reader import Damage
-from lilacloft.timeline.course import Course, groups
-from lilacloft.timeline.episodes import Episode
 from lilacloft.timeline.gaps import Gap
+from lilacloft.timeline.incidents import Episode
+from lilacloft.timeline.timeline import Course, groups
 
 VERSION = 1
 
--- a/lilacloft/report/load.py
+++ b/lilacloft/report/load.py
@@ -15,9 +15,9 @@
 
 from lilacloft.record.reader import Damage, Run, find, read
 from lilacloft.timeline.clocks import Clock, Marks, estimate, marks, own
-from lilacloft.timeline.course import Course, course, whole
 from lilacloft.timeline.gaps import Gap, gaps
-from lilacloft.timeline.sights import Seen, Sight, sights
+from lilacloft.timeline.observations import Seen, Sight, sights
+from lilacloft.timeline.timeline import Course, course, whole
 
 MUCH = 32 << 20  # bytes from which several processes are worth their start
 LATENCIES = 400  # histograms a gateway that charts are made of, where there is much to read
--- a/lilacloft/report/page.py
+++ b/lilacloft/report/page.py
@@ -13,7 +13,7 @@
 from lilacloft.record.reader import Damage
 from lilacloft.report import charts
 from lilacloft.report.facts import clock, facts
-from lilacloft.timeline.course import Course
+from lilacloft.timeline.timeline import Course
 
 VHOSTS = (
     ("vhost", "name"),
--- a/lilacloft/timeline/episodes.py
+++ b/lilacloft/timeline/incidents.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lilacloft.timeline.sights import Seen, Sight
+from lilacloft.timeline.observations import Seen, Sight
 
 JOIN = 2500.0  # ms between two sights of one trouble: a trial, and some seconds' summaries, lie between them
 BURST = 1000.0  # between two purges that are one act
--- a/lilacloft/timeline/sights.py
+++ b/lilacloft/timeline/observations.py
@@ -1,6 +1,6 @@
 """Decides what one gateway saw happen, from its records alone: each with a beginning, an end and its signs.
 
-A sight is one gateway's word of one trouble. Several are made an episode in lilacloft/timeline/episodes.py.
+A sight is one gateway's word of one trouble. Several are made an episode in lilacloft/timeline/incidents.py.
 No I/O; Unix milliseconds. Thresholds are parts of what the same gateway saw in its quieter seconds; none is
 a figure of any installation.
 """
@@ -14,7 +14,7 @@
 from lilacloft.record.kinds import Away, Belief, Cut, Listed, Planned, Purge, Second, Start
 from lilacloft.record.reader import Run
 from lilacloft.timeline.clocks import Clock, own
-from lilacloft.timeline.columns import Columns
+from lilacloft.timeline.summary_columns import Columns
 
 SLOW = 2.5  # times the usual wait for a fill, and
 MORE = 0.25  # at least this part of the shortest target more
--- a/lilacloft/timeline/course.py
+++ b/lilacloft/timeline/timeline.py
@@ -11,9 +11,9 @@
 
 from lilacloft.record.reader import Run
 from lilacloft.timeline.clocks import Clock, estimate, marks
-from lilacloft.timeline.episodes import Episode, cost, episode, fold, join
 from lilacloft.timeline.gaps import Gap, gaps
-from lilacloft.timeline.sights import Seen, Sight, sights
+from lilacloft.timeline.incidents import Episode, cost, episode, fold, join
+from lilacloft.timeline.observations import Seen, Sight, sights
 
 
 @dataclass
--- a/rigs/incident.py
+++ b/rigs/incident.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from lilacloft.record.reader import read
-from lilacloft.timeline.course import Course, course
+from lilacloft.timeline.timeline import Course, course
 from rigs.load import Load
 from rigs.scene import Scene
 
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -19,9 +19,9 @@
 from lilacloft.report.facts import facts
 from lilacloft.report.load import _many, load
 from lilacloft.timeline.clocks import Marks, estimate
-from lilacloft.timeline.course import before, course, groups
-from lilacloft.timeline.episodes import JOIN, Episode, family, join
-from lilacloft.timeline.sights import Sight
+from lilacloft.timeline.incidents import JOIN, Episode, family, join
+from lilacloft.timeline.observations import Sight
+from lilacloft.timeline.timeline import before, course, groups
 from rigs import bulk, incident
 
 SEC = 10_000
