--- a/lilacloft/report/charts.py
+++ b/lilacloft/report/charts.py
@@ -15,7 +15,7 @@
 from hdrh.histogram import HdrHistogram
 from numpy.typing import NDArray
 
-from lilacloft.timeline.timeline import Course
+from lilacloft.timeline.timeline import Timeline
 
 BINS = 240  # of a chart's width
 INK = "#010203"  # becomes the page's text colour
@@ -23,7 +23,7 @@
 LANE, LABEL, WIDTH = 16, 150, 900  # pixels
 
 
-def edges(found: Course) -> NDArray[Any]:
+def edges(found: Timeline) -> NDArray[Any]:
     """Bounds of the bins: seconds at least."""
     span = max(found.end - found.begin, 1000.0)
     count = int(max(1, min(BINS, span // 1000)))
@@ -70,9 +70,9 @@
     )
 
 
-def shades(axes: Any, found: Course, least: float = 0.0) -> None:
+def shades(axes: Any, found: Timeline, least: float = 0.0) -> None:
     """Episodes as stripes behind a chart."""
-    for one in found.episodes:
+    for one in found.incidents:
         begin = (one.begin - found.begin) / 1000
         end = ((one.end if one.end is not None else found.end) - found.begin) / 1000
         if end - begin < 1:
@@ -81,7 +81,7 @@
             axes.axvspan(begin, end, color=LATE, alpha=0.2, linewidth=0)
 
 
-def vhost_chart(found: Course, vhost: str) -> str:
+def vhost_chart(found: Timeline, vhost: str) -> str:
     """A vhost's answers a second by kind, and its latency."""
     import matplotlib.pyplot as plt
 
@@ -119,7 +119,7 @@
     return svg(figure)
 
 
-def latency(found: Course, vhost: str, bounds: NDArray[Any]) -> tuple[list[int], list[float], list[float]]:
+def latency(found: Timeline, vhost: str, bounds: NDArray[Any]) -> tuple[list[int], list[float], list[float]]:
     """Median and p99 in milliseconds by bin, of the histograms that were kept."""
     held: dict[int, HdrHistogram] = {}
     for seen in found.seen.values():
@@ -140,7 +140,7 @@
     )
 
 
-def be_chart(found: Course, backend: str) -> str:
+def be_chart(found: Timeline, backend: str) -> str:
     """A be's dispatches and what came back, small: drawn by hand, as there may be hundreds."""
     bounds = edges(found)
     width = (bounds[1] - bounds[0]) / 1000
@@ -183,7 +183,7 @@
     )
 
 
-def lanes(found: Course, most: int = 60) -> str:
+def lanes(found: Timeline, most: int = 60) -> str:
     """Who believed what of whom over time: a lane for each be that anything was believed of, and each
     gateway in it; gaps in a gateway's records are hatched."""
     span = max(found.end - found.begin, 1.0)
@@ -192,7 +192,7 @@
         return LABEL + (min(max(moment, found.begin), found.end) - found.begin) / span * (WIDTH - LABEL)
 
     rows: list[tuple[str, str, list[tuple[float, float, str, str]]]] = []
-    every = [one for outer in found.episodes for one in (outer, *outer.parts)]
+    every = [one for outer in found.incidents for one in (outer, *outer.parts)]
     shown = ("silent", "slow", "drained")
     subjects = sorted({one.subject for one in every if one.kind in shown and one.subject})
     for subject in subjects:
@@ -200,15 +200,15 @@
             # a gap is never bridged by a line: the hatched lane of the same gateway covers it below
             bars = [
                 (
-                    sight.begin,
-                    sight.end if sight.end is not None else found.end,
-                    {"silent": WORSE, "slow": BAD}.get(sight.kind, BLUE),
-                    f"{sight.kind}: {sight.why}",
+                    observation.begin,
+                    observation.end if observation.end is not None else found.end,
+                    {"silent": WORSE, "slow": BAD}.get(observation.kind, BLUE),
+                    f"{observation.kind}: {observation.why}",
                 )
                 for one in every
                 if one.subject == subject
-                for sight in one.sights
-                if sight.gateway == name
+                for observation in one.observations
+                if observation.gateway == name
             ]
             if bars:
                 rows.append((subject, name, bars))
--- a/lilacloft/report/console.py
+++ b/lilacloft/report/console.py
@@ -23,7 +23,7 @@
 
 from lilacloft.record.reader import Damage, Run
 from lilacloft.report.facts import clock, span
-from lilacloft.timeline.timeline import Course, course
+from lilacloft.timeline.timeline import Timeline, build_timeline
 
 Read = Callable[[], tuple[dict[str, list[Run]], list[Damage]]]
 RECENT = 10_000.0  # ms that a row's figures are of
@@ -83,7 +83,7 @@
     def view(self) -> Group:
         """The whole screen, from what the files hold now."""
         runs, damage = self.read()
-        found = course(runs)
+        found = build_timeline(runs)
         parts: list[Any] = [self.fleet(found, len(damage)), self.gateways(found), self.backends(found)]
         if self.shows_course:
             parts.append(self.course(found))
@@ -91,7 +91,7 @@
         parts.append(Text(f"q end  s sort ({self.sort})  f filter  c course{filtered}", style="dim"))
         return Group(*parts)
 
-    def fleet(self, found: Course, damage: int) -> Text:
+    def fleet(self, found: Timeline, damage: int) -> Text:
         now, since = found.end, found.end - RECENT
         sums = dict.fromkeys(("reqs", "done", "denied", "aborted", "late", "hits"), 0.0)
         for seen in found.seen.values():
@@ -112,7 +112,7 @@
             out.append(f"  {damage} unreadable", style="red")
         return out
 
-    def gateways(self, found: Course) -> Table:
+    def gateways(self, found: Timeline) -> Table:
         table = Table(expand=True, box=None, pad_edge=False)
         for name in ("gateway", "reqs/s", "denied", "late", "clock", "last"):
             table.add_column(name, justify="left" if name == "gateway" else "right", no_wrap=True)
@@ -136,14 +136,14 @@
             )
         return table
 
-    def backends(self, found: Course) -> Table:
+    def backends(self, found: Timeline) -> Table:
         table = Table(expand=True, box=None, pad_edge=False)
         for name in ("be", "kind", "state", "util", "flight", "asked/s", "late", "ends", "back"):
             words = name in ("be", "kind", "state")
             table.add_column(name, justify="left" if words else "right", no_wrap=True)
         rows = []
-        open_ = {one.subject: one for one in found.episodes if one.end is None or one.end > found.end - 2000}
-        last = {one.subject: one.end for one in found.episodes if one.end is not None}
+        open_ = {one.subject: one for one in found.incidents if one.end is None or one.end > found.end - 2000}
+        last = {one.subject: one.end for one in found.incidents if one.end is not None}
         names = sorted({backend for seen in found.seen.values() for backend in seen.columns.backends})
         seconds = max(1.0, min(RECENT, found.end - found.begin) / 1000)
         for backend in names:
@@ -190,14 +190,14 @@
             table.add_row(*cells, style="" if well else "bold red")
         return table
 
-    def course(self, found: Course) -> Group:
+    def build_timeline(self, found: Timeline) -> Group:
         lines = [
             (
                 one.begin,
-                f"{clock(one.begin)}  {one.title()}, seen by {len(one.saw)}"
+                f"{clock(one.begin)}  {one.title()}, seen by {len(one.observed_by)}"
                 + ("" if one.end is None else f", {span(one.end - one.begin)}"),
             )
-            for one in found.episodes
+            for one in found.incidents
         ]
         lines += [(gap.begin, f"{clock(gap.begin)}  {gap.gateway}: {gap.why}") for gap in found.gaps]
         return Group(*(Text(line, overflow="ellipsis", no_wrap=True) for _, line in sorted(lines)[-6:]))
--- a/lilacloft/report/facts.py
+++ b/lilacloft/report/facts.py
@@ -7,8 +7,8 @@
 
 from lilacloft.record.reader import Damage
 from lilacloft.timeline.gaps import Gap
-from lilacloft.timeline.incidents import Episode
-from lilacloft.timeline.timeline import Course, groups
+from lilacloft.timeline.incidents import Incident
+from lilacloft.timeline.timeline import Timeline, groups
 
 VERSION = 1
 
@@ -28,9 +28,9 @@
     return f"{ms / 1000:.1f} s" if ms < 120_000 else f"{ms / 60_000:.1f} min"
 
 
-def facts(found: Course, damage: list[Damage], zone: tzinfo = UTC) -> dict[str, Any]:
+def facts(found: Timeline, damage: list[Damage], zone: tzinfo = UTC) -> dict[str, Any]:
     """All that the records tell, as plain values."""
-    ordered = groups(found.episodes)
+    ordered = groups(found.incidents)
     place = {id(one): number for number, group in enumerate(ordered) for one in group}
     return {
         "version": VERSION,
@@ -42,7 +42,7 @@
         "episodes": [
             _episode(one, found, zone)
             | {"group": place[id(one)], "together": len(ordered[place[id(one)]]) > 1}
-            for one in found.episodes
+            for one in found.incidents
         ],
         "gaps": [_gap(one, zone) for one in found.gaps],
         "bes": _bes(found),
@@ -52,20 +52,20 @@
     }
 
 
-def _gateway(found: Course, name: str) -> dict[str, Any]:
+def _gateway(found: Timeline, name: str) -> dict[str, Any]:
     seen = found.seen[name]
     return {
         "name": name,
         "begin": seen.begin,
         "end": seen.end,
         "offset_ms": round(seen.offset, 1),
-        "spread_ms": round(seen.spread, 1),
+        "spread_ms": round(seen.uncertainty, 1),
         "runs": seen.lives,
         "seconds": len(seen.columns.begin),
     }
 
 
-def _episode(one: Episode, found: Course, zone: tzinfo) -> dict[str, Any]:
+def _episode(one: Incident, found: Timeline, zone: tzinfo) -> dict[str, Any]:
     end = one.end
     return {
         "title": one.title(),
@@ -75,19 +75,19 @@
         "subjects": one.subjects,
         "begin": one.begin,
         "end": end,
-        "spread_ms": round(one.spread, 1),
+        "spread_ms": round(one.uncertainty, 1),
         "at": clock(one.begin, zone),
         "lasted": span(end - one.begin) if end is not None else "not over at the end",
-        "first_sign": min(one.sights, key=lambda sight: sight.begin).why,
-        "saw": one.saw,
-        "not_seen_by": one.unseen,
-        "no_records_of": one.blind,
-        "contradicts": one.contradicts,
-        "acts": one.acts,
+        "first_sign": min(one.observations, key=lambda observation: observation.begin).why,
+        "saw": one.observed_by,
+        "not_seen_by": one.not_observed_by,
+        "no_records_of": one.without_records,
+        "contradicts": one.contradictions,
+        "acts": one.actions,
         "cost": round(one.cost, 1),
-        "usual": round(one.usual, 1),
-        "cost_part": round(one.cost / one.usual, 3) if one.usual else 0.0,
-        "sure": round(one.sure, 2),
+        "usual": round(one.typical, 1),
+        "cost_part": round(one.cost / one.typical, 3) if one.typical else 0.0,
+        "sure": round(one.confidence, 2),
         "parts": [_episode(part, found, zone) for part in one.parts],
     }
 
@@ -100,13 +100,13 @@
         "kind": one.kind,
         "why": one.why,
         "planned": one.planned,
-        "spread_ms": round(one.spread, 1),
+        "spread_ms": round(one.uncertainty, 1),
         "at": clock(one.begin, zone),
         "lasted": span(one.end - one.begin) if one.end is not None else "to the end",
     }
 
 
-def _bes(found: Course) -> list[dict[str, Any]]:
+def _bes(found: Timeline) -> list[dict[str, Any]]:
     out: dict[str, dict[str, Any]] = {}
     for name, seen in found.seen.items():
         for backend, columns in seen.columns.backends.items():
@@ -132,7 +132,7 @@
     return sorted(out.values(), key=lambda row: (row["role"], row["name"]))
 
 
-def _vhosts(found: Course) -> list[dict[str, Any]]:
+def _vhosts(found: Timeline) -> list[dict[str, Any]]:
     out: dict[str, dict[str, Any]] = {}
     for seen in found.seen.values():
         for vhost, columns in seen.columns.vhosts.items():
@@ -144,7 +144,7 @@
     return sorted(out.values(), key=lambda row: row["name"])
 
 
-def summary(found: Course, damage: list[Damage], zone: tzinfo) -> list[str]:
+def summary(found: Timeline, damage: list[Damage], zone: tzinfo) -> list[str]:
     """The course in sentences."""
     count = len(found.gateways)
     out = [
@@ -156,9 +156,9 @@
             f"{found.missing()} of {found.expected} gateways have no records here: what only they saw "
             "is not told."
         )
-    if not found.episodes:
+    if not found.incidents:
         out.append("Nothing happened that the records show.")
-    for group in groups(found.episodes):
+    for group in groups(found.incidents):
         said = [_sentence(one, zone) for one in group]
         out.append(("At about the same time: " if len(said) > 1 else "") + " ".join(said))
     holes = [gap for gap in found.gaps if gap.kind not in ("upgrade", "clock")]
@@ -175,7 +175,7 @@
     return out
 
 
-def _sentence(one: Episode, zone: tzinfo) -> str:
+def _sentence(one: Incident, zone: tzinfo) -> str:
     text = one.title()
     text = text[0].upper() + text[1:]
     if one.kind in ("purge", "cold", "gone"):
@@ -183,13 +183,15 @@
     else:
         lasted = f"for {span(one.end - one.begin)}" if one.end is not None else "until the records end"
         body = f"{text} from {clock(one.begin, zone)} {lasted}"
-    body += f", seen by {', '.join(one.saw[:4])}{' and others' * (len(one.saw) > 4)}"
-    if one.unseen and one.kind not in ("purge", "cold", "gone", "drained"):
-        body += f", not by {', '.join(one.unseen[:4])}{' and others' * (len(one.unseen) > 4)}"
-    if one.usual and one.cost > 0.02 * one.usual:
-        body += f"; it cost {one.cost / one.usual:.0%} of the usual value"
-    if one.contradicts:
-        body += "; but " + "; ".join(one.contradicts[:3])
+    body += f", seen by {', '.join(one.observed_by[:4])}{' and others' * (len(one.observed_by) > 4)}"
+    if one.not_observed_by and one.kind not in ("purge", "cold", "gone", "drained"):
+        body += (
+            f", not by {', '.join(one.not_observed_by[:4])}{' and others' * (len(one.not_observed_by) > 4)}"
+        )
+    if one.typical and one.cost > 0.02 * one.typical:
+        body += f"; it cost {one.cost / one.typical:.0%} of the usual value"
+    if one.contradictions:
+        body += "; but " + "; ".join(one.contradictions[:3])
     if one.parts:
         body += "; with it: " + ", ".join(part.title() for part in one.parts[:4])
     return body + "."
--- a/lilacloft/report/load.py
+++ b/lilacloft/report/load.py
@@ -14,10 +14,10 @@
 from pathlib import Path
 
 from lilacloft.record.reader import Damage, Run, find, read
-from lilacloft.timeline.clocks import Clock, Marks, estimate, marks, own
+from lilacloft.timeline.clocks import Clock, ClockMarks, clock_marks, estimate, run_time
 from lilacloft.timeline.gaps import Gap, gaps
-from lilacloft.timeline.observations import Seen, Sight, sights
-from lilacloft.timeline.timeline import Course, course, whole
+from lilacloft.timeline.observations import GatewayHistory, Observation, observations
+from lilacloft.timeline.timeline import Timeline, assemble_timeline, build_timeline
 
 MUCH = 32 << 20  # bytes from which several processes are worth their start
 LATENCIES = 400  # histograms a gateway that charts are made of, where there is much to read
@@ -31,20 +31,20 @@
     begin: float | None = None,
     end: float | None = None,
     progress: Callable[[str, float], None] = lambda text, part: None,
-) -> tuple[Course, list[Damage]]:
+) -> tuple[Timeline, list[Damage]]:
     """The course of all records in some folders or files."""
     files, damage = find(paths)
     if sum(path.stat().st_size for path in files) < MUCH:
         runs, wrong = read(map(str, files))
         progress("read", 1.0)
-        return course(runs, begin, end), damage + wrong
+        return build_timeline(runs, begin, end), damage + wrong
     found, wrong = _many(files, begin, end, progress)
     return found, damage + wrong
 
 
 def _many(
     files: list[Path], begin: float | None, end: float | None, progress: Callable[[str, float], None]
-) -> tuple[Course, list[Damage]]:
+) -> tuple[Timeline, list[Damage]]:
     by_name: dict[str, list[str]] = defaultdict(list)
     for path in files:
         match = NAME.fullmatch(path.name)
@@ -59,7 +59,7 @@
     workers = [ProcessPoolExecutor(1) for _ in shares]
     try:
         first = [worker.submit(_read, share) for worker, share in zip(workers, shares, strict=True)]
-        every: dict[str, list[Marks]] = defaultdict(list)
+        every: dict[str, list[ClockMarks]] = defaultdict(list)
         damage: list[Damage] = []
         expected, ends = 0, {}
         for place, future in enumerate(first):
@@ -73,26 +73,28 @@
         clocks = estimate(every)
         last_ = max((clocks[run].true(at) for run, at in ends.items()), default=0.0)
         second = [worker.submit(_see, clocks, last_) for worker in workers]
-        seen: dict[str, Seen] = {}
-        all_sights: list[Sight] = []
+        seen: dict[str, GatewayHistory] = {}
+        all_sights: list[Observation] = []
         holes: list[Gap] = []
         for place, other in enumerate(second):
-            mine_, saw, gone = other.result()
+            mine_, observed_by, gone = other.result()
             seen.update(mine_)
-            all_sights += saw
+            all_sights += observed_by
             holes += gone
             progress("looking", 0.5 + (place + 1) / count / 2)
     finally:
         for worker in workers:
             worker.shutdown(cancel_futures=True)
     holes.sort(key=lambda gap: (gap.begin, gap.gateway))
-    return whole(dict(sorted(seen.items())), all_sights, holes, clocks, expected, begin, end), damage
+    return assemble_timeline(
+        dict(sorted(seen.items())), all_sights, holes, clocks, expected, begin, end
+    ), damage
 
 
 # --- in the worker processes ---
 
 
-def _read(files: list[str]) -> tuple[dict[str, list[Marks]], list[Damage], int, dict[str, float]]:
+def _read(files: list[str]) -> tuple[dict[str, list[ClockMarks]], list[Damage], int, dict[str, float]]:
     runs, damage = read(files)
     _held.clear()
     for name, mine in runs.items():
@@ -100,16 +102,18 @@
             _held[name] = kept
     every = [run for mine in _held.values() for run in mine]
     return (
-        {name: [marks(run) for run in mine] for name, mine in _held.items()},
+        {name: [clock_marks(run) for run in mine] for name, mine in _held.items()},
         damage,
         max((run.head.gateways for run in every), default=0),
-        {run.name: own(run, run.records[-1]) for run in every},
+        {run.name: run_time(run, run.records[-1]) for run in every},
     )
 
 
-def _see(clocks: dict[str, Clock], last: float) -> tuple[dict[str, Seen], list[Sight], list[Gap]]:
-    seen = {name: Seen(name, mine, clocks) for name, mine in _held.items()}
-    every = [sight for one in seen.values() for sight in sights(one)]
+def _see(
+    clocks: dict[str, Clock], last: float
+) -> tuple[dict[str, GatewayHistory], list[Observation], list[Gap]]:
+    seen = {name: GatewayHistory(name, mine, clocks) for name, mine in _held.items()}
+    every = [observation for one in seen.values() for observation in observations(one)]
     for one in seen.values():
         one.columns.thin(LATENCIES)
     return {name: one.slim() for name, one in seen.items()}, every, gaps(_held, clocks, last)
--- a/lilacloft/report/page.py
+++ b/lilacloft/report/page.py
@@ -13,7 +13,7 @@
 from lilacloft.record.reader import Damage
 from lilacloft.report import charts
 from lilacloft.report.facts import clock, facts
-from lilacloft.timeline.timeline import Course
+from lilacloft.timeline.timeline import Timeline
 
 VHOSTS = (
     ("vhost", "name"),
@@ -46,7 +46,7 @@
 
 
 def page(
-    found: Course,
+    found: Timeline,
     damage: list[Damage],
     zone: tzinfo = UTC,
     title: str = "Incident report",
--- a/lilacloft/timeline/clocks.py
+++ b/lilacloft/timeline/clocks.py
@@ -31,17 +31,17 @@
     """One run's clock: what to add to its own times, how much that grows, and how far it may be off."""
 
     offset: float
-    spread: float
+    uncertainty: float
     anchors: int = 0
     drift: float = 0.0  # ms a ms
     since: float = 0.0  # own time from which drift counts
 
-    def true(self, own: float) -> float:
+    def true(self, run_time: float) -> float:
         """The common time of a moment by this run's own."""
-        return own + self.offset + self.drift * (own - self.since)
+        return run_time + self.offset + self.drift * (run_time - self.since)
 
 
-def own(run: Run, record: Record) -> float:
+def run_time(run: Run, record: Record) -> float:
     """A record's time by its run's own clock."""
     first = run.records[0]
     return (record.steady + (first.wall - first.steady)) / 10
@@ -60,12 +60,12 @@
         else:
             continue
         count[key] += 1
-        out[(*key, count[key])] = own(run, record)
+        out[(*key, count[key])] = run_time(run, record)
     return out
 
 
 @dataclass(frozen=True)
-class Marks:
+class ClockMarks:
     """What a run's clock is told by."""
 
     run: str
@@ -74,10 +74,10 @@
     anchors: Mapping[tuple[object, ...], float]
 
 
-def marks(run: Run) -> Marks:
+def clock_marks(run: Run) -> ClockMarks:
     """A run's marks; it must have a record."""
     first = run.records[0]
-    return Marks(run.name, own(run, first), (first.wall - first.steady) / 10, anchors(run))
+    return ClockMarks(run.name, run_time(run, first), (first.wall - first.steady) / 10, anchors(run))
 
 
 def slope(points: Iterable[tuple[float, float]]) -> float:
@@ -92,7 +92,7 @@
     return statistics.median(found) if found else 0.0
 
 
-def estimate(runs: Mapping[str, list[Marks]]) -> dict[str, Clock]:
+def estimate(runs: Mapping[str, list[ClockMarks]]) -> dict[str, Clock]:
     """A clock for each run, by its name, from each gateway's marks."""
     every = [run for mine in runs.values() for run in mine]
     seen = {run.run: run.anchors for run in every}
@@ -129,17 +129,17 @@
         if not mine:
             continue
         wrong = sorted(abs(moments[key] - at(name, key)) for key in mine)
-        spread = max(LEAST, 2 * wrong[len(wrong) // 2], wrong[int(0.9 * (len(wrong) - 1))])
+        uncertainty = max(LEAST, 2 * wrong[len(wrong) // 2], wrong[int(0.9 * (len(wrong) - 1))])
         if len(mine) == 1:
-            spread = max(spread, ONE)
-        out[name] = Clock(offsets[name] - centre, spread, len(mine), drifts[name], since[name])
+            uncertainty = max(uncertainty, ONE)
+        out[name] = Clock(offsets[name] - centre, uncertainty, len(mine), drifts[name], since[name])
     for alike in runs.values():
         _lone(alike, out)
     return out
 
 
 def _centre(
-    runs: Mapping[str, list[Marks]],
+    runs: Mapping[str, list[ClockMarks]],
     offsets: Mapping[str, float],
     shared: Mapping[tuple[object, ...], list[str]],
 ) -> float:
@@ -153,7 +153,7 @@
     return statistics.median_low(found) if found else 0.0
 
 
-def _lone(mine: list[Marks], out: dict[str, Clock]) -> None:
+def _lone(mine: list[ClockMarks], out: dict[str, Clock]) -> None:
     """Runs without an anchor: as another of the same gateway whose clock was the same, else as it says."""
     for run in mine:
         if run.run in out:
@@ -165,6 +165,6 @@
         ]
         if like:
             clock = out[like[0].run]
-            out[run.run] = Clock(clock.offset, clock.spread + SAME)
+            out[run.run] = Clock(clock.offset, clock.uncertainty + SAME)
         else:
             out[run.run] = Clock(0.0, ALONE)
--- a/lilacloft/timeline/gaps.py
+++ b/lilacloft/timeline/gaps.py
@@ -9,7 +9,7 @@
 from lilacloft.record.kinds import Clock as Step
 from lilacloft.record.kinds import Lost, Over, Record, Start
 from lilacloft.record.reader import Run
-from lilacloft.timeline.clocks import Clock, own
+from lilacloft.timeline.clocks import Clock, run_time
 
 SILENT = 13_000.0  # ms without a record: an idle gateway writes one every ten seconds
 ENDS = 5_000.0  # ms by which others go on before one is said to have ended early
@@ -25,7 +25,7 @@
     kind: str  # restart, upgrade, lost, missing, silent, ended, clock
     why: str
     planned: bool = False
-    spread: float = 0.0
+    uncertainty: float = 0.0
 
 
 def gaps(runs: Mapping[str, list[Run]], clocks: Mapping[str, Clock], last: float | None = None) -> list[Gap]:
@@ -58,12 +58,12 @@
                         kind,
                         why,
                         over is not None,
-                        clock.spread + clocks[after.name].spread,
+                        clock.uncertainty + clocks[after.name].uncertainty,
                     )
                 )
             elif over is not None and last - end > ENDS:
                 why = f"ended in order ({over.why})"
-                out.append(Gap(gateway, end, None, "ended", why, True, clock.spread))
+                out.append(Gap(gateway, end, None, "ended", why, True, clock.uncertainty))
             elif over is None and last - end > ENDS:
                 out.append(
                     Gap(
@@ -73,27 +73,27 @@
                         "ended",
                         "no more records, and no word of an end",
                         False,
-                        clock.spread,
+                        clock.uncertainty,
                     )
                 )
     return sorted(out, key=lambda gap: (gap.begin, gap.gateway))
 
 
 def _at(run: Run, record: Record, clocks: Mapping[str, Clock]) -> float:
-    return clocks[run.name].true(own(run, record))
+    return clocks[run.name].true(run_time(run, record))
 
 
 def _within(gateway: str, run: Run, clocks: Mapping[str, Clock]) -> list[Gap]:
     """Those within one run: numbers that are left out, silence, lost records, a clock that was set."""
     out: list[Gap] = []
-    spread = clocks[run.name].spread
+    uncertainty = clocks[run.name].uncertainty
     numbered = [record for record in run.records if record.number]
     first = numbered[0] if numbered else None
     if first is not None and first.number > 1:
         at = _at(run, first, clocks)
         start = min(at, clocks[run.name].true(_born(run)))
         why = f"the first {first.number - 1} records are not here: rotated away, or their files are missing"
-        out.append(Gap(gateway, start, at, "missing", why, False, spread))
+        out.append(Gap(gateway, start, at, "missing", why, False, uncertainty))
     for before, after in zip(numbered, numbered[1:], strict=False):
         begin, end = _at(run, before, clocks), _at(run, after, clocks)
         left = after.number - before.number - 1
@@ -102,19 +102,19 @@
                 (one for one in run.records if isinstance(one, Lost) and before.steady <= one.steady), None
             )
             why = f"{left} records lost: {lost.why}" if lost else f"{left} records are not here"
-            out.append(Gap(gateway, begin, end, "lost" if lost else "missing", why, False, spread))
+            out.append(Gap(gateway, begin, end, "lost" if lost else "missing", why, False, uncertainty))
         elif end - begin > SILENT:
             why = "nothing was written: the process stood still"
-            out.append(Gap(gateway, begin, end, "silent", why, False, spread))
+            out.append(Gap(gateway, begin, end, "silent", why, False, uncertainty))
     for record in run.records:
         if isinstance(record, Step):
             at = _at(run, record, clocks)
             why = f"its clock was set by {record.step / 10:+.0f} ms; order is by the steady one"
-            out.append(Gap(gateway, at, at, "clock", why, True, spread))
+            out.append(Gap(gateway, at, at, "clock", why, True, uncertainty))
     return out
 
 
 def _born(run: Run) -> float:
     """When the process began, by the name of its run."""
     digits = run.head.run.split("-")[0]
-    return int(digits) / 10 if digits.isdigit() else own(run, run.records[0])
+    return int(digits) / 10 if digits.isdigit() else run_time(run, run.records[0])
--- a/lilacloft/timeline/observations.py
+++ b/lilacloft/timeline/observations.py
@@ -13,7 +13,7 @@
 
 from lilacloft.record.kinds import Away, Belief, Cut, Listed, Planned, Purge, Second, Start
 from lilacloft.record.reader import Run
-from lilacloft.timeline.clocks import Clock, own
+from lilacloft.timeline.clocks import Clock, run_time
 from lilacloft.timeline.summary_columns import Columns
 
 SLOW = 2.5  # times the usual wait for a fill, and
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Sight:
+class Observation:
     """What one gateway saw."""
 
     gateway: str
@@ -41,15 +41,15 @@
     subject: str  # the be, object or group; empty: the fleet
     begin: float
     end: float | None  # none: not over where the records end
-    spread: float  # of the beginning
+    uncertainty: float  # of the beginning
     why: str = ""
-    acts: list[str] = field(default_factory=list)
+    actions: list[str] = field(default_factory=list)
     known: float | None = None  # when the gateway acted on it
     answered: int = 0  # how often the subject answered meanwhile, for all that
 
 
 @dataclass
-class Span:
+class SummarySpan:
     """A second's summary with its bounds."""
 
     begin: float
@@ -57,13 +57,13 @@
     second: Second
 
 
-class Seen:
+class GatewayHistory:
     """One gateway's records in the common time."""
 
     def __init__(self, gateway: str, runs: Iterable[Run], clocks: Mapping[str, Clock]) -> None:
         self.gateway = gateway
         self.runs = sorted((run for run in runs if run.records), key=lambda run: run.records[0].wall)
-        self.spans: list[Span] = []
+        self.spans: list[SummarySpan] = []
         self.kinds: dict[str, str] = {}
         self.events: list[tuple[float, float, object]] = []  # when, spread, record
         self.targets: dict[str, float] = {}
@@ -72,17 +72,17 @@
             for vhost, (target, *_) in run.head.vhosts.items():
                 self.targets[vhost] = target / 10
             for record in run.records:
-                at = clock.true(own(run, record))
-                self.events.append((at, clock.spread, record))
+                at = clock.true(run_time(run, record))
+                self.events.append((at, clock.uncertainty, record))
                 if isinstance(record, Second):
-                    self.spans.append(Span(at - record.span / 10, at, record))
+                    self.spans.append(SummarySpan(at - record.span / 10, at, record))
                 elif isinstance(record, Listed):
                     self.kinds.update((name, kind) for name, kind, *_ in record.backends)
         self.events.sort(key=lambda event: event[0])
         self.spans.sort(key=lambda span: span.begin)
         self.lives = [run.head.run for run in self.runs]
         self.offset = clocks[self.runs[-1].name].offset if self.runs else 0.0
-        self.spread = max((clocks[run.name].spread for run in self.runs), default=0.0)
+        self.uncertainty = max((clocks[run.name].uncertainty for run in self.runs), default=0.0)
         self.columns = Columns((span.begin, span.end, span.second) for span in self.spans)
         self.begin = self.events[0][0] if self.events else 0.0
         self.end = self.events[-1][0] if self.events else 0.0
@@ -91,9 +91,9 @@
         """Do its records tell of a stretch, in part at least?"""
         return self.columns.covers(begin, end)
 
-    def slim(self) -> Seen:
+    def slim(self) -> GatewayHistory:
         """The same without the records: what is left answers all that is asked of it after its sights."""
-        out = Seen.__new__(Seen)
+        out = GatewayHistory.__new__(GatewayHistory)
         out.__dict__.update(self.__dict__, runs=[], spans=[], events=[])
         return out
 
@@ -102,7 +102,7 @@
         return kind if kind in ("parent", "origin") else "cache"
 
 
-def sights(seen: Seen) -> list[Sight]:
+def observations(seen: GatewayHistory) -> list[Observation]:
     """All that one gateway saw."""
     return [
         *_beliefs(seen),
@@ -119,57 +119,59 @@
 # --- what planners told it ---
 
 
-def _away(seen: Seen) -> list[Sight]:
+def _away(seen: GatewayHistory) -> list[Observation]:
     """Stretches in which not all of a location was at home, as it was left and returned to."""
-    out: list[Sight] = []
-    open_: dict[str, Sight] = {}
-    for at, spread, record in seen.events:
+    out: list[Observation] = []
+    open_: dict[str, Observation] = {}
+    for at, uncertainty, record in seen.events:
         if isinstance(record, Away):
-            sight = open_.get(record.zone)
-            if sight is None and record.back < record.of:
-                sight = open_[record.zone] = Sight(
+            observation = open_.get(record.zone)
+            if observation is None and record.back < record.of:
+                observation = open_[record.zone] = Observation(
                     seen.gateway,
                     "location left",
                     record.zone,
                     at,
                     None,
-                    spread,
+                    uncertainty,
                     record.why or "left without a plan",
                     [],
                     at,
                 )
-                out.append(sight)
-            if sight is not None:
+                out.append(observation)
+            if observation is not None:
                 how = " without a plan" if record.alone else ""
                 why = f": {record.why}" if record.why and record.back in (0, record.of) else ""
-                sight.acts.append(f"{record.back} of {record.of} slices at home{how}{why}")
+                observation.actions.append(f"{record.back} of {record.of} slices at home{how}{why}")
                 if record.back >= record.of:
-                    sight.end = at
+                    observation.end = at
                     del open_[record.zone]
         elif isinstance(record, Start) and record.why != "upgrade":
-            for sight in open_.values():  # another process, which has all of it at home until it is told
-                sight.end = at
+            for (
+                observation
+            ) in open_.values():  # another process, which has all of it at home until it is told
+                observation.end = at
             open_.clear()
     return out
 
 
-def _plans(seen: Seen) -> list[Sight]:
+def _plans(seen: GatewayHistory) -> list[Observation]:
     """Stretches in which a forwarder that had held a plan held none, and was a gateway alone: from the
     record that says so to the next plan, or to its process's end. A forwarder that never held one tells
     nothing of planners."""
-    out: list[Sight] = []
-    alone: Sight | None = None
+    out: list[Observation] = []
+    alone: Observation | None = None
     held = ""
-    for at, spread, record in seen.events:
+    for at, uncertainty, record in seen.events:
         if isinstance(record, Planned) and not record.planner and held:
             if alone is None:
-                alone = Sight(
+                alone = Observation(
                     seen.gateway,
                     "without a plan",
                     "planners",
                     at,
                     None,
-                    spread,
+                    uncertainty,
                     f"the plan of {held} ran out",
                     [],
                     at,
@@ -178,13 +180,13 @@
         elif isinstance(record, Planned) and record.planner:
             if alone is not None:
                 alone.end = at
-                alone.acts.append(f"plan {record.epoch}.{record.issued} of {record.planner} holds")
+                alone.actions.append(f"plan {record.epoch}.{record.issued} of {record.planner} holds")
                 alone = None
             held = record.planner
         elif isinstance(record, Start) and record.why != "upgrade":
             if alone is not None:
                 alone.end = at
-                alone.acts.append("the gateway restarted")
+                alone.actions.append("the gateway restarted")
                 alone = None
             held = ""
     return out
@@ -193,40 +195,40 @@
 # --- what it believed ---
 
 
-def _beliefs(seen: Seen) -> list[Sight]:
-    out: list[Sight] = []
-    open_: dict[str, Sight] = {}
-    for at, spread, record in seen.events:
+def _beliefs(seen: GatewayHistory) -> list[Observation]:
+    out: list[Observation] = []
+    open_: dict[str, Observation] = {}
+    for at, uncertainty, record in seen.events:
         if isinstance(record, Belief) and record.what == "left alone":
             if record.backend not in open_:
-                open_[record.backend] = _alone(seen, at, spread, record)
+                open_[record.backend] = _alone(seen, at, uncertainty, record)
                 out.append(open_[record.backend])
         elif isinstance(record, Belief):
             _close(open_, record.backend, at, "answers again")
         elif isinstance(record, Listed):
             for name, _, _, status, started, _ in record.backends:
-                sight = open_.get(name)
-                if sight and (not status or started / 10 > sight.begin):
+                observation = open_.get(name)
+                if observation and (not status or started / 10 > observation.begin):
                     _close(open_, name, at, "gone from the list" if not status else "started anew")
         elif isinstance(record, Second):
-            for name, sight in list(open_.items()):
+            for name, observation in list(open_.items()):
                 backend = record.backends.get(name)
                 if backend:
-                    after = at - record.span / 10 > (sight.known or at)
-                    sight.answered += backend.done if after else 0
+                    after = at - record.span / 10 > (observation.known or at)
+                    observation.answered += backend.done if after else 0
                     if backend.status == 1 and not backend.ejected and backend.done and after:
                         _close(open_, name, at, "answers again")  # its word of that is not here
         elif isinstance(record, Cut):
-            sight = open_.get(record.backend)
-            if sight and not record.grown:
-                sight.acts.append(f"limit {record.was:g} to {record.limit:g}")
+            observation = open_.get(record.backend)
+            if observation and not record.grown:
+                observation.actions.append(f"limit {record.was:g} to {record.limit:g}")
         elif isinstance(record, Start) and record.why != "upgrade":
             for name in list(open_):
                 _close(open_, name, at, "the gateway restarted, and began without that belief")
     return out
 
 
-def _alone(seen: Seen, at: float, spread: float, record: Belief) -> Sight:
+def _alone(seen: GatewayHistory, at: float, uncertainty: float, record: Belief) -> Observation:
     """A be is left alone: since when has it shown no answer? Between the last second in which it answered and
     now."""
     slow = "late" in record.why
@@ -244,67 +246,67 @@
             continue
         begin = min(at, span.end)
         break
-    acts = [f"left alone {at - begin:.0f} ms after its first sign"]
-    return Sight(
+    actions = [f"left alone {at - begin:.0f} ms after its first sign"]
+    return Observation(
         seen.gateway,
         "slow" if slow else "silent",
         record.backend,
         begin,
         None,
-        spread + (at - begin) / 2,
+        uncertainty + (at - begin) / 2,
         record.why,
-        acts,
+        actions,
         at,
     )
 
 
-def _close(open_: dict[str, Sight], backend: str, at: float, why: str) -> None:
-    sight = open_.pop(backend, None)
-    if sight:
-        sight.end = at
-        sight.acts.append(why)
+def _close(open_: dict[str, Observation], backend: str, at: float, why: str) -> None:
+    observation = open_.pop(backend, None)
+    if observation:
+        observation.end = at
+        observation.actions.append(why)
 
 
 # --- what it was told ---
 
 
-def _listed(seen: Seen) -> list[Sight]:
-    out: list[Sight] = []
+def _listed(seen: GatewayHistory) -> list[Observation]:
+    out: list[Observation] = []
     status: dict[str, int] = {}
     born: dict[str, int] = {}
-    drains: dict[str, Sight] = {}
-    for at, spread, record in seen.events:
+    drains: dict[str, Observation] = {}
+    for at, uncertainty, record in seen.events:
         if not isinstance(record, Listed):
             continue
         for name, _, _, now, started, _ in record.backends:
             if now != 2 and name in drains:
-                drains[name].acts.append("gone from the list" if not now else "ready again")
+                drains[name].actions.append("gone from the list" if not now else "ready again")
                 drains.pop(name).end = at
             if now == 2 and status.get(name) == 1:
-                drains[name] = Sight(seen.gateway, "drained", name, at, None, spread, TOLD, [], at)
+                drains[name] = Observation(seen.gateway, "drained", name, at, None, uncertainty, TOLD, [], at)
                 out.append(drains[name])
             if now == 0 and status.get(name, 0) == 1:
-                out.append(Sight(seen.gateway, "gone", name, at, at, spread, TOLD, [], at))
+                out.append(Observation(seen.gateway, "gone", name, at, at, uncertainty, TOLD, [], at))
             if now == 1 and name in born and started > born[name]:
-                out.append(Sight(seen.gateway, "cold", name, at, at, spread, TOLD, [], at))
+                out.append(Observation(seen.gateway, "cold", name, at, at, uncertainty, TOLD, [], at))
             status[name], born[name] = now, max(started, born.get(name, 0))
     return out
 
 
-def _purges(seen: Seen) -> list[Sight]:
+def _purges(seen: GatewayHistory) -> list[Observation]:
     return [
-        Sight(
+        Observation(
             seen.gateway,
             "purge",
             record.key or f"group {record.group}",
             record.at / 10,
             at,
-            spread,
+            uncertainty,
             f"told {at - record.at / 10:.0f} ms after it",
             [],
             at,
         )
-        for at, spread, record in seen.events
+        for at, uncertainty, record in seen.events
         if isinstance(record, Purge)
     ]
 
@@ -312,14 +314,16 @@
 # --- what its seconds show ---
 
 
-def stretches(seen: Seen, shows: Callable[[Span], bool], least: int = 2) -> list[tuple[float, float | None]]:
+def find_intervals(
+    seen: GatewayHistory, matches: Callable[[SummarySpan], bool], least: int = 2
+) -> list[tuple[float, float | None]]:
     """Stretches of seconds that show something, of so many at least, with short breaks; open where the
     records end in one."""
     out: list[tuple[float, float | None]] = []
-    mine: list[Span] = []
+    mine: list[SummarySpan] = []
     quiet = 0
     for span in seen.spans:
-        if shows(span):
+        if matches(span):
             mine.append(span)
             quiet = 0
         elif mine:
@@ -333,17 +337,17 @@
     return out
 
 
-def usual(values: Iterable[float]) -> float:
+def typical(values: Iterable[float]) -> float:
     """What is usual: the lower quartile, so that trouble of up to three quarters of the time does not
     count."""
     found = sorted(values)
     return found[len(found) // 4] if found else 0.0
 
 
-def _waits(seen: Seen) -> list[Sight]:
+def _waits(seen: GatewayHistory) -> list[Observation]:
     """Fills wait longer: at all sources it is the origin, at one that source."""
 
-    def waited(span: Span, source: str) -> float | None:
+    def waited(span: SummarySpan, source: str) -> float | None:
         backend = span.second.backends.get(source)
         return backend.waited / backend.waits / 10 if backend and backend.waits else None
 
@@ -351,21 +355,21 @@
         {name for span in seen.spans for name, backend in span.second.backends.items() if backend.waits}
     )
     base = {
-        source: usual(wait for span in seen.spans if (wait := waited(span, source)) is not None)
+        source: typical(wait for span in seen.spans if (wait := waited(span, source)) is not None)
         for source in sources
     }
     target = min(seen.targets.values(), default=0.0)
 
-    def slow(span: Span, source: str) -> bool | None:
+    def slow(span: SummarySpan, source: str) -> bool | None:
         wait = waited(span, source)
         return None if wait is None else wait > max(SLOW * base[source], base[source] + MORE * target)
 
-    def all_slow(span: Span) -> bool:
+    def all_slow(span: SummarySpan) -> bool:
         found = [one for source in sources if (one := slow(span, source)) is not None]
         return bool(found) and sum(found) > len(found) / 2
 
     out = []
-    for begin, end in stretches(seen, all_slow):
+    for begin, end in find_intervals(seen, all_slow):
         worst = max(
             (
                 wait
@@ -378,20 +382,20 @@
         )
         mean = statistics.mean(base.values()) if base else 0.0
         out.append(
-            Sight(
+            Observation(
                 seen.gateway,
                 "origin slow",
                 "",
                 begin,
                 end,
-                seen.spread + 500.0,
+                seen.uncertainty + 500.0,
                 f"fills waited up to {worst:.0f} ms, usual are {mean:.0f} ms",
                 [],
                 begin,
             )
         )
     for source in sources if len(sources) > 1 else []:
-        for begin, end in stretches(seen, lambda span, source=source: bool(slow(span, source)), 3):
+        for begin, end in find_intervals(seen, lambda span, source=source: bool(slow(span, source)), 3):
             others = [
                 one
                 for span in seen.spans
@@ -401,13 +405,13 @@
             ]
             if others and sum(others) <= OTHERS * len(others):
                 out.append(
-                    Sight(
+                    Observation(
                         seen.gateway,
                         "slow",
                         source,
                         begin,
                         end,
-                        seen.spread + 500.0,
+                        seen.uncertainty + 500.0,
                         "fills from it wait, others' do not",
                         [],
                         begin,
@@ -416,20 +420,20 @@
     return out
 
 
-def _caches(seen: Seen) -> list[Sight]:
+def _caches(seen: GatewayHistory) -> list[Observation]:
     """Caches whose answers come late while others' do not."""
     caches = sorted(
         {name for span in seen.spans for name in span.second.backends if seen.role(name) == "cache"}
     )
 
-    def late(span: Span, backend: str) -> float | None:
+    def late(span: SummarySpan, backend: str) -> float | None:
         one = span.second.backends.get(backend)
         return one.late / one.done if one and one.done >= FEW else None
 
     out = []
     for cache in caches:
 
-        def shows(span: Span, cache: str = cache) -> bool:
+        def matches(span: SummarySpan, cache: str = cache) -> bool:
             mine = late(span, cache)
             if mine is None or mine <= LATE:
                 return False
@@ -438,16 +442,16 @@
 
         why = "its answers come late"
         out += [
-            Sight(seen.gateway, "slow", cache, begin, end, seen.spread + 500.0, why, [], begin)
-            for begin, end in stretches(seen, shows, 3)
+            Observation(seen.gateway, "slow", cache, begin, end, seen.uncertainty + 500.0, why, [], begin)
+            for begin, end in find_intervals(seen, matches, 3)
         ]
     return out
 
 
-def _fleet(seen: Seen) -> list[Sight]:
+def _fleet(seen: GatewayHistory) -> list[Observation]:
     """What is no single be's: lost answers, a crowd, bad clients."""
 
-    def lost(span: Span) -> bool:
+    def lost(span: SummarySpan) -> bool:
         asked = {
             name: backend
             for name, backend in span.second.backends.items()
@@ -460,17 +464,17 @@
         ]
         return len(asked) > 1 and len(gone) >= MOST * len(asked)
 
-    def requests(span: Span) -> float:
+    def requests(span: SummarySpan) -> float:
         return (
             sum(vhost.requests for vhost in span.second.vhosts.values()) / max(1, span.second.span) * 10_000
         )
 
-    def refused(span: Span) -> float:
+    def refused(span: SummarySpan) -> float:
         return span.second.refused.get("unusable", 0) / max(1, span.second.span) * 10_000
 
-    often, bad = usual(map(requests, seen.spans)), usual(map(refused, seen.spans))
+    often, bad = typical(map(requests, seen.spans)), typical(map(refused, seen.spans))
 
-    def crowd(span: Span) -> bool:
+    def crowd(span: SummarySpan) -> bool:
         denied = sum(vhost.denied for vhost in span.second.vhosts.values())
         return requests(span) > CROWD * often > 0 and denied > DENIED * sum(
             vhost.requests for vhost in span.second.vhosts.values()
@@ -482,7 +486,7 @@
         ("bad clients", lambda span: refused(span) > max(OFFENCES, TIMES * bad), "messages of no use"),
     )
     return [
-        Sight(seen.gateway, kind, "", begin, end, seen.spread + 500.0, why, [], begin)
-        for kind, shows, why in found
-        for begin, end in stretches(seen, shows)
+        Observation(seen.gateway, kind, "", begin, end, seen.uncertainty + 500.0, why, [], begin)
+        for kind, matches, why in found
+        for begin, end in find_intervals(seen, matches)
     ]
--- a/rigs/incident.py
+++ b/rigs/incident.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from lilacloft.record.reader import read
-from lilacloft.timeline.timeline import Course, course
+from lilacloft.timeline.timeline import Timeline, build_timeline
 from rigs.load import Load
 from rigs.scene import Scene
 
@@ -103,9 +103,9 @@
         self.wait(4.0)
 
 
-def compare(found: Course, truth: dict[str, Any]) -> dict[str, Any]:
+def compare(found: Timeline, truth: dict[str, Any]) -> dict[str, Any]:
     """What was found of the truth, what was not, and what never was."""
-    left = list(found.episodes)
+    left = list(found.incidents)
     errors, missed, wrong_end = {}, [], {}
     order = []
     for row in truth["episodes"]:
@@ -121,7 +121,7 @@
             continue
         one = min(mine, key=lambda one: abs(one.begin - row["begin"]))
         left.remove(one)
-        order.append(found.episodes.index(one))
+        order.append(found.incidents.index(one))
         errors[row["kind"]] = one.begin - row["begin"]
         if one.end is not None and row["end"] is not None:
             wrong_end[row["kind"]] = one.end - row["end"]
@@ -148,12 +148,12 @@
     }
 
 
-def play(out: Path, seed: int, quiet: bool = False, pace: float = 1.0) -> tuple[Course, dict[str, Any]]:
+def play(out: Path, seed: int, quiet: bool = False, pace: float = 1.0) -> tuple[Timeline, dict[str, Any]]:
     """Play one, read its records, and compare."""
     incident = Incident(out, seed, quiet, pace=pace)
     incident.run()
     runs, damage = read([str(out)])
-    found = course(runs)
+    found = build_timeline(runs)
     told = compare(found, json.loads((out / "truth.json").read_text()))
     return found, {"seed": seed, "quiet": quiet, **told, "damage": [str(one) for one in damage]}
 
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -18,10 +18,10 @@
 from lilacloft.record.reader import Run, read
 from lilacloft.report.facts import facts
 from lilacloft.report.load import _many, load
-from lilacloft.timeline.clocks import Marks, estimate
-from lilacloft.timeline.incidents import JOIN, Episode, family, join
-from lilacloft.timeline.observations import Sight
-from lilacloft.timeline.timeline import before, course, groups
+from lilacloft.timeline.clocks import ClockMarks, estimate
+from lilacloft.timeline.incidents import JOIN, Incident, family, group_observations
+from lilacloft.timeline.observations import Observation
+from lilacloft.timeline.timeline import before, build_timeline, groups
 from rigs import bulk, incident
 
 SEC = 10_000
@@ -109,7 +109,7 @@
             record.number = 0 if isinstance(record, kinds.Lost) else number
             number -= isinstance(record, kinds.Lost)
         runs.setdefault(one.run.head.gateway, []).append(one.run)
-    return course(runs)
+    return build_timeline(runs)
 
 
 def at(one):
@@ -131,7 +131,7 @@
 
 
 def kinds_of(found):
-    return [one.kind for one in found.episodes]
+    return [one.kind for one in found.incidents]
 
 
 # --- clocks ---
@@ -142,8 +142,8 @@
     offsets = {name: seen.offset for name, seen in found.seen.items()}
     assert offsets["n0"] == pytest.approx(0, abs=5) and offsets["n1"] == pytest.approx(-1000, abs=5)
     assert kinds_of(found) == ["purge", "silent", "purge"]
-    assert found.episodes[1].saw == ["n0", "n1", "n2"]
-    assert at(found.episodes[1]) == pytest.approx(10.2, abs=0.5)
+    assert found.incidents[1].observed_by == ["n0", "n1", "n2"]
+    assert at(found.incidents[1]) == pytest.approx(10.2, abs=0.5)
 
 
 def test_a_clock_that_jumps_back_moves_nothing_and_is_told():
@@ -153,29 +153,33 @@
     teller.belief(12.6, "a").seconds(12, 16, a="silent").belief(17.0, "a", "back", "answers again")
     teller.seconds(16, 30)
     found = tell(teller, Teller("n1").start().seconds(0, 30).purge(3.0))
-    assert kinds_of(found) == ["purge", "silent"] and at(found.episodes[1]) == pytest.approx(12.3, abs=0.6)
+    assert kinds_of(found) == ["purge", "silent"] and at(found.incidents[1]) == pytest.approx(12.3, abs=0.6)
     assert [gap.kind for gap in found.gaps] == ["clock"] and "-5000 ms" in found.gaps[0].why
 
 
 def test_a_late_copy_of_an_event_spoils_no_clock():
     """After a break of the change log its events come late: the others say how late."""
 
-    def marks(name, moments):
-        return Marks(name, 0.0, 0.0, {("purge", place): moment for place, moment in enumerate(moments)})
+    def clock_marks(name, moments):
+        return ClockMarks(name, 0.0, 0.0, {("purge", place): moment for place, moment in enumerate(moments)})
 
     true = [1000.0 * place for place in range(9)]
     late = [moment + (4000.0 if 3 <= place < 6 else 0.0) for place, moment in enumerate(true)]
     found = estimate(
-        {"a": [marks("a", true)], "b": [marks("b", [one + 700 for one in true])], "c": [marks("c", late)]}
+        {
+            "a": [clock_marks("a", true)],
+            "b": [clock_marks("b", [one + 700 for one in true])],
+            "c": [clock_marks("c", late)],
+        }
     )
     assert found["b"].offset == pytest.approx(-700, abs=1) and found["c"].offset == pytest.approx(0, abs=1)
-    assert found["c"].spread >= 4000 > found["a"].spread  # but how sure is another matter
+    assert found["c"].uncertainty >= 4000 > found["a"].uncertainty  # but how sure is another matter
 
 
 def test_drift_is_seen_over_long_spans_only():
     true = [60_000.0 * place for place in range(30)]
-    told = {name: [Marks(name, 0.0, 0.0, dict(enumerate(true)))] for name in "ab"}
-    told["c"] = [Marks("c", 0.0, 0.0, {place: one * (1 + 2e-4) for place, one in enumerate(true)})]
+    told = {name: [ClockMarks(name, 0.0, 0.0, dict(enumerate(true)))] for name in "ab"}
+    told["c"] = [ClockMarks("c", 0.0, 0.0, {place: one * (1 + 2e-4) for place, one in enumerate(true)})]
     found = estimate(told)
     assert found["c"].drift == pytest.approx(-2e-4, rel=0.1) and not found["a"].drift
     assert found["c"].true(true[-1] * (1 + 2e-4)) == pytest.approx(true[-1], abs=30)
@@ -184,13 +188,13 @@
 def test_a_run_without_anchors_takes_its_siblings_clock_and_else_is_far_from_sure():
     found = estimate(
         {
-            "a": [Marks("a1", 0.0, 500.0, {1: 0.0, 2: 9.0}), Marks("a2", 9.0, 510.0, {})],
-            "b": [Marks("b1", 0.0, 0.0, {1: 80.0, 2: 89.0})],
-            "c": [Marks("c1", 0.0, 0.0, {})],
+            "a": [ClockMarks("a1", 0.0, 500.0, {1: 0.0, 2: 9.0}), ClockMarks("a2", 9.0, 510.0, {})],
+            "b": [ClockMarks("b1", 0.0, 0.0, {1: 80.0, 2: 89.0})],
+            "c": [ClockMarks("c1", 0.0, 0.0, {})],
         }
     )
-    assert found["a2"].offset == found["a1"].offset and found["a2"].spread > found["a1"].spread
-    assert found["c1"].offset == 0 and found["c1"].spread >= 1000
+    assert found["a2"].offset == found["a1"].offset and found["a2"].uncertainty > found["a1"].uncertainty
+    assert found["c1"].offset == 0 and found["c1"].uncertainty >= 1000
 
 
 # --- order ---
@@ -213,18 +217,18 @@
         )
 
     found = tell(both("n0", 0.0, "a", "b"), both("n1", 40.0, "b", "a"))
-    silents = [one for one in found.episodes if one.kind == "silent"]
+    silents = [one for one in found.incidents if one.kind == "silent"]
     assert sorted(one.subject for one in silents) == ["a", "b"]
     assert not before(*silents) and not before(*reversed(silents))
-    assert [len(group) for group in groups(found.episodes)] == [1, 2, 1]
+    assert [len(group) for group in groups(found.incidents)] == [1, 2, 1]
     assert any("At about the same time" in line for line in facts(found, [])["summary"])
 
 
 def test_order_is_claimed_where_clocks_bear_it():
-    early = Episode("purge", "x", "object", 1000.0, 1000.0, 100.0, [])
-    late = Episode("purge", "y", "object", 1250.0, 1250.0, 100.0, [])
+    early = Incident("purge", "x", "object", 1000.0, 1000.0, 100.0, [])
+    late = Incident("purge", "y", "object", 1250.0, 1250.0, 100.0, [])
     assert before(early, late) and not before(late, early)
-    late.spread = 200.0
+    late.uncertainty = 200.0
     assert not before(early, late)
 
 
@@ -241,8 +245,8 @@
         pytest.approx(12_000, abs=50),
         pytest.approx(14_000, abs=50),
     )
-    one = next(one for one in found.episodes if one.kind == "silent")
-    assert "n0: the gateway restarted, and began without that belief" in one.acts
+    one = next(one for one in found.incidents if one.kind == "silent")
+    assert "n0: the gateway restarted, and began without that belief" in one.actions
 
 
 def test_an_upgrade_in_the_middle_is_told_and_beliefs_go_on():
@@ -252,7 +256,7 @@
     second.belief(15.0, "a", "back", "answers again").seconds(14, 30).purge(25.0, "y")
     found = tell(first, second)
     assert [gap.kind for gap in found.gaps] == ["upgrade"] and found.gaps[0].planned
-    one = next(one for one in found.episodes if one.kind == "silent")
+    one = next(one for one in found.incidents if one.kind == "silent")
     assert one.end == pytest.approx(UNIX / 10 + 15_000, abs=50)
 
 
@@ -280,16 +284,16 @@
 
 def test_nothing_wrong_yields_nothing():
     found = tell(*(Teller(f"n{number}").start().seconds(0, 60) for number in range(3)))
-    assert found.episodes == [] and found.gaps == []
+    assert found.incidents == [] and found.gaps == []
 
 
 def test_who_saw_it_who_did_not_and_who_was_answered_all_the_while():
     well = Teller("n2", gateways=3).start().seconds(0, 30).purge(3.0, "x").purge(25.0, "y")
     found = tell(silent("n0", gateways=3), silent("n1", gateways=3), well)
-    one = next(one for one in found.episodes if one.kind == "silent")
-    assert one.saw == ["n0", "n1"] and one.unseen == ["n2"]
-    assert "n2 had" in one.contradicts[0] and one.sure < 0.5
-    assert one.cost > 0 and one.usual > one.cost
+    one = next(one for one in found.incidents if one.kind == "silent")
+    assert one.observed_by == ["n0", "n1"] and one.not_observed_by == ["n2"]
+    assert "n2 had" in one.contradictions[0] and one.confidence < 0.5
+    assert one.cost > 0 and one.typical > one.cost
 
 
 def test_a_slow_origin_takes_its_consequences_with_it():
@@ -308,17 +312,17 @@
 
     found = tell(slow("n0"), slow("n1"))
     assert kinds_of(found) == ["purge", "origin slow", "purge"]
-    assert [part.title() for part in found.episodes[1].parts] == ["parent p slow"]
+    assert [part.title() for part in found.incidents[1].parts] == ["parent p slow"]
 
 
 def test_one_slow_parent_is_the_parents_doing():
     found = tell(Teller("n0").start().seconds(0, 15).seconds(15, 22, p="slow").seconds(22, 50))
-    assert [one.title() for one in found.episodes] == ["parent p slow"]
+    assert [one.title() for one in found.incidents] == ["parent p slow"]
 
 
 def test_a_cache_whose_answers_come_late_is_slow():
     found = tell(Teller("n0").start().seconds(0, 15).seconds(15, 22, a="late").seconds(22, 50))
-    assert [one.title() for one in found.episodes] == ["cache a slow"]
+    assert [one.title() for one in found.incidents] == ["cache a slow"]
 
 
 def test_drains_and_cold_returns_are_told_as_the_list_has_them():
@@ -331,8 +335,8 @@
         )
 
     found = tell(told("n0"), told("n1"))
-    assert [one.title() for one in found.episodes] == ["cache a drained", "cache a returned cold"]
-    assert found.episodes[0].end == pytest.approx(UNIX / 10 + 9000, abs=20)
+    assert [one.title() for one in found.incidents] == ["cache a drained", "cache a returned cold"]
+    assert found.incidents[0].end == pytest.approx(UNIX / 10 + 9000, abs=20)
 
 
 def test_forwarders_whose_plans_ran_out_are_one_episode_until_a_plan_holds_again():
@@ -344,19 +348,25 @@
 
     never = Teller("n2").start().seconds(0, 30).add(9.0, kinds.Planned())  # it never held one
     found = tell(told("n0", 12.0), told("n1", 12.5), never)
-    alone = [one for one in found.episodes if one.kind == "without a plan"]
-    assert len(alone) == 1 and sorted({sight.gateway for sight in alone[0].sights}) == ["n0", "n1"]
+    alone = [one for one in found.incidents if one.kind == "without a plan"]
+    assert len(alone) == 1 and sorted({observation.gateway for observation in alone[0].observations}) == [
+        "n0",
+        "n1",
+    ]
     assert alone[0].begin == pytest.approx(UNIX / 10 + 8000, abs=20)
-    assert all("plan 2.1 of p2 holds" in sight.acts for sight in alone[0].sights)
+    assert all("plan 2.1 of p2 holds" in observation.actions for observation in alone[0].observations)
     # a restart ends the stretch: what came after, nobody has seen
     one = Teller("n3").start().seconds(0, 30)
     one.add(2.0, kinds.Planned(planner="p1", epoch=1, issued=4)).add(5.0, kinds.Planned())
     one.add(7.0, kinds.Start(why="start"))
     found = tell(one)
-    sights = [
-        sight for episode in found.episodes for sight in episode.sights if sight.kind == "without a plan"
+    observations = [
+        observation
+        for episode in found.incidents
+        for observation in episode.observations
+        if observation.kind == "without a plan"
     ]
-    assert len(sights) == 1 and sights[0].acts == ["the gateway restarted"]
+    assert len(observations) == 1 and observations[0].actions == ["the gateway restarted"]
 
 
 def test_a_location_that_is_left_is_one_episode_until_all_have_it_back():
@@ -370,13 +380,13 @@
     lone = Teller("n2").start().seconds(0, 30).add(5.5, kinds.Away(zone="z1", back=0, of=64, alone=True))
     lone.add(9.0, kinds.Start(why="start"))  # another process: it has all at home until it is told
     found = [
-        one for one in tell(told("n0", 0.0), told("n1", 0.4), lone).episodes if one.kind == "location left"
+        one for one in tell(told("n0", 0.0), told("n1", 0.4), lone).incidents if one.kind == "location left"
     ]
     assert [one.title() for one in found] == ["location z1 left"] and found[0].role == "location"
     assert found[0].begin == pytest.approx(UNIX / 10 + 5000, abs=20)
     assert found[0].end == pytest.approx(UNIX / 10 + 12_400, abs=20)
-    assert found[0].sights[0].acts[0] == "0 of 64 slices at home: its caches fail"
-    assert [sight.acts for sight in found[0].sights if sight.gateway == "n2"] == [
+    assert found[0].observations[0].actions[0] == "0 of 64 slices at home: its caches fail"
+    assert [observation.actions for observation in found[0].observations if observation.gateway == "n2"] == [
         ["0 of 64 slices at home without a plan"]
     ]
 
@@ -407,20 +417,20 @@
     assert kinds_of(tell(crowd.seconds(25, 40))) == ["crowd"]
 
 
-def plain_join(sights):
+def plain_join(observations):
     """The same in a slow way: sights of one family are linked where they meet in time, and what is linked,
     also over others, is one."""
-    groups_ = {place: {place} for place in range(len(sights))}
-    for (one, mine), (two, theirs) in itertools.combinations(enumerate(sights), 2):
+    groups_ = {place: {place} for place in range(len(observations))}
+    for (one, mine), (two, theirs) in itertools.combinations(enumerate(observations), 2):
         if family(mine) != family(theirs):
             continue
         near = 1000.0 if mine.kind == "purge" else JOIN
-        low, high = sorted((mine, theirs), key=lambda sight: sight.begin)
+        low, high = sorted((mine, theirs), key=lambda observation: observation.begin)
         if low.end is None or high.begin <= low.end + near:
             merged = groups_[one] | groups_[two]
             for place in merged:
                 groups_[place] = merged
-    return {frozenset(id(sights[place]) for place in group) for group in groups_.values()}
+    return {frozenset(id(observations[place]) for place in group) for group in groups_.values()}
 
 
 @pytest.mark.parametrize("seed", range(200))
@@ -428,15 +438,15 @@
     import random
 
     chance = random.Random(seed)
-    sights = []
+    observations = []
     for number in range(chance.randrange(1, 25)):
         begin = chance.uniform(0, 60_000)
         end = None if chance.random() < 0.05 else begin + chance.choice([0.0, 500.0, 8000.0])
         kind = chance.choice(["silent", "slow", "purge", "origin slow"])
         subject = "" if kind == "origin slow" else chance.choice("ab")
-        sights.append(Sight(f"n{number % 3}", kind, subject, begin, end, 0.0))
-    found = {frozenset(map(id, group)) for group in join(sights)}
-    assert found == plain_join(sights)
+        observations.append(Observation(f"n{number % 3}", kind, subject, begin, end, 0.0))
+    found = {frozenset(map(id, group)) for group in group_observations(observations)}
+    assert found == plain_join(observations)
 
 
 # --- much, and on several cores ---
@@ -447,8 +457,8 @@
     one, damage = load([str(tmp_path)])
     many, _ = _many(sorted(tmp_path.rglob("*.jsonl")), None, None, lambda text, part: None)
     assert not damage
-    assert [(a.title(), round(a.begin), a.saw) for a in one.episodes] == [
-        (a.title(), round(a.begin), a.saw) for a in many.episodes
+    assert [(a.title(), round(a.begin), a.observed_by) for a in one.incidents] == [
+        (a.title(), round(a.begin), a.observed_by) for a in many.incidents
     ]
     rows = [row for row in fleet.truth()["episodes"] if row["kind"] != "purge"]
     told = incident.compare(one, {"episodes": rows, "gap": None})
