--- a/lilacloft/report/console.py
+++ b/lilacloft/report/console.py
@@ -86,7 +86,7 @@
         found = build_timeline(runs)
         parts: list[Any] = [self.fleet(found, len(damage)), self.gateways(found), self.backends(found)]
         if self.shows_course:
-            parts.append(self.course(found))
+            parts.append(self.incidents_view(found))
         filtered = f"  filter: {self.only}{'_' if self.typing else ''}" if self.only or self.typing else ""
         parts.append(Text(f"q end  s sort ({self.sort})  f filter  c course{filtered}", style="dim"))
         return Group(*parts)
@@ -190,7 +190,7 @@
             table.add_row(*cells, style="" if well else "bold red")
         return table
 
-    def build_timeline(self, found: Timeline) -> Group:
+    def incidents_view(self, found: Timeline) -> Group:
         lines = [
             (
                 one.begin,
--- a/lilacloft/report/load.py
+++ b/lilacloft/report/load.py
@@ -74,12 +74,12 @@
         last_ = max((clocks[run].true(at) for run, at in ends.items()), default=0.0)
         second = [worker.submit(_see, clocks, last_) for worker in workers]
         seen: dict[str, GatewayHistory] = {}
-        all_sights: list[Observation] = []
+        every_observation: list[Observation] = []
         holes: list[Gap] = []
         for place, other in enumerate(second):
-            mine_, observed_by, gone = other.result()
+            mine_, observed, gone = other.result()
             seen.update(mine_)
-            all_sights += observed_by
+            every_observation += observed
             holes += gone
             progress("looking", 0.5 + (place + 1) / count / 2)
     finally:
@@ -87,7 +87,7 @@
             worker.shutdown(cancel_futures=True)
     holes.sort(key=lambda gap: (gap.begin, gap.gateway))
     return assemble_timeline(
-        dict(sorted(seen.items())), all_sights, holes, clocks, expected, begin, end
+        dict(sorted(seen.items())), every_observation, holes, clocks, expected, begin, end
     ), damage
 
 
