--- a/lilacloft/report/facts.py
+++ b/lilacloft/report/facts.py
@@ -60,7 +60,7 @@
         "end": seen.end,
         "offset_ms": round(seen.offset, 1),
         "spread_ms": round(seen.uncertainty, 1),
-        "runs": seen.lives,
+        "runs": seen.run_names,
         "seconds": len(seen.columns.begin),
     }
 
--- a/lilacloft/report/load.py
+++ b/lilacloft/report/load.py
@@ -16,7 +16,8 @@
 from lilacloft.record.reader import Damage, Run, find, read
 from lilacloft.timeline.clocks import Clock, ClockMarks, clock_marks, estimate, run_time
 from lilacloft.timeline.gaps import Gap, gaps
-from lilacloft.timeline.observations import GatewayHistory, Observation, observations
+from lilacloft.timeline.observations import GatewayHistory, Observation
+from lilacloft.timeline.observe import observe
 from lilacloft.timeline.timeline import Timeline, assemble_timeline, build_timeline
 
 MUCH = 32 << 20  # bytes from which several processes are worth their start
@@ -113,7 +114,7 @@
     clocks: dict[str, Clock], last: float
 ) -> tuple[dict[str, GatewayHistory], list[Observation], list[Gap]]:
     seen = {name: GatewayHistory(name, mine, clocks) for name, mine in _held.items()}
-    every = [observation for one in seen.values() for observation in observations(one)]
+    every = [observation for one in seen.values() for observation in observe(one)]
     for one in seen.values():
         one.columns.thin(LATENCIES)
     return {name: one.slim() for name, one in seen.items()}, every, gaps(_held, clocks, last)
--- a/lilacloft/timeline/timeline.py
+++ b/lilacloft/timeline/timeline.py
@@ -19,7 +19,8 @@
     group_observations,
     make_incident,
 )
-from lilacloft.timeline.observations import GatewayHistory, Observation, observations
+from lilacloft.timeline.observations import GatewayHistory, Observation
+from lilacloft.timeline.observe import observe
 
 
 @dataclass
@@ -49,7 +50,7 @@
     clocks = estimate({name: [clock_marks(run) for run in mine] for name, mine in runs.items()})
     seen = {name: GatewayHistory(name, mine, clocks) for name, mine in runs.items()}
     expected = max((run.head.gateways for mine in runs.values() for run in mine), default=0)
-    every = [observation for one in seen.values() for observation in observations(one)]
+    every = [observation for one in seen.values() for observation in observe(one)]
     return assemble_timeline(seen, every, gaps(runs, clocks), clocks, expected, begin, end)
 
 
