--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -289,11 +289,11 @@
     def within_a_long_event():
         owner = world.owner
         (request,) = owner.calls
-        assert owner.departed(request) is None
+        assert owner.client_left_at(request) is None
         the_client(world).input_ended = owner.steady
         begun = time.monotonic()
         past(begun + 0.04)
-        return owner.time - owner.departed(request)
+        return owner.time - owner.client_left_at(request)
 
     assert world.does(within_a_long_event) >= 400
     forgets(asker)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -556,9 +556,11 @@
 def test_an_answer_counts_from_when_it_was_read_and_a_fault_ends_one_event_only(monkeypatch, world):
     owner = Owner({**world().config, "listen": "127.0.0.1:0"})
     told, backend = [], owner.backends["s-00000001"]
-    monkeypatch.setattr(owner.router, "ended", lambda *args: told.append(args[4]))
+    monkeypatch.setattr(
+        owner.router, "attempt_ended", lambda request, backend, result: told.append(result.duration)
+    )
     call = types.SimpleNamespace(
-        request=types.SimpleNamespace(closed=True), tag=b"1", client=None, name="1", history=None
+        request=types.SimpleNamespace(finished=True), tag=b"1", client=None, name="1", history=None
     )
     monkeypatch.setattr(owner.front, "close", lambda _: False)
     owner._tick()
