--- a/lilacloft/net/owner.py
+++ b/lilacloft/gateway/gateway.py
@@ -53,7 +53,7 @@
 
 
 class Phase(Enum):
-    """Where a process is in its life; forwards only, by `Owner._to`. docs/gateway.md says who owes what."""
+    """Where a process is in its life; forwards only, by `Gateway._to`. docs/gateway.md says who owes what."""
 
     STARTING = auto()  # bound, and nobody let in yet
     SERVING = auto()
@@ -67,7 +67,7 @@
     return host, int(port)
 
 
-class Owner:
+class Gateway:
     """The Host of one gateway."""
 
     def __init__(
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -44,10 +44,10 @@
 
 def make(config: dict[str, Any], sock: socket.socket | None = None, follows: bool = False) -> Any:
     """Make a gateway of it, bound to its address, or with a socket that is."""
-    from lilacloft.net.owner import Owner
+    from lilacloft.gateway.gateway import Gateway
 
     try:
-        return Owner(config, sock=sock, follows=follows)
+        return Gateway(config, sock=sock, follows=follows)
     except KeyError as wrong:
         lacks = {ours: theirs for theirs, ours in WORDS.items()}.get(wrong.args[0], wrong.args[0])
         raise UnusableError(f"the configuration lacks {lacks}") from wrong
--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -8,8 +8,8 @@
 import threading
 import time
 
+from lilacloft.gateway.gateway import Gateway
 from lilacloft.net.conn import End
-from lilacloft.net.owner import Owner
 from lilacloft.upgrade import carry
 from lilacloft.upgrade.rest import Rest
 from rigs.stands import World
@@ -62,10 +62,10 @@
 
 
 class InProcessWorld(World):
-    """A world whose gateway is an Owner in a thread of this process, so that its threads can be held."""
+    """A world whose gateway is a Gateway in a thread of this process, so that its threads can be held."""
 
     def start(self):
-        self.owner = Owner({**self.config, "listen": "127.0.0.1:0"})
+        self.owner = Gateway({**self.config, "listen": "127.0.0.1:0"})
         self.port = self.owner.front.sock.getsockname()[1]
         self.thread = threading.Thread(target=self.owner.run, daemon=True)
         self.thread.start()
@@ -115,7 +115,7 @@
     rest = Rest(world.owner)
     assert world.does(lambda: rest.bring(time.monotonic() + 4, lambda: True)) == ""
     state, conns = world.does(lambda: carry.tell(world.owner, "whole", []))
-    successor = Owner({**world.config, "listen": "127.0.0.1:0"}, follows=True)
+    successor = Gateway({**world.config, "listen": "127.0.0.1:0"}, follows=True)
     told = carry.Told(successor)
     told.make(state, lambda place: socket.socket(fileno=os.dup(conns[place].sock.fileno())))
     try:
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -19,9 +19,9 @@
 
 from lilacloft import needed
 from lilacloft.config.reader import load
+from lilacloft.gateway.gateway import Gateway
 from lilacloft.net import feed
 from lilacloft.net.conn import OUTCOMES, End
-from lilacloft.net.owner import Owner
 from lilacloft.plan import form as plan_form
 from lilacloft.plan import words
 from lilacloft.plan.follow import Effect
@@ -229,7 +229,7 @@
 def recorded_values(folder: Path, config: Plain) -> list[Plain]:
     """A head, and what a gateway writes down of one thing of each kind, by the hooks that it calls; without
     numbers and times."""
-    owner = Owner({**config, "listen": "127.0.0.1:0"})
+    owner = Gateway({**config, "listen": "127.0.0.1:0"})
     owner.front.sock.close()
     recorder = Recorder(owner, str(folder), "n0")
     backend = owner.backends["s-00000001"]
@@ -498,7 +498,7 @@
     """A state that a whole gateway has taken, connections and all, and tells again: its values, and its frame
     with the moment of the frame that was taken. The gateway does not run; its sockets lead nowhere."""
     before = _state(data)
-    owner = Owner({**config, "listen": "127.0.0.1:0"}, follows=True)
+    owner = Gateway({**config, "listen": "127.0.0.1:0"}, follows=True)
     told, pairs = carry.Told(owner), [socket.socketpair() for _ in range(before.sockets)]
     try:
         told.make(before, lambda number: pairs[number][0])
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,8 +11,8 @@
 import msgspec
 import pytest
 
+from lilacloft.gateway.gateway import Gateway
 from lilacloft.net.feed import Heard
-from lilacloft.net.owner import Owner
 from lilacloft.net.resp import fields
 from lilacloft.upgrade import carry, form
 from rigs.inprocess import forgets, until
@@ -149,7 +149,7 @@
     world.log.add(3, 2, record(1, world.caches[0].port, started=now - 300))
     until(lambda: world.does(lambda: world.owner.backends["s-00000001"].started))
     state, _ = world.does(lambda: carry.tell(world.owner, "drain", []))
-    successor = Owner({**world.config, "listen": "127.0.0.1:0"}, follows=True)
+    successor = Gateway({**world.config, "listen": "127.0.0.1:0"}, follows=True)
     try:
         carry.Told(successor).make(form.read(msgspec.msgpack.encode(state), form.State), [].__getitem__)
         started = successor.backends["s-00000001"].started
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -1,7 +1,7 @@
 """Ends that cross something still owed, on real sockets, each forced to: by held peers, hooks and events.
 
-The gateway of most of these is an Owner in this process, so that its threads can be held at an instant; those
-about signals start the program."""
+The gateway of most of these is a Gateway in this process, so that its threads can be held at an instant;
+those about signals start the program."""
 
 import itertools
 import json
@@ -17,15 +17,15 @@
 
 import pytest
 
+from lilacloft.gateway import gateway as owners
+from lilacloft.gateway.gateway import Gateway, Phase
 from lilacloft.net import conn as conns
 from lilacloft.net import feed as feeds
 from lilacloft.net import front as fronts
-from lilacloft.net import owner as owners
 from lilacloft.net.back import Back, Line, Sent
 from lilacloft.net.conn import Conn, End, State
 from lilacloft.net.feed import Feed
 from lilacloft.net.front import Client, Front
-from lilacloft.net.owner import Owner, Phase
 from lilacloft.net.resp import encode
 from lilacloft.routing.model import Backend
 from lilacloft.settings import settings
@@ -793,7 +793,7 @@
 
     def start(self):
         self.log.close()
-        self.owner = Owner({**self.config, "listen": "127.0.0.1:0"})
+        self.owner = Gateway({**self.config, "listen": "127.0.0.1:0"})
         self.port = self.owner.front.sock.getsockname()[1]
         self.thread = threading.Thread(target=self.owner.run, daemon=True)
         self.thread.start()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -10,8 +10,8 @@
 
 from lilacloft import serving
 from lilacloft.errors import UnusableError
+from lilacloft.gateway.gateway import Phase
 from lilacloft.net import front
-from lilacloft.net.owner import Phase
 from lilacloft.net.resp import encode
 from lilacloft.routing.model import RejectReason
 from rigs.failing import BROKEN, Failures, put_under
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,10 +13,10 @@
 from loguru import logger
 
 from lilacloft.__main__ import main
+from lilacloft.gateway.gateway import Gateway
 from lilacloft.net.back import Back, Sent
 from lilacloft.net.conn import End
 from lilacloft.net.front import STREAMS, Client, Front
-from lilacloft.net.owner import Owner
 from lilacloft.net.resp import Buffer, fields
 from lilacloft.routing.model import Backend, Request
 from lilacloft.settings import settings
@@ -252,7 +252,7 @@
 
 def test_a_connection_is_not_over_before_its_answer_is_written(monkeypatch, world):
     """Who has closed its half would lose the answer between its taking off and its writing."""
-    owner, told = Owner({**world().config, "listen": "127.0.0.1:0"}), []
+    owner, told = Gateway({**world().config, "listen": "127.0.0.1:0"}), []
     here, there = socket.socketpair()
     client = Client(owner.front, here)
     monkeypatch.setattr(owner.front, "answer", lambda *_: told.append(client.taken - client.settled))
@@ -539,7 +539,7 @@
 
 def test_the_clock_put_back_or_ahead_neither_stops_nor_turns_nor_moves_the_modules_time(world):
     unix = [10**18]
-    owner = Owner({**world().config, "listen": "127.0.0.1:0"}, lambda: unix[0])
+    owner = Gateway({**world().config, "listen": "127.0.0.1:0"}, lambda: unix[0])
     owner._tick()
     begin = owner.now()
     unix[0] -= 3600 * 10**9
@@ -554,7 +554,7 @@
 
 
 def test_an_answer_counts_from_when_it_was_read_and_a_fault_ends_one_event_only(monkeypatch, world):
-    owner = Owner({**world().config, "listen": "127.0.0.1:0"})
+    owner = Gateway({**world().config, "listen": "127.0.0.1:0"})
     told, backend = [], owner.backends["s-00000001"]
     monkeypatch.setattr(
         owner.router, "attempt_ended", lambda request, backend, result: told.append(result.duration)
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -8,10 +8,10 @@
 
 import pytest
 
+from lilacloft.gateway.gateway import Phase
 from lilacloft.net import conn
 from lilacloft.net.conn import End, polled
 from lilacloft.net.front import Front
-from lilacloft.net.owner import Phase
 from lilacloft.net.resp import FROM_CLIENT, Buffer, encode, listed
 from lilacloft.settings import NS
 from rigs.inprocess import forgets, limits, until, waits_for
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -70,7 +70,9 @@
     assert circles({"a": {"b"}, "b": {"c"}, "c": {"b"}}) == [["b", "c", "b"]]
 
 
-@pytest.mark.parametrize("name", ["lilacloft.routing.router", "lilacloft.net.owner", "lilacloft.serving"])
+@pytest.mark.parametrize(
+    "name", ["lilacloft.routing.router", "lilacloft.gateway.gateway", "lilacloft.serving"]
+)
 def test_what_serves_on_the_platform_imports_none_of_the_rest_at_its_start(name):
     """Only what is at the top of modules counts: the rest is imported where it is used."""
     top, seen = [name], set()
@@ -85,6 +87,7 @@
     assert {package(one) for one in seen} <= {
         "lilacloft",
         "lilacloft.errors",
+        "lilacloft.gateway",
         "lilacloft.invariants",
         "lilacloft.net",
         "lilacloft.routing",
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -478,7 +478,7 @@
     finally:
         plain.close()
     imported |= {line.rsplit("|", 1)[1].strip() for line in plain.early if "|" in line}
-    assert "lilacloft.net.owner" in imported
+    assert "lilacloft.gateway.gateway" in imported
     unwanted = (
         "click",
         "msgspec",
