--- a/lilacloft/net/front.py
+++ b/lilacloft/net/front.py
@@ -64,7 +64,7 @@
             self.departed()
             if self.input_ended is not None and not told:
                 told = True  # what waits is given up at once, not when all before its end has been read
-                self.front.post(self.front.owner.half_closed, self, self.input_ended)
+                self.front.post(self.front.owner.client_half_closed, self, self.input_ended)
 
     def departed(self) -> int | None:
         """Since when, by the steady clock, the client may have gone: 0 where it surely has; None where it is
@@ -97,7 +97,7 @@
         process got no processor lately: else no reader has had it for long."""
         if self.received != self.passed_on:
             return True
-        return self.front.owner.stood_still() is not None and self._given()
+        return self.front.owner.paused_since() is not None and self._given()
 
     def last_byte(self) -> int:
         """When the last byte came in, by the steady clock: now, where the kernel does not tell."""
@@ -105,7 +105,7 @@
 
     def lay_at_the_door(self) -> None:
         """It was just let in, and where nobody could be for a while, it may have been up for long."""
-        if self.front.owner.stood_still() is not None and (span := since_opened(self.sock)):
+        if self.front.owner.paused_since() is not None and (span := since_opened(self.sock)):
             self.opened = time.monotonic_ns() // NS - int(span * TENTHS)
 
     def arrived_at(self) -> int:
@@ -113,7 +113,7 @@
         that the kernel has seen. Where more has come behind it that tells little: if the process stood still
         meanwhile, it may have lain there since, or since the connection came up, or nothing was left unread
         here. That something was read meanwhile says nothing: what has piled up takes many reads."""
-        last, stood = self.last_byte(), self.front.owner.stood_still()
+        last, stood = self.last_byte(), self.front.owner.paused_since()
         if stood is None:
             return last
         now = time.monotonic_ns() // NS
@@ -151,7 +151,7 @@
         to 50 ms before ours; one that had come earlier is lost by us."""
         self.front.counts["crossed"] += 1
         if self.end is End.RETIRED and call.at < int((self.ended - CROSSES) * TENTHS):
-            self.front.owner.closes_with([call.name])
+            self.front.owner.connection_closing([call.name])
 
     def retire(self, how: int = socket.SHUT_WR, halfway: bool = False) -> bool:
         """End it by us, where nothing is owed: no req is open, none lies unread or is in its reader's hand,
@@ -168,7 +168,7 @@
 
     def _finish(self, end: End, how: int = socket.SHUT_RDWR) -> None:
         if self.end is None and end in (End.RETIRED, End.FAULT) and self.open:
-            self.front.owner.closes_with([call.name for call in self.open.values()])
+            self.front.owner.connection_closing([call.name for call in self.open.values()])
         super()._finish(end, how)
 
     def linger(self, end: End) -> None:
@@ -180,9 +180,9 @@
         if self.end is None and (self.taken > self.settled or self.waits()):
             seen, until = threading.Event(), time.monotonic() + OWED / 2
             if end is End.GARBLED:
-                self.front.post(owner.garbled, self)
+                self.front.post(owner.client_malformed, self)
             else:
-                self.front.post(owner.half_closed, self, self.input_ended)
+                self.front.post(owner.client_half_closed, self, self.input_ended)
             self.front.post(seen.set)  # until the owner has come to all that was read
             seen.wait()
             while self.end is None and (self.taken > self.settled or self.waits()):
@@ -440,16 +440,16 @@
                 if taken:
                     self.counts["reqs"] += 1
                     client.passes_on()  # first: the owner may come to it before this thread goes on
-                    self.post(self.owner.arrived, call)
+                    self.post(self.owner.request_arrived, call)
         elif verb == b"FORGET":
             self.counts["forgotten"] += 1
             call = client.open.get(tag)
             if call is not None and self.close(call):  # at once, as the client counts it open no more
                 call.left = at
-                self.post(self.owner.forgotten, call)
+                self.post(self.owner.request_cancelled, call)
         elif verb == b"ALIVE":
             self.counts["checks"] += 1
-            self.answer(client, tag, b"not_serving" if self.owner.ending else b"serving")
+            self.answer(client, tag, b"not_serving" if self.owner.shutdown_started else b"serving")
         else:
             self._offence(client, tag, b"500")
 
@@ -487,7 +487,7 @@
         self.parting.pop(client, None)
         self.closes[(client.end or End.FAULT).name] += 1
         if client.open:
-            self.post(self.owner.hung_up, client)
+            self.post(self.owner.client_disconnected, client)
 
     # --- the owner's thread ---
 
--- a/lilacloft/plan/agent.py
+++ b/lilacloft/plan/agent.py
@@ -36,7 +36,7 @@
             planners,
             router.settings.overload_window,
             1 / router.settings.zone_gateways,
-            owner.steady,
+            owner.monotonic_time,
             restarted=True,
             keeper=None if leave == "never" else keeper,
         )
@@ -73,7 +73,7 @@
     def close(self) -> None:
         """This process ends: planners need not wait to find that out."""
         for name, dial in self.dials.items():
-            leave = dataclasses.replace(self.follower.summary(name, self.owner.steady), leaves=True)
+            leave = dataclasses.replace(self.follower.summary(name, self.owner.monotonic_time), leaves=True)
             dial.send(form.summary(leave))
         time.sleep(0.05)
         for dial in self.dials.values():
@@ -100,22 +100,22 @@
     def told(self, names: Iterable[str]) -> None:
         """The change log has told of bes."""
         owner = self.owner
-        self.watch.listed(names, owner.feed.last, owner.time, owner.steady)
+        self.watch.listed(names, owner.feed.last, owner.time, owner.monotonic_time)
 
     # --- each quarter of a second ---
 
     def _speak(self) -> None:
         owner = self.owner
         requests = owner.front.counts["reqs"]
-        self.watch.look(requests - self.counted, owner.feed.last, owner.time, owner.steady)
+        self.watch.look(requests - self.counted, owner.feed.last, owner.time, owner.monotonic_time)
         self.counted = requests
         for name, dial in self.dials.items():
-            dial.send(form.summary(self.follower.summary(name, owner.steady)))
+            dial.send(form.summary(self.follower.summary(name, owner.monotonic_time)))
         self._act()
-        owner.at(owner.time + EVERY, self._speak)
+        owner.call_at(owner.time + EVERY, self._speak)
 
     def _act(self) -> None:
-        effect = self.watch.act(self.owner.time, self.owner.steady)
+        effect = self.watch.act(self.owner.time, self.owner.monotonic_time)
         if effect.name.planner != self.held.planner:
             logger.info("plan: {} holds", effect.name if effect.name.planner else "none")
         if effect.name != self.held and self.owner.recorder:
@@ -154,5 +154,5 @@
             self.owner.post(self._answered, form.replied(message.reply))
 
     def _answered(self, reply: Any) -> None:
-        if self.follower.reply(reply, self.owner.steady):
+        if self.follower.reply(reply, self.owner.monotonic_time):
             self._act()
--- a/lilacloft/record/writer.py
+++ b/lilacloft/record/writer.py
@@ -94,7 +94,7 @@
         )
         self.number = 0
         self.apart: int | None = None  # how far the wall clock is from the steady one
-        self.summary = Summary(told, owner.steady)
+        self.summary = Summary(told, owner.monotonic_time)
         self.names = [vhost["name"] for vhost in owner.vhosts]
         self.metrics: Any = None
         if prometheus:
@@ -122,7 +122,9 @@
 
     def end(self, why: str) -> None:
         """The gateway ends: what is known is written, for a short while at most."""
-        self.note(self.summary.take(self.owner.steady, self._bes(), self.owner.router.link_limit.limit))
+        self.note(
+            self.summary.take(self.owner.monotonic_time, self._bes(), self.owner.router.link_limit.limit)
+        )
         self.note(kinds.Over(why=why))
         self.over = True
         self.woken.set()
@@ -265,17 +267,17 @@
         """A second has passed."""
         owner = self.owner
         refused = {name: owner.front.counts[name] for name in REFUSED}
-        self.summary.counted({**refused, "faults": owner.counts["faults"]})
+        self.summary.counted({**refused, "faults": owner.answer_counts["faults"]})
         if owner.feed.connects != self.connects:
             self.connects = owner.feed.connects
             self.note(kinds.Log(up=True, event=owner.feed.last))
-        if self.summary.due(owner.steady):
-            second = self.summary.take(owner.steady, self._bes(), owner.router.link_limit.limit)
+        if self.summary.due(owner.monotonic_time):
+            second = self.summary.take(owner.monotonic_time, self._bes(), owner.router.link_limit.limit)
             self.note(second)
             if self.metrics:
                 self.metrics.add(second)
         self.woken.set()
-        owner.at(owner.time + 10_000, self._tick)
+        owner.call_at(owner.time + 10_000, self._tick)
 
     # --- the writing thread ---
 
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -83,7 +83,8 @@
             begin()
         owner.run()
     except NotWantedError as wrong:
-        owner.gone, owner.recorder = True, None
+        owner.end()
+        owner.recorder = None
         logger.error("upgrade: this process ends: {}", wrong)
         return NOT_WANTED
     except Exception:
@@ -93,11 +94,11 @@
         signal.signal(signal.SIGTERM, signal.SIG_IGN)  # the interpreter's end would put back the default
         if owner.guard:
             owner.guard.close()
-        if owner.agent and not owner.gone:
+        if owner.agent and not owner.has_ended:
             owner.agent.close()
         if owner.recorder:
-            owner.recorder.end("upgrade" if owner.gone else "stop")
-        if not owner.gone:  # else the counters have gone over
+            owner.recorder.end("upgrade" if owner.has_ended else "stop")
+        if not owner.has_ended:  # else the counters have gone over
             owner.report()
     return 0
 
--- a/lilacloft/store/guard.py
+++ b/lilacloft/store/guard.py
@@ -62,7 +62,7 @@
         self.purge_done = owner.router.freshness.purge_lifetime
         windows = [vhost.get("repeat_window", 0) for vhost in owner.vhosts]
         began = time.monotonic()
-        bounds = kinds.limits(self.purge_done, owner.longest, max(windows))
+        bounds = kinds.limits(self.purge_done, owner.max_client_timeout, max(windows))
         if reader:
             self.store = reader.store
             self.store.files, self.store.limits = self.folder, bounds
@@ -115,9 +115,9 @@
         owner = self.owner
         events, owner.feed.last = self.listing.start(owner.feed.last, found.last)
         for event in events:
-            owner.told(event)
-        if found.last > owner.known:
-            owner.known = found.last
+            owner.apply_event(event)
+        if found.last > owner.last_known_event:
+            owner.last_known_event = found.last
         starts = {
             name: backend.concurrency_limit.limit
             for name, backend in owner.backends.items()
@@ -247,7 +247,7 @@
             vhost.get("repeat_window", 0),
             vhost.get("repeat_group", "all"),
             sent.backend.cell,
-            until - 2 * self.owner.grain,
+            until - 2 * self.owner.granularity,
         )
         if verdict == SEND:
             self.tokens[sent] = token
@@ -255,7 +255,7 @@
         if verdict == HOLD:
             self.tokens[sent] = token
             self.held[token] = sent, until
-            self.owner.at(self.owner.time + (self.keeper.wait() or 0), self.keeper.tick)
+            self.owner.call_at(self.owner.time + (self.keeper.wait() or 0), self.keeper.tick)
             return None
         self.knows(call, call.request)  # it may have become known only since the req came
         return End.UNWRITTEN
@@ -304,8 +304,8 @@
             for key, part in self.changes.since(owner.time, parts).items():
                 self.keep(kinds.LEARNED, key, None if part is None else _write(part))
         if self.seconds % CLEANS == 0:
-            self.keeper.forget(kinds.limits(self.purge_done, owner.longest, 0)[kinds.INTENT][1])
-        owner.at(owner.time + SECOND, self._second)
+            self.keeper.forget(kinds.limits(self.purge_done, owner.max_client_timeout, 0)[kinds.INTENT][1])
+        owner.call_at(owner.time + SECOND, self._second)
 
     # --- Hands: what the keeper calls ---
 
@@ -328,7 +328,7 @@
             return self.owner.report_end(sent, End.UNWRITTEN)
         sent.at = self.owner.time  # that it waited for the disk is no fault of its cache
         # the loop lets the times of what is not on a connection go: this one may be gone already
-        self.owner.at(until, self.owner._time_up, sent)
+        self.owner.call_at(until, self.owner.attempt_timed_out, sent)
         end = self.owner.back.dispatch(sent)
         if end is not None:
             self.owner.report_end(sent, end)
--- a/lilacloft/upgrade/carry.py
+++ b/lilacloft/upgrade/carry.py
@@ -61,7 +61,9 @@
 def lines(owner: Any) -> list[Line]:
     """All connections to bes, also those of bes that are listed no more but still answer something."""
     found = dict.fromkeys(line for pool in owner.back.pools.values() for line in pool.lines)
-    found.update((call.sent.conn, None) for call in owner.calls.values() if call.sent and call.sent.conn)
+    found.update(
+        (call.sent.conn, None) for call in owner.open_requests.values() if call.sent and call.sent.conn
+    )
     return list(found)
 
 
@@ -101,14 +103,14 @@
     conns: list[Conn] = [*clients, *carried]
     number = {conn: place for place, conn in enumerate(conns)}
     line_number = {line: place for place, line in enumerate(carried)}
-    calls = [call for call in owner.calls.values() if call.client in number] if whole else []
+    calls = [call for call in owner.open_requests.values() if call.client in number] if whole else []
     call_number = {call: place for place, call in enumerate(calls)}
     places = dict.fromkeys(places)
     places.update(((call.key, call.part), None) for call in calls)
     return form.State(
         mode=mode,
         time=owner.time,
-        steady=owner.steady,
+        steady=owner.monotonic_time,
         vhosts=[vhost["name"] for vhost in owner.vhosts],
         last=owner.feed.last,
         listed=list(listed(owner)),
@@ -161,10 +163,10 @@
 def counts(owner: Any) -> dict[str, dict[str, int]]:
     """The counters by the part that counts."""
     return {
-        "answers": dict(owner.counts),
+        "answers": dict(owner.answer_counts),
         "front": dict(owner.front.counts),
         "back": dict(owner.back.counts),
-        "ends": dict(owner.ends),
+        "ends": dict(owner.end_counts),
         "log": {"connects": owner.feed.connects, "events": owner.feed.events},
     }
 
@@ -172,10 +174,10 @@
 def add(owner: Any, told: dict[str, dict[str, int]]) -> None:
     """Count on from what another process counted; counters that this one does not have are passed over."""
     own = {
-        "answers": owner.counts,
+        "answers": owner.answer_counts,
         "front": owner.front.counts,
         "back": owner.back.counts,
-        "ends": owner.ends,
+        "ends": owner.end_counts,
     }
     for part, counted in own.items():
         for name, count in told.get(part, {}).items():
@@ -214,9 +216,9 @@
     """What is out: dispatches by their calls, checks by their connections; with the times due for them."""
     until, over = {}, {}
     for when, _, what, told in owner.timers:
-        if what == owner._time_up:
+        if what == owner.attempt_timed_out:
             until[told[0]] = when
-        elif what == owner.back_ended:
+        elif what == owner.attempt_ended:
             over[told[0]] = (told[1].name, when)
     held = set(owner.guard.again) if owner.guard else ()  # they go out anew
     out = [call.sent for call in calls if call.sent is not None]
@@ -262,8 +264,7 @@
         if state.calls and state.vhosts != own:
             raise form.FormError(f"open reqs of vhosts {state.vhosts}, known are {own}")
         # the module's time goes on: both processes read the same monotonic clock
-        owner.time, owner.steady = state.time, state.steady
-        owner._tick()
+        owner.resume_clock(state.time, state.steady)
         try:
             self._list(state.listed)
             if state.stamps:
@@ -307,7 +308,7 @@
             for told in listed
             if told.status
         ]
-        owner.listed("cached", rows)
+        owner.apply_endpoints("cached", rows)
         for told in listed:
             if not told.status and told.name not in owner.backends:
                 owner.backends[told.name] = Backend(
@@ -351,14 +352,14 @@
         for name in CALL_FIELDS:
             setattr(call, name, getattr(told, name))
         call.client, call.request, call.sent = clients[told.client], request, None
-        call.left, call.last, call.history = 0, "", self.owner.history(call, request)
+        call.left, call.last, call.history = 0, "", self.owner.request_history(call, request)
         call.lines = [ENDED if line < 0 else carried[line] for line in told.lines]
         if told.open:
             call.client.open[call.tag] = call
             self.owner.front.names[call.name] = call
         else:
             request.finished = True
-        self.owner.calls[request] = call
+        self.owner.open_requests[request] = call
         return call
 
     def _sent(self, told: form.Sent, calls: list[Call], carried: list[Line]) -> None:
@@ -371,18 +372,18 @@
             told.name,
             told.data,
             told.at,
-            made=owner.steadily(told.at),
-            until=owner.steadily(told.until or call.request.deadline) if call else 0,
-            send_by=owner.steadily(call.request.send_by) if call else 0,
-            window_over=owner.window_over(call.history) if call else 0,
+            made=owner.to_monotonic(told.at),
+            until=owner.to_monotonic(told.until or call.request.deadline) if call else 0,
+            send_by=owner.to_monotonic(call.request.send_by) if call else 0,
+            window_over=owner.idempotency_deadline(call.history) if call else 0,
         )
         sent.place = told.place
         if call:
             call.sent = sent
             if call.request.send_by:
-                owner.at(call.request.send_by, owner._send_by_passed, call)
+                owner.call_at(call.request.send_by, owner.send_deadline_passed, call)
         if told.over:
-            owner.at(told.over[1], owner.back_ended, sent, End[told.over[0]], 0, 0, [], b"")
+            owner.call_at(told.over[1], owner.attempt_ended, sent, End[told.over[0]], 0, 0, [], b"")
             return
         if told.line is None:
             self.again.append(sent)
@@ -393,11 +394,11 @@
                 if waiting.place == sent.place:
                     waiting.begun = len(waiting.rest) < len(sent.data)
         if told.until is not None:
-            owner.at(told.until, owner._time_up, sent)
+            owner.call_at(told.until, owner.attempt_timed_out, sent)
 
     def start(self) -> None:
         """This process is the gateway: read and write on, and send what could not be sent."""
-        self.owner.comes_late(self.state.steady)
+        self.owner.record_pause(self.state.steady)
         for conn in self.conns:
             with conn.lock:
                 conn._write_on()
@@ -405,7 +406,9 @@
         guard = self.owner.guard
         if guard:
             guard.resumed(
-                call.sent for call in self.owner.calls.values() if call.sent and call.sent not in self.again
+                call.sent
+                for call in self.owner.open_requests.values()
+                if call.sent and call.sent not in self.again
             )
         for sent in self.again:
             sent.at = self.owner.time
--- a/lilacloft/upgrade/offer.py
+++ b/lilacloft/upgrade/offer.py
@@ -147,7 +147,7 @@
                     self.to = shlex.split(ask.to) if ask.to else command(sys.orig_argv)
                 except ValueError as wrong:
                     raise RefusedError(f"--to {ask.to!r}: {wrong}") from None
-            why = self.leaving.asked(ask.mode or self.mode, held(self.status >= 0), self.owner.allowed)
+            why = self.leaving.asked(ask.mode or self.mode, held(self.status >= 0), self.owner.limits)
         if why:
             raise RefusedError(why)
         try:
@@ -227,7 +227,7 @@
             try:
                 return box.get(timeout=SAYS)
             except queue.Empty:
-                if self.owner.gone:
+                if self.owner.has_ended:
                     return None
 
     def _receive(self, *kinds: Kind) -> tuple[Kind, bytes]:
@@ -300,9 +300,9 @@
                 self.rest.moves([client])
         except (FormError, BrokenError, OSError) as wrong:
             return self._lost(str(wrong))
-        leaving.remains(self.serves, not (owner.calls or owner.front.clients))
+        leaving.remains(self.serves, not (owner.open_requests or owner.front.clients))
         if again and leaving.phase == phases.LETTING_GO:
-            owner.at(owner.time + int(LOOK * 10_000), self._look)
+            owner.call_at(owner.time + int(LOOK * 10_000), self._look)
 
     def _lost(self, why: str) -> None:
         with self.lock:
@@ -397,7 +397,7 @@
             logger.warning("upgrade: a record cannot be handed on: {}", wrong)
 
     def cut(self) -> None:
-        for call in list(self.owner.calls.values()):
+        for call in list(self.owner.open_requests.values()):
             self.owner.router.reject(call.request, RejectReason.ENDING)
         for client in list(self.owner.front.clients):
             client.hold()  # nothing more is read, so what is unread goes over with the connection
@@ -410,7 +410,7 @@
         }
         with contextlib.suppress(BrokenError, FormError):
             self.channel.send(Kind.LEFT, form.Left(left))
-        self.owner.gone = True
+        self.owner.end()
 
     def kill(self) -> None:
         if self.process is not None:
--- a/lilacloft/upgrade/process.py
+++ b/lilacloft/upgrade/process.py
@@ -52,7 +52,7 @@
 
     def begin() -> None:
         if listener >= 0 and unserved_since:
-            owner.comes_late(int(unserved_since * TENTHS))
+            owner.record_pause(int(unserved_since * TENTHS))
         if guard:
             owner.post(guard.start)
         if agent:
@@ -162,9 +162,9 @@
         if guard:
             owner.post(guard.start)
         told.start()
-        logger.bind(requests=len(owner.calls), connections=len(told.conns)).info(
+        logger.bind(requests=len(owner.open_requests), connections=len(told.conns)).info(
             "upgrade: this process is the gateway, with {} open reqs and {} connections",
-            len(owner.calls),
+            len(owner.open_requests),
             len(told.conns),
         )
         owner.post(taking.serving)
--- a/lilacloft/upgrade/rest.py
+++ b/lilacloft/upgrade/rest.py
@@ -37,7 +37,7 @@
         """The places of the module's table, oldest first; what is asked for from now on is told once more."""
         router = self.owner.router
         self.arrivals = router.load_reports.request_count
-        self.touched = [(call.key, call.part) for call in self.owner.calls.values()]
+        self.touched = [(call.key, call.part) for call in self.owner.open_requests.values()]
         return list(router.freshness.object_parts)
 
     def slice(self, places: list[tuple[str, int]]) -> list[Any]:
@@ -73,7 +73,7 @@
                 one for one in self.held if isinstance(one, Client) and one.state is State.UNREADABLE
             ]:
                 self.loosen(client)  # nonsense: what it has open is given up, and its end comes here
-                owner._do(owner.garbled, (client,))
+                owner.run_callback(owner.client_malformed, (client,))
             self.hear()
             if not wanted():
                 return "called off"
@@ -97,16 +97,16 @@
             for conn in self.held:
                 self._unstill(conn)
             time.sleep(LOOK)
-        owner._tick()
+        owner.update_clock()
         return ""
 
     def hear(self) -> None:
         """Take in all that has happened."""
         owner = self.owner
-        owner._tick()
-        while (event := owner._next(0.0)) is not None:
-            owner._tick()
-            owner._do(event[0], event[1:])
+        owner.update_clock()
+        while (event := owner.next_event(0.0)) is not None:
+            owner.update_clock()
+            owner.run_callback(event[0], event[1:])
 
     def loosen(self, conn: Conn) -> None:
         if conn in self.held:
@@ -143,11 +143,13 @@
         """What went over with its reqs is theirs to end."""
         owner = self.owner
         gone = set(self.moved)
-        for request, call in list(owner.calls.items()):
+        for request, call in list(owner.open_requests.items()):
             if call.client in gone:
-                del owner.calls[request]
+                del owner.open_requests[request]
                 owner.front.names.pop(call.name, None)
-        owner.timers = [entry for entry in owner.timers if entry[2] in (owner.sweep, owner._beat)]
+        owner.timers = [
+            entry for entry in owner.timers if entry[2] in (owner.run_maintenance, owner.heartbeat)
+        ]
 
     def back(self, conns: list[Conn]) -> None:
         """The new process had these and has died: what was open on them is lost, as with any process that
@@ -160,7 +162,7 @@
             elif conn in self.moved:
                 conn.lock.release()
         for client in clients:
-            owner._do(owner.hung_up, (client,))
+            owner.run_callback(owner.client_disconnected, (client,))
         for conn in conns:
             conn.close(End.RESET)
             if self.held.pop(conn, None) is not None or conn in self.moved:
--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -78,7 +78,7 @@
         return told.get(timeout=5)
 
     def held(self):
-        return self.does(self.owner.held)
+        return self.does(self.owner.open_resources)
 
     def stall(self):
         """Hold the owner's thread; returns the event that lets it go on."""
@@ -96,7 +96,7 @@
         )
 
     def close(self):
-        self.owner.post(setattr, self.owner, "gone", True)
+        self.owner.post(self.owner.end)
         self.thread.join(5)
         self.owner.feed.move(("127.0.0.1", 1))  # its thread lives on, and its port is another test's soon
         for client in [*self.owner.front.clients, *self.owner.front.parting]:
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -247,7 +247,7 @@
     recorder.heard(("purge", ("00000000000000aa", 7, 1_699_999_999)), 42, 0)
     gone = ("s-00000009", ("10.0.0.9", 7009), 1, 1, 4, 0, 1.5, 1_699_999_100)
     recorder.heard(("delta", [("s-00000001",), gone]), 43, 0)
-    recorder.note(recorder.summary.take(owner.steady + 10_000, recorder._bes(), 6.25))
+    recorder.note(recorder.summary.take(owner.monotonic_time + 10_000, recorder._bes(), 6.25))
     out = [recorder.head, *map(records.decode, recorder.queue.take()[0])]
     unstable = ("number", "wall", "steady", "run", "version", "span")
     return [
--- a/tests/test_carried.py
+++ b/tests/test_carried.py
@@ -272,7 +272,7 @@
     world = in_process(silent, changes=limits(connectTimeoutNs=10**10))
     world.asker().ask(b"pay", replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     until(lambda: world.held()["out"] == 1)
-    (call,) = world.does(lambda: list(world.owner.calls.values()))
+    (call,) = world.does(lambda: list(world.owner.open_requests.values()))
     call.request.first_executed_at, call.request.first_executed_by = (
         call.request.sent_at - 1_000,
         call.request.backend,
@@ -280,4 +280,4 @@
     with handed_over(world) as told:
         (sent,) = told.again
         window = world.owner.effects[call.vhost].window
-        assert window and sent.window_over == told.owner.steadily(call.request.first_executed_at + window)
+        assert window and sent.window_over == told.owner.to_monotonic(call.request.first_executed_at + window)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -154,7 +154,7 @@
         carry.Told(successor).make(form.read(msgspec.msgpack.encode(state), form.State), [].__getitem__)
         started = successor.backends["s-00000001"].started
         assert started == world.owner.backends["s-00000001"].started
-        successor.told(("delta", [told]), None, Heard(successor.steady, current=False))
+        successor.apply_event(("delta", [told]), None, Heard(successor.monotonic_time, current=False))
         assert successor.backends["s-00000001"].started == started
     finally:
         successor.front.sock.close()
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -276,7 +276,7 @@
         gone(leaves, goes)
         told.start()
         nothing_comes(world)
-        assert [entry[2] for entry in told.owner.after] == [End.UNWRITTEN]
+        assert [entry[2] for entry in told.owner.deferred] == [End.UNWRITTEN]
 
 
 def test_how_long_a_client_has_been_gone_is_reckoned_by_the_clock_within_a_long_event(in_process):
@@ -288,9 +288,9 @@
 
     def within_a_long_event():
         owner = world.owner
-        (request,) = owner.calls
+        (request,) = owner.open_requests
         assert owner.client_left_at(request) is None
-        the_client(world).input_ended = owner.steady
+        the_client(world).input_ended = owner.monotonic_time
         begun = time.monotonic()
         past(begun + 0.04)
         return owner.time - owner.client_left_at(request)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -41,7 +41,7 @@
 
 def waiting(world):
     """The dispatch that waits for its connection to come up."""
-    (call,) = world.does(lambda: list(world.owner.calls.values()))
+    (call,) = world.does(lambda: list(world.owner.open_requests.values()))
     return call.sent
 
 
@@ -137,7 +137,7 @@
     forgets(again)
     asker.sock.close()
     world.rests()
-    assert world.owner.counts["denied"] == world.owner.counts["aborted"] == 0
+    assert world.owner.answer_counts["denied"] == world.owner.answer_counts["aborted"] == 0
 
 
 LONG = limits(connectTimeoutNs=5 * 10**9, keepaliveNs=10**9)
@@ -149,7 +149,7 @@
     world = in_process(serves(b"ok"), changes=LONG)
     asker = world.asker()
     until(lambda: world.owner.front.counts["connections"])
-    world.does(world.owner.sweep)
+    world.does(world.owner.run_maintenance)
     tag = asker.ask()
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     assert world.owner.front.counts["closed_idle"] == 0
@@ -162,8 +162,8 @@
     tag = asker.ask(allow=3000)
     _, sock, items = world.caches[0].next()
     world.does(world.owner.stop)
-    assert world.owner.by - world.owner.ending > 3 * owners.TENTHS
-    until(lambda: world.does(lambda: world.owner.time) > world.owner.ending + 2000)
+    assert world.owner.shutdown_deadline - world.owner.shutdown_started > 3 * owners.TENTHS
+    until(lambda: world.does(lambda: world.owner.time) > world.owner.shutdown_started + 2000)
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
 
@@ -212,12 +212,12 @@
     until(lambda: client.buffer.partial())
     assert client.waits() > 0
     client.begun -= 60  # seconds ago
-    world.does(world.owner.sweep)
+    world.does(world.owner.run_maintenance)
     answers = [asker.answer() for _ in tags]
     assert {answer[0] for answer in answers} == set(tags)
     assert all(answer[1] == b"200" and len(answer[3]) == 240_000 for answer in answers)
     until(lambda: not client.waits())
-    world.does(world.owner.sweep)
+    world.does(world.owner.run_maintenance)
     assert asker.answer() is None, "in order, once all has gone out"
     asker.sock.close()
     world.rests(but=("checks",))
@@ -281,7 +281,7 @@
 
 def past_coming(world):
     until(lambda: world.owner.phase is Phase.DRAINING)
-    until(lambda: world.owner.time > world.owner.ending + 3000)
+    until(lambda: world.owner.time > world.owner.shutdown_started + 3000)
 
 
 def patient(settings):
@@ -314,7 +314,7 @@
     assert asker.answer() is None
     asker.sock.close()
     world.thread.join(3)
-    assert not world.thread.is_alive() and not any(world.owner.held().values())
+    assert not world.thread.is_alive() and not any(world.owner.open_resources().values())
 
 
 def test_who_waits_at_the_door_when_the_process_is_told_to_end_is_let_in(in_process, monkeypatch, soon):
@@ -356,7 +356,7 @@
     resting.ask(key=3)
     other.sock.close()
     world.thread.join(3)
-    assert not world.thread.is_alive() and world.owner.time - world.owner.shut < 5000
+    assert not world.thread.is_alive() and world.owner.time - world.owner.listener_closed_at < 5000
     assert not waits_for(world.caches[0], 0.1)
     with pytest.raises(ConnectionRefusedError):
         world.asker()
@@ -413,7 +413,7 @@
         assert asker.answer() is None, "and nothing after"
         asker.sock.close()
     world.thread.join(5)
-    held = world.owner.held()
+    held = world.owner.open_resources()
     del held["parting"]  # the slow reader may need longer than the farewell for what the kernel has of it
     assert not world.thread.is_alive() and not any(held.values())
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -46,7 +46,7 @@
     tag = asker.ask()
     world.caches[0].next()
     failing.next("send", errno.ENOBUFS, errno.ENOMEM, errno.ENOBUFS)
-    world.does(lambda: world.owner.router.reject(next(iter(world.owner.calls)), RejectReason.ENDING))
+    world.does(lambda: world.owner.router.reject(next(iter(world.owner.open_requests)), RejectReason.ENDING))
     assert asker.answer()[:2] == [tag, b"503"]
     until(lambda: not failing.due["send"])
     world.rests()
@@ -85,7 +85,7 @@
         failing.next("poll", errno.ENOMEM)
         tag = asker.ask(key=key)
         assert asker.answer()[:2] in ([tag, b"200"], [tag, b"503"])
-    assert world.owner.counts["faults"] == 0
+    assert world.owner.answer_counts["faults"] == 0
     world.rests()
 
 
@@ -93,7 +93,7 @@
     world = in_process(serves(b"ok"))
     asker = world.asker()
     world.owner.post(world.owner.stop)
-    until(lambda: world.owner.ending)
+    until(lambda: world.owner.shutdown_started)
     failing.rates["poll"] = 0.5
     tag = asker.ask()
     assert asker.answer()[:2] in ([tag, b"200"], [tag, b"503"])
@@ -101,8 +101,8 @@
     world.thread.join(5)
     assert not world.thread.is_alive()
     assert failing.seen["poll"] > 0
-    assert world.owner.phase in (Phase.PARTING, Phase.ENDED)  # it came to its end in order
-    assert not any(world.owner.held().values())
+    assert world.owner.phase in (Phase.CLOSING, Phase.ENDED)  # it came to its end in order
+    assert not any(world.owner.open_resources().values())
 
 
 def test_a_client_that_has_gone_from_the_door_ends_no_other(in_process, failing):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -227,7 +227,11 @@
 def test_what_is_forgotten_counts_as_open_no_more_and_more_than_may_be_open_is_refused():
     """At once, not when the owner comes to it: a usual client under load would be taken for an offender."""
     owner = types.SimpleNamespace(
-        arrived="arrived", forgotten="forgotten", garbled="garbled", ending=0, stood_still=lambda: None
+        request_arrived="arrived",
+        request_cancelled="forgotten",
+        client_malformed="garbled",
+        shutdown_started=0,
+        paused_since=lambda: None,
     )
     posted, config = [], settings(ENV)
     front = Front(lambda *event: posted.append(event[0]), owner, ("127.0.0.1", 0), config["vhosts"], 9, 1e6)
@@ -261,10 +265,10 @@
     )
     call = client.open[b"1"]
     call.request = Request(call.key, call.part, call.group, call.kbytes, 0, owner.time + 90, call.vhost)
-    call.history = owner.history(call, call.request)
-    owner._final(call, "denied", b"503")
+    call.history = owner.request_history(call, call.request)
+    owner.send_final_answer(call, "denied", b"503")
     assert told == [1] and client.taken == client.settled
-    owner._final(call, "denied", b"503")
+    owner.send_final_answer(call, "denied", b"503")
     assert told == [1], "once"
     here.close()
     there.close()
@@ -540,16 +544,16 @@
 def test_the_clock_put_back_or_ahead_neither_stops_nor_turns_nor_moves_the_modules_time(world):
     unix = [10**18]
     owner = Gateway({**world().config, "listen": "127.0.0.1:0"}, lambda: unix[0])
-    owner._tick()
+    owner.update_clock()
     begin = owner.now()
     unix[0] -= 3600 * 10**9
     until = time.monotonic() + 0.02
     while time.monotonic() < until:
         pass
-    owner._tick()
+    owner.update_clock()
     assert begin + 190 <= owner.now() < begin + 10_000
     unix[0] += 7200 * 10**9
-    owner._tick()
+    owner.update_clock()
     assert owner.now() < begin + 20_000
 
 
@@ -563,15 +567,15 @@
         request=types.SimpleNamespace(finished=True), tag=b"1", client=None, name="1", history=None
     )
     monkeypatch.setattr(owner.front, "close", lambda _: False)
-    owner._tick()
+    owner.update_clock()
     sent = Sent(call, backend, 0, b"1", b"", owner.time - 3000)
-    owner.back_ended(sent, End.DATA, 1, 0, [], b"", owner.steady - 2000)
-    owner.back_ended(sent, End.TIME_UP, 0, 0, [], b"")
+    owner.attempt_ended(sent, End.DATA, 1, 0, [], b"", owner.monotonic_time - 2000)
+    owner.attempt_ended(sent, End.TIME_UP, 0, 0, [], b"")
     assert told == [1000, 3000]
     seen = []
-    owner._do(lambda: 1 // 0, ())
-    owner._do(seen.append, (1,))
-    assert seen == [1] and owner.counts["faults"] == 1
+    owner.run_callback(lambda: 1 // 0, ())
+    owner.run_callback(seen.append, (1,))
+    assert seen == [1] and owner.answer_counts["faults"] == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -374,7 +374,7 @@
     first = Effect(Name(1, 4, "p1"), out={"b": 0, "a": 9}, ways={"a": 2.0}, link=3.25)
     effects = iter([first, first, Effect(Name(1, 5, "p1")), Effect(), Effect()])
     agent = Agent.__new__(Agent)
-    agent.owner = SimpleNamespace(recorder=recorder, time=0, steady=0)
+    agent.owner = SimpleNamespace(recorder=recorder, time=0, monotonic_time=0)
     agent.watch = SimpleNamespace(act=lambda time, steady: next(effects))
     agent.held, agent.away = Name(), {}
     agent.follower = SimpleNamespace(keeper=None)
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -156,7 +156,7 @@
     first = asker.ask(key=1, allow=ALLOW)
     time.sleep(0.6)
     asker.ask(key=2, allow=ALLOW)
-    world.does(lambda: owner.comes_late(time.monotonic_ns() // NS - 300))
+    world.does(lambda: owner.record_pause(time.monotonic_ns() // NS - 300))
     served.set()
     answers = dict(asker.answer()[:2] for _ in range(2))
     if answers[first] == b"200":
@@ -173,9 +173,9 @@
     owner, go = world.owner, world.stall()
     try:
         begun = time.monotonic_ns() // NS - 5_000
-        owner.comes_late(begun)
+        owner.record_pause(begun)
         time.sleep(0.2)
-        assert owner.stood_still() == begun
+        assert owner.paused_since() == begun
     finally:
         go.set()
 
@@ -184,9 +184,9 @@
     """A worker that is slow to begin: what came before it began may still be unread then."""
     owner = in_process(serves()).owner
     now = time.monotonic_ns() // 100_000
-    owner.comes_late(now - 5_000)
-    owner.comes_late(now - 1_500)
-    assert owner.stood_still() == now - 5_000
+    owner.record_pause(now - 5_000)
+    owner.record_pause(now - 1_500)
+    assert owner.paused_since() == now - 5_000
 
 
 def test_of_a_request_that_lay_unread_while_the_process_was_stopped(world):
@@ -220,7 +220,7 @@
     (client,) = world.owner.front.clients
     client.buffer.feed(b"*")  # more has come behind what was read
     stood = time.monotonic_ns() // NS - 2_000
-    monkeypatch.setattr(world.owner, "stood_still", lambda: stood)
+    monkeypatch.setattr(world.owner, "paused_since", lambda: stood)
     monkeypatch.setattr(client, "last_byte", lambda: stood + 1_900)
     for opened, since in (
         (stood - 50_000, stood),
