--- /dev/null
+++ b/lilacloft/gateway/clock.py
@@ -0,0 +1,74 @@
+"""The gateway's own time, and the pauses in which its process did not run.
+
+The time is the Unix time of the gateway's start, carried on by the monotonic clock: steps of the system's
+wall clock do not reach it. All times and spans are `Ticks`. Only the event loop's thread advances the clock;
+any thread may ask about pauses.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import NamedTuple
+
+from lilacloft.routing.units import Ticks
+from lilacloft.settings import NS
+
+PAUSE_THRESHOLD: Ticks = 1_000  # a longer gap between two updates means that the process did not run
+PAUSE_AFTERMATH: Ticks = 10_000  # span after a pause in which data that came during it may still be unread
+
+
+def monotonic_ticks() -> Ticks:
+    """Return the monotonic clock's time."""
+    return time.monotonic_ns() // NS
+
+
+class Pause(NamedTuple):
+    """A span in which this process did not run: it was stopped or starved. By the monotonic clock."""
+
+    started: Ticks  # the last update before it
+    ended: Ticks
+
+
+class GatewayClock:
+    """One gateway's time."""
+
+    def __init__(self, unix_clock: Callable[[], int] = time.time_ns) -> None:
+        """`unix_clock`: returns the Unix time in nanoseconds; read once."""
+        self.time: Ticks = unix_clock() // NS
+        self.monotonic_time: Ticks = time.monotonic_ns() // NS  # of the last update
+        self.last_pause: Pause | None = None
+
+    def update(self) -> None:
+        """Advance the time to now, and record a pause where the last update is too long ago."""
+        now = time.monotonic_ns() // NS
+        if now - self.monotonic_time > PAUSE_THRESHOLD:
+            self.record_pause(self.monotonic_time)
+        self.time += now - self.monotonic_time
+        self.monotonic_time = now
+
+    def resume(self, gateway_time: Ticks, monotonic_time: Ticks) -> None:
+        """Go on with the time of another process, which was `gateway_time` at `monotonic_time`."""
+        self.time, self.monotonic_time = gateway_time, monotonic_time
+        self.update()
+
+    def to_monotonic(self, at: Ticks) -> Ticks:
+        """Return a gateway time by the monotonic clock; 0, which means none, stays 0."""
+        return at and at - self.time + self.monotonic_time
+
+    def paused_since(self) -> Ticks | None:
+        """Return since when, by the monotonic clock, the process has been paused until just now, or may have
+        been; None where it was not. A reader's thread may run before the event loop has updated the clock."""
+        now, updated, pause = monotonic_ticks(), self.monotonic_time, self.last_pause
+        is_paused = now - updated > PAUSE_THRESHOLD
+        if pause and (updated if is_paused else now) - pause.ended <= PAUSE_AFTERMATH:
+            return min(updated, pause.started)  # pauses in a row: data from the first may be unread
+        return updated if is_paused else None
+
+    def record_pause(self, started: Ticks) -> None:
+        """Record that what clients sent since `started`, by the monotonic clock, is read only now: this
+        process was paused, or another process or none was the gateway. Pauses in a row count as one."""
+        now, previous = monotonic_ticks(), self.last_pause
+        if previous and started - previous.ended <= PAUSE_AFTERMATH:
+            started = min(started, previous.started)
+        self.last_pause = Pause(started, now)
--- /dev/null
+++ b/lilacloft/gateway/configuration.py
@@ -0,0 +1,89 @@
+"""Reads the configuration of a gateway: the platform's JSON, checked, with the settings in lilacloft's names.
+
+Errors: ValueError where a value cannot be used, KeyError where one is missing, TypeError, AttributeError or
+IndexError where one has another form.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from loguru import logger
+
+from lilacloft import needed
+from lilacloft.net.budgets import Budgets, budgets, descriptor_limit
+from lilacloft.net.feed import Event, known
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
+from lilacloft.settings import settings
+
+FIXED = ("listen", "settings")  # fields that a reload cannot change
+
+
+def parse_address(text: str) -> tuple[str, int]:
+    """Return host and port of `HOST:PORT`."""
+    host, _, port = text.rpartition(":")
+    return host, int(port)
+
+
+@dataclass(slots=True)
+class Configuration:
+    """One gateway's configuration. All spans are ticks."""
+
+    listen: str  # HOST:PORT
+    changelog: str  # HOST:PORT of the change log
+    name: str  # the gateway's; "" where none is given
+    settings: dict[str, Any]  # in lilacloft's names (lilacloft/settings.py)
+    answer_slack: Ticks
+    granularity: Ticks  # span within which events are taken together
+    max_client_timeout: Ticks
+    limits: dict[str, Any]  # of sockets and memory
+    fixed: dict[str, Any]  # the fields that a reload cannot change, as they were read
+    last_known_event: int  # number of the change log's last event that the configuration has
+
+    @property
+    def vhosts(self) -> list[dict[str, Any]]:
+        """The settings of the virtual hosts."""
+        return self.settings["vhosts"]
+
+    @property
+    def max_transfer_size(self) -> float:
+        """KB that can be sent at full rate in the longest client timeout."""
+        return self.settings["family"]["pace_kb_per_s"] / TICKS_PER_SECOND * self.max_client_timeout
+
+
+def read_configuration(config: dict[str, Any]) -> Configuration:
+    """Check a configuration as parsed from its JSON, and return what a gateway uses of it."""
+    needed.config(config)
+    listen = config["listen"]
+    names = settings(needed.told(config["settings"]))
+    return Configuration(
+        listen=listen,
+        changelog=config["changelog"],
+        name=config.get("name", ""),
+        settings=names,
+        answer_slack=names["rules"]["answer_slack"],
+        granularity=names["granularity"],
+        max_client_timeout=max(vhost["client_timeout"] for vhost in names["vhosts"]),
+        limits=config["limits"],
+        fixed={name: config[name] for name in FIXED},
+        last_known_event=config["known"]["seq"],
+    )
+
+
+def read_known_events(config: dict[str, Any], names: dict[str, Any]) -> list[Event]:
+    """Return the events of the change log that a configuration has; `names`: its settings."""
+    results = config["known"]["results"]
+    return [event for _, event in known(results, names["zones"], names["kinds"])]
+
+
+def read_budgets(limits: dict[str, Any]) -> Budgets:
+    """Return what may be held at once, and log where the system allows less than the configuration."""
+    descriptors = descriptor_limit()
+    if descriptors < limits["sockets"]:
+        logger.warning(
+            "the system allows {} descriptors, the configuration {}: the lower holds",
+            descriptors,
+            limits["sockets"],
+        )
+    return budgets(limits, descriptors)
--- /dev/null
+++ b/lilacloft/gateway/context.py
@@ -0,0 +1,51 @@
+"""What the parts of one gateway share. `gateway.Gateway` fills it in; the parts get it and keep no copies."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from lilacloft.gateway.clock import GatewayClock
+from lilacloft.gateway.configuration import Configuration
+from lilacloft.gateway.counters import Counters
+from lilacloft.gateway.event_loop import EventLoop
+from lilacloft.invariants import Invariants
+from lilacloft.net.back import Back
+from lilacloft.net.budgets import Budgets
+from lilacloft.net.feed import Feed
+from lilacloft.net.front import Call, Front
+from lilacloft.net.trace import Trace
+from lilacloft.routing.model import Backend, Request
+from lilacloft.routing.router import Router
+from lilacloft.routing.units import Ticks
+
+
+class GatewayContext:
+    """The shared parts. Everything but the queue and the trace belongs to the event loop's thread."""
+
+    front: Front  # the clients' connections
+    back: Back  # the connections to caches, parents and the origin
+    feed: Feed  # the change log
+    router: Router  # the decisions
+    invariants: Invariants
+    budgets: Budgets
+    maintenance_interval: Ticks
+
+    def __init__(self, configuration: Configuration, unix_clock: Callable[[], int]) -> None:
+        """`unix_clock`: returns the Unix time in nanoseconds."""
+        self.configuration = configuration
+        self.settings = configuration.settings
+        self.vhosts = configuration.vhosts
+        self.granularity = configuration.granularity
+        self.max_client_timeout = configuration.max_client_timeout
+        self.limits = configuration.limits
+        self.clock = GatewayClock(unix_clock)
+        self.counters = Counters()
+        self.loop = EventLoop(self.clock, self.counters, self.granularity, configuration.answer_slack)
+        self.trace = Trace()
+        self.open_requests: dict[Request, Call] = {}  # also finished ones whose attempt is still out
+        self.backends: dict[str, Backend] = {}  # by name
+        self.guard: Any = None  # lilacloft.store.guard.Guard: keeps effects over a crash, if anything does
+        self.recorder: Any = None  # lilacloft.record.writer.Recorder, if there are records
+        self.agent: Any = None  # lilacloft.plan.agent.Agent, if there are planners
+        self.upgrade: Any = None  # lilacloft.upgrade.offer.Offer, if this process may be replaced
--- /dev/null
+++ b/lilacloft/gateway/discovery.py
@@ -0,0 +1,123 @@
+"""Applies what the change log tells: the endpoint list, its changes, and purges.
+
+Times of others' clocks are translated into the gateway's time (lilacloft/stamps.py) before anything else sees
+them.
+"""
+
+from __future__ import annotations
+
+from lilacloft.gateway.clock import monotonic_ticks
+from lilacloft.gateway.configuration import parse_address
+from lilacloft.gateway.context import GatewayContext
+from lilacloft.net.feed import Entry, Event, Feed, Heard
+from lilacloft.routing.host import Endpoint, ListMode
+from lilacloft.routing.model import Backend
+from lilacloft.stamps import Hearing, Stamps
+
+PURGE = "purge"  # kind of an event; all others are endpoint lists, "full" or "delta"
+TICKS_PER_MILLISECOND = 10
+
+
+class Discovery:
+    """One gateway's endpoint list."""
+
+    def __init__(self, gateway: GatewayContext) -> None:
+        """Sets `gateway.feed`, which is not started yet."""
+        configuration = gateway.configuration
+        self.gateway = gateway
+        self.stamps = Stamps()
+        self.last_known_event = configuration.last_known_event
+        gateway.feed = Feed(
+            parse_address(configuration.changelog),
+            self.last_known_event,
+            self._event_received,
+            configuration.name,
+        )
+
+    def apply_configured_events(self, events: list[Event]) -> None:
+        """Apply the events that the configuration has: purges first, as they tell the state of the change
+        log's clock."""
+        entries = [entry for kind, content in events if kind != PURGE for entry in content]
+        starts = (started * TICKS_PER_MILLISECOND for *_, started in entries)
+        self.stamps.configured(self.gateway.clock.time, starts)
+        for event in sorted(events, key=lambda event: event[0] != PURGE):
+            self.apply_event(event, ListMode.CACHED if event[0] == ListMode.FULL else None)
+
+    def _event_received(self, event: Event, number: int) -> None:
+        """Post an event; in the change log's thread. What the configuration's list had in it already is
+        applied again only where the store may lack a purge: an older list must not hold for a moment."""
+        gateway = self.gateway
+        if event[0] == PURGE or number > self.last_known_event:
+            gateway.loop.post(self.apply_event, event, None, gateway.feed.heard)
+        if gateway.guard:
+            gateway.loop.post(gateway.guard.heard, event, number)
+        if gateway.recorder:
+            gateway.loop.post(gateway.recorder.heard, event, number, monotonic_ticks())
+
+    def apply_event(self, event: Event, mode: str | None = None, heard: Heard | None = None) -> None:
+        """Apply an endpoint list, changes of it, or a purge. `mode`: a `ListMode` other than the event's own
+        kind; `heard`: how the change log was heard from before, None where a configuration or a store has the
+        event."""
+        clock = self.gateway.clock
+        hearing = Hearing(clock.time - clock.monotonic_time + heard.at, heard.current) if heard else None
+        kind, content = event
+        if kind == PURGE:
+            self._apply_purge(content, hearing)
+            return
+        rows = [
+            (*row, self.stamps.start(clock.time, row[0], started * TICKS_PER_MILLISECOND, hearing))
+            for *row, started in content
+        ]
+        self.apply_endpoints(mode or kind, rows)
+
+    def _apply_purge(self, content: tuple[str, int, int], hearing: Hearing | None) -> None:
+        key, group, unix_milliseconds = content
+        gateway, stamp = self.gateway, unix_milliseconds * TICKS_PER_MILLISECOND
+        if gateway.guard:
+            gateway.guard.purged(key, group, stamp)
+        now = gateway.clock.time
+        gateway.router.object_purged(key, group, now - self.stamps.purge(now, stamp, hearing))
+        self._correct_start_times()
+
+    def apply_endpoints(self, mode: str, rows: list[Entry]) -> None:
+        """Apply an endpoint list, or changes of it, with starts in the gateway's own time."""
+        gateway = self.gateway
+        endpoints, addresses = [], []
+        for name, address, zone, kind, cell, status, capacity, started in rows:
+            backend = gateway.backends.get(name)
+            if backend is None:
+                backend = gateway.backends[name] = Backend(name)
+            endpoints.append(Endpoint(backend, zone, kind, cell, status, capacity, started))
+            addresses.append((backend, address))
+        clock = gateway.clock
+        for endpoint in endpoints:
+            gateway.invariants.listed(
+                endpoint.backend.name, endpoint.status, clock.time, clock.monotonic_time
+            )
+        gateway.router.endpoints_changed(mode, endpoints)
+        if gateway.agent:
+            gateway.agent.told([endpoint.backend.name for endpoint in endpoints])
+        for backend, address in addresses:
+            if backend.status:
+                gateway.back.place(backend, address)
+        self._drop_unlisted()
+
+    def _drop_unlisted(self) -> None:
+        """Close connections to backends that are listed no more, and forget those with nothing in flight."""
+        gateway = self.gateway
+        for name, backend in list(gateway.backends.items()):
+            if not backend.status:
+                gateway.back.drop(backend)
+                if not backend.requests:
+                    del gateway.backends[name]
+                    self.stamps.forget(name)
+
+    def _correct_start_times(self) -> None:
+        """Correct backends' starts: the change log's clock is known better, and some were earlier."""
+        for name, started in self.stamps.revised().items():
+            backend = self.gateway.backends.get(name)
+            pool = self.gateway.back.pools.get(backend) if backend else None
+            if backend:
+                backend.started = started
+            if pool:
+                pool.life = started
--- /dev/null
+++ b/lilacloft/gateway/dispatcher.py
@@ -0,0 +1,221 @@
+"""Carries out attempts and health checks: sends, withdraws and cancels them, and reports their ends.
+
+An attempt that waits for the store or for a connection has not gone out yet and can be withdrawn; one that
+has gone out can only be cancelled. The decisions never hear of an end from within one of their own calls: it
+is deferred until that has returned.
+"""
+
+from __future__ import annotations
+
+from lilacloft.gateway.answers import AnswerKind, FinalAnswers
+from lilacloft.gateway.context import GatewayContext
+from lilacloft.gateway.event_loop import ScheduledCall
+from lilacloft.gateway.wire_messages import TICKS_PER_MILLISECOND, attempt_milliseconds, encode_dispatch
+from lilacloft.invariants import History
+from lilacloft.net.back import NO_REPLY, Reply, Sent
+from lilacloft.net.conn import OUTCOMES, End
+from lilacloft.net.front import Call
+from lilacloft.routing.host import AttemptResult, Dispatch
+from lilacloft.routing.model import Backend, Idempotency, Outcome, Request
+from lilacloft.routing.units import Ticks
+
+
+class AttemptDispatcher:
+    """One gateway's attempts and health checks."""
+
+    def __init__(self, gateway: GatewayContext, answers: FinalAnswers) -> None:
+        self.gateway, self.answers = gateway, answers
+        self.clock, self.loop = gateway.clock, gateway.loop
+
+    # --- sending ---
+
+    def dispatch(self, dispatch: Dispatch) -> None:
+        """Send an attempt, unless a check finds that it would break an invariant."""
+        gateway, backend = self.gateway, dispatch.backend
+        call = gateway.open_requests[dispatch.request]
+        source = dispatch.source if dispatch.source is not backend else None
+        work = dispatch.request.transfer_time
+        if not gateway.invariants.sends(call.history, backend, source or backend, work, self.clock.time):
+            self._report_unsendable(call, backend)
+            return
+        until = min(self.clock.time + dispatch.timeout, dispatch.request.deadline)
+        sent = self._make_attempt(call, dispatch, source, until)
+        call.sent = sent
+        if call.last:
+            gateway.counters.retries[call.last] += 1
+        self._trace(call, "sent", f"{backend.name} {sent.seq}")
+        if gateway.recorder:
+            gateway.recorder.sent(call, backend, source)
+        end = gateway.guard.dispatch(sent, until) if gateway.guard else gateway.back.dispatch(sent)
+        if end is not None:
+            self.report_end(sent, end)
+            return
+        self.loop.call_at(until, self.attempt_timed_out, sent)
+        if dispatch.request.send_by:
+            self.loop.call_at(dispatch.request.send_by, self.send_deadline_passed, call)
+
+    def _make_attempt(self, call: Call, dispatch: Dispatch, source: Backend | None, until: Ticks) -> Sent:
+        """Return an attempt with its message; `until`: when it times out, in the gateway's time."""
+        request, clock = dispatch.request, self.clock
+        return Sent(
+            call,
+            dispatch.backend,
+            request.attempts - 1,
+            call.name.encode(),
+            encode_dispatch(call, dispatch, self.gateway.vhosts[request.vhost]["name"], source),
+            clock.time,
+            made=clock.monotonic_time,
+            limit=TICKS_PER_MILLISECOND * attempt_milliseconds(dispatch),
+            until=clock.to_monotonic(until),
+            send_by=clock.to_monotonic(request.send_by),
+            window_over=self.idempotency_deadline(call.history),
+        )
+
+    def idempotency_deadline(self, history: History) -> Ticks:
+        """Return when a request that may have run may not be sent again, by the monotonic clock; 0: it always
+        may."""
+        if history.ran is None or history.effect.kind == Idempotency.SAFE:
+            return 0
+        return self.clock.to_monotonic(history.ran + history.effect.window)
+
+    def check_health(self, backend: Backend) -> None:
+        """Send a health check."""
+        sent, end = self.gateway.back.check(backend)
+        if end is not None:
+            self.report_end(sent, end)
+        else:
+            self.loop.call_at(self.clock.time + self.gateway.back.patience, self.attempt_timed_out, sent)
+
+    # --- taking back ---
+
+    def cancel(self, request: Request, attempt: int) -> None:
+        """Stop waiting for an attempt, given by its number within its request."""
+        sent = self._find_attempt(request, attempt)
+        if sent is None:
+            return
+        if self._withdraw_from_store(sent):
+            self.report_end(sent, End.UNWRITTEN)
+        elif sent.conn is not None:
+            confirmed_at = self.gateway.back.give_up(sent)
+            self.loop.defer(self.attempt_cancelled, sent, End.CALLED_OFF, confirmed_at)
+
+    def withdraw(self, request: Request, attempt: int) -> None:
+        """Take an attempt back, given by its number within its request, if it has not gone out."""
+        sent = self._find_attempt(request, attempt)
+        if sent is not None:
+            self._withdraw_unsent(sent)
+
+    def _find_attempt(self, request: Request, attempt: int) -> Sent | None:
+        """Return a request's attempt if it is out."""
+        call = self.gateway.open_requests.get(request)
+        sent = call.sent if call else None
+        return sent if sent is not None and sent.seq == attempt else None
+
+    def _withdraw_unsent(self, sent: Sent) -> bool:
+        """Take back an attempt that has not gone out and report its end; False where it may have."""
+        withdrawn = self._withdraw_from_store(sent) or self.gateway.back.take_back(sent)
+        if withdrawn:
+            self.report_end(sent, End.UNWRITTEN)
+        return withdrawn
+
+    def _withdraw_from_store(self, sent: Sent) -> bool:
+        """Take back an attempt that waits for the disk; False where it does not."""
+        guard = self.gateway.guard
+        return bool(guard and guard.drop(sent))
+
+    def send_deadline_passed(self, call: Call) -> None:
+        """Give a request up at once where it is not out at a backend: nothing may be sent for it any more."""
+        sent = call.sent
+        if call.request.finished:
+            return
+        if sent is not None and self._withdraw_unsent(sent):
+            return
+        if sent is None or sent.conn is None:
+            self.gateway.router.send_by_passed(call.request)
+
+    def forget_if_finished(self, call: Call) -> None:
+        """Forget a finished request once no attempt of it is out. One that has not gone out is taken back,
+        also where the settings let no attempt be cancelled."""
+        if not call.request.finished:
+            return
+        if call.sent is None:
+            self.gateway.open_requests.pop(call.request, None)
+        else:
+            self._withdraw_unsent(call.sent)
+
+    # --- ends ---
+
+    def attempt_ended(self, sent: Sent, end: End, reply: Reply = NO_REPLY) -> None:
+        """An attempt or a health check is over. That its reply waited in the event loop's queue since it was
+        read counts against no backend."""
+        self.gateway.counters.ends[end.name] += 1
+        outcome, call = OUTCOMES[end], sent.call
+        if call is None:
+            self._health_check_ended(sent.backend, outcome, reply)
+            return
+        waited_here = max(0, self.clock.monotonic_time - reply.read_at) if reply.read_at else 0
+        duration = max(0, self.clock.time - sent.at - waited_here)
+        call.sent, call.last = None, outcome
+        if sent.made:  # else a check kept it back
+            self.gateway.invariants.ended(call.history, outcome)
+        self._trace(call, "ended", end.name)
+        self._notify_end(sent, end, duration, reply)
+        if outcome == Outcome.DONE:
+            self._send_answer(call, end, reply.body)
+        is_final = outcome == Outcome.DONE or call.request.finished
+        result = AttemptResult(sent.seq, outcome, duration, is_final, reply.note)
+        self.gateway.router.attempt_ended(call.request, sent.backend, result)
+        self.forget_if_finished(call)
+
+    def _health_check_ended(self, backend: Backend, outcome: str, reply: Reply) -> None:
+        if self.gateway.recorder:
+            self.gateway.recorder.checked(backend, outcome, reply.load)
+        self.gateway.router.health_checked(backend, outcome, reply.load)
+
+    def _notify_end(self, sent: Sent, end: End, duration: Ticks, reply: Reply) -> None:
+        """Tell the store, the records and the planners' agent of an attempt's end."""
+        gateway, call = self.gateway, sent.call
+        if gateway.guard:
+            gateway.guard.ended(sent, end)
+        if gateway.recorder:
+            gateway.recorder.ended(call, sent.backend, end, duration, reply.note, reply.queued, reply.load)
+        if gateway.agent:
+            gateway.agent.ended(call, sent.backend, OUTCOMES[end], duration, reply.note)
+
+    def _send_answer(self, call: Call, end: End, body: bytes) -> None:
+        if end is End.UNCHANGED:
+            self.answers.send(call, AnswerKind.SERVED, (("ok304", 1),))
+        else:
+            self.answers.send(call, AnswerKind.SERVED, (), body)
+
+    def attempt_cancelled(self, sent: Sent, end: End, confirmed_at: Ticks) -> None:
+        """An attempt was ended by this gateway. Its request may be sent again only once it is certain that
+        the backend knows, else two attempts could be out at once; so its end is reported at `confirmed_at`,
+        or now where nothing will be sent any more."""
+        if sent.call is None or sent.call.request.finished or confirmed_at <= self.clock.time:
+            self.attempt_ended(sent, end)
+        else:
+            self.loop.call_at(confirmed_at, self.attempt_ended, sent, end)
+
+    def attempt_timed_out(self, sent: Sent) -> None:
+        """The time of an attempt or a health check is up."""
+        if sent.conn is not None:
+            self.gateway.back.give_up(sent)
+            self.attempt_ended(sent, End.TIME_UP)
+
+    def is_obsolete(self, call: ScheduledCall) -> bool:
+        """Is a timer the time-out of an attempt that is over? Then it need not wake the event loop."""
+        return call.callback == self.attempt_timed_out and call.arguments[0].conn is None
+
+    def report_end(self, sent: Sent, end: End) -> None:
+        """Report the end of an attempt or a health check without an answer, after the current callback."""
+        self.loop.defer(self.attempt_ended, sent, end)
+
+    def _report_unsendable(self, call: Call, backend: Backend) -> None:
+        """End an attempt before it begins, as it would break an invariant."""
+        sent = Sent(call, backend, call.request.attempts - 1, call.name.encode(), b"", self.clock.time)
+        call.sent = sent
+        self.report_end(sent, End.UNWRITTEN)
+
+    def _trace(self, call: Call, what: str, detail: str) -> None:
+        self.gateway.trace.add(self.clock.monotonic_time, call.name, what, detail)
--- /dev/null
+++ b/lilacloft/gateway/lifecycle.py
@@ -0,0 +1,111 @@
+"""The life of a gateway process: its phase, and its graceful shutdown.
+
+After SIGTERM clients may still connect for a while, as the protocol says; every request that was read is
+answered before the process may be killed. Then the listener and all connections are closed.
+"""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+
+from loguru import logger
+
+from lilacloft.gateway.context import GatewayContext
+from lilacloft.routing.model import RejectReason
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
+
+ARRIVALS_AFTER_STOP = 0.7  # seconds after SIGTERM in which clients may still send requests, by the protocol
+MAX_ARRIVAL_GAP = 0.2  # seconds without a request after those, until no more are expected
+CLIENT_CLOSE_GRACE = 0.3  # seconds left to clients to close their halves, once ours are closed
+EARLIEST_KILL = 3.0  # seconds after `ARRIVALS_AFTER_STOP` in which the process is not killed yet
+MIN_CLOSING_INTERVAL: Ticks = 10  # between two looks at connections that are closing
+
+
+class Phase(Enum):
+    """Where a process is in its life; it only moves forwards. docs/gateway.md says what each phase owes."""
+
+    STARTING = auto()  # bound, and no client accepted yet
+    SERVING = auto()
+    DRAINING = auto()  # told to stop: clients may still come, and are answered
+    CLOSING = auto()  # no more clients and nothing owed: the listener and our halves are closed
+    ENDED = auto()  # nothing is left here, or another process is the gateway
+
+
+class Lifecycle:
+    """The phase of one gateway process."""
+
+    def __init__(self, gateway: GatewayContext) -> None:
+        self.gateway = gateway
+        self.phase = Phase.STARTING
+        self.shutdown_started: Ticks = 0  # when SIGTERM came; 0: it has not
+        self.shutdown_deadline: Ticks = 0  # when all must be answered then
+        self.listener_closed_at: Ticks = 0
+        self.last_arrival: Ticks = 0  # of a request
+
+    def enter(self, phase: Phase) -> None:
+        """Change the phase, unless it is past this one already. Nothing else changes it."""
+        if phase.value > self.phase.value:
+            self.phase = phase
+
+    def stop(self) -> None:
+        """Start the graceful shutdown: SIGTERM came."""
+        gateway = self.gateway
+        if self.phase not in (Phase.STARTING, Phase.SERVING) or (gateway.upgrade and gateway.upgrade.stops()):
+            return
+        self.enter(Phase.DRAINING)
+        logger.info("told to stop: {} reqs are open", len(gateway.open_requests))
+        self.shutdown_started = now = gateway.clock.time
+        arrivals = int(ARRIVALS_AFTER_STOP * TICKS_PER_SECOND)
+        longest = min(gateway.max_client_timeout, int(EARLIEST_KILL * TICKS_PER_SECOND))
+        self.shutdown_deadline = now + arrivals + longest - gateway.maintenance_interval
+        gateway.loop.call_at(self.shutdown_deadline, self._reject_open_requests)
+
+    def is_finished(self) -> bool:
+        """Is nothing owed any more? Moves the shutdown on where it can."""
+        if self.phase not in (Phase.DRAINING, Phase.CLOSING):
+            return self.phase is Phase.ENDED
+        is_busy = self._is_busy()
+        if self.phase is Phase.DRAINING and self._arrivals_are_over() and not is_busy:
+            self._close_listener()
+        if self.phase is Phase.CLOSING and self._clients_are_closed(is_busy):
+            return True
+        return self.gateway.clock.time > self.shutdown_deadline + self.gateway.maintenance_interval // 2
+
+    def _is_busy(self) -> bool:
+        """Is a request open, or an answer unwritten? What a reader has taken may not be in `open_requests`
+        yet."""
+        gateway = self.gateway
+        return bool(gateway.open_requests) or any(
+            client.open or client.waits() for client in list(gateway.front.clients)
+        )
+
+    def _arrivals_are_over(self) -> bool:
+        return self.gateway.clock.time >= max(
+            self.shutdown_started + ARRIVALS_AFTER_STOP * TICKS_PER_SECOND,
+            self.last_arrival + MAX_ARRIVAL_GAP * TICKS_PER_SECOND,
+        )
+
+    def _close_listener(self) -> None:
+        """Accept no more clients, unless a connection or a message is still unread."""
+        if not self.gateway.front.unread():
+            self.enter(Phase.CLOSING)
+            self.listener_closed_at = self.gateway.clock.time
+            self.gateway.front.shut_door()
+
+    def _clients_are_closed(self, is_busy: bool) -> bool:
+        """Close our halves of connections on which nothing is owed; is that done, and had clients the time to
+        close theirs? Requests that cross our close are sent again elsewhere, and answers on their way still
+        arrive."""
+        gateway = self.gateway
+        remain = gateway.front.part_all()
+        had_time = gateway.clock.time > self.listener_closed_at + CLIENT_CLOSE_GRACE * TICKS_PER_SECOND
+        if not is_busy and (not remain or (had_time and not gateway.front.unread())):
+            return True
+        next_look = gateway.clock.time + max(gateway.granularity, MIN_CLOSING_INTERVAL)
+        gateway.loop.call_at(next_look, lambda: None)  # wakes the loop, which asks again
+        return False
+
+    def _reject_open_requests(self) -> None:
+        """Reject what is still open at the shutdown's deadline."""
+        for call in list(self.gateway.open_requests.values()):
+            self.gateway.router.reject(call.request, RejectReason.ENDING)
--- /dev/null
+++ b/lilacloft/gateway/reload.py
@@ -0,0 +1,35 @@
+"""Reloads the configuration of a running gateway: limits and the change log's address."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from loguru import logger
+
+from lilacloft import needed
+from lilacloft.gateway.configuration import parse_address
+from lilacloft.gateway.context import GatewayContext
+from lilacloft.net.budgets import budgets, descriptor_limit
+
+
+def reload(gateway: GatewayContext, config: dict[str, Any]) -> None:
+    """Apply a configuration that was read again, as far as it may change; all of that, or nothing where it
+    cannot be used. SIGHUP came."""
+    if gateway.upgrade and gateway.upgrade.reloads():
+        return
+    try:
+        needed.config(config)
+        changelog = parse_address(config["changelog"])
+        found = budgets(config["limits"], descriptor_limit())
+        fixed = gateway.configuration.fixed
+        ignored = [name for name, value in fixed.items() if config[name] != value]
+    except (KeyError, ValueError, TypeError, AttributeError) as wrong:
+        logger.error("the old configuration stays: it cannot be used: {!r}", wrong)
+        return
+    gateway.budgets, gateway.front.most, gateway.back.most = found, found.clients, found.caches
+    gateway.limits = config["limits"]
+    gateway.feed.move(changelog)
+    logger.info(
+        "the configuration was read again{}",
+        "; changed, but kept till a restart: " * bool(ignored) + ", ".join(ignored),
+    )
--- a/lilacloft/net/back.py
+++ b/lilacloft/net/back.py
@@ -9,8 +9,8 @@
 import math
 import time
 from collections import Counter
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Sequence
+from typing import Any, NamedTuple
 
 from loguru import logger
 
@@ -66,6 +66,19 @@
     return encode(verb, name, listed(pairs.items()), body)
 
 
+class Reply(NamedTuple):
+    """What a backend's answer has besides its status."""
+
+    note: int = 0  # a CacheNote
+    queued: int = 0  # ticks that the request waited at the backend
+    load: Sequence[float] = ()  # the load report, in the order of the settings' names; empty: none
+    body: bytes = b""
+    read_at: int = 0  # when it was read, by the monotonic clock in ticks; 0: there was no answer
+
+
+NO_REPLY = Reply()
+
+
 class Sent:
     """A dispatch or a check that is out."""
 
@@ -332,7 +345,7 @@
     def unsent(self, sent: Sent) -> None:
         """A dispatch has lapsed in the backlog of its connection."""
         if self.take_back(sent):
-            self.ended(sent, End.UNWRITTEN, 0, 0, [], b"")
+            self.ended(sent, End.UNWRITTEN)
 
     def give_up(self, sent: Sent) -> int:
         """Nobody waits for it any more: it must be given up before anything else goes out for its req. Tells
@@ -385,23 +398,13 @@
         except (ValueError, OverflowError):
             raise GarbledError("fields that cannot be read") from None
         body, at = items[3] if len(items) > 3 else b"", time.monotonic_ns() // NS
-        self.post(self.answered, line, at, items[0], items[1], NOTES[note], waited, report, body)
+        self.post(self.answered, line, items[0], items[1], Reply(NOTES[note], waited, report, body, at))
 
     def gone(self, line: Line) -> None:
         self.post(self.broken, line)
 
-    def answered(
-        self,
-        line: Line,
-        at: int,
-        name: bytes,
-        word: bytes,
-        note: int,
-        waited: int,
-        report: list[float],
-        body: bytes,
-    ) -> None:
-        """The owner's part of an answer, which was read at a time by the steady clock."""
+    def answered(self, line: Line, name: bytes, word: bytes, reply: Reply) -> None:
+        """Handle an answer in the event loop's thread: find the attempt or health check that it ends."""
         line.heard = self.now()
         sent = line.out.get(name)
         if sent is None:
@@ -413,7 +416,7 @@
             return
         self.counts["answers"] += 1
         self._off(line, sent)
-        self.ended(sent, end, note, waited, report, body, at)
+        self.ended(sent, end, reply)
 
     def broken(self, line: Line) -> None:
         """A connection has ended; so has all that was out on it."""
@@ -433,7 +436,7 @@
             if end in ENDED_BY_US:  # as in give_up
                 self.parted(sent, end, self.now() + self.slack)
             else:
-                self.ended(sent, end, 0, 0, [], b"")
+                self.ended(sent, end)
 
     def sweep(self) -> None:
         """End what stands still within an answer, as nothing on it will come any more; give back what has
--- a/lilacloft/net/front.py
+++ b/lilacloft/net/front.py
@@ -64,7 +64,7 @@
             self.departed()
             if self.input_ended is not None and not told:
                 told = True  # what waits is given up at once, not when all before its end has been read
-                self.front.post(self.front.owner.client_half_closed, self, self.input_ended)
+                self.front.post(self.front.owner.requests.client_half_closed, self, self.input_ended)
 
     def departed(self) -> int | None:
         """Since when, by the steady clock, the client may have gone: 0 where it surely has; None where it is
@@ -180,9 +180,9 @@
         if self.end is None and (self.taken > self.settled or self.waits()):
             seen, until = threading.Event(), time.monotonic() + OWED / 2
             if end is End.GARBLED:
-                self.front.post(owner.client_malformed, self)
+                self.front.post(owner.requests.client_sent_malformed, self)
             else:
-                self.front.post(owner.client_half_closed, self, self.input_ended)
+                self.front.post(owner.requests.client_half_closed, self, self.input_ended)
             self.front.post(seen.set)  # until the owner has come to all that was read
             seen.wait()
             while self.end is None and (self.taken > self.settled or self.waits()):
@@ -440,16 +440,16 @@
                 if taken:
                     self.counts["reqs"] += 1
                     client.passes_on()  # first: the owner may come to it before this thread goes on
-                    self.post(self.owner.request_arrived, call)
+                    self.post(self.owner.requests.arrived, call)
         elif verb == b"FORGET":
             self.counts["forgotten"] += 1
             call = client.open.get(tag)
             if call is not None and self.close(call):  # at once, as the client counts it open no more
                 call.left = at
-                self.post(self.owner.request_cancelled, call)
+                self.post(self.owner.requests.cancelled, call)
         elif verb == b"ALIVE":
             self.counts["checks"] += 1
-            self.answer(client, tag, b"not_serving" if self.owner.shutdown_started else b"serving")
+            self.answer(client, tag, b"not_serving" if self.owner.is_shutting_down else b"serving")
         else:
             self._offence(client, tag, b"500")
 
@@ -487,7 +487,7 @@
         self.parting.pop(client, None)
         self.closes[(client.end or End.FAULT).name] += 1
         if client.open:
-            self.post(self.owner.client_disconnected, client)
+            self.post(self.owner.requests.client_disconnected, client)
 
     # --- the owner's thread ---
 
--- a/lilacloft/plan/agent.py
+++ b/lilacloft/plan/agent.py
@@ -132,7 +132,7 @@
             was = self.away.get(zone, SLICES)
             if back == was:
                 continue
-            names, told = self.owner.config["zones"], self.follower.plan.zones.get(zone) if holds else None
+            names, told = self.owner.settings["zones"], self.follower.plan.zones.get(zone) if holds else None
             name, why = names[zone] if 0 <= zone < len(names) else str(zone), told.why if told else ""
             if back == 0 or back == SLICES or was == 0:
                 logger.info(
--- a/lilacloft/record/writer.py
+++ b/lilacloft/record/writer.py
@@ -88,8 +88,8 @@
             gateway=name,
             run=self.run,
             version=__version__,
-            zone=str(owner.config["zones"][owner.config["zone"]]),
-            gateways=owner.config["gateways"],
+            zone=str(owner.settings["zones"][owner.settings["zone"]]),
+            gateways=owner.settings["gateways"],
             vhosts={vhost: list(three) for vhost, three in told.items()},
         )
         self.number = 0
@@ -176,7 +176,7 @@
         self.summary.left(self.names[call.vhost])
 
     def checked(self, backend: Any, outcome: str, load: list[float]) -> None:
-        names = self.owner.config["stats"]["names"]
+        names = self.owner.settings["stats"]["names"]
         if "util" in names and load:
             self.summary.checked(backend.name, round(load[names.index("util")], 3))
 
@@ -234,7 +234,7 @@
         return self._list(backends, number, what == "full", gone)
 
     def _list(self, backends: Any, number: int, whole: bool, gone: Any = ()) -> None:
-        family, zones = self.owner.config["kinds"], self.owner.config["zones"]
+        family, zones = self.owner.settings["kinds"], self.owner.settings["zones"]
         rows = [
             (
                 backend.name,
--- a/lilacloft/upgrade/carry.py
+++ b/lilacloft/upgrade/carry.py
@@ -383,7 +383,7 @@
             if call.request.send_by:
                 owner.call_at(call.request.send_by, owner.send_deadline_passed, call)
         if told.over:
-            owner.call_at(told.over[1], owner.attempt_ended, sent, End[told.over[0]], 0, 0, [], b"")
+            owner.call_at(told.over[1], owner.attempt_ended, sent, End[told.over[0]])
             return
         if told.line is None:
             self.again.append(sent)
--- a/lilacloft/upgrade/rest.py
+++ b/lilacloft/upgrade/rest.py
@@ -73,7 +73,7 @@
                 one for one in self.held if isinstance(one, Client) and one.state is State.UNREADABLE
             ]:
                 self.loosen(client)  # nonsense: what it has open is given up, and its end comes here
-                owner.run_callback(owner.client_malformed, (client,))
+                owner.run_callback(owner.requests.client_sent_malformed, (client,))
             self.hear()
             if not wanted():
                 return "called off"
@@ -106,7 +106,7 @@
         owner.update_clock()
         while (event := owner.next_event(0.0)) is not None:
             owner.update_clock()
-            owner.run_callback(event[0], event[1:])
+            owner.run_callback(event.callback, event.arguments)
 
     def loosen(self, conn: Conn) -> None:
         if conn in self.held:
@@ -162,7 +162,7 @@
             elif conn in self.moved:
                 conn.lock.release()
         for client in clients:
-            owner.run_callback(owner.client_disconnected, (client,))
+            owner.run_callback(owner.requests.client_disconnected, (client,))
         for conn in conns:
             conn.close(End.RESET)
             if self.held.pop(conn, None) is not None or conn in self.moved:
--- a/tests/test_carried.py
+++ b/tests/test_carried.py
@@ -279,5 +279,5 @@
     )  # an attempt that may have run
     with handed_over(world) as told:
         (sent,) = told.again
-        window = world.owner.effects[call.vhost].window
+        window = world.owner.requests.effects[call.vhost].window
         assert window and sent.window_over == told.owner.to_monotonic(call.request.first_executed_at + window)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -276,7 +276,7 @@
         gone(leaves, goes)
         told.start()
         nothing_comes(world)
-        assert [entry[2] for entry in told.owner.deferred] == [End.UNWRITTEN]
+        assert [event.arguments[1] for event in told.owner.loop.deferred] == [End.UNWRITTEN]
 
 
 def test_how_long_a_client_has_been_gone_is_reckoned_by_the_clock_within_a_long_event(in_process):
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -17,8 +17,9 @@
 
 import pytest
 
-from lilacloft.gateway import gateway as owners
-from lilacloft.gateway.gateway import Gateway, Phase
+from lilacloft.gateway import lifecycle
+from lilacloft.gateway.gateway import Gateway
+from lilacloft.gateway.lifecycle import Phase
 from lilacloft.net import conn as conns
 from lilacloft.net import feed as feeds
 from lilacloft.net import front as fronts
@@ -162,8 +163,11 @@
     tag = asker.ask(allow=3000)
     _, sock, items = world.caches[0].next()
     world.does(world.owner.stop)
-    assert world.owner.shutdown_deadline - world.owner.shutdown_started > 3 * owners.TENTHS
-    until(lambda: world.does(lambda: world.owner.time) > world.owner.shutdown_started + 2000)
+    assert (
+        world.owner.lifecycle.shutdown_deadline - world.owner.lifecycle.shutdown_started
+        > 3 * lifecycle.TICKS_PER_SECOND
+    )
+    until(lambda: world.does(lambda: world.owner.time) > world.owner.lifecycle.shutdown_started + 2000)
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
 
@@ -275,13 +279,13 @@
 @pytest.fixture
 def soon(monkeypatch):
     """Clients come for a shorter while after SIGTERM."""
-    monkeypatch.setattr(owners, "COMING", 0.1)
-    monkeypatch.setattr(owners, "QUIET", 0.05)
+    monkeypatch.setattr(lifecycle, "ARRIVALS_AFTER_STOP", 0.1)
+    monkeypatch.setattr(lifecycle, "MAX_ARRIVAL_GAP", 0.05)
 
 
 def past_coming(world):
-    until(lambda: world.owner.phase is Phase.DRAINING)
-    until(lambda: world.owner.time > world.owner.shutdown_started + 3000)
+    until(lambda: world.owner.lifecycle.phase is Phase.DRAINING)
+    until(lambda: world.owner.time > world.owner.lifecycle.shutdown_started + 3000)
 
 
 def patient(settings):
@@ -308,7 +312,7 @@
     until(lambda: unread(next(iter(world.owner.front.clients))))
     world.owner.post(world.owner.stop)
     past_coming(world)
-    assert world.thread.is_alive() and world.owner.phase is Phase.DRAINING
+    assert world.thread.is_alive() and world.owner.lifecycle.phase is Phase.DRAINING
     go.set()
     assert asker.answer() == [b"99", b"not_serving"] and asker.answer() == [tag, b"200", b"", b"ok"]
     assert asker.answer() is None
@@ -356,7 +360,7 @@
     resting.ask(key=3)
     other.sock.close()
     world.thread.join(3)
-    assert not world.thread.is_alive() and world.owner.time - world.owner.listener_closed_at < 5000
+    assert not world.thread.is_alive() and world.owner.time - world.owner.lifecycle.listener_closed_at < 5000
     assert not waits_for(world.caches[0], 0.1)
     with pytest.raises(ConnectionRefusedError):
         world.asker()
@@ -369,7 +373,7 @@
     asker.sock.sendall(told[:30])
     until(lambda: any(client.buffer.partial() for client in world.owner.front.clients))
     world.owner.post(world.owner.stop)
-    until(lambda: world.owner.phase is Phase.DRAINING)
+    until(lambda: world.owner.lifecycle.phase is Phase.DRAINING)
     asker.sock.sendall(told[30:])
     assert asker.answer() == [b"1", b"200", b"", b"ok"]
     asker.sock.close()
@@ -405,7 +409,7 @@
     tags[read] = read.ask(key=4, allow=3000)
     until(lambda: world.owner.front.counts["reqs"] == 4)
     go.set()
-    until(lambda: world.owner.phase is Phase.DRAINING)
+    until(lambda: world.owner.lifecycle.phase is Phase.DRAINING)
     gate.set()
     late.set()
     for asker, tag in tags.items():
@@ -797,7 +801,7 @@
         self.port = self.owner.front.sock.getsockname()[1]
         self.thread = threading.Thread(target=self.owner.run, daemon=True)
         self.thread.start()
-        until(lambda: self.owner.phase is Phase.SERVING and self.does(lambda: True))
+        until(lambda: self.owner.lifecycle.phase is Phase.SERVING and self.does(lambda: True))
 
 
 class Replays(Log):
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -10,7 +10,7 @@
 
 from lilacloft import serving
 from lilacloft.errors import UnusableError
-from lilacloft.gateway.gateway import Phase
+from lilacloft.gateway.lifecycle import Phase
 from lilacloft.net import front
 from lilacloft.net.resp import encode
 from lilacloft.routing.model import RejectReason
@@ -93,7 +93,7 @@
     world = in_process(serves(b"ok"))
     asker = world.asker()
     world.owner.post(world.owner.stop)
-    until(lambda: world.owner.shutdown_started)
+    until(lambda: world.owner.lifecycle.shutdown_started)
     failing.rates["poll"] = 0.5
     tag = asker.ask()
     assert asker.answer()[:2] in ([tag, b"200"], [tag, b"503"])
@@ -101,7 +101,7 @@
     world.thread.join(5)
     assert not world.thread.is_alive()
     assert failing.seen["poll"] > 0
-    assert world.owner.phase in (Phase.CLOSING, Phase.ENDED)  # it came to its end in order
+    assert world.owner.lifecycle.phase in (Phase.CLOSING, Phase.ENDED)  # it came to its end in order
     assert not any(world.owner.open_resources().values())
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,8 +13,9 @@
 from loguru import logger
 
 from lilacloft.__main__ import main
+from lilacloft.gateway.answers import AnswerKind
 from lilacloft.gateway.gateway import Gateway
-from lilacloft.net.back import Back, Sent
+from lilacloft.net.back import Back, Reply, Sent
 from lilacloft.net.conn import End
 from lilacloft.net.front import STREAMS, Client, Front
 from lilacloft.net.resp import Buffer, fields
@@ -227,10 +228,10 @@
 def test_what_is_forgotten_counts_as_open_no_more_and_more_than_may_be_open_is_refused():
     """At once, not when the owner comes to it: a usual client under load would be taken for an offender."""
     owner = types.SimpleNamespace(
-        request_arrived="arrived",
-        request_cancelled="forgotten",
-        client_malformed="garbled",
-        shutdown_started=0,
+        requests=types.SimpleNamespace(
+            arrived="arrived", cancelled="forgotten", client_sent_malformed="garbled"
+        ),
+        is_shutting_down=False,
         paused_since=lambda: None,
     )
     posted, config = [], settings(ENV)
@@ -266,9 +267,9 @@
     call = client.open[b"1"]
     call.request = Request(call.key, call.part, call.group, call.kbytes, 0, owner.time + 90, call.vhost)
     call.history = owner.request_history(call, call.request)
-    owner.send_final_answer(call, "denied", b"503")
+    owner.answers.send(call, AnswerKind.REJECTED)
     assert told == [1] and client.taken == client.settled
-    owner.send_final_answer(call, "denied", b"503")
+    owner.answers.send(call, AnswerKind.REJECTED)
     assert told == [1], "once"
     here.close()
     there.close()
@@ -569,8 +570,8 @@
     monkeypatch.setattr(owner.front, "close", lambda _: False)
     owner.update_clock()
     sent = Sent(call, backend, 0, b"1", b"", owner.time - 3000)
-    owner.attempt_ended(sent, End.DATA, 1, 0, [], b"", owner.monotonic_time - 2000)
-    owner.attempt_ended(sent, End.TIME_UP, 0, 0, [], b"")
+    owner.attempt_ended(sent, End.DATA, Reply(note=1, read_at=owner.monotonic_time - 2000))
+    owner.attempt_ended(sent, End.TIME_UP)
     assert told == [1000, 3000]
     seen = []
     owner.run_callback(lambda: 1 // 0, ())
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lilacloft.gateway.gateway import Phase
+from lilacloft.gateway.lifecycle import Phase
 from lilacloft.net import conn
 from lilacloft.net.conn import End, polled
 from lilacloft.net.front import Front
@@ -195,7 +195,7 @@
         asker.sock.sendall(REQUEST[:40])
         until(only_client(world).buffer.partial)
         world.does(world.owner.stop)
-        until(lambda world=world: world.owner.phase is Phase.CLOSING)
+        until(lambda world=world: world.owner.lifecycle.phase is Phase.CLOSING)
         reader.at.clear()
         reader.hold()
         asker.sock.sendall(REQUEST[40:])
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -164,6 +164,6 @@
         cache.break_off()
     asker.ask(key=2)
     assert asker.answer()[1] == b"503"
-    assert sum(world.owner.reject_counts.values()) == 1
-    assert world.owner.retry_counts["unreached"] >= 1
+    assert sum(world.owner.counters.rejects.values()) == 1
+    assert world.owner.counters.retries["unreached"] >= 1
     assert world.owner.back.closes["REFUSED"] >= 1
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -401,7 +401,7 @@
     recorder.away = lambda *told: Recorder.away(recorder, *told)
     holds = iter([{1: (0, 0)}, {1: (0, 0)}, {1: (4, 1)}, {}, {}])
     agent = Agent.__new__(Agent)
-    agent.owner = SimpleNamespace(recorder=recorder, config={"zones": ["here", "there"]})
+    agent.owner = SimpleNamespace(recorder=recorder, settings={"zones": ["here", "there"]})
     agent.follower = SimpleNamespace(
         keeper=SimpleNamespace(holds=lambda: next(holds)),
         plan=SimpleNamespace(zones={1: Told(0, why="its caches fail")}),
