--- /dev/null
+++ b/lilacloft/gateway/gateway.py
@@ -0,0 +1,272 @@
+"""One gateway: puts its parts together, runs them, and is the `Host` of the decisions.
+
+One thread, that of `Gateway.run`, calls the decisions (`lilacloft.routing`) and gives all final answers; the
+sockets' threads post what they see to its queue. Nothing here waits for a peer, decides anything, answers a
+request twice, or calls the decisions back from within one of their calls.
+"""
+
+from __future__ import annotations
+
+import queue
+import socket
+import time
+from collections.abc import Callable
+from typing import Any
+
+from loguru import logger
+
+from lilacloft.gateway import reload
+from lilacloft.gateway.answers import FinalAnswers
+from lilacloft.gateway.client_requests import ClientRequests
+from lilacloft.gateway.configuration import (
+    parse_address,
+    read_budgets,
+    read_configuration,
+    read_known_events,
+)
+from lilacloft.gateway.context import GatewayContext
+from lilacloft.gateway.discovery import Discovery
+from lilacloft.gateway.dispatcher import AttemptDispatcher
+from lilacloft.gateway.event_loop import Event, ScheduledCall
+from lilacloft.gateway.lifecycle import Lifecycle, Phase
+from lilacloft.gateway.reporting import Reporter
+from lilacloft.invariants import Invariants
+from lilacloft.net.back import Back
+from lilacloft.net.conn import Conn
+from lilacloft.net.front import Front
+from lilacloft.routing.host import Dispatch, HealthChange, Timer
+from lilacloft.routing.model import Backend, Request
+from lilacloft.routing.router import Router
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
+
+HEARTBEAT_INTERVAL: Ticks = 500  # the event loop wakes at least so often, so that pauses are noticed
+WRITE_RETRY_DELAY: Ticks = 100  # after which a thread that could not be started is tried again
+MAX_MAINTENANCE_INTERVAL = 0.5  # seconds between two rounds; clients are owed an end within a few of them
+
+
+class Gateway(GatewayContext):
+    """One gateway process, and the `Host` of its `Router`."""
+
+    def __init__(
+        self,
+        config: dict[str, Any],
+        unix_clock: Callable[[], int] = time.time_ns,
+        sock: socket.socket | None = None,
+        follows: bool = False,
+    ) -> None:
+        """Bind to the address that `config`, the platform's JSON, names, or use a socket that is bound.
+
+        `follows`: the endpoint list and the purges come from the process before this one. Raises OSError
+        where the address cannot be bound, and the errors of `configuration` where that cannot be used."""
+        configuration = read_configuration(config)
+        super().__init__(configuration, unix_clock)
+        known_events = read_known_events(config, configuration.settings)
+        self.budgets = read_budgets(self.limits)
+        self.lifecycle = Lifecycle(self)
+        self.reporter = Reporter(self)
+        self.answers = FinalAnswers(self)
+        self.dispatcher = AttemptDispatcher(self, self.answers)
+        self._connect_backends()
+        self.requests = ClientRequests(self, self.lifecycle, self.answers, self.dispatcher)
+        self.front = Front(
+            self.loop.post,
+            self,
+            parse_address(configuration.listen),
+            self.vhosts,
+            self.budgets.clients,
+            configuration.max_transfer_size,
+            sock,
+        )
+        self.discovery = Discovery(self)
+        self._bind_interface()
+        self.clock.update()
+        self.router = Router(self, self.settings)
+        self.loop.report_lag = self.router.loop_lagged
+        self.loop.is_obsolete = self.dispatcher.is_obsolete
+        if not follows:
+            self.discovery.apply_configured_events(known_events)
+
+    def _connect_backends(self) -> None:
+        """Make the side of the caches, parents and origin, and the checks on what goes there."""
+        self.back = Back(
+            self.loop.post,
+            self.now,
+            self.dispatcher.attempt_ended,
+            self.dispatcher.attempt_cancelled,
+            self.settings,
+            self.budgets.caches,
+        )
+        self.back.write_soon = self.write_soon
+        self.invariants = self.back.invariants = Invariants(self.settings, self.reporter.report_violation)
+        longest = int(MAX_MAINTENANCE_INTERVAL * TICKS_PER_SECOND)
+        self.maintenance_interval = min(self.back.patience, longest)
+
+    def _bind_interface(self) -> None:
+        """Name here what the store, the handover, the planners' agent and the records use of the parts."""
+        self.post, self.call_at = self.loop.post, self.loop.call_at
+        self.run_callback, self.next_event = self.loop.run_callback, self.loop.next_event
+        self.update_clock, self.resume_clock = self.clock.update, self.clock.resume
+        self.paused_since, self.record_pause = self.clock.paused_since, self.clock.record_pause
+        self.to_monotonic = self.clock.to_monotonic
+        self.answer_counts, self.end_counts = self.counters.answers, self.counters.ends
+        self.stamps = self.discovery.stamps
+        self.apply_event, self.apply_endpoints = self.discovery.apply_event, self.discovery.apply_endpoints
+        self.attempt_ended = self.dispatcher.attempt_ended
+        self.attempt_timed_out = self.dispatcher.attempt_timed_out
+        self.send_deadline_passed = self.dispatcher.send_deadline_passed
+        self.report_end = self.dispatcher.report_end
+        self.idempotency_deadline = self.dispatcher.idempotency_deadline
+        self.request_history = self.requests.request_history
+
+    # --- the process ---
+
+    def run(self) -> None:
+        """Serve until the process has been told to end and nothing is owed any more."""
+        self.lifecycle.enter(Phase.SERVING)
+        self.front.start()
+        logger.info("serving on {} with {} bes listed", self.configuration.listen, len(self.backends))
+        self.feed.start()
+        self.run_maintenance()
+        self.heartbeat()
+        self.loop.run(self.lifecycle.is_finished)
+
+    @property
+    def has_ended(self) -> bool:
+        """Is another process this gateway now, or nothing left here?"""
+        return self.lifecycle.phase is Phase.ENDED
+
+    @property
+    def is_shutting_down(self) -> bool:
+        """Has SIGTERM come? Clients' health checks are told so."""
+        return self.lifecycle.shutdown_started > 0
+
+    def end(self) -> None:
+        """Serve nothing more here: everything was handed over, or this process is not wanted."""
+        self.lifecycle.enter(Phase.ENDED)
+
+    def stop(self) -> None:
+        """Start the graceful shutdown: SIGTERM came."""
+        self.lifecycle.stop()
+
+    def reload(self, config: dict[str, Any]) -> None:
+        """Apply a configuration that was read again: SIGHUP came."""
+        reload.reload(self, config)
+
+    def report(self) -> None:
+        """Log the counters."""
+        self.reporter.report()
+
+    def inspect(self) -> None:
+        """Log the counters and the open requests: SIGUSR1 came."""
+        self.reporter.inspect()
+
+    def open_resources(self) -> dict[str, int]:
+        """Return what is open, counted or held just now; see `Reporter.open_resources`."""
+        return self.reporter.open_resources()
+
+    # --- periodic work ---
+
+    def heartbeat(self) -> None:
+        """Wake the event loop with nothing to do, so that a gap tells that the process was paused."""
+        self.call_at(self.time + HEARTBEAT_INTERVAL, self.heartbeat)
+
+    def run_maintenance(self) -> None:
+        """Close connections that are idle, or stand still within a message."""
+        self.call_at(self.time + self.maintenance_interval, self.run_maintenance)
+        self.back.sweep()
+        self.front.sweep(
+            self.max_client_timeout / TICKS_PER_SECOND,
+            self.budgets.unwritten,
+            self.maintenance_interval / TICKS_PER_SECOND,
+        )
+
+    def write_soon(self, conn: Conn) -> None:
+        """Try again to write to a connection, for which no thread could be started."""
+        self.call_at(self.time + WRITE_RETRY_DELAY, conn.write_on)
+
+    def connection_closing(self, names: list[str]) -> None:
+        """Check that this gateway may close a connection, on which requests of these names are open. Any
+        thread may call this."""
+        self.invariants.closes(names)
+
+    # --- time and events, for other packages ---
+
+    @property
+    def time(self) -> Ticks:
+        """The gateway's time."""
+        return self.clock.time
+
+    @property
+    def monotonic_time(self) -> Ticks:
+        """The monotonic clock's time, as of the last update."""
+        return self.clock.monotonic_time
+
+    @property
+    def queue(self) -> queue.SimpleQueue[Event]:
+        """The event loop's queue."""
+        return self.loop.queue
+
+    @property
+    def timers(self) -> list[ScheduledCall]:
+        """The event loop's timers, a heap."""
+        return self.loop.timers
+
+    @timers.setter
+    def timers(self, timers: list[ScheduledCall]) -> None:
+        self.loop.timers = timers
+
+    # --- Host: what the decisions call; lilacloft/routing/host.py documents it ---
+
+    def now(self) -> Ticks:
+        """Return the time."""
+        return self.clock.time
+
+    def dispatch(self, dispatch: Dispatch) -> None:
+        """Send an attempt."""
+        self.dispatcher.dispatch(dispatch)
+
+    def client_left_at(self, request: Request) -> Ticks | None:
+        """Return since when a request's client may have left."""
+        return self.requests.client_left_at(request)
+
+    def cancel(self, request: Request, attempt: int) -> None:
+        """Stop waiting for an attempt."""
+        self.dispatcher.cancel(request, attempt)
+
+    def withdraw(self, request: Request, attempt: int) -> None:
+        """Take an attempt back if it has not gone out."""
+        self.dispatcher.withdraw(request, attempt)
+
+    def reject(self, request: Request, retry_after: Ticks) -> None:
+        """Answer that a request is not served."""
+        self.requests.reject(request, retry_after)
+
+    def fail(self, request: Request) -> None:
+        """Answer that a request has failed."""
+        self.requests.fail(request)
+
+    def wake(self, at: Ticks, timer: Timer) -> None:
+        """Have the router woken at a time."""
+        self.loop.call_at(at, self._timer_fired, timer)
+
+    def _timer_fired(self, timer: Timer) -> None:
+        self.router.timer_fired(timer)
+
+    def check_health(self, backend: Backend) -> None:
+        """Send a health check."""
+        self.dispatcher.check_health(backend)
+
+    def subscribe(self, on: bool) -> None:
+        """Do nothing: the change log is always followed."""
+
+    def health_changed(self, backend: Backend, change: HealthChange, reason: str) -> None:
+        """Log and record that a backend was ejected or restored."""
+        ejected = change is HealthChange.EJECTED
+        logger.info("{}", f"{backend.name} {change}: {reason}" if ejected else f"{backend.name} {reason}")
+        if self.recorder:
+            self.recorder.believed(backend, change, reason)
+
+    def limit_recorded(self, backend: Backend, before: float, after: float, late_share: float) -> None:
+        """Record a concurrency limit that has changed."""
+        if self.recorder and after != before:
+            self.recorder.limited(backend, before, after, late_share)
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -44,10 +44,10 @@
 
 def make(config: dict[str, Any], sock: socket.socket | None = None, follows: bool = False) -> Any:
     """Make a gateway of it, bound to its address, or with a socket that is."""
-    from lilacloft.net.owner import Owner
+    from lilacloft.gateway.gateway import Gateway
 
     try:
-        return Owner(config, sock=sock, follows=follows)
+        return Gateway(config, sock=sock, follows=follows)
     except KeyError as wrong:
         lacks = {ours: theirs for theirs, ours in WORDS.items()}.get(wrong.args[0], wrong.args[0])
         raise UnusableError(f"the configuration lacks {lacks}") from wrong
@@ -83,7 +83,8 @@
             begin()
         owner.run()
     except NotWantedError as wrong:
-        owner.gone, owner.recorder = True, None
+        owner.end()
+        owner.recorder = None
         logger.error("upgrade: this process ends: {}", wrong)
         return NOT_WANTED
     except Exception:
@@ -93,11 +94,11 @@
         signal.signal(signal.SIGTERM, signal.SIG_IGN)  # the interpreter's end would put back the default
         if owner.guard:
             owner.guard.close()
-        if owner.agent and not owner.gone:
+        if owner.agent and not owner.has_ended:
             owner.agent.close()
         if owner.recorder:
-            owner.recorder.end("upgrade" if owner.gone else "stop")
-        if not owner.gone:  # else the counters have gone over
+            owner.recorder.end("upgrade" if owner.has_ended else "stop")
+        if not owner.has_ended:  # else the counters have gone over
             owner.report()
     return 0
 
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -19,9 +19,9 @@
 
 from lilacloft import needed
 from lilacloft.config.reader import load
+from lilacloft.gateway.gateway import Gateway
 from lilacloft.net import feed
 from lilacloft.net.conn import OUTCOMES, End
-from lilacloft.net.owner import Owner
 from lilacloft.plan import form as plan_form
 from lilacloft.plan import words
 from lilacloft.plan.follow import Effect
@@ -229,7 +229,7 @@
 def recorded_values(folder: Path, config: Plain) -> list[Plain]:
     """A head, and what a gateway writes down of one thing of each kind, by the hooks that it calls; without
     numbers and times."""
-    owner = Owner({**config, "listen": "127.0.0.1:0"})
+    owner = Gateway({**config, "listen": "127.0.0.1:0"})
     owner.front.sock.close()
     recorder = Recorder(owner, str(folder), "n0")
     backend = owner.backends["s-00000001"]
@@ -247,7 +247,7 @@
     recorder.heard(("purge", ("00000000000000aa", 7, 1_699_999_999)), 42, 0)
     gone = ("s-00000009", ("10.0.0.9", 7009), 1, 1, 4, 0, 1.5, 1_699_999_100)
     recorder.heard(("delta", [("s-00000001",), gone]), 43, 0)
-    recorder.note(recorder.summary.take(owner.steady + 10_000, recorder._bes(), 6.25))
+    recorder.note(recorder.summary.take(owner.monotonic_time + 10_000, recorder._bes(), 6.25))
     out = [recorder.head, *map(records.decode, recorder.queue.take()[0])]
     unstable = ("number", "wall", "steady", "run", "version", "span")
     return [
@@ -498,7 +498,7 @@
     """A state that a whole gateway has taken, connections and all, and tells again: its values, and its frame
     with the moment of the frame that was taken. The gateway does not run; its sockets lead nowhere."""
     before = _state(data)
-    owner = Owner({**config, "listen": "127.0.0.1:0"}, follows=True)
+    owner = Gateway({**config, "listen": "127.0.0.1:0"}, follows=True)
     told, pairs = carry.Told(owner), [socket.socketpair() for _ in range(before.sockets)]
     try:
         told.make(before, lambda number: pairs[number][0])
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -276,7 +276,7 @@
         gone(leaves, goes)
         told.start()
         nothing_comes(world)
-        assert [entry[2] for entry in told.owner.after] == [End.UNWRITTEN]
+        assert [event.arguments[1] for event in told.owner.loop.deferred] == [End.UNWRITTEN]
 
 
 def test_how_long_a_client_has_been_gone_is_reckoned_by_the_clock_within_a_long_event(in_process):
@@ -288,12 +288,12 @@
 
     def within_a_long_event():
         owner = world.owner
-        (request,) = owner.calls
-        assert owner.departed(request) is None
-        the_client(world).input_ended = owner.steady
+        (request,) = owner.open_requests
+        assert owner.client_left_at(request) is None
+        the_client(world).input_ended = owner.monotonic_time
         begun = time.monotonic()
         past(begun + 0.04)
-        return owner.time - owner.departed(request)
+        return owner.time - owner.client_left_at(request)
 
     assert world.does(within_a_long_event) >= 400
     forgets(asker)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -1,7 +1,7 @@
 """Ends that cross something still owed, on real sockets, each forced to: by held peers, hooks and events.
 
-The gateway of most of these is an Owner in this process, so that its threads can be held at an instant; those
-about signals start the program."""
+The gateway of most of these is a Gateway in this process, so that its threads can be held at an instant;
+those about signals start the program."""
 
 import itertools
 import json
@@ -17,15 +17,16 @@
 
 import pytest
 
+from lilacloft.gateway import lifecycle
+from lilacloft.gateway.gateway import Gateway
+from lilacloft.gateway.lifecycle import Phase
 from lilacloft.net import conn as conns
 from lilacloft.net import feed as feeds
 from lilacloft.net import front as fronts
-from lilacloft.net import owner as owners
 from lilacloft.net.back import Back, Line, Sent
 from lilacloft.net.conn import Conn, End, State
 from lilacloft.net.feed import Feed
 from lilacloft.net.front import Client, Front
-from lilacloft.net.owner import Owner, Phase
 from lilacloft.net.resp import encode
 from lilacloft.routing.model import Backend
 from lilacloft.settings import settings
@@ -41,7 +42,7 @@
 
 def waiting(world):
     """The dispatch that waits for its connection to come up."""
-    (call,) = world.does(lambda: list(world.owner.calls.values()))
+    (call,) = world.does(lambda: list(world.owner.open_requests.values()))
     return call.sent
 
 
@@ -137,7 +138,7 @@
     forgets(again)
     asker.sock.close()
     world.rests()
-    assert world.owner.counts["denied"] == world.owner.counts["aborted"] == 0
+    assert world.owner.answer_counts["denied"] == world.owner.answer_counts["aborted"] == 0
 
 
 LONG = limits(connectTimeoutNs=5 * 10**9, keepaliveNs=10**9)
@@ -149,7 +150,7 @@
     world = in_process(serves(b"ok"), changes=LONG)
     asker = world.asker()
     until(lambda: world.owner.front.counts["connections"])
-    world.does(world.owner.sweep)
+    world.does(world.owner.run_maintenance)
     tag = asker.ask()
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     assert world.owner.front.counts["closed_idle"] == 0
@@ -162,8 +163,11 @@
     tag = asker.ask(allow=3000)
     _, sock, items = world.caches[0].next()
     world.does(world.owner.stop)
-    assert world.owner.by - world.owner.ending > 3 * owners.TENTHS
-    until(lambda: world.does(lambda: world.owner.time) > world.owner.ending + 2000)
+    assert (
+        world.owner.lifecycle.shutdown_deadline - world.owner.lifecycle.shutdown_started
+        > 3 * lifecycle.TICKS_PER_SECOND
+    )
+    until(lambda: world.does(lambda: world.owner.time) > world.owner.lifecycle.shutdown_started + 2000)
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
 
@@ -212,12 +216,12 @@
     until(lambda: client.buffer.partial())
     assert client.waits() > 0
     client.begun -= 60  # seconds ago
-    world.does(world.owner.sweep)
+    world.does(world.owner.run_maintenance)
     answers = [asker.answer() for _ in tags]
     assert {answer[0] for answer in answers} == set(tags)
     assert all(answer[1] == b"200" and len(answer[3]) == 240_000 for answer in answers)
     until(lambda: not client.waits())
-    world.does(world.owner.sweep)
+    world.does(world.owner.run_maintenance)
     assert asker.answer() is None, "in order, once all has gone out"
     asker.sock.close()
     world.rests(but=("checks",))
@@ -275,13 +279,13 @@
 @pytest.fixture
 def soon(monkeypatch):
     """Clients come for a shorter while after SIGTERM."""
-    monkeypatch.setattr(owners, "COMING", 0.1)
-    monkeypatch.setattr(owners, "QUIET", 0.05)
+    monkeypatch.setattr(lifecycle, "ARRIVALS_AFTER_STOP", 0.1)
+    monkeypatch.setattr(lifecycle, "MAX_ARRIVAL_GAP", 0.05)
 
 
 def past_coming(world):
-    until(lambda: world.owner.phase is Phase.DRAINING)
-    until(lambda: world.owner.time > world.owner.ending + 3000)
+    until(lambda: world.owner.lifecycle.phase is Phase.DRAINING)
+    until(lambda: world.owner.time > world.owner.lifecycle.shutdown_started + 3000)
 
 
 def patient(settings):
@@ -308,13 +312,13 @@
     until(lambda: unread(next(iter(world.owner.front.clients))))
     world.owner.post(world.owner.stop)
     past_coming(world)
-    assert world.thread.is_alive() and world.owner.phase is Phase.DRAINING
+    assert world.thread.is_alive() and world.owner.lifecycle.phase is Phase.DRAINING
     go.set()
     assert asker.answer() == [b"99", b"not_serving"] and asker.answer() == [tag, b"200", b"", b"ok"]
     assert asker.answer() is None
     asker.sock.close()
     world.thread.join(3)
-    assert not world.thread.is_alive() and not any(world.owner.held().values())
+    assert not world.thread.is_alive() and not any(world.owner.open_resources().values())
 
 
 def test_who_waits_at_the_door_when_the_process_is_told_to_end_is_let_in(in_process, monkeypatch, soon):
@@ -356,7 +360,7 @@
     resting.ask(key=3)
     other.sock.close()
     world.thread.join(3)
-    assert not world.thread.is_alive() and world.owner.time - world.owner.shut < 5000
+    assert not world.thread.is_alive() and world.owner.time - world.owner.lifecycle.listener_closed_at < 5000
     assert not waits_for(world.caches[0], 0.1)
     with pytest.raises(ConnectionRefusedError):
         world.asker()
@@ -369,7 +373,7 @@
     asker.sock.sendall(told[:30])
     until(lambda: any(client.buffer.partial() for client in world.owner.front.clients))
     world.owner.post(world.owner.stop)
-    until(lambda: world.owner.phase is Phase.DRAINING)
+    until(lambda: world.owner.lifecycle.phase is Phase.DRAINING)
     asker.sock.sendall(told[30:])
     assert asker.answer() == [b"1", b"200", b"", b"ok"]
     asker.sock.close()
@@ -405,7 +409,7 @@
     tags[read] = read.ask(key=4, allow=3000)
     until(lambda: world.owner.front.counts["reqs"] == 4)
     go.set()
-    until(lambda: world.owner.phase is Phase.DRAINING)
+    until(lambda: world.owner.lifecycle.phase is Phase.DRAINING)
     gate.set()
     late.set()
     for asker, tag in tags.items():
@@ -413,7 +417,7 @@
         assert asker.answer() is None, "and nothing after"
         asker.sock.close()
     world.thread.join(5)
-    held = world.owner.held()
+    held = world.owner.open_resources()
     del held["parting"]  # the slow reader may need longer than the farewell for what the kernel has of it
     assert not world.thread.is_alive() and not any(held.values())
 
@@ -793,11 +797,11 @@
 
     def start(self):
         self.log.close()
-        self.owner = Owner({**self.config, "listen": "127.0.0.1:0"})
+        self.owner = Gateway({**self.config, "listen": "127.0.0.1:0"})
         self.port = self.owner.front.sock.getsockname()[1]
         self.thread = threading.Thread(target=self.owner.run, daemon=True)
         self.thread.start()
-        until(lambda: self.owner.phase is Phase.SERVING and self.does(lambda: True))
+        until(lambda: self.owner.lifecycle.phase is Phase.SERVING and self.does(lambda: True))
 
 
 class Replays(Log):
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -8,10 +8,10 @@
 
 import pytest
 
+from lilacloft.gateway.lifecycle import Phase
 from lilacloft.net import conn
 from lilacloft.net.conn import End, polled
 from lilacloft.net.front import Front
-from lilacloft.net.owner import Phase
 from lilacloft.net.resp import FROM_CLIENT, Buffer, encode, listed
 from lilacloft.settings import NS
 from rigs.inprocess import forgets, limits, until, waits_for
@@ -195,7 +195,7 @@
         asker.sock.sendall(REQUEST[:40])
         until(only_client(world).buffer.partial)
         world.does(world.owner.stop)
-        until(lambda world=world: world.owner.phase is Phase.PARTING)
+        until(lambda world=world: world.owner.lifecycle.phase is Phase.CLOSING)
         reader.at.clear()
         reader.hold()
         asker.sock.sendall(REQUEST[40:])
