--- a/lilacloft/__main__.py
+++ b/lilacloft/__main__.py
@@ -13,7 +13,7 @@
     if words[:1] == ["serve"] and (len(words) == 1 or (len(words) == 3 and words[1] == "--config")):
         from lilacloft import errors, serving
 
-        serving.log()
+        serving.configure_logging()
         try:
             return serving.serve(words[2] if len(words) == 3 else os.environ.get("EDGE_CONFIG"))
         except errors.UnusableError as wrong:
--- a/lilacloft/cli/__init__.py
+++ b/lilacloft/cli/__init__.py
@@ -14,7 +14,7 @@
 @click.option("--log-format", type=click.Choice(["text", "json"]), default="text", help="form of log lines")
 def commands(log_format: str) -> None:
     """Decides where objects are served from."""
-    serving.log(log_format)
+    serving.configure_logging(log_format)
 
 
 for group in (gateway, upgrade, records, store, experiment, load, plan):
--- a/lilacloft/cli/gateway.py
+++ b/lilacloft/cli/gateway.py
@@ -47,7 +47,7 @@
         found = reader.load(settings)
         chosen = found.get("upgrade", {})
         if "log" in found:
-            serving.log(found["log"].get("format", "text"))
+            serving.configure_logging(found["log"].get("format", "text"))
         record, store, plan = (found.get(part, {}) for part in ("record", "store", "plan"))
     handover = handover or chosen.get("handover")
     if supervised:
@@ -55,7 +55,7 @@
             raise click.UsageError("--supervised needs --handover, or a handover in the settings")
         from lilacloft.upgrade.supervise import Supervisor
 
-        listen = serving.read(config).get("listen", "")
+        listen = serving.read_config(config).get("listen", "")
         host, _, port = str(listen).rpartition(":")
         try:
             return Supervisor((host, int(port))).run()
--- a/lilacloft/cli/plan.py
+++ b/lilacloft/cli/plan.py
@@ -40,7 +40,7 @@
     if name not in places:
         raise click.UsageError(f"{name} is none of the planners {', '.join(places)}")
     try:
-        process = Process(name, serving.read(config), places, folder, leave)
+        process = Process(name, serving.read_config(config), places, folder, leave)
     except (KeyError, ValueError, TypeError, OSError, StoreError) as wrong:
         raise errors.UnusableError(f"the planner cannot be started: {wrong}") from wrong
 
--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -6,11 +6,10 @@
 from __future__ import annotations
 
 from lilacloft.gateway.answers import AnswerFields, AnswerKind, FinalAnswers
-from lilacloft.gateway.clock import monotonic_ticks
+from lilacloft.gateway.clock import TICKS_PER_MILLISECOND, monotonic_ticks
 from lilacloft.gateway.context import GatewayContext
 from lilacloft.gateway.dispatcher import AttemptDispatcher
 from lilacloft.gateway.lifecycle import Lifecycle
-from lilacloft.gateway.wire_messages import TICKS_PER_MILLISECOND
 from lilacloft.invariants import Effect, History
 from lilacloft.net.front import Call, Client
 from lilacloft.routing.model import RejectReason, Request
--- a/lilacloft/gateway/clock.py
+++ b/lilacloft/gateway/clock.py
@@ -14,6 +14,7 @@
 from lilacloft.routing.units import Ticks
 from lilacloft.settings import NS
 
+TICKS_PER_MILLISECOND = 10
 PAUSE_THRESHOLD: Ticks = 1_000  # a longer gap between two updates means that the process did not run
 PAUSE_AFTERMATH: Ticks = 10_000  # span after a pause in which data that came during it may still be unread
 
--- a/lilacloft/gateway/configuration.py
+++ b/lilacloft/gateway/configuration.py
@@ -39,7 +39,7 @@
     max_client_timeout: Ticks
     limits: dict[str, Any]  # of sockets and memory
     fixed: dict[str, Any]  # the fields that a reload cannot change, as they were read
-    last_known_event: int  # number of the change log's last event that the configuration has
+    last_applied_event: int  # number of the change log's last event that the configuration has
 
     @property
     def vhosts(self) -> list[dict[str, Any]]:
@@ -56,22 +56,22 @@
     """Check a configuration as parsed from its JSON, and return what a gateway uses of it."""
     needed.config(config)
     listen = config["listen"]
-    names = settings(needed.told(config["settings"]))
+    named = settings(needed.told(config["settings"]))
     return Configuration(
         listen=listen,
         changelog=config["changelog"],
         name=config.get("name", ""),
-        settings=names,
-        answer_slack=names["rules"]["answer_slack"],
-        granularity=names["granularity"],
-        max_client_timeout=max(vhost["client_timeout"] for vhost in names["vhosts"]),
+        settings=named,
+        answer_slack=named["rules"]["answer_slack"],
+        granularity=named["granularity"],
+        max_client_timeout=max(vhost["client_timeout"] for vhost in named["vhosts"]),
         limits=config["limits"],
         fixed={name: config[name] for name in FIXED},
-        last_known_event=config["known"]["seq"],
+        last_applied_event=config["known"]["seq"],
     )
 
 
-def read_known_events(config: dict[str, Any], names: dict[str, Any]) -> list[Event]:
+def read_initial_events(config: dict[str, Any], names: dict[str, Any]) -> list[Event]:
     """Return the events of the change log that a configuration has; `names`: its settings."""
     results = config["known"]["results"]
     return [event for _, event in known(results, names["zones"], names["kinds"])]
--- a/lilacloft/gateway/discovery.py
+++ b/lilacloft/gateway/discovery.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from lilacloft.gateway.clock import monotonic_ticks
+from lilacloft.gateway.clock import TICKS_PER_MILLISECOND, monotonic_ticks
 from lilacloft.gateway.configuration import parse_address
 from lilacloft.gateway.context import GatewayContext
 from lilacloft.net.feed import Entry, Event, Feed, Heard
@@ -15,7 +15,6 @@
 from lilacloft.stamps import Hearing, Stamps
 
 PURGE = "purge"  # kind of an event; all others are endpoint lists, "full" or "delta"
-TICKS_PER_MILLISECOND = 10
 
 
 class Discovery:
@@ -26,10 +25,10 @@
         configuration = gateway.configuration
         self.gateway = gateway
         self.stamps = Stamps()
-        self.last_known_event = configuration.last_known_event
+        self.last_applied_event = configuration.last_applied_event
         gateway.feed = Feed(
             parse_address(configuration.changelog),
-            self.last_known_event,
+            self.last_applied_event,
             self._event_received,
             configuration.name,
         )
@@ -47,19 +46,23 @@
         """Post an event; in the change log's thread. What the configuration's list had in it already is
         applied again only where the store may lack a purge: an older list must not hold for a moment."""
         gateway = self.gateway
-        if event[0] == PURGE or number > self.last_known_event:
+        if event[0] == PURGE or number > self.last_applied_event:
             gateway.loop.post(self.apply_event, event, None, gateway.feed.heard)
         if gateway.guard:
             gateway.loop.post(gateway.guard.heard, event, number)
         if gateway.recorder:
             gateway.loop.post(gateway.recorder.heard, event, number, monotonic_ticks())
 
-    def apply_event(self, event: Event, mode: str | None = None, heard: Heard | None = None) -> None:
+    def apply_event(self, event: Event, mode: str | None = None, feed_state: Heard | None = None) -> None:
         """Apply an endpoint list, changes of it, or a purge. `mode`: a `ListMode` other than the event's own
-        kind; `heard`: how the change log was heard from before, None where a configuration or a store has the
-        event."""
+        kind; `feed_state`: how the change log was followed before, None where a configuration or a store has
+        the event."""
         clock = self.gateway.clock
-        hearing = Hearing(clock.time - clock.monotonic_time + heard.at, heard.current) if heard else None
+        hearing = (
+            Hearing(clock.time - clock.monotonic_time + feed_state.at, feed_state.current)
+            if feed_state
+            else None
+        )
         kind, content = event
         if kind == PURGE:
             self._apply_purge(content, hearing)
--- a/lilacloft/gateway/dispatcher.py
+++ b/lilacloft/gateway/dispatcher.py
@@ -8,9 +8,10 @@
 from __future__ import annotations
 
 from lilacloft.gateway.answers import AnswerKind, FinalAnswers
+from lilacloft.gateway.clock import TICKS_PER_MILLISECOND
 from lilacloft.gateway.context import GatewayContext
 from lilacloft.gateway.event_loop import ScheduledCall
-from lilacloft.gateway.wire_messages import TICKS_PER_MILLISECOND, attempt_milliseconds, encode_dispatch
+from lilacloft.gateway.wire_messages import attempt_milliseconds, encode_dispatch
 from lilacloft.invariants import History
 from lilacloft.net.back import NO_REPLY, Reply, Sent
 from lilacloft.net.conn import OUTCOMES, End
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -22,7 +22,7 @@
     parse_address,
     read_budgets,
     read_configuration,
-    read_known_events,
+    read_initial_events,
 )
 from lilacloft.gateway.context import GatewayContext
 from lilacloft.gateway.discovery import Discovery
@@ -60,7 +60,7 @@
         where the address cannot be bound, and the errors of `configuration` where that cannot be used."""
         configuration = read_configuration(config)
         super().__init__(configuration, unix_clock)
-        known_events = read_known_events(config, configuration.settings)
+        initial_events = read_initial_events(config, configuration.settings)
         self.budgets = read_budgets(self.limits)
         self.lifecycle = Lifecycle(self)
         self.reporter = Reporter(self)
@@ -84,7 +84,7 @@
         self.loop.report_lag = self.router.loop_lagged
         self.loop.is_obsolete = self.dispatcher.is_obsolete
         if not follows:
-            self.discovery.apply_configured_events(known_events)
+            self.discovery.apply_configured_events(initial_events)
 
     def _connect_backends(self) -> None:
         """Make the side of the caches, parents and origin, and the checks on what goes there."""
--- a/lilacloft/gateway/wire_messages.py
+++ b/lilacloft/gateway/wire_messages.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
+from lilacloft.gateway.clock import TICKS_PER_MILLISECOND
 from lilacloft.net.front import Call
 from lilacloft.net.resp import encode, listed
 from lilacloft.routing.host import Dispatch
 from lilacloft.routing.model import Backend
 
-TICKS_PER_MILLISECOND = 10
 DISPATCH = b"do"
 
 
--- a/lilacloft/store/guard.py
+++ b/lilacloft/store/guard.py
@@ -116,8 +116,8 @@
         events, owner.feed.last = self.listing.start(owner.feed.last, found.last)
         for event in events:
             owner.apply_event(event)
-        if found.last > owner.discovery.last_known_event:
-            owner.discovery.last_known_event = found.last
+        if found.last > owner.discovery.last_applied_event:
+            owner.discovery.last_applied_event = found.last
         starts = {
             name: backend.concurrency_limit.limit
             for name, backend in owner.backends.items()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -209,10 +209,10 @@
         return open(*told, **more)
 
     monkeypatch.setattr(serving, "open", fails, raising=False)
-    assert serving.read(str(path)) == {"name": "n0"}
+    assert serving.read_config(str(path)) == {"name": "n0"}
     assert not errors
     with pytest.raises(UnusableError, match="cannot be read"):
-        serving.read(str(tmp_path / "none.json"))  # what does not pass is told at once
+        serving.read_config(str(tmp_path / "none.json"))  # what does not pass is told at once
 
 
 def test_a_listening_socket_that_cannot_be_had_for_a_moment_is_had(in_process, monkeypatch):
