--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -126,11 +126,11 @@
 
     def client_left_at(self, request: Request) -> Ticks | None:
         """Return since when a request's client may have left; None where it waits."""
-        left_at = self.gateway.open_requests[request].departed()
-        if left_at is None:
+        since = self.gateway.open_requests[request].departed()
+        if since is None:
             return None
         # by the clock as it is now: the gateway's time stands still within one event
-        return self.clock.time - (monotonic_ticks() - left_at)
+        return self.clock.time - (monotonic_ticks() - since)
 
     def reject(self, request: Request, retry_after: Ticks) -> None:
         """Answer that a request is not served; `retry_after`: 0 names no time."""
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -40,7 +40,7 @@
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
 HEARTBEAT_INTERVAL: Ticks = 500  # the event loop wakes at least so often, so that pauses are noticed
-WRITE_RETRY_DELAY: Ticks = 100  # after which a thread that could not be started is tried again
+WRITE_RETRY_DELAY: Ticks = 100  # until a write is repeated, for which no thread could be started
 MAX_MAINTENANCE_INTERVAL = 0.5  # seconds between two rounds; clients are owed an end within a few of them
 
 
@@ -213,6 +213,7 @@
 
     @timers.setter
     def timers(self, timers: list[ScheduledCall]) -> None:
+        """Replace the timers; a handover drops those of what was handed over."""
         self.loop.timers = timers
 
     # --- Host: what the decisions call; lilacloft/routing/host.py documents it ---
--- a/lilacloft/gateway/lifecycle.py
+++ b/lilacloft/gateway/lifecycle.py
@@ -18,7 +18,7 @@
 MAX_ARRIVAL_GAP = 0.2  # seconds without a request after those, until no more are expected
 CLIENT_CLOSE_GRACE = 0.3  # seconds left to clients to close their halves, once ours are closed
 EARLIEST_KILL = 3.0  # seconds after `ARRIVALS_AFTER_STOP` in which the process is not killed yet
-MIN_CLOSING_INTERVAL: Ticks = 10  # between two looks at connections that are closing
+MIN_CLOSING_INTERVAL: Ticks = 10  # between two checks of connections that are closing
 
 
 class Phase(Enum):
@@ -101,8 +101,8 @@
         had_time = gateway.clock.time > self.listener_closed_at + CLIENT_CLOSE_GRACE * TICKS_PER_SECOND
         if not is_busy and (not remain or (had_time and not gateway.front.unread())):
             return True
-        next_look = gateway.clock.time + max(gateway.granularity, MIN_CLOSING_INTERVAL)
-        gateway.loop.call_at(next_look, lambda: None)  # wakes the loop, which asks again
+        next_check = gateway.clock.time + max(gateway.granularity, MIN_CLOSING_INTERVAL)
+        gateway.loop.call_at(next_check, lambda: None)  # wakes the loop, which asks again
         return False
 
     def _reject_open_requests(self) -> None:
--- a/lilacloft/gateway/wire_messages.py
+++ b/lilacloft/gateway/wire_messages.py
@@ -46,4 +46,4 @@
         ("peek", dispatch.cache_only),
         ("swr", dispatch.revalidate),
     )
-    return "+".join(word for word, is_set in flags if is_set) or None
+    return "+".join(flag for flag, is_set in flags if is_set) or None
