--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -6,11 +6,10 @@
 from __future__ import annotations
 
 from lilacloft.gateway.answers import AnswerFields, AnswerKind, FinalAnswers
-from lilacloft.gateway.clock import monotonic_ticks
+from lilacloft.gateway.clock import TICKS_PER_MILLISECOND, monotonic_ticks
 from lilacloft.gateway.context import GatewayContext
 from lilacloft.gateway.dispatcher import AttemptDispatcher
 from lilacloft.gateway.lifecycle import Lifecycle
-from lilacloft.gateway.wire_messages import TICKS_PER_MILLISECOND
 from lilacloft.invariants import Effect, History
 from lilacloft.net.front import Call, Client
 from lilacloft.routing.model import RejectReason, Request
@@ -127,11 +126,11 @@
 
     def client_left_at(self, request: Request) -> Ticks | None:
         """Return since when a request's client may have left; None where it waits."""
-        left_at = self.gateway.open_requests[request].departed()
-        if left_at is None:
+        since = self.gateway.open_requests[request].departed()
+        if since is None:
             return None
         # by the clock as it is now: the gateway's time stands still within one event
-        return self.clock.time - (monotonic_ticks() - left_at)
+        return self.clock.time - (monotonic_ticks() - since)
 
     def reject(self, request: Request, retry_after: Ticks) -> None:
         """Answer that a request is not served; `retry_after`: 0 names no time."""
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -22,7 +22,7 @@
     parse_address,
     read_budgets,
     read_configuration,
-    read_known_events,
+    read_initial_events,
 )
 from lilacloft.gateway.context import GatewayContext
 from lilacloft.gateway.discovery import Discovery
@@ -40,7 +40,7 @@
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
 HEARTBEAT_INTERVAL: Ticks = 500  # the event loop wakes at least so often, so that pauses are noticed
-WRITE_RETRY_DELAY: Ticks = 100  # after which a thread that could not be started is tried again
+WRITE_RETRY_DELAY: Ticks = 100  # until a write is repeated, for which no thread could be started
 MAX_MAINTENANCE_INTERVAL = 0.5  # seconds between two rounds; clients are owed an end within a few of them
 
 
@@ -60,7 +60,7 @@
         where the address cannot be bound, and the errors of `configuration` where that cannot be used."""
         configuration = read_configuration(config)
         super().__init__(configuration, unix_clock)
-        known_events = read_known_events(config, configuration.settings)
+        initial_events = read_initial_events(config, configuration.settings)
         self.budgets = read_budgets(self.limits)
         self.lifecycle = Lifecycle(self)
         self.reporter = Reporter(self)
@@ -84,7 +84,7 @@
         self.loop.report_lag = self.router.loop_lagged
         self.loop.is_obsolete = self.dispatcher.is_obsolete
         if not follows:
-            self.discovery.apply_configured_events(known_events)
+            self.discovery.apply_configured_events(initial_events)
 
     def _connect_backends(self) -> None:
         """Make the side of the caches, parents and origin, and the checks on what goes there."""
@@ -213,6 +213,7 @@
 
     @timers.setter
     def timers(self, timers: list[ScheduledCall]) -> None:
+        """Replace the timers; a handover drops those of what was handed over."""
         self.loop.timers = timers
 
     # --- Host: what the decisions call; lilacloft/routing/host.py documents it ---
