--- a/lilacloft/cli/store.py
+++ b/lilacloft/cli/store.py
@@ -15,7 +15,7 @@
 def opened(path: str, lock: bool) -> tuple[Any, Any]:
     """A folder and the store in it; a usage error in words where there is none, or another process writes."""
     from lilacloft.store.files import Folder
-    from lilacloft.store.form import StoreError
+    from lilacloft.store.framing import StoreError
     from lilacloft.store.log import Store
 
     if not os.path.isdir(path):
@@ -63,7 +63,7 @@
 @path
 def dump(path: str) -> int:
     """Print what is kept, one JSON object a line."""
-    from lilacloft.store.kinds import NAMES, plain
+    from lilacloft.store.record_types import NAMES, plain
 
     folder, found = opened(path, False)
     folder.close()
--- a/lilacloft/store/keep.py
+++ b/lilacloft/store/durability.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from lilacloft.store import kinds
-from lilacloft.store.kinds import Intent, Recovered
+from lilacloft.store import record_types
+from lilacloft.store.record_types import Intent, Recovered
 
 PATIENCE = 500  # that a dispatch waits for the disk: beyond, another try elsewhere serves the client better
 EVERY = 10_000  # between two records of one be's budget: each has all of it
@@ -91,10 +91,10 @@
         or refused, by `latest` if that is told: so that its client hears that it never ran, which nobody
         could say of one given up in the midst. `deny`, `abort`: never by this gateway, as an earlier process
         may have run it; denied where asking again is harmless, which is where its key makes all tries one."""
-        if not kinds.must_be_down(effect):
+        if not record_types.must_be_down(effect):
             return SEND
         now, before = self.hands.now(), self.intents.get(key)
-        if key in self.earlier and not kinds.may_send(effect, before, now, window, group, cell):
+        if key in self.earlier and not record_types.may_send(effect, before, now, window, group, cell):
             self.counts["barred"] += 1
             return DENY if effect == "uniqued" and group == "all" else ABORT
         chain = self.chains.setdefault(key, Chain(before))
@@ -110,7 +110,7 @@
         until = now + self.patience if latest is None else min(now + self.patience, latest)
         if key in self.earlier and effect == "uniqued":
             until = min(until, intent.sent + window)
-        held = Held(token, key, self.hands.keep(kinds.INTENT, key, intent.pack()), until)
+        held = Held(token, key, self.hands.keep(record_types.INTENT, key, intent.pack()), until)
         self.held[token] = held
         self.order.append(held)
         self.counts["kept"] += 1
@@ -181,10 +181,10 @@
             return
         if chain.before is None:
             del self.intents[key]
-            self.hands.keep(kinds.INTENT, key, None)
+            self.hands.keep(record_types.INTENT, key, None)
         else:
             self.intents[key] = chain.before
-            self.hands.keep(kinds.INTENT, key, chain.before.pack())
+            self.hands.keep(record_types.INTENT, key, chain.before.pack())
 
     # --- two processes, one after the other ---
 
@@ -219,7 +219,7 @@
     def take(self, given: Mapping[str, Any]) -> None:
         """Go on with what the process before gave; what else is in the store counts as of one before."""
         for told in given["chains"]:
-            before = kinds.intent(told["before"]) if told["before"] else None
+            before = record_types.intent(told["before"]) if told["before"] else None
             self.chains[told["key"]] = Chain(before, told["users"], told["sent"], told["down"])
             if not told["earlier"]:
                 self.earlier.discard(told["key"])
@@ -239,7 +239,7 @@
 
     def adopt(self, token: str, key: bytes, effect: str, at: int, cell: int) -> None:
         """A dispatch of a process before that kept nothing is out: it counts from when it was sent."""
-        if not kinds.must_be_down(effect):
+        if not record_types.must_be_down(effect):
             return
         chain = self.chains.setdefault(key, Chain(self.intents.get(key)))
         chain.users, chain.sent = chain.users + 1, True
@@ -247,7 +247,7 @@
         before = self.intents.get(key)
         if before is None or before.over:
             self.intents[key] = Intent(at, effect, False, cell)
-            self.hands.keep(kinds.INTENT, key, self.intents[key].pack())
+            self.hands.keep(record_types.INTENT, key, self.intents[key].pack())
             self.counts["kept"] += 1
 
     def follow(self, intents: Mapping[bytes, Intent]) -> None:
@@ -273,11 +273,11 @@
     def relayed(self, kind: int, key: bytes, value: bytes | None) -> int:
         """The process before this one, which still ends what it had open, asks for a record; returns its
         ticket. Its reqs are not ours: their keys count as sent before."""
-        if kind == kinds.INTENT:
+        if kind == record_types.INTENT:
             if value is None:
                 self.intents.pop(key, None)
             elif key not in self.chains:
-                self.intents[key] = kinds.intent(value)
+                self.intents[key] = record_types.intent(value)
                 self.earlier.add(key)
         return self.hands.keep(kind, key, value)
 
@@ -285,12 +285,12 @@
 
     def purged(self, what: str | int, at: int) -> None:
         """A purge was told."""
-        self.hands.keep(kinds.PURGE, kinds.key(what), kinds.WHEN.pack(at))
+        self.hands.keep(record_types.PURGE, record_types.key(what), record_types.WHEN.pack(at))
 
     def told(self, number: int, base: int) -> None:
         """The change log's last number, and that from which on its rows are whole; after what it told, as one
         log keeps order."""
-        self.hands.keep(kinds.LAST, b"", kinds.NUMBERS.pack(number, base))
+        self.hands.keep(record_types.LAST, b"", record_types.NUMBERS.pack(number, base))
 
     def spent(self, backend: str, started: int, budget: list[tuple[int, float]], warm: int) -> None:
         """Work sent to a be that is cold; once in a while, and not once it is warm."""
@@ -298,7 +298,7 @@
         if not started or now - started >= warm or now - self.budgets.get(backend, 0) < EVERY:
             return
         self.budgets[backend] = now
-        self.hands.keep(kinds.COLD, backend.encode(), kinds.spend(budget))
+        self.hands.keep(record_types.COLD, backend.encode(), record_types.spend(budget))
 
     def forget(self, oldest: int) -> int:
         """Let go of intents that no rule asks for any more; returns how many. Those of dispatches that are
@@ -308,7 +308,7 @@
             if key not in self.chains and now - min(intent.sent, now) > oldest:
                 del self.intents[key]
                 self.earlier.discard(key)
-                self.hands.keep(kinds.INTENT, key, None)
+                self.hands.keep(record_types.INTENT, key, None)
                 gone += 1
         return gone
 
--- a/lilacloft/store/files.py
+++ b/lilacloft/store/files.py
@@ -7,7 +7,7 @@
 import os
 from pathlib import Path
 
-from lilacloft.store.form import StoreError
+from lilacloft.store.framing import StoreError
 
 
 class Folder:
--- a/lilacloft/store/guard.py
+++ b/lilacloft/store/gateway_store.py
@@ -20,11 +20,11 @@
 from lilacloft.net.conn import OUTCOMES, End
 from lilacloft.routing import snapshot
 from lilacloft.routing.model import Backend, Request
-from lilacloft.store import kinds, learned
-from lilacloft.store.commits import Commits
+from lilacloft.store import learned_state, record_types
+from lilacloft.store.durability import HOLD, PATIENCE, SEND, Keeper, begin
+from lilacloft.store.endpoint_rows import Listing
 from lilacloft.store.files import Folder
-from lilacloft.store.keep import HOLD, PATIENCE, SEND, Keeper, begin
-from lilacloft.store.listing import Listing
+from lilacloft.store.group_commit import Commits
 from lilacloft.store.log import Store
 
 SECOND = 10_000
@@ -62,7 +62,7 @@
         self.purge_done = owner.router.freshness.purge_lifetime
         windows = [vhost.get("repeat_window", 0) for vhost in owner.vhosts]
         began = time.monotonic()
-        bounds = kinds.limits(self.purge_done, owner.longest, max(windows))
+        bounds = record_types.limits(self.purge_done, owner.longest, max(windows))
         if reader:
             self.store = reader.store
             self.store.files, self.store.limits = self.folder, bounds
@@ -81,7 +81,7 @@
             len(found.intents),
         )
         self.keeper = Keeper(self, found, patience)
-        self.changes, self.listing = learned.Changes(), Listing()
+        self.changes, self.listing = learned_state.Changes(), Listing()
         rows = {key: _read(data) for key, data in found.rows.items()}
         self.listing.read(
             {
@@ -106,11 +106,11 @@
         self.commits = Commits(self.store, told=lambda ticket: owner.post(self._down, ticket))
         owner.guard = self
 
-    def _found(self) -> kinds.Recovered:
+    def _found(self) -> record_types.Recovered:
         records = [record for kind in self.store.kept for record in self.store.all(kind)]
-        return kinds.recovered(records, self.owner.time, self.purge_done)
+        return record_types.recovered(records, self.owner.time, self.purge_done)
 
-    def _begin(self, found: kinds.Recovered) -> None:
+    def _begin(self, found: record_types.Recovered) -> None:
         """Nobody has told the decision module of anything yet."""
         owner = self.owner
         events, owner.feed.last = self.listing.start(owner.feed.last, found.last)
@@ -125,7 +125,7 @@
         }
         kept = {key: (at, _read(data)) for key, (at, data) in found.learned.items()}
         names = [vhost["name"] for vhost in owner.vhosts]
-        aged = learned.aged(kept, owner.time, names, starts, owner.router.link_limit.limit)
+        aged = learned_state.aged(kept, owner.time, names, starts, owner.router.link_limit.limit)
         snapshot.take(owner.router, aged, owner.backends)
         for what, at in found.purges.items():
             key, group = (what, 0) if isinstance(what, str) else ("", what)
@@ -272,7 +272,7 @@
         """A dispatch is over."""
         token = self.tokens.pop(sent, None)
         if token is not None and self.held.pop(token, None) is None:
-            self.keeper.ended(token, OUTCOMES[end] not in kinds.NEVER_RAN)
+            self.keeper.ended(token, OUTCOMES[end] not in record_types.NEVER_RAN)
 
     def purged(self, key: str, group: int, at: int) -> None:
         self.keeper.purged(key or group, at)
@@ -282,7 +282,7 @@
         mode, told = event
         if mode != "purge":
             for key, kept in self.listing.told(mode, told, number).items():
-                self.keep(kinds.ROW, key, None if kept is None else _write(kept))
+                self.keep(record_types.ROW, key, None if kept is None else _write(kept))
         self.keeper.told(number, self.listing.base)
 
     @staticmethod
@@ -300,11 +300,11 @@
         self.seconds += 1
         if self.seconds % LEARNS == 0:
             given = snapshot.give(owner.router, (), ())
-            parts = learned.parts(given, [vhost["name"] for vhost in owner.vhosts])
+            parts = learned_state.parts(given, [vhost["name"] for vhost in owner.vhosts])
             for key, part in self.changes.since(owner.time, parts).items():
-                self.keep(kinds.LEARNED, key, None if part is None else _write(part))
+                self.keep(record_types.LEARNED, key, None if part is None else _write(part))
         if self.seconds % CLEANS == 0:
-            self.keeper.forget(kinds.limits(self.purge_done, owner.longest, 0)[kinds.INTENT][1])
+            self.keeper.forget(record_types.limits(self.purge_done, owner.longest, 0)[record_types.INTENT][1])
         owner.at(owner.time + SECOND, self._second)
 
     # --- Hands: what the keeper calls ---
@@ -317,7 +317,7 @@
             return self.commits.ask(kind, key, value, self.owner.time)
         # tickets go on rising past those of our own commits, which are all down
         self.tickets = max(self.tickets, self.commits.told) + 1
-        if kind == kinds.INTENT:  # all else the next process knows better
+        if kind == record_types.INTENT:  # all else the next process knows better
             self.relay(self.tickets, kind, key, value)
         return self.tickets
 
--- a/lilacloft/store/commits.py
+++ b/lilacloft/store/group_commit.py
@@ -13,7 +13,7 @@
 
 from loguru import logger
 
-from lilacloft.store.form import StoreError
+from lilacloft.store.framing import StoreError
 from lilacloft.store.log import Store
 
 TRIM = 60.0  # seconds between two times at which what is too much or too old goes
--- a/lilacloft/store/log.py
+++ b/lilacloft/store/log.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from lilacloft.store import form
-from lilacloft.store.form import Record, StoreError
+from lilacloft.store import framing
+from lilacloft.store.framing import Record, StoreError
 
 SEGMENT = 8 << 20  # bytes of a log, after which what is kept is written anew
 PIECE = 1 << 20  # bytes of a snapshot's frame
@@ -115,7 +115,7 @@
         if not self.usable or self.size >= self.segment:
             self._turn()
         name = log(self.number)
-        data = form.frame(self.next, batch)
+        data = framing.frame(self.next, batch)
         self.usable = False  # until the sync has said otherwise
         self.files.append(name, data)
         self.files.sync(name)
@@ -190,7 +190,7 @@
         number = self._unused()
         name = log(number)
         self.files.create(name)
-        data = form.head(number)
+        data = framing.head(number)
         self.files.append(name, data)
         self.files.sync(name)
         self.files.sync_names()  # before anything in it is told as down
@@ -209,19 +209,19 @@
         older files do, which are removed only after."""
         part = f"{snap(number)}.part"
         self.files.create(part)
-        self.files.append(part, form.head(number))
+        self.files.append(part, framing.head(number))
         piece: list[Record] = []
         size = 0
         for record in self._durable():
             piece.append(record)
             size += len(record.key) + len(record.value or b"")
             if size >= PIECE:
-                self.files.append(part, form.frame(self.next, piece))
+                self.files.append(part, framing.frame(self.next, piece))
                 piece, size = [], 0
         if piece:
-            self.files.append(part, form.frame(self.next, piece))
+            self.files.append(part, framing.frame(self.next, piece))
         # the last frame says that nothing is missing before it
-        self.files.append(part, form.frame(self.next, [Record(END, b"end", b"", self.next)]))
+        self.files.append(part, framing.frame(self.next, [Record(END, b"end", b"", self.next)]))
         self.files.sync(part)
         self.files.rename(part, snap(number))
         self.files.sync_names()
@@ -269,12 +269,12 @@
         """Take a snapshot, if it is whole."""
         try:
             data = self.files.read(snap(number))
-            records = list(form.frames(data, form.read_head(data)[0]))
+            records = list(framing.frames(data, framing.read_head(data)[0]))
         except (StoreError, OSError) as wrong:
             self.found.damage.append(f"{snap(number)}: {wrong}")
             return False
         broken = [piece for piece in records if isinstance(piece, tuple)]
-        frames = [piece for piece in records if isinstance(piece, form.Frame)]
+        frames = [piece for piece in records if isinstance(piece, framing.Frame)]
         if broken or not frames or frames[-1].records[-1].kind != END:
             self.found.damage.append(f"{snap(number)}: not whole")
             return False
@@ -296,20 +296,20 @@
             self.found.damage.append(f"{log(number)}: {wrong.strerror or wrong}")
             return
         try:
-            version = form.read_head(data)[0]
+            version = framing.read_head(data)[0]
         except StoreError as wrong:
-            version = form.VERSION
-            if last and len(data) <= form.HEAD.size:
+            version = framing.VERSION
+            if last and len(data) <= framing.HEAD.size:
                 self.found.torn.append(f"{log(number)}: {wrong}: it was just begun")
                 return
             if "version" in str(wrong):
                 raise StoreError(f"{log(number)}: {wrong}") from wrong
-            if len(data) > form.HEAD.size:
+            if len(data) > framing.HEAD.size:
                 self.found.damage.append(f"{log(number)}: {wrong}")
             else:
                 self.found.ignored.append(f"{log(number)}: {wrong}: it was never used")
-        pieces = list(form.frames(data, version, place))
-        self.place = max([place, *(piece.end for piece in pieces if isinstance(piece, form.Frame))])
+        pieces = list(framing.frames(data, version, place))
+        self.place = max([place, *(piece.end for piece in pieces if isinstance(piece, framing.Frame))])
         for nth, piece in enumerate(pieces):
             if isinstance(piece, tuple):
                 start, end = piece
--- a/lilacloft/store/kinds.py
+++ b/lilacloft/store/record_types.py
@@ -12,8 +12,9 @@
 - COLD, the be: work sent, by time. Nothing waits for it: what is not down counts as spent in full.
 - LAST, nothing: the change log's number, and that from which on rows are whole. After the purges and rows
   that it stands for, as one log keeps order.
-- ROW, the be or the mark of a whole list: number and row (lilacloft/store/listing.py). Nothing waits for it.
-- LEARNED, the part (lilacloft/store/learned.py): its values. Nothing waits for it.
+- ROW, the be or the mark of a whole list: number and row (lilacloft/store/endpoint_rows.py). Nothing waits
+  for it.
+- LEARNED, the part (lilacloft/store/learned_state.py): its values. Nothing waits for it.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 import msgspec
 
-from lilacloft.store.form import Record
+from lilacloft.store.framing import Record
 
 PURGE, INTENT, COLD, LAST, ROW, LEARNED = 1, 2, 3, 4, 5, 6
 NAMES = {PURGE: "purge", INTENT: "intent", COLD: "cold", LAST: "last", ROW: "row", LEARNED: "learned"}
--- a/lilacloft/upgrade/form.py
+++ b/lilacloft/upgrade/form.py
@@ -134,7 +134,7 @@
 
 
 class Chain(Struct):
-    """Tries under one key (lilacloft/store/keep.py)."""
+    """Tries under one key (lilacloft/store/durability.py)."""
 
     key: bytes
     before: bytes | None = None
--- a/lilacloft/upgrade/process.py
+++ b/lilacloft/upgrade/process.py
@@ -69,8 +69,8 @@
     """What keeps effects over a crash, where the settings name a folder for it."""
     if not store or "folder" not in store:
         return None
-    from lilacloft.store.form import StoreError
-    from lilacloft.store.guard import Guard
+    from lilacloft.store.framing import StoreError
+    from lilacloft.store.gateway_store import Guard
 
     try:
         return Guard(owner, store["folder"], int(store.get("patience", 0.05) * 10_000), **more)
@@ -96,7 +96,7 @@
     """Most of a store, read while the old process still writes it."""
     if not folder or not os.path.isdir(folder):
         return None
-    from lilacloft.store.guard import Reader
+    from lilacloft.store.gateway_store import Reader
 
     return Reader(folder)
 
--- a/rigs/slowdisk.py
+++ b/rigs/slow_disk.py
@@ -1,4 +1,4 @@
-"""A gateway whose disk does not answer for a while: `python -m rigs.slowdisk SECONDS serve ...`."""
+"""A gateway whose disk does not answer for a while: `python -m rigs.slow_disk SECONDS serve ...`."""
 
 import sys
 import time
--- a/rigs/store.py
+++ b/rigs/store.py
@@ -1,9 +1,9 @@
 """What a store bears: `python -m rigs.store cut|crash|speed|kill`.
 
 `cut` writes a log of a size, cuts a copy at every byte, recovers each, and asks for exactly what was
-committed before that byte. `crash` runs generated work on the modelled disk (rigs/disk.py), cuts the power
-at a random call, recovers, and goes on, many times a seed; with `--break` a sync does nothing, which must
-be caught. `speed` commits on the real disk with 1, 16 and 256 writers, against bare appends with a sync
+committed before that byte. `crash` runs generated work on the modelled disk (rigs/disk_model.py), cuts the
+power at a random call, recovers, and goes on, many times a seed; with `--break` a sync does nothing, which
+must be caught. `speed` commits on the real disk with 1, 16 and 256 writers, against bare appends with a sync
 each, and recovers stores of several sizes.
 """
 
@@ -22,12 +22,12 @@
 from pathlib import Path
 from typing import Any
 
-from lilacloft.store import form
-from lilacloft.store.commits import Commits
+from lilacloft.store import framing
 from lilacloft.store.files import Folder
+from lilacloft.store.group_commit import Commits
 from lilacloft.store.log import Store, log
 from rigs.checker import check
-from rigs.disk import CrashError, Disk
+from rigs.disk_model import CrashError, Disk
 from rigs.load import Load
 from rigs.scene import Scene
 from rigs.told import tell
@@ -52,13 +52,13 @@
 def make_log(size: int, seed: int) -> tuple[bytes, list[tuple[int, int]]]:
     """A log of so many bytes, and where each commit ends with how many records there are by then."""
     chance = random.Random(seed)
-    data, ends, count = bytearray(form.head(1)), [], 0
+    data, ends, count = bytearray(framing.head(1)), [], 0
     while len(data) < size:
         batch = []
         for _ in range(chance.choice([1, 1, 2, 8])):
             value = None if chance.random() < 0.1 else chance.randbytes(chance.randrange(200))
-            batch.append(form.Record(chance.randrange(1, 4), b"k%d" % chance.randrange(500), value, count))
-        data += form.frame(count + 1, batch)
+            batch.append(framing.Record(chance.randrange(1, 4), b"k%d" % chance.randrange(500), value, count))
+        data += framing.frame(count + 1, batch)
         count += len(batch)
         ends.append((len(data), count))
     return bytes(data), ends
@@ -68,8 +68,8 @@
     data, ends, begin, end = told
     wrong = []
     place = 0
-    state: dict[tuple[int, bytes], form.Record] = {}
-    commits = [one for one in form.frames(data, form.VERSION) if isinstance(one, form.Frame)]
+    state: dict[tuple[int, bytes], framing.Record] = {}
+    commits = [one for one in framing.frames(data, framing.VERSION) if isinstance(one, framing.Frame)]
     for cut in range(begin, end):
         while place < len(ends) and ends[place][0] <= cut:
             for record in commits[place].records:
@@ -78,7 +78,7 @@
                     state[record.kind, record.key] = record
             place += 1
         want = ends[place - 1][1] if place else 0
-        whole = cut in (form.HEAD.size,) or (place and ends[place - 1][0] == cut)
+        whole = cut in (framing.HEAD.size,) or (place and ends[place - 1][0] == cut)
         # what comes before the last commits is the same for all cuts here, so each starts near its own
         store = Store(Bytes({log(1): data[:cut]}))
         if store.down != want:
@@ -125,7 +125,7 @@
     chance = random.Random(f"work {seed}")
     disk = Disk(seed, faults if seed % 2 else 0.0)
     disk.lies = lies
-    puts: list[form.Record] = []
+    puts: list[framing.Record] = []
     for turn in range(rounds):
         acked, may = len(puts), {len(puts)}
         disk.crash_at = None
@@ -139,7 +139,7 @@
                 if doing < 0.6:
                     value = None if chance.random() < 0.2 else chance.randbytes(chance.randrange(120))
                     key = b"k%d" % chance.randrange(9)
-                    record = form.Record(chance.randrange(1, 4), key, value, len(puts))
+                    record = framing.Record(chance.randrange(1, 4), key, value, len(puts))
                     store.put(record.kind, record.key, record.value, record.stamp)
                     puts.append(record)
                     continue
@@ -156,7 +156,7 @@
             return [f"seed {seed} round {turn}: {store.down} records, {acked} told as down; {store.found}"]
         if store.down not in may:
             return [f"seed {seed} round {turn}: half a commit: {store.down} of {sorted(may)}"]
-        want: dict[tuple[int, bytes], form.Record] = {}
+        want: dict[tuple[int, bytes], framing.Record] = {}
         for record in puts[: store.down]:
             want.pop((record.kind, record.key), None)
             if record.value is not None:
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -39,11 +39,11 @@
 from lilacloft.routing.model import Backend, ObjectPart, Request
 from lilacloft.routing.router import Router
 from lilacloft.settings import settings
-from lilacloft.store import kinds, learned
+from lilacloft.store import learned_state, record_types
+from lilacloft.store.durability import Keeper
+from lilacloft.store.endpoint_rows import Listing
 from lilacloft.store.files import Folder
-from lilacloft.store.form import Record
-from lilacloft.store.keep import Keeper
-from lilacloft.store.listing import Listing
+from lilacloft.store.framing import Record
 from lilacloft.store.log import Store
 from lilacloft.upgrade import carry, form
 from lilacloft.upgrade.words import OWN
@@ -79,16 +79,18 @@
             for record in store.all(kind)
         ],
         "dump": [
-            [kinds.NAMES[kind], record.key.decode(), lists(kinds.plain(record))]
+            [record_types.NAMES[kind], record.key.decode(), lists(record_types.plain(record))]
             for kind in sorted(store.kept)
             for record in store.all(kind)
         ],
     }
 
 
-def _recovered(folder: Path, now: int, purge_done: int) -> kinds.Recovered:
+def _recovered(folder: Path, now: int, purge_done: int) -> record_types.Recovered:
     store = Store(Folder(str(folder), lock=False))
-    return kinds.recovered([record for kind in store.kept for record in store.all(kind)], now, purge_done)
+    return record_types.recovered(
+        [record for kind in store.kept for record in store.all(kind)], now, purge_done
+    )
 
 
 def store_recovered(folder: Path, now: int, purge_done: int) -> Plain:
@@ -128,23 +130,23 @@
     """What of the learned state still holds after a crash, as the decisions take it."""
     found = _recovered(folder, now, purge_done)
     kept = {key: (at, msgspec.msgpack.decode(data)) for key, (at, data) in found.learned.items()}
-    return lists(learned.aged(kept, now, vhosts, starts, link))
+    return lists(learned_state.aged(kept, now, vhosts, starts, link))
 
 
 def _record(plain: Plain) -> Record:
     """A store's record as its writers make it; `kind` is the stored number; no `value`: a removal."""
     kind, key, value = plain["kind"], plain["key"], plain.get("value")
-    stored_key = kinds.key(key) if kind == kinds.PURGE else key.encode()
+    stored_key = record_types.key(key) if kind == record_types.PURGE else key.encode()
     if value is None:
         return Record(kind, stored_key, None, plain["stamp"])
-    if kind == kinds.PURGE:
-        data = kinds.WHEN.pack(value)
-    elif kind == kinds.INTENT:
-        data = kinds.Intent(value["sent"], value["effect"], value["over"], value["cell"]).pack()
-    elif kind == kinds.COLD:
-        data = kinds.spend(value)
-    elif kind == kinds.LAST:
-        data = kinds.NUMBERS.pack(*value)
+    if kind == record_types.PURGE:
+        data = record_types.WHEN.pack(value)
+    elif kind == record_types.INTENT:
+        data = record_types.Intent(value["sent"], value["effect"], value["over"], value["cell"]).pack()
+    elif kind == record_types.COLD:
+        data = record_types.spend(value)
+    elif kind == record_types.LAST:
+        data = record_types.NUMBERS.pack(*value)
     else:
         data = msgspec.msgpack.encode(value)
     return Record(kind, stored_key, data, plain["stamp"])
@@ -363,7 +365,7 @@
     """The parts of the learned state that a store keeps of a state that was taken, by key: their values,
     and their bytes in hex."""
     router, _, _ = _taken(_state(data), config)
-    parts = learned.parts(snapshot.give(router, (), ()), vhosts)
+    parts = learned_state.parts(snapshot.give(router, (), ()), vhosts)
     return {key.decode(): [part, msgspec.msgpack.encode(part).hex()] for key, part in parts.items()}
 
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -11,7 +11,7 @@
 from lilacloft.net.resp import LARGEST, encode
 from lilacloft.routing import retries
 from lilacloft.settings import TENTHS
-from lilacloft.store.guard import Guard
+from lilacloft.store.gateway_store import Guard
 from rigs.inprocess import closes, forgets, halves, handed_over, limits, resets, until, waits_for
 from rigs.stands import Asker, serves, silent
 
--- a/tests/test_keep.py
+++ b/tests/test_durability.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from lilacloft.store import kinds
-from lilacloft.store.form import Record
-from lilacloft.store.keep import ABORT, DENY, EVERY, HOLD, SEND, Keeper, begin
-from lilacloft.store.kinds import Intent, Recovered
+from lilacloft.store import record_types
+from lilacloft.store.durability import ABORT, DENY, EVERY, HOLD, SEND, Keeper, begin
+from lilacloft.store.framing import Record
+from lilacloft.store.record_types import Intent, Recovered
 
 WINDOW, PATIENCE = 20_000, 500
 
@@ -24,7 +24,7 @@
             if value is not None:
                 kept[kind, key] = value
         self.kept = [Record(kind, key, value) for (kind, key), value in kept.items()]
-        found = kinds.recovered(self.kept, time, 60_000)
+        found = record_types.recovered(self.kept, time, 60_000)
         assert not found.skipped
         self.keeper = Keeper(self, found, PATIENCE)
 
@@ -256,7 +256,7 @@
             for done in list(ran):
                 crashed[done] = crashed.get(done) or ran[done]
             one.records, one.down = two.records[: two.down], two.down
-            found = kinds.recovered(Plain(one.records, one.time).as_kept(), one.time, 60_000)
+            found = record_types.recovered(Plain(one.records, one.time).as_kept(), one.time, 60_000)
             one.keeper.follow(found.intents)
         else:
             for done, _ in out.values():
@@ -282,7 +282,7 @@
     assert one.asks("a", b"n", "non-replayable") == HOLD
     assert two.asks("b", b"n", "non-replayable") == HOLD
     two.sync()
-    one.keeper.follow(kinds.recovered([Record(*two.records[0])], one.time, 60_000).intents)
+    one.keeper.follow(record_types.recovered([Record(*two.records[0])], one.time, 60_000).intents)
     assert one.refused == ["a"] and one.asks("c", b"n", "non-replayable") == ABORT
     one.sync()
     assert one.crash().asks("d", b"n", "non-replayable") == ABORT
@@ -293,7 +293,7 @@
     one.asks("a", b"n", "non-replayable")
     ticket = two.keeper.relayed(*one.records[0])
     assert ticket == 1 and two.asks("b", b"n", "non-replayable") == ABORT
-    two.keeper.relayed(kinds.INTENT, b"n", None)  # it surely never ran
+    two.keeper.relayed(record_types.INTENT, b"n", None)  # it surely never ran
     assert two.asks("c", b"n", "non-replayable") == HOLD
 
 
@@ -324,5 +324,5 @@
 
 
 def test_an_intent_that_was_packed_reads_the_same():
-    for effect in kinds.EFFECTS:
-        assert kinds.intent(Intent(7, effect, True, 9).pack()) == Intent(7, effect, True, 9)
+    for effect in record_types.EFFECTS:
+        assert record_types.intent(Intent(7, effect, True, 9).pack()) == Intent(7, effect, True, 9)
--- a/tests/test_listing.py
+++ b/tests/test_endpoint_rows.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lilacloft.store.listing import FULL, STATUS, Listing
+from lilacloft.store.endpoint_rows import FULL, STATUS, Listing
 
 
 def row(name, status, turn=0):
--- a/tests/test_guard.py
+++ b/tests/test_gateway_store.py
@@ -118,7 +118,7 @@
 
 
 def test_a_disk_that_does_not_answer_stops_no_read_and_lets_no_booking_out(world):
-    world = world(serves(), program=("rigs.slowdisk", "3"), forms='(store (folder "store"))')
+    world = world(serves(), program=("rigs.slow_disk", "3"), forms='(store (folder "store"))')
     asker = world.asker()
     began = time.monotonic()
     tag = asker.ask(b"book", body=b"seat", allow=2500)
@@ -279,7 +279,7 @@
 
 
 def test_with_a_disk_that_does_not_answer_nothing_is_handed_over(world):
-    world = world(silent, forms=BOTH, program=("rigs.slowdisk", "8"))
+    world = world(silent, forms=BOTH, program=("rigs.slow_disk", "8"))
     asker = world.asker()
     tag = asker.ask(b"book", body=b"seat")
     done, why = world.upgrade()
--- a/tests/test_learned.py
+++ b/tests/test_learned_state.py
@@ -6,8 +6,20 @@
 import pytest
 
 from lilacloft.routing import snapshot
-from lilacloft.store import learned
-from lilacloft.store.learned import BE, DAY, HALF, LINK, MOMENT, TRUST, VHOST, WHOLE, Changes, aged, parts
+from lilacloft.store import learned_state
+from lilacloft.store.learned_state import (
+    BE,
+    DAY,
+    HALF,
+    LINK,
+    MOMENT,
+    TRUST,
+    VHOST,
+    WHOLE,
+    Changes,
+    aged,
+    parts,
+)
 from rigs.model import SEC, Model, settings
 
 FIELDS = ("holds", "late", "suspect", "crowd")
@@ -86,17 +98,17 @@
 
 def test_a_limit_goes_half_of_its_way_back_in_each_half_life():
     told = {"limit": 2.0, "late": 0.4, "calm": 50, "ended": 40, "took": 3}
-    assert learned.limit(told, 32.0, 100, 0)["limit"] == pytest.approx(2.0)
-    assert learned.limit(told, 32.0, 100, HALF) == {
+    assert learned_state.limit(told, 32.0, 100, 0)["limit"] == pytest.approx(2.0)
+    assert learned_state.limit(told, 32.0, 100, HALF) == {
         "limit": pytest.approx(8.0),
         "late": 0.2,
         "calm": 50,
         "ended": 40,
         "took": 3,
     }
-    assert learned.limit(told, 32.0, 100, 2 * HALF)["limit"] == pytest.approx(16.0)
-    assert learned.limit(told, 32.0, 100, DAY + 1)["limit"] == 32.0
-    ahead = learned.limit({**told, "calm": 10 * TRUST, "ended": 900}, 32.0, 100, 0)
+    assert learned_state.limit(told, 32.0, 100, 2 * HALF)["limit"] == pytest.approx(16.0)
+    assert learned_state.limit(told, 32.0, 100, DAY + 1)["limit"] == 32.0
+    ahead = learned_state.limit({**told, "calm": 10 * TRUST, "ended": 900}, 32.0, 100, 0)
     assert ahead["calm"] == 100 + TRUST and ahead["ended"] == 100
 
 
@@ -111,12 +123,12 @@
         "crowd": 7.0,
         "way": None,
     }
-    got = learned.backend(told, 10.0, 400, 100)
+    got = learned_state.backend(told, 10.0, 400, 100)
     assert (got["suspect"], got["retry_at"], got["backoff"], got["crowd"]) == (True, 500, 90, 7.0)
-    assert "suspect" not in learned.backend(told, 10.0, 500, 100)
-    assert "suspect" not in learned.backend({**told, "retry_at": 10**9}, 10.0, 400, TRUST + 1)
-    assert learned.backend({**told, "retry_at": 10**9}, 10.0, 400, 0)["retry_at"] == 400 + TRUST
-    assert "crowd" not in learned.backend(told, 10.0, 400, MOMENT + 1) and got["holds"] == 4.0
+    assert "suspect" not in learned_state.backend(told, 10.0, 500, 100)
+    assert "suspect" not in learned_state.backend({**told, "retry_at": 10**9}, 10.0, 400, TRUST + 1)
+    assert learned_state.backend({**told, "retry_at": 10**9}, 10.0, 400, 0)["retry_at"] == 400 + TRUST
+    assert "crowd" not in learned_state.backend(told, 10.0, 400, MOMENT + 1) and got["holds"] == 4.0
 
 
 def test_a_clock_put_back_leaves_only_what_holds_for_a_day():
@@ -154,8 +166,8 @@
     assert changes.since(4 + HALF, told) == told  # young again, else it would fade while it holds
     del told[BE + b"a"]
     assert changes.since(5 + HALF, told) == {BE + b"a": None}
-    assert learned.differs({"a": 1}, {"b": 1}) and learned.differs(True, False)
-    assert not learned.differs(0, 0.0)
+    assert learned_state.differs({"a": 1}, {"b": 1}) and learned_state.differs(True, False)
+    assert not learned_state.differs(0, 0.0)
 
 
 def test_parts_of_what_is_listed_no_more_or_not_known_are_passed_over():
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,12 +7,12 @@
 import pytest
 
 from lilacloft.__main__ import main
-from lilacloft.store import form, kinds
-from lilacloft.store.commits import Commits
+from lilacloft.store import framing, record_types
 from lilacloft.store.files import Folder
-from lilacloft.store.form import Record, StoreError
+from lilacloft.store.framing import Record, StoreError
+from lilacloft.store.group_commit import Commits
 from lilacloft.store.log import Store, log, snap
-from rigs.disk import CrashError, Disk
+from rigs.disk_model import CrashError, Disk
 from rigs.store import Bytes, _cut, crash, make_log
 
 
@@ -119,7 +119,7 @@
     data, ends = make_log(4000, 3)
     chance = random.Random(1)
     for _ in range(60):
-        place = chance.randrange(form.HEAD.size, ends[-2][0])
+        place = chance.randrange(framing.HEAD.size, ends[-2][0])
         spoilt = bytearray(data)
         spoilt[place] ^= 1 << chance.randrange(8)
         store = Store(Bytes({log(1): bytes(spoilt)}))
@@ -131,14 +131,14 @@
     data, ends = make_log(1000, 3)
     store = Store(Bytes({log(1): b"xxxx" + data[4:]}))
     assert store.down == ends[-1][1] and "no file of a store" in store.found.damage[0]
-    newer = form.head(1, 9) + data[form.HEAD.size :]
+    newer = framing.head(1, 9) + data[framing.HEAD.size :]
     with pytest.raises(StoreError, match="version 9; 1 to 2"):
         Store(Bytes({log(1): newer}))
 
 
 def test_a_store_of_the_version_before_is_read():
     records = [Record(1, b"a", b"1"), Record(1, b"b", b"2"), Record(1, b"a", None)]
-    data = form.head(1, 1) + form.frame(1, records[:2], 1) + form.frame(3, records[2:], 1)
+    data = framing.head(1, 1) + framing.frame(1, records[:2], 1) + framing.frame(3, records[2:], 1)
     store = Store(Bytes({log(1): data}))
     assert (store.get(1, b"a"), store.get(1, b"b"), store.down) == (None, b"2", 3)
 
@@ -150,7 +150,7 @@
         store.put(1, b"%d" % number, b"x")
         store.commit()
     disk.create(snap(2))
-    disk.append(snap(2), form.head(2) + form.frame(6, [Record(1, b"0", b"x")]))
+    disk.append(snap(2), framing.head(2) + framing.frame(6, [Record(1, b"0", b"x")]))
     again = Store(disk)
     assert again.down == 5 and again.found.damage == [f"{snap(2)}: not whole"]
 
@@ -227,7 +227,7 @@
     folder = Folder(str(tmp_path))
     store = Store(folder)
     for number in range(20):
-        store.put(kinds.PURGE, b"%016x" % number, kinds.WHEN.pack(number), number)
+        store.put(record_types.PURGE, b"%016x" % number, record_types.WHEN.pack(number), number)
         store.commit()
     folder.close()
     path = tmp_path / log(1)
@@ -324,9 +324,11 @@
 
 
 def test_what_must_be_down_before_a_dispatch_and_what_a_stuck_disk_does_to_it():
-    assert [kinds.must_be_down(effect) for effect in kinds.EFFECTS] == [False, True, True]
-    assert kinds.stuck("replayable", 10**9, 5) == "send"
-    assert kinds.stuck("non-replayable", 4, 5) == "wait" and kinds.stuck("uniqued", 5, 5) == "deny"
+    assert [record_types.must_be_down(effect) for effect in record_types.EFFECTS] == [False, True, True]
+    assert record_types.stuck("replayable", 10**9, 5) == "send"
+    assert (
+        record_types.stuck("non-replayable", 4, 5) == "wait" and record_types.stuck("uniqued", 5, 5) == "deny"
+    )
 
 
 @pytest.mark.parametrize(
@@ -344,25 +346,25 @@
     ],
 )
 def test_a_req_that_a_process_before_may_have_sent(effect, over, cell, now, group, may):
-    before = kinds.Intent(101 - 50, effect, over, 1)
-    assert kinds.intent(before.pack()) == before
-    assert kinds.may_send(effect, before, now, 100, group, cell) is may
-    assert kinds.may_send(effect, None, now, 100, group, cell)
+    before = record_types.Intent(101 - 50, effect, over, 1)
+    assert record_types.intent(before.pack()) == before
+    assert record_types.may_send(effect, before, now, 100, group, cell) is may
+    assert record_types.may_send(effect, None, now, 100, group, cell)
 
 
 def test_what_is_recovered_bears_nonsense_and_a_clock_put_back():
     records = [
-        Record(kinds.PURGE, kinds.key("00ff"), kinds.WHEN.pack(900)),
-        Record(kinds.PURGE, kinds.key(7), kinds.WHEN.pack(5000)),  # ahead of the clock
-        Record(kinds.PURGE, kinds.key("old"), kinds.WHEN.pack(10)),
-        Record(kinds.PURGE, b"#x", kinds.WHEN.pack(900)),
-        Record(kinds.INTENT, b"ref", kinds.Intent(5, "uniqued", False, 3).pack()),
-        Record(kinds.INTENT, b"bad", b"?"),
-        Record(kinds.COLD, b"s-1", kinds.spend([(1, 2.5), (3, 4.0)])),
-        Record(kinds.LAST, b"", kinds.WHEN.pack(41)),
+        Record(record_types.PURGE, record_types.key("00ff"), record_types.WHEN.pack(900)),
+        Record(record_types.PURGE, record_types.key(7), record_types.WHEN.pack(5000)),  # ahead of the clock
+        Record(record_types.PURGE, record_types.key("old"), record_types.WHEN.pack(10)),
+        Record(record_types.PURGE, b"#x", record_types.WHEN.pack(900)),
+        Record(record_types.INTENT, b"ref", record_types.Intent(5, "uniqued", False, 3).pack()),
+        Record(record_types.INTENT, b"bad", b"?"),
+        Record(record_types.COLD, b"s-1", record_types.spend([(1, 2.5), (3, 4.0)])),
+        Record(record_types.LAST, b"", record_types.WHEN.pack(41)),
     ]
-    found = kinds.recovered(records, 1000, 500)
+    found = record_types.recovered(records, 1000, 500)
     assert found.purges == {"00ff": 900, 7: 1000} and found.last == 41
-    assert found.intents == {b"ref": kinds.Intent(5, "uniqued", False, 3)}
+    assert found.intents == {b"ref": record_types.Intent(5, "uniqued", False, 3)}
     assert found.cold == {"s-1": [(1, 2.5), (3, 4.0)]}
     assert len(found.skipped) == 2 and "intent b'bad'" in found.skipped[1]
