--- a/lilacloft/cli/plan.py
+++ b/lilacloft/cli/plan.py
@@ -31,7 +31,7 @@
     """Run one planner until SIGTERM."""
     from lilacloft.config.addresses import named
     from lilacloft.plan.serve import Process
-    from lilacloft.store.framing import StoreError
+    from lilacloft.store.errors import StoreError
 
     try:
         places = named(planners)
--- a/lilacloft/cli/store.py
+++ b/lilacloft/cli/store.py
@@ -14,14 +14,14 @@
 
 def opened(path: str, lock: bool) -> tuple[Any, Any]:
     """A folder and the store in it; a usage error in words where there is none, or another process writes."""
-    from lilacloft.store.files import Folder
-    from lilacloft.store.framing import StoreError
+    from lilacloft.store.errors import StoreError
+    from lilacloft.store.files import StoreDirectory
     from lilacloft.store.log import Store
 
     if not os.path.isdir(path):
         raise click.ClickException(f"{path}: there is no such folder")
     try:
-        folder = Folder(path, lock)
+        folder = StoreDirectory(path, lock)
     except (StoreError, OSError) as wrong:
         raise click.ClickException(str(wrong)) from wrong
     try:
@@ -51,12 +51,12 @@
     """Say what is there. Code 1 where anything was lost; a torn end is what any crash leaves."""
     folder, found = opened(path, False)
     folder.close()
-    told(found.found)
+    told(found.report)
     click.echo(
-        f"{found.down} records written, {sum(map(len, found.kept.values()))} kept, in "
+        f"{found.durable_sequence} records written, {found.record_count()} kept, in "
         f"{len(folder.names())} files"
     )
-    return 1 if found.found.damage else 0
+    return 1 if found.report.damage else 0
 
 
 @store.command()
@@ -67,12 +67,17 @@
 
     folder, found = opened(path, False)
     folder.close()
-    for kind in sorted(found.kept):
-        for record in found.all(kind):
+    for kind in sorted(found.records):
+        for record in found.records_of(kind):
             key = record.key.decode("utf-8", "replace")
             click.echo(
                 json.dumps(
-                    {"kind": NAMES.get(kind, kind), "key": key, "stamp": record.stamp, "value": plain(record)}
+                    {
+                        "kind": NAMES.get(kind, kind),
+                        "key": key,
+                        "stamp": record.timestamp,
+                        "value": plain(record),
+                    }
                 )
             )
     return 0
@@ -84,8 +89,8 @@
     """Write what is kept anew, and drop the rest. Refused while a gateway writes there, or with damage."""
     folder, found = opened(path, True)
     try:
-        if found.found.damage:
-            told(found.found)
+        if found.report.damage:
+            told(found.report)
             raise click.ClickException("there is damage: repair first, which keeps the old files")
         before = sum(os.path.getsize(os.path.join(path, name)) for name in folder.names())
         found.compact()
@@ -104,8 +109,8 @@
     """Keep all that is whole, and say what is not. The old files stay beside, in a folder that is named."""
     folder, found = opened(path, True)
     try:
-        told(found.found)
-        if not found.found.damage:
+        told(found.report)
+        if not found.report.damage:
             click.echo("nothing to repair")
             return 0
         aside = next(
@@ -117,7 +122,7 @@
         for name in folder.names():
             shutil.copy2(os.path.join(path, name), aside)
         found.compact()
-        count = sum(map(len, found.kept.values()))
+        count = found.record_count()
         click.echo(f"{count} records kept; the files as they were are in {aside}")
     except OSError as wrong:
         raise click.ClickException(str(wrong)) from wrong
--- a/lilacloft/errors.py
+++ b/lilacloft/errors.py
@@ -7,6 +7,10 @@
 NOT_WANTED = 3  # the code of a new process that the old one did without
 
 
+class LilacloftError(Exception):
+    """Base of the errors of this program; the text says what is wrong, for people."""
+
+
 class NotWantedError(Exception):
     """Another process goes on as the gateway; the text says why."""
 
--- a/lilacloft/plan/serve.py
+++ b/lilacloft/plan/serve.py
@@ -84,10 +84,10 @@
     def _open(folder: str) -> Any:
         if not folder:
             return None
-        from lilacloft.store.files import Folder
+        from lilacloft.store.files import StoreDirectory
         from lilacloft.store.log import Store
 
-        return Store(Folder(folder))
+        return Store(StoreDirectory(folder))
 
     def _begin(self) -> tuple[int, int]:
         """The highest epoch that was known, and this start's number. Without a store the clock tells starts
--- a/lilacloft/store/files.py
+++ b/lilacloft/store/files.py
@@ -1,4 +1,4 @@
-"""A store's folder on a real disk, and the lock that keeps a second writer out."""
+"""The directory of a store on a real disk, and the lock that excludes a second writer."""
 
 from __future__ import annotations
 
@@ -7,83 +7,106 @@
 import os
 from pathlib import Path
 
-from lilacloft.store.framing import StoreError
+from lilacloft.store.errors import StoreLockedError, StoreNotFoundError
 
+LOCK_FILE = "lock"  # holds the process id of the writer
+MAX_PID_BYTES = 32
+FILE_MODE = 0o600
 
-class Folder:
-    """The Files of a real folder. Files that are added to stay open."""
 
-    def __init__(self, path: str, lock: bool = True, passed: int = -1) -> None:
-        """With the lock, without (to read only), or with one that another process has passed: it is held as
-        long as either process has its descriptor, so that no third comes between."""
+class StoreDirectory:
+    """The `Directory` of a store in the file system. Files that are written to stay open.
+
+    The lock is tied to a descriptor, which the handover passes to the next process: it lasts as long as
+    either process has it open, so that no third process comes between them.
+    """
+
+    def __init__(self, path: str, lock: bool = True, inherited_lock_fd: int = -1) -> None:
+        """Open a directory: with the lock; without it (`lock` false), to read only; or with the lock that
+        another process has passed on as a descriptor.
+
+        Raises StoreLockedError if another process has the lock, StoreNotFoundError if a directory that is
+        only read does not exist, OSError if it cannot be created.
+        """
         self.path = Path(path)
-        self.open: dict[str, int] = {}
-        self.lock = passed
-        if passed >= 0:
+        self.open_files: dict[str, int] = {}
+        self.lock_fd = inherited_lock_fd
+        if inherited_lock_fd >= 0:
             return
         if lock:
-            self.path.mkdir(parents=True, exist_ok=True)
-            self.lock = os.open(self.path / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-            try:
-                fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            except BlockingIOError:
-                held = os.read(self.lock, 32).decode("ascii", "replace").strip()
-                os.close(self.lock)
-                self.lock = -1
-                raise StoreError(f"{path}: process {held or '?'} writes there") from None
-            self.sign()
+            self._lock(path)
         elif not self.path.is_dir():
-            raise StoreError(f"{path}: there is no such folder")
+            raise StoreNotFoundError(f"{path}: there is no such folder")
 
-    def sign(self) -> None:
-        """This process is the one that writes there."""
-        os.ftruncate(self.lock, 0)
-        os.pwrite(self.lock, b"%d\n" % os.getpid(), 0)
+    def _lock(self, path: str) -> None:
+        self.path.mkdir(parents=True, exist_ok=True)
+        self.lock_fd = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
+        try:
+            fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except BlockingIOError:
+            writer = os.read(self.lock_fd, MAX_PID_BYTES).decode("ascii", "replace").strip()
+            os.close(self.lock_fd)
+            self.lock_fd = -1
+            raise StoreLockedError(f"{path}: process {writer or '?'} writes there") from None
+        self.write_pid()
+
+    def write_pid(self) -> None:
+        """Name this process in the lock file as the writer."""
+        os.ftruncate(self.lock_fd, 0)
+        os.pwrite(self.lock_fd, b"%d\n" % os.getpid(), 0)
 
     def names(self) -> list[str]:
+        """Return the names of the store's files, sorted."""
         return sorted(name for name in os.listdir(self.path) if name.startswith(("log-", "snap-")))
 
     def read(self, name: str) -> bytes:
+        """Return all bytes of a file."""
         return (self.path / name).read_bytes()
 
     def create(self, name: str) -> None:
-        self._let_go(name)
+        """Create an empty file, or truncate one."""
+        self._close_file(name)
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
-        self.open[name] = os.open(self.path / name, flags, 0o600)
+        self.open_files[name] = os.open(self.path / name, flags, FILE_MODE)
 
     def append(self, name: str, data: bytes) -> None:
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(self.open[name], rest) :]
+        """Write to the end of a file."""
+        unwritten = memoryview(data)
+        while unwritten:
+            unwritten = unwritten[os.write(self.open_files[name], unwritten) :]
 
     def sync(self, name: str) -> None:
-        os.fdatasync(self.open[name])
+        """Return once all that was written to a file is durable."""
+        os.fdatasync(self.open_files[name])
 
-    def sync_names(self) -> None:
-        folder = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    def sync_directory(self) -> None:
+        """Return once all files created, renamed and removed are durably so."""
+        directory = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
 
     def rename(self, old: str, new: str) -> None:
-        self._let_go(old)
+        """Rename a file, replacing any file with the new name."""
+        self._close_file(old)
         os.rename(self.path / old, self.path / new)
 
     def remove(self, name: str) -> None:
-        self._let_go(name)
+        """Remove a file."""
+        self._close_file(name)
         os.unlink(self.path / name)
 
     def close(self) -> None:
-        """Let everything go, the lock last."""
-        for name in list(self.open):
-            self._let_go(name)
-        if self.lock >= 0:
-            os.close(self.lock)
-            self.lock = -1
-
-    def _let_go(self, name: str) -> None:
-        fd = self.open.pop(name, -1)
+        """Close all files, and the lock last."""
+        for name in list(self.open_files):
+            self._close_file(name)
+        if self.lock_fd >= 0:
+            os.close(self.lock_fd)
+            self.lock_fd = -1
+
+    def _close_file(self, name: str) -> None:
+        fd = self.open_files.pop(name, -1)
         if fd >= 0:
             with contextlib.suppress(OSError):
                 os.close(fd)
--- a/lilacloft/store/framing.py
+++ b/lilacloft/store/framing.py
@@ -1,13 +1,13 @@
-"""The bytes of a store's files. It knows no file and no state.
+"""The binary format of a store's files, without any I/O or state.
 
-A file begins with a head: magic, version, number, CRC32C. Then come frames: CRC32C of all that follows,
-length, first sequence number, count; then so many records. A frame is what one sync makes durable: it is
-whole or it is not there, as all its records share one checksum. A frame is written only after the one
-before it was synced, so that a bad frame with a good one after it is damage, and a bad one at the end of
-the last file is what a crash has torn.
+A file begins with a header: magic, version, number, CRC32C. Frames follow. A frame is the CRC32C of the rest
+of the frame, the length of its body, the sequence number of its first record, the count of its records, and
+the records. One sync makes one frame durable. As all its records share a checksum, a frame is whole or
+absent after a crash. A frame is written only after the one before it was synced. So an invalid frame that is
+followed by a valid one is damage, and an invalid one at the end of the last file is an interrupted write.
 
-A record: kind (a byte), flags (1: a removal), key length (2 bytes), value length (4), stamp (8: Unix time
-in tenths of a millisecond), key, value. Version 1 had no stamp.
+A record is its kind (1 byte), flags (1 byte; 1: a removal), key length (2 bytes), value length (4 bytes),
+timestamp (8 bytes, Unix time in tenths of a millisecond), key and value. Version 1 had no timestamp.
 """
 
 from __future__ import annotations
@@ -19,127 +19,159 @@
 
 from crc32c import crc32c
 
-VERSION = 2
-LEAST = 1
-MAGIC = b"llst"
-HEAD = struct.Struct(">4sHQI")
-FRAME = struct.Struct(">IIQI")
-RECORD = struct.Struct(">BBHIQ")
-RECORD_1 = struct.Struct(">BBHI")  # of version 1
-LARGEST = 64 << 20  # bytes of a frame
-
+from lilacloft.routing.units import Ticks
+from lilacloft.store.errors import FormatError, UnsupportedVersionError
 
-class StoreError(Exception):
-    """What is no store, or cannot be used as one; the text says why."""
+FORMAT_VERSION = 2
+OLDEST_READABLE_VERSION = 1
+MAGIC = b"llst"
+FILE_HEADER = struct.Struct(">4sHQI")  # magic, version, number, checksum
+FRAME_HEADER = struct.Struct(">IIQI")  # checksum, length of the body, first sequence number, record count
+RECORD_HEADER = struct.Struct(">BBHIQ")  # kind, flags, key length, value length, timestamp
+RECORD_HEADER_V1 = struct.Struct(">BBHI")
+CHECKSUM = struct.Struct(">I")
+REMOVAL_FLAG = 1
+MAX_FRAME_BYTES = 64 << 20
+MIN_RECORD_BYTES = RECORD_HEADER_V1.size
 
 
 class Record(NamedTuple):
-    """One thing that is kept, or is kept no more. A tuple: a recovery makes millions."""
+    """A value stored under a kind and a key, or its removal. A tuple, as a recovery creates millions."""
 
     kind: int
     key: bytes
-    value: bytes | None  # none: a removal
-    stamp: int = 0
+    value: bytes | None  # None: a removal
+    timestamp: Ticks = 0  # Unix time
+
+
+@dataclass(frozen=True)
+class FileHeader:
+    """The header of a log segment or a snapshot."""
+
+    version: int
+    number: int
 
 
 @dataclass(frozen=True)
 class Frame:
-    """What one sync made durable, where it lies."""
+    """The records that one sync made durable, and the bytes of the file that hold them."""
 
-    start: int
-    end: int
-    first: int  # sequence number of its first record
+    start_offset: int
+    end_offset: int
+    first_sequence: int  # sequence number of its first record
     records: list[Record]
 
 
-def head(number: int, version: int = VERSION) -> bytes:
-    """The beginning of a file."""
-    data = HEAD.pack(MAGIC, version, number, 0)[:-4]
-    return data + struct.pack(">I", crc32c(data))
+@dataclass(frozen=True)
+class UnreadableRange:
+    """Bytes of a file that are no valid frame."""
+
+    start_offset: int
+    end_offset: int
+
+
+def pack_file_header(number: int, version: int = FORMAT_VERSION) -> bytes:
+    """Return the header of the file with the given number."""
+    data = FILE_HEADER.pack(MAGIC, version, number, 0)[: -CHECKSUM.size]
+    return data + CHECKSUM.pack(crc32c(data))
+
 
+def parse_file_header(data: bytes) -> FileHeader:
+    """Read the header at the start of a file.
 
-def read_head(data: bytes) -> tuple[int, int]:
-    """Version and number of a file."""
-    if len(data) < HEAD.size:
-        raise StoreError(f"a head of {len(data)} bytes instead of {HEAD.size}")
-    magic, version, number, crc = HEAD.unpack_from(data)
+    Raises FormatError if it is none, UnsupportedVersionError for a version that is not read here.
+    """
+    if len(data) < FILE_HEADER.size:
+        raise FormatError(f"a head of {len(data)} bytes instead of {FILE_HEADER.size}")
+    magic, version, number, checksum = FILE_HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise StoreError("no file of a store")
-    if crc != crc32c(data[: HEAD.size - 4]):
-        raise StoreError("a head whose checksum does not fit")
-    if not LEAST <= version <= VERSION:
-        raise StoreError(f"version {version}; {LEAST} to {VERSION} are read here")
-    return version, number
+        raise FormatError("no file of a store")
+    if checksum != crc32c(data[: FILE_HEADER.size - CHECKSUM.size]):
+        raise FormatError("a head whose checksum does not fit")
+    if not OLDEST_READABLE_VERSION <= version <= FORMAT_VERSION:
+        readable = f"{OLDEST_READABLE_VERSION} to {FORMAT_VERSION}"
+        raise UnsupportedVersionError(f"version {version}; {readable} are read here")
+    return FileHeader(version, number)
 
 
-def pack(records: Iterable[Record], version: int = VERSION) -> bytes:
-    """Records one after the other."""
+def pack_records(records: Iterable[Record], version: int = FORMAT_VERSION) -> bytes:
+    """Return the body of a frame."""
     out = []
     for record in records:
         value = record.value or b""
         fields = (record.kind, record.value is None, len(record.key), len(value))
-        out.append(RECORD.pack(*fields, record.stamp) if version > 1 else RECORD_1.pack(*fields))
+        if version > 1:
+            out.append(RECORD_HEADER.pack(*fields, record.timestamp))
+        else:
+            out.append(RECORD_HEADER_V1.pack(*fields))
         out += (record.key, value)
     return b"".join(out)
 
 
-def frame(first: int, records: list[Record], version: int = VERSION) -> bytes:
-    """One frame."""
-    body = pack(records, version)
-    if len(body) > LARGEST:
-        raise StoreError(f"{len(body)} bytes in one frame, {LARGEST} at most")
-    rest = FRAME.pack(0, len(body), first, len(records))[4:] + body
-    return struct.pack(">I", crc32c(rest)) + rest
-
-
-def frame_at(data: bytes, place: int, version: int) -> Frame | None:
-    """The frame at a place, if it is whole."""
-    if place + FRAME.size > len(data):
+def unpack_records(data: bytes, version: int) -> list[Record]:
+    """Read the body of a frame. Raises FormatError or struct.error if a record exceeds it."""
+    header = RECORD_HEADER if version > 1 else RECORD_HEADER_V1
+    header_size, unpack_header, records = header.size, header.unpack_from, []
+    offset = timestamp = 0
+    while offset < len(data):
+        if version > 1:
+            kind, flags, key_length, value_length, timestamp = unpack_header(data, offset)
+        else:
+            kind, flags, key_length, value_length = unpack_header(data, offset)
+        key_start = offset + header_size
+        value_start = key_start + key_length
+        offset = value_start + value_length
+        if offset > len(data):
+            raise FormatError("a record that goes past its frame")
+        value = None if flags & REMOVAL_FLAG else data[value_start:offset]
+        records.append(Record(kind, data[key_start:value_start], value, timestamp))
+    return records
+
+
+def pack_frame(first_sequence: int, records: list[Record], version: int = FORMAT_VERSION) -> bytes:
+    """Return one frame. Raises FormatError if it would be too long."""
+    body = pack_records(records, version)
+    if len(body) > MAX_FRAME_BYTES:
+        raise FormatError(f"{len(body)} bytes in one frame, {MAX_FRAME_BYTES} at most")
+    header = FRAME_HEADER.pack(0, len(body), first_sequence, len(records))
+    checked = header[CHECKSUM.size :] + body
+    return CHECKSUM.pack(crc32c(checked)) + checked
+
+
+def parse_frame(data: bytes, offset: int, version: int) -> Frame | None:
+    """Return the frame at an offset, or None if there is no valid one."""
+    body_start = offset + FRAME_HEADER.size
+    if body_start > len(data):
         return None
-    crc, length, first, count = FRAME.unpack_from(data, place)
-    end = place + FRAME.size + length
-    if length > LARGEST or end > len(data) or count * 8 > length or crc32c(data[place + 4 : end]) != crc:
+    checksum, length, first_sequence, count = FRAME_HEADER.unpack_from(data, offset)
+    end = body_start + length
+    if length > MAX_FRAME_BYTES or end > len(data) or count * MIN_RECORD_BYTES > length:
+        return None
+    if crc32c(data[offset + CHECKSUM.size : end]) != checksum:
         return None
     try:
-        records = unpack(data[place + FRAME.size : end], version)
-    except (struct.error, StoreError):
+        records = unpack_records(data[body_start:end], version)
+    except (struct.error, FormatError):
+        return None
+    if not count or len(records) != count:
         return None
-    return Frame(place, end, first, records) if len(records) == count and count else None
+    return Frame(offset, end, first_sequence, records)
 
 
-def unpack(data: bytes, version: int) -> list[Record]:
-    """All records of a frame."""
-    form = RECORD if version > 1 else RECORD_1
-    size, read, out = form.size, form.unpack_from, []
-    place = stamp = 0
-    while place < len(data):
-        if version > 1:
-            kind, flags, key, value, stamp = read(data, place)
-        else:
-            kind, flags, key, value = read(data, place)
-        place += size
-        middle = place + key
-        end = middle + value
-        if end > len(data):
-            raise StoreError("a record that goes past its frame")
-        out.append(Record(kind, data[place:middle], None if flags & 1 else data[middle:end], stamp))
-        place = end
-    return out
-
-
-def frames(data: bytes, version: int, place: int = 0) -> Iterator[Frame | tuple[int, int]]:
-    """All frames of a file after its head, or from a place on; what is none is given as the stretch up to the
-    next one, or the end. A frame is looked for at every byte after damage: lengths there cannot be
-    believed."""
-    place = place or HEAD.size
-    while place < len(data):
-        found = frame_at(data, place, version)
-        if found:
-            yield found
-            place = found.end
+def iter_frames(data: bytes, version: int, offset: int = 0) -> Iterator[Frame | UnreadableRange]:
+    """Yield all frames of a file from an offset on (0: after its header), and what lies between them.
+
+    After damage every byte is tried as the start of a frame, since no length there can be trusted.
+    """
+    offset = offset or FILE_HEADER.size
+    while offset < len(data):
+        frame = parse_frame(data, offset, version)
+        if frame:
+            yield frame
+            offset = frame.end_offset
             continue
-        after = place + 1
-        while after < len(data) and not (found := frame_at(data, after, version)):
-            after += 1
-        yield place, min(after, len(data))
-        place = after
+        next_start = offset + 1
+        while next_start < len(data) and not parse_frame(data, next_start, version):
+            next_start += 1
+        yield UnreadableRange(offset, min(next_start, len(data)))
+        offset = next_start
--- a/lilacloft/store/gateway_store.py
+++ b/lilacloft/store/gateway_store.py
@@ -23,8 +23,8 @@
 from lilacloft.store import learned_state, record_types
 from lilacloft.store.durability import HOLD, PATIENCE, SEND, Keeper, begin
 from lilacloft.store.endpoint_rows import Listing
-from lilacloft.store.files import Folder
-from lilacloft.store.group_commit import Commits
+from lilacloft.store.files import StoreDirectory
+from lilacloft.store.group_commit import GroupCommitter
 from lilacloft.store.log import Store
 
 SECOND = 10_000
@@ -40,7 +40,7 @@
     """Reads a store while another process writes it."""
 
     def __init__(self, path: str) -> None:
-        self.store = Store(Folder(path, lock=False))
+        self.store = Store(StoreDirectory(path, lock=False))
 
 
 class Guard:
@@ -58,23 +58,23 @@
         """After an end of any kind, or with what the process before `given`, its lock passed on, and a
         `reader` of what it wrote."""
         self.owner, self.path = owner, os.path.realpath(path)
-        self.folder = Folder(path, passed=lock)
+        self.folder = StoreDirectory(path, inherited_lock_fd=lock)
         self.purge_done = owner.router.freshness.purge_lifetime
         windows = [vhost.get("repeat_window", 0) for vhost in owner.vhosts]
         began = time.monotonic()
         bounds = record_types.limits(self.purge_done, owner.longest, max(windows))
         if reader:
             self.store = reader.store
-            self.store.files, self.store.limits = self.folder, bounds
-            self.store.follow()
+            self.store.directory, self.store.retention = self.folder, bounds
+            self.store.catch_up()
         else:
             self.store = Store(self.folder, bounds)
         found = self._found()
-        for line in (*self.store.found.damage, *self.store.found.torn, *found.skipped):
+        for line in (*self.store.report.damage, *self.store.report.torn, *found.skipped):
             logger.warning("store: {}", line)
         logger.info(
             "store: {} records {} in {:.0f} ms: {} purges, {} intents",
-            sum(map(len, self.store.kept.values())),
+            self.store.record_count(),
             "followed" if reader else "recovered",
             1000 * (time.monotonic() - began),
             len(found.purges),
@@ -103,12 +103,11 @@
             self._begin(found)
         else:
             self.keeper.take(given)
-        self.commits = Commits(self.store, told=lambda ticket: owner.post(self._down, ticket))
+        self.commits = GroupCommitter(self.store, on_durable=lambda ticket: owner.post(self._down, ticket))
         owner.guard = self
 
     def _found(self) -> record_types.Recovered:
-        records = [record for kind in self.store.kept for record in self.store.all(kind)]
-        return record_types.recovered(records, self.owner.time, self.purge_done)
+        return record_types.recovered(self.store.all_records(), self.owner.time, self.purge_done)
 
     def _begin(self, found: record_types.Recovered) -> None:
         """Nobody has told the decision module of anything yet."""
@@ -139,7 +138,7 @@
 
     def start(self) -> None:
         """The owner runs, and this process is the gateway."""
-        self.commits.do(self.folder.sign)
+        self.commits.run_before_writing(self.folder.write_pid)
         self._second()
 
     def close(self) -> None:
@@ -182,14 +181,14 @@
         over, self.over = self.over, []
         if wrote:
             self.keeper.lost(over)
-            self.commits.do(self._follow)
-            self.commits.do(self.folder.sign)
+            self.commits.run_before_writing(self._follow)
+            self.commits.run_before_writing(self.folder.write_pid)
             if not any(entry[2] == self._second for entry in self.owner.timers):
                 self._second()
 
     def _follow(self) -> None:
         """In the commits' thread, which nothing of the store passes by."""
-        self.store.follow()
+        self.store.catch_up()
         self.owner.post(self.keeper.follow, self._found().intents)
 
     def resumed(self, sents: Iterable[Sent]) -> None:
@@ -304,7 +303,9 @@
             for key, part in self.changes.since(owner.time, parts).items():
                 self.keep(record_types.LEARNED, key, None if part is None else _write(part))
         if self.seconds % CLEANS == 0:
-            self.keeper.forget(record_types.limits(self.purge_done, owner.longest, 0)[record_types.INTENT][1])
+            self.keeper.forget(
+                record_types.limits(self.purge_done, owner.longest, 0)[record_types.INTENT].max_age
+            )
         owner.at(owner.time + SECOND, self._second)
 
     # --- Hands: what the keeper calls ---
@@ -314,9 +315,9 @@
 
     def keep(self, kind: int, key: bytes, value: bytes | None) -> int:
         if self.relay is None:
-            return self.commits.ask(kind, key, value, self.owner.time)
+            return self.commits.submit(kind, key, value, self.owner.time)
         # tickets go on rising past those of our own commits, which are all down
-        self.tickets = max(self.tickets, self.commits.told) + 1
+        self.tickets = max(self.tickets, self.commits.last_ticket) + 1
         if kind == record_types.INTENT:  # all else the next process knows better
             self.relay(self.tickets, kind, key, value)
         return self.tickets
--- a/lilacloft/store/group_commit.py
+++ b/lilacloft/store/group_commit.py
@@ -1,7 +1,7 @@
-"""Group commit: many writers, one thread that syncs, each told when its record is down.
+"""Group commit: many writers share the syncs of one thread, and each learns when its record is durable.
 
-It decides nothing of what is kept. Whoever puts waits for a sync at most as long as it says; a disk that is
-stuck holds up nobody longer, and the thread that waits for it goes on when it answers.
+A writer waits at most as long as it says, also while the disk does not answer. The thread goes on once the
+disk answers again.
 """
 
 from __future__ import annotations
@@ -13,137 +13,174 @@
 
 from loguru import logger
 
-from lilacloft.store.framing import StoreError
+from lilacloft.routing.units import Ticks
+from lilacloft.store.errors import StoreError
+from lilacloft.store.framing import Record
 from lilacloft.store.log import Store
 
-TRIM = 60.0  # seconds between two times at which what is too much or too old goes
-AGAIN = 0.5  # seconds before a disk that failed is tried again
+RETENTION_INTERVAL = 60.0  # seconds between two removals of what is beyond the retention limits
+RETRY_DELAY = 0.5  # seconds before a disk that failed is tried again
+CLOSE_TIMEOUT = 5.0  # seconds
 
 
-class Commits:
-    """One store's writers. With `group` off every record has a sync of its own."""
+class GroupCommitter:
+    """Writes records to a store in a thread of its own."""
 
-    def __init__(self, store: Store, group: bool = True, told: Callable[[int], None] | None = None) -> None:
-        self.store, self.group, self.tells = store, group, told
-        self.change = threading.Condition()
-        self.over = False
+    def __init__(
+        self, store: Store, group: bool = True, on_durable: Callable[[int], None] | None = None
+    ) -> None:
+        """Start the thread. Without `group` each record has a sync of its own.
+
+        `on_durable` is called in that thread after each sync, with the ticket up to which all records are
+        durable.
+        """
+        self.store, self.group, self.on_durable = store, group, on_durable
+        self.condition = threading.Condition()
+        self.closing = False
         self.jobs: deque[Callable[[], None]] = deque()
-        self.syncs = self.failed = 0
-        self.trims = 0.0  # when what is too much or too old goes next
-        self.since = 0.0  # when the sync under way began; 0: none is
-        self.asked: list[tuple[int, bytes, bytes | None, int]] = []
-        self.told = 0  # records asked for so far
-        self.down = 0  # of those, how many are down
+        self.sync_count = 0
+        self.failure_count = 0  # since the last success
+        self.next_retention_at = 0.0
+        self.commit_began_at = 0.0  # of the commit in progress, or its retry delay; 0: none is
+        self.queue: list[Record] = []
+        self.last_ticket = 0
+        self.durable_ticket = 0
+        self.uncommitted = 0  # records that the store has and that are not durable
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
-    def ask(self, kind: int, key: bytes, value: bytes | None, stamp: int) -> int:
-        """Ask for a record to be kept, without waiting; returns its ticket. Where the commits were made with
-        `told`, that is called, in their thread, with the ticket up to which all are down."""
-        with self.change:
-            self.asked.append((kind, key, value, stamp))
-            self.told += 1
-            self.change.notify_all()
-            return self.told
-
-    def put(self, kind: int, key: bytes, value: bytes | None, stamp: int, wait: float = 0.0) -> bool:
-        """Ask for a record to be kept; with a wait, until it is down. False where that is not yet known."""
-        with self.change:
-            self.asked.append((kind, key, value, stamp))
-            self.told += 1
-            mine = self.told
-            self.change.notify_all()
-            if wait <= 0:
-                return self.down >= mine
-            until = time.monotonic() + wait
-            while self.down < mine:
-                left = until - time.monotonic()
-                if left <= 0 or self.over:
+    def submit(self, kind: int, key: bytes, value: bytes | None, timestamp: Ticks) -> int:
+        """Queue a record (None: a removal) without waiting; returns its ticket."""
+        with self.condition:
+            return self._enqueue(Record(kind, key, value, timestamp))
+
+    def write(self, record: Record, timeout: float = 0.0) -> bool:
+        """Queue a record and wait until it is durable, for `timeout` seconds at most.
+
+        Returns False if that is not known by then.
+        """
+        with self.condition:
+            ticket = self._enqueue(record)
+            if timeout <= 0:
+                return self.durable_ticket >= ticket
+            deadline = time.monotonic() + timeout
+            while self.durable_ticket < ticket:
+                remaining = deadline - time.monotonic()
+                if remaining <= 0 or self.closing:
                     return False
-                self.change.wait(left)
+                self.condition.wait(remaining)
             return True
 
-    def flush(self, wait: float) -> bool:
-        """Until all that was asked for is down, for a while at most; False where it is not. Then nothing more
-        is written until something more is asked for."""
-        until = time.monotonic() + wait
-        with self.change:
-            while self.down < self.told:
-                left = until - time.monotonic()
-                if left <= 0:
+    def flush(self, timeout: float) -> bool:
+        """Wait until all queued records are durable, for `timeout` seconds at most; False if they are not.
+
+        After True nothing is written until something more is queued.
+        """
+        deadline = time.monotonic() + timeout
+        with self.condition:
+            while self.durable_ticket < self.last_ticket:
+                remaining = deadline - time.monotonic()
+                if remaining <= 0:
                     return False
-                self.change.wait(left)
+                self.condition.wait(remaining)
             return True
 
-    def do(self, what: Callable[[], None]) -> None:
-        """Have the commits' thread do something with the store before it writes any more; tried again where
-        the disk fails."""
-        with self.change:
-            self.jobs.append(what)
-            self.change.notify_all()
-
-    def stuck(self) -> float:
-        """For how many seconds the disk has not answered; 0 where nothing is asked of it."""
-        since = self.since
-        return time.monotonic() - since if since else 0.0
-
-    def close(self, wait: float = 5.0) -> None:
-        """Commit what waits, for a while at most."""
-        with self.change:
-            self.over = True
-            self.change.notify_all()
-        self.thread.join(wait)
-
-    def _does(self) -> bool:
-        """Do what there is to do first; at the end what waits is written all the same."""
+    def run_before_writing(self, job: Callable[[], None]) -> None:
+        """Have the thread run a job before it writes any more; repeated while it raises OSError or
+        StoreError."""
+        with self.condition:
+            self.jobs.append(job)
+            self.condition.notify_all()
+
+    def stalled_for(self) -> float:
+        """Return for how many seconds the commit in progress has waited for the disk; 0 if there is none."""
+        began_at = self.commit_began_at
+        return time.monotonic() - began_at if began_at else 0.0
+
+    def close(self, timeout: float = CLOSE_TIMEOUT) -> None:
+        """Commit what is queued, and wait for the thread for `timeout` seconds at most."""
+        with self.condition:
+            self.closing = True
+            self.condition.notify_all()
+        self.thread.join(timeout)
+
+    def _enqueue(self, record: Record) -> int:
+        self.queue.append(record)
+        self.last_ticket += 1
+        self.condition.notify_all()
+        return self.last_ticket
+
+    # --- the writer thread ---
+
+    def _run(self) -> None:
+        while self._wait_for_work():
+            if not self._run_jobs():
+                continue
+            self._hand_batch_to_store()
+            self.commit_began_at = time.monotonic()
+            try:
+                committed = self._commit()
+                if not committed:
+                    if self.closing:
+                        return
+                    time.sleep(RETRY_DELAY)
+            finally:
+                self.commit_began_at = 0.0
+            if committed:
+                self._report_durable()
+
+    def _wait_for_work(self) -> bool:
+        """Wait until there is something to do; False if the thread is to end."""
+        with self.condition:
+            while not (self.queue or self.closing or self.uncommitted or self.jobs):
+                self.condition.wait()
+            return bool(not self.closing or self.queue or self.uncommitted)
+
+    def _run_jobs(self) -> bool:
+        """Run all jobs; False if one failed and is to be repeated first. While closing a failure does not
+        keep records from being written."""
         while self.jobs:
             try:
                 self.jobs[0]()
-            except (OSError, StoreError) as wrong:
-                logger.error("store: {}", wrong)
-                time.sleep(AGAIN)
-                return self.over
+            except (OSError, StoreError) as error:
+                logger.error("store: {}", error)
+                time.sleep(RETRY_DELAY)
+                return self.closing
             self.jobs.popleft()
         return True
 
-    def _run(self) -> None:
-        owed = 0  # records that the store has and could not get down
-        while True:
-            with self.change:
-                while not (self.asked or self.over or owed or self.jobs):
-                    self.change.wait()
-                if self.over and not self.asked and not owed:
-                    return
-            if not self._does():
-                continue
-            with self.change:
-                batch, self.asked = (self.asked, []) if self.group else (self.asked[:1], self.asked[1:])
-            for kind, key, value, stamp in batch:
-                self.store.put(kind, key, value, stamp)
-            owed += len(batch)
-            if batch and time.monotonic() >= self.trims:  # what goes is written with this very commit
-                self.trims = time.monotonic() + TRIM
-                self.store.trim(batch[-1][3])
-            self.since = time.monotonic()
-            try:
-                self.store.commit()
-            except OSError as wrong:
-                self.failed += 1
-                if self.failed == 1:
-                    logger.error("store: {}", wrong)
-                if self.over:
-                    return
-                time.sleep(AGAIN)
-                continue
-            finally:
-                self.since = 0.0
-            if self.failed:
-                logger.info("store: the disk takes records again, after {} failures", self.failed)
-                self.failed = 0
-            self.syncs += 1
-            with self.change:
-                self.down += owed
-                owed = 0
-                self.change.notify_all()
-            if self.tells:
-                self.tells(self.down)
+    def _hand_batch_to_store(self) -> None:
+        with self.condition:
+            if self.group:
+                batch, self.queue = self.queue, []
+            else:
+                batch, self.queue = self.queue[:1], self.queue[1:]
+        for record in batch:
+            self.store.put(*record)
+        self.uncommitted += len(batch)
+        if batch and time.monotonic() >= self.next_retention_at:  # removals share the sync of this batch
+            self.next_retention_at = time.monotonic() + RETENTION_INTERVAL
+            self.store.apply_retention(batch[-1].timestamp)
+
+    def _commit(self) -> bool:
+        """Make what the store has durable; False if the disk failed."""
+        try:
+            self.store.commit()
+        except OSError as error:
+            self.failure_count += 1
+            if self.failure_count == 1:
+                logger.error("store: {}", error)
+            return False
+        if self.failure_count:
+            logger.info("store: the disk takes records again, after {} failures", self.failure_count)
+            self.failure_count = 0
+        self.sync_count += 1
+        return True
+
+    def _report_durable(self) -> None:
+        with self.condition:
+            self.durable_ticket += self.uncommitted
+            self.uncommitted = 0
+            self.condition.notify_all()
+        if self.on_durable:
+            self.on_durable(self.durable_ticket)
--- a/lilacloft/store/log.py
+++ b/lilacloft/store/log.py
@@ -1,349 +1,212 @@
-"""Owns the state of a store: what is kept, what is down, and which files hold it.
+"""The log of a store: which records are stored, which of them are durable, and which files hold them.
 
-Decides the order of writes, syncs, renames and removals, and what a recovery takes for true. No I/O but
-through a small interface, so that a model of a disk can stand in for one.
-
-Files: `log-N` holds frames in order; `snap-N` holds all that was kept when `log-N` began. A recovery takes
-the newest whole snapshot and the logs from its number on. What is told as down was synced, in a file whose
-name was synced before.
+It decides the order of writes, syncs, renames and removals. A record counts as durable only after a sync of
+a file whose name was synced before. After a sync that failed the end of that segment is unknown: the records
+stay pending and the next commit begins a new segment.
 """
 
 from __future__ import annotations
 
-import re
 from collections.abc import Iterator, Mapping
-from dataclasses import dataclass, field
-from typing import Protocol
+from typing import NamedTuple
 
+from lilacloft.routing.units import Ticks
 from lilacloft.store import framing
-from lilacloft.store.framing import Record, StoreError
-
-SEGMENT = 8 << 20  # bytes of a log, after which what is kept is written anew
-PIECE = 1 << 20  # bytes of a snapshot's frame
-NAME = re.compile(r"(log|snap)-(\d{12})")
-
-
-class Files(Protocol):
-    """A folder. Every method may raise OSError; then nothing is known of what it did."""
-
-    def names(self) -> list[str]:
-        """All names in it."""
-
-    def read(self, name: str) -> bytes:
-        """All bytes of a file."""
-
-    def create(self, name: str) -> None:
-        """Make an empty file, or empty one."""
-
-    def append(self, name: str, data: bytes) -> None:
-        """Write at the end of a file."""
-
-    def sync(self, name: str) -> None:
-        """Return once all that was written to a file is down."""
+from lilacloft.store.directory import (
+    PARTIAL_SUFFIX,
+    SEGMENT,
+    SNAPSHOT,
+    Directory,
+    numbered_files,
+    numbers_of,
+    segment_name,
+    snapshot_name,
+)
+from lilacloft.store.framing import Record
+from lilacloft.store.recovery import SNAPSHOT_END, LogReader, RecoveryReport
 
-    def sync_names(self) -> None:
-        """Return once all names made, moved and removed are down."""
+SEGMENT_BYTES = 8 << 20  # size of a segment after which a snapshot is written
+SNAPSHOT_FRAME_BYTES = 1 << 20  # size of keys and values in one frame of a snapshot
 
-    def rename(self, old: str, new: str) -> None:
-        """Move a name over another."""
 
-    def remove(self, name: str) -> None:
-        """Remove a name."""
+class RetentionLimit(NamedTuple):
+    """How much of a kind of records is retained."""
 
+    max_records: int
+    max_age: Ticks
 
-@dataclass
-class Found:
-    """What a recovery found, in words for people."""
 
-    frames: int = 0
-    records: int = 0
-    torn: list[str] = field(default_factory=list)  # at the end of the last log: what a crash leaves
-    damage: list[str] = field(default_factory=list)  # anywhere else: lost, but what follows was kept
-    ignored: list[str] = field(default_factory=list)  # left over from what a crash interrupted
-
-
-class Store:
-    """One store, open for one writer."""
+class Store(LogReader):
+    """A store that is open for one writer."""
 
     def __init__(
-        self, files: Files, limits: Mapping[int, tuple[int, int]] | None = None, segment: int = SEGMENT
+        self,
+        directory: Directory,
+        retention: Mapping[int, RetentionLimit] | None = None,
+        segment_bytes: int = SEGMENT_BYTES,
     ) -> None:
-        """Recover what is there. `limits`: for kinds that are bounded, how many and how old (in stamps)."""
-        self.files, self.limits, self.segment = files, limits or {}, segment
-        self.kept: dict[int, dict[bytes, Record]] = {}
-        self.next = 1  # sequence number of the next record
-        self.down = 0  # of the last one that is durable
-        self.waiting: list[Record] = []
-        self.before: dict[tuple[int, bytes], Record | None] = {}  # what is down where something waits
-        self.number = 0  # of the log in hand
-        self.size = 0
-        self.usable = False  # is there a log that may be added to?
-        self.found = Found()
-        self.begun = 0  # number of the snapshot that was taken
-        self.place = 0  # where the last whole frame of the last log ended
-        self._recover()
-
-    # --- asking ---
-
-    def get(self, kind: int, key: bytes) -> bytes | None:
-        """What is kept, down or not."""
-        record = self.kept.get(kind, {}).get(key)
-        return record.value if record else None
-
-    def all(self, kind: int) -> Iterator[Record]:
-        """All that is kept of a kind, oldest first."""
-        yield from self.kept.get(kind, {}).values()
-
-    # --- keeping ---
-
-    def put(self, kind: int, key: bytes, value: bytes | None, stamp: int = 0) -> int:
-        """Keep a value under a key, or with none keep it no more. Returns its sequence number: it is down
-        once `down` has reached that, by a `commit`."""
-        record = Record(kind, key, value, stamp)
-        self.before.setdefault((kind, key), self.kept.get(kind, {}).get(key))
+        """Recover what the files hold. `retention` has the limits of kinds that are bounded."""
+        self.retention, self.segment_bytes = retention or {}, segment_bytes
+        self.pending: list[Record] = []  # not yet durable
+        self.durable_before: dict[tuple[int, bytes], Record | None] = {}  # what pending records replace
+        self.segment_size = 0
+        self.appendable = False  # whether the newest segment may be appended to
+        super().__init__(directory)
+
+    def put(self, kind: int, key: bytes, value: bytes | None, timestamp: Ticks = 0) -> int:
+        """Store a value under a key, or remove the key (None).
+
+        Returns the record's sequence number. It is durable once a `commit` returns that number or more.
+        """
+        record = Record(kind, key, value, timestamp)
+        self.durable_before.setdefault((kind, key), self.records.get(kind, {}).get(key))
         self._apply(record)
-        self.waiting.append(record)
-        return self.next + len(self.waiting) - 1
+        self.pending.append(record)
+        return self.next_sequence + len(self.pending) - 1
 
     def commit(self) -> int:
-        """Make all that waits durable, with one sync. Returns `down`. Raises OSError where the disk fails:
-        what waits goes on waiting, and the next commit begins a new log, as nothing is known of the end
-        of this one."""
-        if not self.waiting:
-            return self.down
-        batch = list(self.waiting)
-        if not self.usable or self.size >= self.segment:
-            self._turn()
-        name = log(self.number)
-        data = framing.frame(self.next, batch)
-        self.usable = False  # until the sync has said otherwise
-        self.files.append(name, data)
-        self.files.sync(name)
-        self.usable = True
-        self.size += len(data)
-        self.place = self.size
-        self.waiting.clear()
-        self.before.clear()
-        self.next += len(batch)
-        self.down = self.next - 1
-        return self.down
+        """Make all pending records durable with one sync. Returns the last durable sequence number.
+
+        Raises OSError if the disk fails. The records then stay pending, and the next commit begins a new
+        segment, as the end of this one is unknown.
+        """
+        if not self.pending:
+            return self.durable_sequence
+        batch = list(self.pending)
+        if not self.appendable or self.segment_size >= self.segment_bytes:
+            self._rotate()
+        name = segment_name(self.segment_number)
+        data = framing.pack_frame(self.next_sequence, batch)
+        self.appendable = False  # until the sync has succeeded
+        self.directory.append(name, data)
+        self.directory.sync(name)
+        self.appendable = True
+        self.segment_size += len(data)
+        self.tail_offset = self.segment_size
+        self.pending.clear()
+        self.durable_before.clear()
+        self.next_sequence += len(batch)
+        self.durable_sequence = self.next_sequence - 1
+        return self.durable_sequence
 
     def compact(self) -> None:
-        """Write what is kept anew, and drop the files that held it. What waits is committed first."""
+        """Commit, write a snapshot of all records, and remove the older files. Raises OSError."""
         self.commit()
-        self._turn(force=True)
-
-    def trim(self, now: int) -> int:
-        """Let go of what is more, or older, than its kind's limits; stamps that lie ahead of now count as of
-        now, as clocks are put back. Returns how many went."""
-        gone = 0
-        for kind, (most, oldest) in self.limits.items():
-            mine = list(self.kept.get(kind, {}).items())
-            for place, (key, record) in enumerate(mine):
-                if place < len(mine) - most or now - min(record.stamp, now) > oldest:
+        self._rotate(force_snapshot=True)
+
+    def apply_retention(self, now: Ticks) -> int:
+        """Remove records beyond the limits of their kind; returns how many. Not yet durable.
+
+        A timestamp in the future counts as now, as the clock may have been set back.
+        """
+        removed = 0
+        for kind, (max_records, max_age) in self.retention.items():
+            of_kind = list(self.records.get(kind, {}).items())
+            surplus = len(of_kind) - max_records
+            for index, (key, record) in enumerate(of_kind):
+                if index < surplus or now - min(record.timestamp, now) > max_age:
                     self.put(kind, key, None, now)
-                    gone += 1
-        return gone
+                    removed += 1
+        return removed
 
-    # --- two processes, one after the other ---
+    # --- following another writer ---
 
-    def follow(self) -> None:
-        """Take what another process has committed since this one last looked, or wrote. From here on this one
-        may be the writer, where the other is at rest or has ended. What lies in the files counts, whatever
-        was known of it here; what waits here goes on waiting and comes after it."""
-        waiting, self.waiting = self.waiting, []
-        for (kind, key), record in self.before.items():  # as of the last commit
-            self.kept.setdefault(kind, {}).pop(key, None)
+    def catch_up(self) -> None:
+        """Apply what another process has committed since this one last read or wrote.
+
+        From here on this process may be the writer, if the other one has paused or ended. The files count
+        over what was known here. Pending records stay pending and come after what the files hold.
+        """
+        pending, self.pending = self.pending, []
+        for (kind, key), record in self.durable_before.items():
+            self.records.setdefault(kind, {}).pop(key, None)
             if record is not None:
-                self.kept[kind][key] = record
-        self.before.clear()
-        self.usable = False
-        if not self._tail():
-            self.kept, self.next, self.found = {}, 1, Found()
-            self.number = self.place = 0
+                self.records[kind][key] = record
+        self.durable_before.clear()
+        self.appendable = False
+        if not self._read_new_frames():
+            self.records, self.next_sequence, self.report = {}, 1, RecoveryReport()
+            self.segment_number = self.tail_offset = 0
             self._recover()
-        self.down = self.next - 1
-        for record in waiting:
-            self.put(record.kind, record.key, record.value, record.stamp)
-
-    def _tail(self) -> bool:
-        """Take only what was added behind what is known; False where that cannot be told for sure."""
-        names = [match for name in self.files.names() if (match := NAME.fullmatch(name))]
-        logs = sorted(int(match[2]) for match in names if match[1] == "log")
-        if any(int(match[2]) > self.begun for match in names if match[1] == "snap"):
-            return False  # what is known may be gone: removals went with the older files
-        if self.number not in logs:
-            return self.number == 0 and not logs
-        damage = len(self.found.damage)
-        for number in logs:
-            if number >= self.number:
-                self._replay(number, number == logs[-1], self.place if number == self.number else 0)
-        self.number = max(self.number, logs[-1])
-        return len(self.found.damage) == damage
+        self.durable_sequence = self.next_sequence - 1
+        for record in pending:
+            self.put(*record)
+
+    def _read_new_frames(self) -> bool:
+        """Apply only what was appended since; False if a whole recovery is needed instead."""
+        files = numbered_files(self.directory.names())
+        segments, snapshots = numbers_of(files, SEGMENT), numbers_of(files, SNAPSHOT)
+        if any(number > self.snapshot_number for number in snapshots):
+            return False  # removals may have been dropped with the older segments
+        if self.segment_number not in segments:
+            return self.segment_number == 0 and not segments
+        damage_before = len(self.report.damage)
+        for number in segments:
+            if number >= self.segment_number:
+                offset = self.tail_offset if number == self.segment_number else 0
+                self._replay_segment(number, number == segments[-1], offset)
+        self.segment_number = max(self.segment_number, segments[-1])
+        return len(self.report.damage) == damage_before
 
     # --- files ---
 
-    def _turn(self, force: bool = False) -> None:
-        """Begin the next log, and write what is kept as its snapshot if the last log is full. What waits is
-        not in the snapshot: it goes to the log."""
-        full = force or (self.usable and self.size >= self.segment)
-        number = self._unused()
-        name = log(number)
-        self.files.create(name)
-        data = framing.head(number)
-        self.files.append(name, data)
-        self.files.sync(name)
-        self.files.sync_names()  # before anything in it is told as down
-        self.number, self.size, self.usable = number, len(data), True
-        self.place = self.size
-        if full:
-            self._snapshot(number)
-            self.begun = number
-
-    def _unused(self) -> int:
-        numbers = [int(found[2]) for name in self.files.names() if (found := NAME.match(name))]
-        return max([self.number, *numbers]) + 1
-
-    def _snapshot(self, number: int) -> None:
-        """All that is down, as of the beginning of a log. It counts once its name is down; until then the
-        older files do, which are removed only after."""
-        part = f"{snap(number)}.part"
-        self.files.create(part)
-        self.files.append(part, framing.head(number))
-        piece: list[Record] = []
+    def _rotate(self, force_snapshot: bool = False) -> None:
+        """Begin the next segment, with a snapshot if the last one was full. Pending records are not in the
+        snapshot: they go to the segment."""
+        with_snapshot = force_snapshot or (self.appendable and self.segment_size >= self.segment_bytes)
+        number = self._next_segment_number()
+        name = segment_name(number)
+        self.directory.create(name)
+        header = framing.pack_file_header(number)
+        self.directory.append(name, header)
+        self.directory.sync(name)
+        self.directory.sync_directory()  # before any record in it counts as durable
+        self.segment_number, self.segment_size, self.appendable = number, len(header), True
+        self.tail_offset = self.segment_size
+        if with_snapshot:
+            self._write_snapshot(number)
+            self._remove_files_before(number)
+            self.snapshot_number = number
+
+    def _next_segment_number(self) -> int:
+        numbers = [file.number for file in numbered_files(self.directory.names())]
+        return max([self.segment_number, *numbers]) + 1
+
+    def _write_snapshot(self, number: int) -> None:
+        """Write all durable records. The snapshot counts once its final name is durable; until then the older
+        files do."""
+        partial = snapshot_name(number) + PARTIAL_SUFFIX
+        self.directory.create(partial)
+        self.directory.append(partial, framing.pack_file_header(number))
+        batch: list[Record] = []
         size = 0
-        for record in self._durable():
-            piece.append(record)
+        for record in self._durable_records():
+            batch.append(record)
             size += len(record.key) + len(record.value or b"")
-            if size >= PIECE:
-                self.files.append(part, framing.frame(self.next, piece))
-                piece, size = [], 0
-        if piece:
-            self.files.append(part, framing.frame(self.next, piece))
-        # the last frame says that nothing is missing before it
-        self.files.append(part, framing.frame(self.next, [Record(END, b"end", b"", self.next)]))
-        self.files.sync(part)
-        self.files.rename(part, snap(number))
-        self.files.sync_names()
-        for name in sorted(self.files.names()):
-            found = NAME.match(name)
-            if found and int(found[2]) < number:
-                self.files.remove(name)
-        self.files.sync_names()
-
-    def _durable(self) -> Iterator[Record]:
-        """What is kept, as of the last commit: where something waits, what is down of it."""
-        for kind in sorted(self.kept):
-            for key, record in self.kept[kind].items():
-                if (kind, key) not in self.before:
+            if size >= SNAPSHOT_FRAME_BYTES:
+                self._append_frame(partial, batch)
+                batch, size = [], 0
+        if batch:
+            self._append_frame(partial, batch)
+        # the last record says that nothing is missing before it
+        self._append_frame(partial, [Record(SNAPSHOT_END, b"end", b"", self.next_sequence)])
+        self.directory.sync(partial)
+        self.directory.rename(partial, snapshot_name(number))
+        self.directory.sync_directory()
+
+    def _append_frame(self, name: str, records: list[Record]) -> None:
+        self.directory.append(name, framing.pack_frame(self.next_sequence, records))
+
+    def _remove_files_before(self, number: int) -> None:
+        for file in numbered_files(sorted(self.directory.names())):
+            if file.number < number:
+                self.directory.remove(file.name)
+        self.directory.sync_directory()
+
+    def _durable_records(self) -> Iterator[Record]:
+        """Yield all records as of the last commit."""
+        for kind in sorted(self.records):
+            for key, record in self.records[kind].items():
+                if (kind, key) not in self.durable_before:
                     yield record
-        yield from (record for record in self.before.values() if record)
-
-    # --- recovery ---
-
-    def _recover(self) -> None:
-        names = self.files.names()
-        found = [match for name in names if (match := NAME.fullmatch(name))]
-        logs = sorted(int(match[2]) for match in found if match[1] == "log")
-        snaps = sorted((int(match[2]) for match in found if match[1] == "snap"), reverse=True)
-        parts = sorted(name for name in names if name.endswith(".part"))
-        self.found.ignored += [f"{name}: not finished" for name in parts]
-        begin = 0
-        for number in snaps:
-            if self._load(number):
-                begin = number
-                break
-        if snaps and not begin and min(logs, default=snaps[-1]) >= snaps[-1]:
-            self.found.damage.append("no snapshot is whole: what was kept before the oldest log is lost")
-        last = max([number for number in logs if number >= begin], default=0)
-        for number in logs:
-            if number >= begin:
-                self._replay(number, number == last)
-            else:
-                self.found.ignored.append(f"{log(number)}: older than {snap(begin)}")
-        self.number = max([*logs, *snaps, 0])
-        self.begun = begin
-        self.down = self.next - 1
-
-    def _load(self, number: int) -> bool:
-        """Take a snapshot, if it is whole."""
-        try:
-            data = self.files.read(snap(number))
-            records = list(framing.frames(data, framing.read_head(data)[0]))
-        except (StoreError, OSError) as wrong:
-            self.found.damage.append(f"{snap(number)}: {wrong}")
-            return False
-        broken = [piece for piece in records if isinstance(piece, tuple)]
-        frames = [piece for piece in records if isinstance(piece, framing.Frame)]
-        if broken or not frames or frames[-1].records[-1].kind != END:
-            self.found.damage.append(f"{snap(number)}: not whole")
-            return False
-        for one in frames:
-            for record in one.records:
-                if record.kind != END:
-                    self._apply(record)
-            self.found.frames += 1
-            self.found.records += len(one.records)
-        self.next = frames[-1].first
-        return True
-
-    def _replay(self, number: int, last: bool, place: int = 0) -> None:
-        """Take a log's frames, from a place where one ended, but for what a frame before had already: a
-        commit that failed may be there, and again in the next log."""
-        try:
-            data = self.files.read(log(number))
-        except OSError as wrong:
-            self.found.damage.append(f"{log(number)}: {wrong.strerror or wrong}")
-            return
-        try:
-            version = framing.read_head(data)[0]
-        except StoreError as wrong:
-            version = framing.VERSION
-            if last and len(data) <= framing.HEAD.size:
-                self.found.torn.append(f"{log(number)}: {wrong}: it was just begun")
-                return
-            if "version" in str(wrong):
-                raise StoreError(f"{log(number)}: {wrong}") from wrong
-            if len(data) > framing.HEAD.size:
-                self.found.damage.append(f"{log(number)}: {wrong}")
-            else:
-                self.found.ignored.append(f"{log(number)}: {wrong}: it was never used")
-        pieces = list(framing.frames(data, version, place))
-        self.place = max([place, *(piece.end for piece in pieces if isinstance(piece, framing.Frame))])
-        for nth, piece in enumerate(pieces):
-            if isinstance(piece, tuple):
-                start, end = piece
-                where = f"{log(number)}: bytes {start} to {end}"
-                if nth + 1 < len(pieces):
-                    self.found.damage.append(f"{where} cannot be read; what follows them was kept")
-                elif last:
-                    self.found.torn.append(f"{where} are no whole frame: a commit that was cut off")
-                else:
-                    self.found.ignored.append(f"{where} are no whole frame: a commit that failed")
-                continue
-            if piece.first > self.next and not self.found.damage:
-                left = f"records {self.next} to {piece.first - 1} are missing"
-                self.found.damage.append(f"{log(number)}: {left}")
-            skip = max(0, self.next - piece.first)
-            for record in piece.records[skip:]:
-                self._apply(record)
-            self.found.frames += 1
-            self.found.records += len(piece.records)
-            self.next = max(self.next, piece.first + len(piece.records))
-
-    def _apply(self, record: Record) -> None:
-        mine = self.kept.setdefault(record.kind, {})
-        mine.pop(record.key, None)
-        if record.value is not None:
-            mine[record.key] = record
-
-
-END = 0  # kind of a snapshot's last record; those of callers are from 1 up
-
-
-def log(number: int) -> str:
-    return f"log-{number:012}"
-
-
-def snap(number: int) -> str:
-    return f"snap-{number:012}"
+        yield from (record for record in self.durable_before.values() if record)
--- a/lilacloft/store/record_types.py
+++ b/lilacloft/store/record_types.py
@@ -27,6 +27,7 @@
 import msgspec
 
 from lilacloft.store.framing import Record
+from lilacloft.store.log import RetentionLimit
 
 PURGE, INTENT, COLD, LAST, ROW, LEARNED = 1, 2, 3, 4, 5, 6
 NAMES = {PURGE: "purge", INTENT: "intent", COLD: "cold", LAST: "last", ROW: "row", LEARNED: "learned"}
@@ -39,14 +40,14 @@
 DAY = 864_000_000
 
 
-def limits(purge_done: int, longest: int, window: int) -> dict[int, tuple[int, int]]:
+def limits(purge_done: int, longest: int, window: int) -> dict[int, RetentionLimit]:
     """How many of each kind are kept, and how old they become: no longer than a rule can ask for them."""
     return {
-        PURGE: (MOST[PURGE], purge_done),
-        INTENT: (MOST[INTENT], max(DAY, 2 * longest, 2 * window)),
-        COLD: (MOST[COLD], DAY),
-        ROW: (MOST[ROW], 10_000 * DAY),
-        LEARNED: (MOST[LEARNED], DAY),
+        PURGE: RetentionLimit(MOST[PURGE], purge_done),
+        INTENT: RetentionLimit(MOST[INTENT], max(DAY, 2 * longest, 2 * window)),
+        COLD: RetentionLimit(MOST[COLD], DAY),
+        ROW: RetentionLimit(MOST[ROW], 10_000 * DAY),
+        LEARNED: RetentionLimit(MOST[LEARNED], DAY),
     }
 
 
@@ -134,7 +135,7 @@
             elif record.kind == ROW:
                 out.rows[record.key] = record.value or b""
             elif record.kind == LEARNED:
-                out.learned[record.key] = record.stamp, record.value or b""
+                out.learned[record.key] = record.timestamp, record.value or b""
         except (ValueError, struct.error, UnicodeDecodeError) as wrong:
             out.skipped.append(f"{NAMES.get(record.kind, record.kind)} {record.key!r}: {wrong}")
     return out
--- a/lilacloft/upgrade/offer.py
+++ b/lilacloft/upgrade/offer.py
@@ -268,7 +268,7 @@
             self.counted, state.reload = state.counts, self.reloaded
             fds = [conn.sock.fileno() for conn in self.conns]
             if state.store is not None:
-                fds.append(self.owner.guard.folder.lock)
+                fds.append(self.owner.guard.folder.lock_fd)
             channel.send(Kind.STATE, state, tuple(fds), leaving.left())
             kind, payload = self._receive(Kind.HAVE, Kind.REFUSE)
             if kind is Kind.REFUSE:
--- a/lilacloft/upgrade/process.py
+++ b/lilacloft/upgrade/process.py
@@ -69,7 +69,7 @@
     """What keeps effects over a crash, where the settings name a folder for it."""
     if not store or "folder" not in store:
         return None
-    from lilacloft.store.framing import StoreError
+    from lilacloft.store.errors import StoreError
     from lilacloft.store.gateway_store import Guard
 
     try:
--- a/rigs/disk_model.py
+++ b/rigs/disk_model.py
@@ -133,7 +133,7 @@
             node.write_down(page)
         node.dirty.clear()
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         self._call()
         if self.lies:
             return
--- a/rigs/slow_disk.py
+++ b/rigs/slow_disk.py
@@ -4,14 +4,14 @@
 import time
 
 from lilacloft.__main__ import main
-from lilacloft.store.files import Folder
+from lilacloft.store.files import StoreDirectory
 
 if __name__ == "__main__":
-    sync = Folder.sync
+    sync = StoreDirectory.sync
 
-    def slow(self: Folder, name: str) -> None:
+    def slow(self: StoreDirectory, name: str) -> None:
         time.sleep(float(sys.argv[1]))
         sync(self, name)
 
-    Folder.sync = slow
+    StoreDirectory.sync = slow
     sys.exit(main(sys.argv[2:]))
--- a/rigs/store.py
+++ b/rigs/store.py
@@ -23,9 +23,10 @@
 from typing import Any
 
 from lilacloft.store import framing
-from lilacloft.store.files import Folder
-from lilacloft.store.group_commit import Commits
-from lilacloft.store.log import Store, log
+from lilacloft.store.directory import segment_name
+from lilacloft.store.files import StoreDirectory
+from lilacloft.store.group_commit import GroupCommitter
+from lilacloft.store.log import Store
 from rigs.checker import check
 from rigs.disk_model import CrashError, Disk
 from rigs.load import Load
@@ -52,13 +53,13 @@
 def make_log(size: int, seed: int) -> tuple[bytes, list[tuple[int, int]]]:
     """A log of so many bytes, and where each commit ends with how many records there are by then."""
     chance = random.Random(seed)
-    data, ends, count = bytearray(framing.head(1)), [], 0
+    data, ends, count = bytearray(framing.pack_file_header(1)), [], 0
     while len(data) < size:
         batch = []
         for _ in range(chance.choice([1, 1, 2, 8])):
             value = None if chance.random() < 0.1 else chance.randbytes(chance.randrange(200))
             batch.append(framing.Record(chance.randrange(1, 4), b"k%d" % chance.randrange(500), value, count))
-        data += framing.frame(count + 1, batch)
+        data += framing.pack_frame(count + 1, batch)
         count += len(batch)
         ends.append((len(data), count))
     return bytes(data), ends
@@ -69,7 +70,9 @@
     wrong = []
     place = 0
     state: dict[tuple[int, bytes], framing.Record] = {}
-    commits = [one for one in framing.frames(data, framing.VERSION) if isinstance(one, framing.Frame)]
+    commits = [
+        one for one in framing.iter_frames(data, framing.FORMAT_VERSION) if isinstance(one, framing.Frame)
+    ]
     for cut in range(begin, end):
         while place < len(ends) and ends[place][0] <= cut:
             for record in commits[place].records:
@@ -78,16 +81,16 @@
                     state[record.kind, record.key] = record
             place += 1
         want = ends[place - 1][1] if place else 0
-        whole = cut in (framing.HEAD.size,) or (place and ends[place - 1][0] == cut)
+        whole = cut in (framing.FILE_HEADER.size,) or (place and ends[place - 1][0] == cut)
         # what comes before the last commits is the same for all cuts here, so each starts near its own
-        store = Store(Bytes({log(1): data[:cut]}))
-        if store.down != want:
-            wrong.append(f"cut at {cut}: {store.down} records instead of {want}")
-        kept = {(kind, key): record for kind, mine in store.kept.items() for key, record in mine.items()}
+        store = Store(Bytes({segment_name(1): data[:cut]}))
+        if store.durable_sequence != want:
+            wrong.append(f"cut at {cut}: {store.durable_sequence} records instead of {want}")
+        kept = {(kind, key): record for kind, mine in store.records.items() for key, record in mine.items()}
         if kept != state:
             wrong.append(f"cut at {cut}: another state than after {want} records")
-        if store.found.damage or bool(store.found.torn) == bool(whole):
-            wrong.append(f"cut at {cut}: told {store.found}")
+        if store.report.damage or bool(store.report.torn) == bool(whole):
+            wrong.append(f"cut at {cut}: told {store.report}")
     return wrong
 
 
@@ -129,9 +132,12 @@
     for turn in range(rounds):
         acked, may = len(puts), {len(puts)}
         disk.crash_at = None
-        store = Store(disk, segment=chance.choice([300, 1000, 1 << 20]))
-        if store.down != len(puts):
-            return [f"seed {seed} round {turn}: recovered again, {store.down} records instead of {len(puts)}"]
+        store = Store(disk, segment_bytes=chance.choice([300, 1000, 1 << 20]))
+        if store.durable_sequence != len(puts):
+            return [
+                f"seed {seed} round {turn}: recovered again, "
+                f"{store.durable_sequence} records instead of {len(puts)}"
+            ]
         disk.crash_at = disk.calls + chance.randrange(1, 80)
         try:
             for _ in range(200):
@@ -140,33 +146,38 @@
                     value = None if chance.random() < 0.2 else chance.randbytes(chance.randrange(120))
                     key = b"k%d" % chance.randrange(9)
                     record = framing.Record(chance.randrange(1, 4), key, value, len(puts))
-                    store.put(record.kind, record.key, record.value, record.stamp)
+                    store.put(*record)
                     puts.append(record)
                     continue
                 may.add(len(puts))
                 try:
-                    acked = store.commit() if doing < 0.95 else (store.compact(), store.down)[1]
+                    acked = store.commit() if doing < 0.95 else (store.compact(), store.durable_sequence)[1]
                 except OSError:
                     continue
         except CrashError:
             pass
         disk.power()
         store = Store(disk)
-        if store.down < acked:
-            return [f"seed {seed} round {turn}: {store.down} records, {acked} told as down; {store.found}"]
-        if store.down not in may:
-            return [f"seed {seed} round {turn}: half a commit: {store.down} of {sorted(may)}"]
+        if store.durable_sequence < acked:
+            return [
+                f"seed {seed} round {turn}: {store.durable_sequence} records, "
+                f"{acked} told as down; {store.report}"
+            ]
+        if store.durable_sequence not in may:
+            return [f"seed {seed} round {turn}: half a commit: {store.durable_sequence} of {sorted(may)}"]
         want: dict[tuple[int, bytes], framing.Record] = {}
-        for record in puts[: store.down]:
+        for record in puts[: store.durable_sequence]:
             want.pop((record.kind, record.key), None)
             if record.value is not None:
                 want[record.kind, record.key] = record
-        found = {(kind, key): record for kind, mine in store.kept.items() for key, record in mine.items()}
+        found = {(kind, key): record for kind, mine in store.records.items() for key, record in mine.items()}
         if found != want:
-            return [f"seed {seed} round {turn}: another state than that after {store.down} records"]
-        if store.found.damage:
-            return [f"seed {seed} round {turn}: damage where there was but a crash: {store.found.damage}"]
-        puts = puts[: store.down]
+            return [
+                f"seed {seed} round {turn}: another state than that after {store.durable_sequence} records"
+            ]
+        if store.report.damage:
+            return [f"seed {seed} round {turn}: damage where there was but a crash: {store.report.damage}"]
+        puts = puts[: store.durable_sequence]
     return []
 
 
@@ -202,8 +213,8 @@
 
 def writers(folder: Path, count: int, seconds: float, size: int, group: bool) -> dict[str, Any]:
     """So many threads that each put and wait until it is down."""
-    files = Folder(str(folder))
-    commits = Commits(Store(files), group=group)
+    files = StoreDirectory(str(folder))
+    commits = GroupCommitter(Store(files), group=group)
     spans: list[list[float]] = [[] for _ in range(count)]
     until = time.monotonic() + seconds
 
@@ -211,7 +222,8 @@
         place = 0
         while time.monotonic() < until:
             began = time.monotonic()
-            commits.put(1, b"%d-%d" % (number, place % 50), b"x" * size, 0, wait=30.0)
+            record = framing.Record(1, b"%d-%d" % (number, place % 50), b"x" * size, 0)
+            commits.write(record, timeout=30.0)
             mine.append(time.monotonic() - began)
             place += 1
 
@@ -227,15 +239,15 @@
         "writers": count,
         "group": group,
         "records_a_second": len(every) / seconds,
-        "syncs_a_second": commits.syncs / seconds,
+        "syncs_a_second": commits.sync_count / seconds,
         "ms": histogram(every),
     }
 
 
 def recovery(folder: Path, size: int) -> dict[str, Any]:
     """How long a store of a size takes to recover, and what a compaction of it writes."""
-    files = Folder(str(folder))
-    store = Store(files, segment=1 << 40)
+    files = StoreDirectory(str(folder))
+    store = Store(files, segment_bytes=1 << 40)
     value, count = b"v" * 1000, 0
     while count * 1000 < size:
         for _ in range(1000):
@@ -244,17 +256,17 @@
         store.commit()
     files.close()
     began = time.monotonic()
-    files = Folder(str(folder))
-    store = Store(files, segment=1 << 40)
+    files = StoreDirectory(str(folder))
+    store = Store(files, segment_bytes=1 << 40)
     took = time.monotonic() - began
-    assert store.down == count
+    assert store.durable_sequence == count
     began = time.monotonic()
     store.compact()
     compacted = time.monotonic() - began
     kept = sum((folder / name).stat().st_size for name in files.names())
     files.close()
     began = time.monotonic()
-    files = Folder(str(folder))
+    files = StoreDirectory(str(folder))
     Store(files)
     again = time.monotonic() - began
     files.close()
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -42,7 +42,7 @@
 from lilacloft.store import learned_state, record_types
 from lilacloft.store.durability import Keeper
 from lilacloft.store.endpoint_rows import Listing
-from lilacloft.store.files import Folder
+from lilacloft.store.files import StoreDirectory
 from lilacloft.store.framing import Record
 from lilacloft.store.log import Store
 from lilacloft.upgrade import carry, form
@@ -65,32 +65,30 @@
 def store_values(folder: Path) -> Plain:
     """What a store's files hold: how much was read, what is wrong with them, and every record kept as [kind,
     key, value, stamp] with the value as bytes in hex."""
-    store = Store(Folder(str(folder), lock=False))
+    store = Store(StoreDirectory(str(folder), lock=False))
     return {
-        "frames": store.found.frames,
-        "records": store.found.records,
-        "torn": store.found.torn,
-        "damage": store.found.damage,
-        "ignored": store.found.ignored,
-        "down": store.down,
+        "frames": store.report.frames,
+        "records": store.report.records,
+        "torn": store.report.torn,
+        "damage": store.report.damage,
+        "ignored": store.report.ignored,
+        "down": store.durable_sequence,
         "kept": [
-            [record.kind, record.key.decode(), (record.value or b"").hex(), record.stamp]
-            for kind in sorted(store.kept)
-            for record in store.all(kind)
+            [record.kind, record.key.decode(), (record.value or b"").hex(), record.timestamp]
+            for kind in sorted(store.records)
+            for record in store.records_of(kind)
         ],
         "dump": [
             [record_types.NAMES[kind], record.key.decode(), lists(record_types.plain(record))]
-            for kind in sorted(store.kept)
-            for record in store.all(kind)
+            for kind in sorted(store.records)
+            for record in store.records_of(kind)
         ],
     }
 
 
 def _recovered(folder: Path, now: int, purge_done: int) -> record_types.Recovered:
-    store = Store(Folder(str(folder), lock=False))
-    return record_types.recovered(
-        [record for kind in store.kept for record in store.all(kind)], now, purge_done
-    )
+    store = Store(StoreDirectory(str(folder), lock=False))
+    return record_types.recovered(store.all_records(), now, purge_done)
 
 
 def store_recovered(folder: Path, now: int, purge_done: int) -> Plain:
@@ -154,16 +152,16 @@
 
 def store_written(folder: Path, before: list[list[Plain]], after: list[list[Plain]]) -> None:
     """Write a store: commits of records, then a compaction, which leaves a snapshot, then more commits."""
-    files = Folder(str(folder))
-    store = Store(files)
+    directory = StoreDirectory(str(folder))
+    store = Store(directory)
     for commits in (before, after):
         for commit in commits:
             for record in map(_record, commit):
-                store.put(record.kind, record.key, record.value, record.stamp)
+                store.put(*record)
             store.commit()
         if commits is before:
             store.compact()
-    files.close()
+    directory.close()
 
 
 def listing_rows(mode: str, rows: list[list[Any]], number: int) -> Plain:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -241,7 +241,7 @@
     world, down = in_process(silent), queue.SimpleQueue()
     guard = world.does(lambda: Guard(world.owner, str(tmp_path / "store"), patience=5 * TENTHS))
     world.does(guard.start)
-    guard.commits.tells = down.put
+    guard.commits.on_durable = down.put
     asker = world.asker()
     tag = asker.ask(b"pay", body=b"x", allow=3000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     until(lambda: guard.keeper.order)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -8,10 +8,12 @@
 
 from lilacloft.__main__ import main
 from lilacloft.store import framing, record_types
-from lilacloft.store.files import Folder
-from lilacloft.store.framing import Record, StoreError
-from lilacloft.store.group_commit import Commits
-from lilacloft.store.log import Store, log, snap
+from lilacloft.store.directory import segment_name, snapshot_name
+from lilacloft.store.errors import StoreError
+from lilacloft.store.files import StoreDirectory
+from lilacloft.store.framing import Record
+from lilacloft.store.group_commit import GroupCommitter
+from lilacloft.store.log import RetentionLimit, Store
 from rigs.disk_model import CrashError, Disk
 from rigs.store import Bytes, _cut, crash, make_log
 
@@ -50,7 +52,7 @@
         assert [again.get(1, b"%d" % place) for place in range(10)] == [
             b"%d" % (30 + place) for place in range(10)
         ]
-        assert again.found.damage == [] and again.down in (40, 41)
+        assert again.report.damage == [] and again.durable_sequence in (40, 41)
         assert again.get(2, b"x") in ((b"waits",) if done else (None, b"waits"))
         if done:
             assert len(disk.names()) == 2
@@ -61,7 +63,7 @@
 def test_a_value_that_is_about_to_be_replaced_stays_until_its_successor_is_down():
     """A log turns with something waiting: the snapshot holds what was down, not what waits."""
     disk = Disk(1)
-    store = Store(disk, segment=200)
+    store = Store(disk, segment_bytes=200)
     store.put(1, b"k", b"old" * 100)
     store.commit()
     store.put(1, b"k", b"new")
@@ -80,10 +82,10 @@
     assert Store(disk).get(1, b"k") == b"old" * 100
 
 
-@pytest.mark.parametrize("what", ["append", "sync", "create", "sync_names", "rename", "remove"])
+@pytest.mark.parametrize("what", ["append", "sync", "create", "sync_directory", "rename", "remove"])
 def test_after_any_failure_a_new_log_has_all_that_was_not_told_as_down(what):
     disk = Disk(3)
-    store = Store(disk, segment=300)
+    store = Store(disk, segment_bytes=300)
     for number in range(6):
         store.put(1, b"%d" % number, b"x" * 40)
         store.commit()
@@ -96,51 +98,55 @@
 
     setattr(disk, what, fails)
     store.put(1, b"new", b"y" * 300)
-    before = store.down
+    before = store.durable_sequence
     failed = False
     for _ in range(2):
         try:
             store.commit()
         except OSError:
             failed = True
-            assert store.down >= before
+            assert store.durable_sequence >= before
         store.put(1, b"more", b"z" * 300)
     assert failed or not calls or what in ("rename", "remove")
     setattr(disk, what, works)
     store.commit()
-    assert store.down == before + 3
+    assert store.durable_sequence == before + 3
     disk.power()
     again = Store(disk)
     assert again.get(1, b"new") == b"y" * 300 and again.get(1, b"more") == b"z" * 300
-    assert all(again.get(1, b"%d" % number) == b"x" * 40 for number in range(6)) and not again.found.damage
+    assert all(again.get(1, b"%d" % number) == b"x" * 40 for number in range(6)) and not again.report.damage
 
 
 def test_a_flipped_bit_in_the_middle_is_told_and_what_follows_is_kept():
     data, ends = make_log(4000, 3)
     chance = random.Random(1)
     for _ in range(60):
-        place = chance.randrange(framing.HEAD.size, ends[-2][0])
+        place = chance.randrange(framing.FILE_HEADER.size, ends[-2][0])
         spoilt = bytearray(data)
         spoilt[place] ^= 1 << chance.randrange(8)
-        store = Store(Bytes({log(1): bytes(spoilt)}))
-        assert len(store.found.damage) == 1 and "what follows them was kept" in store.found.damage[0]
-        assert store.found.frames == len(ends) - 1 and store.down == ends[-1][1]
+        store = Store(Bytes({segment_name(1): bytes(spoilt)}))
+        assert len(store.report.damage) == 1 and "what follows them was kept" in store.report.damage[0]
+        assert store.report.frames == len(ends) - 1 and store.durable_sequence == ends[-1][1]
 
 
 def test_a_spoilt_head_costs_no_frame_and_an_unknown_version_is_refused():
     data, ends = make_log(1000, 3)
-    store = Store(Bytes({log(1): b"xxxx" + data[4:]}))
-    assert store.down == ends[-1][1] and "no file of a store" in store.found.damage[0]
-    newer = framing.head(1, 9) + data[framing.HEAD.size :]
+    store = Store(Bytes({segment_name(1): b"xxxx" + data[4:]}))
+    assert store.durable_sequence == ends[-1][1] and "no file of a store" in store.report.damage[0]
+    newer = framing.pack_file_header(1, 9) + data[framing.FILE_HEADER.size :]
     with pytest.raises(StoreError, match="version 9; 1 to 2"):
-        Store(Bytes({log(1): newer}))
+        Store(Bytes({segment_name(1): newer}))
 
 
 def test_a_store_of_the_version_before_is_read():
     records = [Record(1, b"a", b"1"), Record(1, b"b", b"2"), Record(1, b"a", None)]
-    data = framing.head(1, 1) + framing.frame(1, records[:2], 1) + framing.frame(3, records[2:], 1)
-    store = Store(Bytes({log(1): data}))
-    assert (store.get(1, b"a"), store.get(1, b"b"), store.down) == (None, b"2", 3)
+    data = (
+        framing.pack_file_header(1, 1)
+        + framing.pack_frame(1, records[:2], 1)
+        + framing.pack_frame(3, records[2:], 1)
+    )
+    store = Store(Bytes({segment_name(1): data}))
+    assert (store.get(1, b"a"), store.get(1, b"b"), store.durable_sequence) == (None, b"2", 3)
 
 
 def test_a_snapshot_that_is_not_whole_is_told_and_the_logs_before_it_are_taken():
@@ -149,10 +155,12 @@
     for number in range(5):
         store.put(1, b"%d" % number, b"x")
         store.commit()
-    disk.create(snap(2))
-    disk.append(snap(2), framing.head(2) + framing.frame(6, [Record(1, b"0", b"x")]))
+    disk.create(snapshot_name(2))
+    disk.append(
+        snapshot_name(2), framing.pack_file_header(2) + framing.pack_frame(6, [Record(1, b"0", b"x")])
+    )
     again = Store(disk)
-    assert again.down == 5 and again.found.damage == [f"{snap(2)}: not whole"]
+    assert again.durable_sequence == 5 and again.report.damage == [f"{snapshot_name(2)}: not whole"]
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -160,12 +168,14 @@
     """One disk without faults; who does not write looks in at random, also in the midst of the other's work
     and of its compactions, and must know all before it writes itself."""
     chance, disk = random.Random(seed), Disk(seed)
-    one, two = Store(disk, segment=400), Store(disk, segment=400)
+    one, two = Store(disk, segment_bytes=400), Store(disk, segment_bytes=400)
     want = {}
     for turn in range(40):
-        one.follow()
-        found = {key: record.value for mine in one.kept.values() for key, record in mine.items()}
-        assert found == want and not one.found.damage and one.down == Store(disk).down
+        one.catch_up()
+        found = {key: record.value for mine in one.records.values() for key, record in mine.items()}
+        assert (
+            found == want and not one.report.damage and one.durable_sequence == Store(disk).durable_sequence
+        )
         for step in range(chance.randrange(6)):
             key, value = b"k%d" % chance.randrange(5), chance.choice([None, b"%d %d" % (turn, step) * 9])
             one.put(1, key, value)
@@ -177,7 +187,7 @@
             if chance.random() < 0.1:
                 one.compact()
             if chance.random() < 0.2:
-                two.follow()  # it only reads
+                two.catch_up()  # it only reads
         one.commit()
         if chance.random() < 0.5:
             one, two = two, one
@@ -190,47 +200,47 @@
     one.commit()
     two.put(1, b"a", b"of two")
     two.put(1, b"b", b"of two")
-    two.follow()
-    assert two.get(1, b"a") == b"of two" and two.down == 1
+    two.catch_up()
+    assert two.get(1, b"a") == b"of two" and two.durable_sequence == 1
     two.commit()
-    assert {key: record.value for key, record in Store(disk).kept[1].items()} == {
+    assert {key: record.value for key, record in Store(disk).records[1].items()} == {
         b"a": b"of two",
         b"b": b"of two",
     }
 
 
 def test_kinds_are_bounded_by_number_and_age_and_a_clock_put_back_lets_nothing_go():
-    store = Store(Disk(1), {1: (5, 100)})
+    store = Store(Disk(1), {1: RetentionLimit(5, 100)})
     for number in range(8):
         store.put(1, b"%d" % number, b"x", 1000 + number)
-    assert store.trim(1010) == 3
-    assert [record.key for record in store.all(1)] == [b"%d" % n for n in range(3, 8)]
-    assert store.trim(500) == 0  # all of them lie ahead of such a clock
-    assert store.trim(1105) == 2
+    assert store.apply_retention(1010) == 3
+    assert [record.key for record in store.records_of(1)] == [b"%d" % n for n in range(3, 8)]
+    assert store.apply_retention(500) == 0  # all of them lie ahead of such a clock
+    assert store.apply_retention(1105) == 2
 
 
 def test_a_second_writer_is_refused_in_words(tmp_path, capsys):
-    folder = Folder(str(tmp_path))
+    folder = StoreDirectory(str(tmp_path))
     store = Store(folder)
     store.put(1, b"k", b"v")
     store.commit()
     with pytest.raises(StoreError, match="process .* writes there"):
-        Folder(str(tmp_path))
+        StoreDirectory(str(tmp_path))
     assert main(["store", "compact", str(tmp_path)]) == 1
     assert "writes there" in capsys.readouterr().err
     assert main(["store", "check", str(tmp_path)]) == 0  # looking is free
     folder.close()
-    Folder(str(tmp_path)).close()
+    StoreDirectory(str(tmp_path)).close()
 
 
 def test_the_commands_tell_what_is_wrong_and_drop_nothing_that_is_whole(tmp_path, capsys):
-    folder = Folder(str(tmp_path))
+    folder = StoreDirectory(str(tmp_path))
     store = Store(folder)
     for number in range(20):
         store.put(record_types.PURGE, b"%016x" % number, record_types.WHEN.pack(number), number)
         store.commit()
     folder.close()
-    path = tmp_path / log(1)
+    path = tmp_path / segment_name(1)
     data = bytearray(path.read_bytes())
     data[400] ^= 4
     path.write_bytes(bytes(data))
@@ -240,7 +250,9 @@
     assert "repair first" in capsys.readouterr().err
     assert main(["store", "repair", str(tmp_path)]) == 0
     told = capsys.readouterr().out
-    assert "19 records kept" in told and (tmp_path / "before-repair-1" / log(1)).read_bytes() == bytes(data)
+    assert "19 records kept" in told and (
+        tmp_path / "before-repair-1" / segment_name(1)
+    ).read_bytes() == bytes(data)
     assert main(["store", "check", str(tmp_path)]) == 0
     assert main(["store", "dump", str(tmp_path)]) == 0
     assert capsys.readouterr().out.count('"kind": "purge"') == 19
@@ -251,12 +263,12 @@
 
 
 def test_many_writers_share_a_sync_and_each_is_told_when_its_record_is_down(tmp_path):
-    folder = Folder(str(tmp_path))
-    commits = Commits(Store(folder))
+    folder = StoreDirectory(str(tmp_path))
+    commits = GroupCommitter(Store(folder))
     told = []
 
     def work(number):
-        told.append(commits.put(1, b"%d" % number, b"v", 0, wait=20.0))
+        told.append(commits.write(Record(1, b"%d" % number, b"v", 0), timeout=20.0))
 
     threads = [threading.Thread(target=work, args=(number,)) for number in range(64)]
     for thread in threads:
@@ -264,21 +276,21 @@
     for thread in threads:
         thread.join()
     commits.close()
-    assert told == [True] * 64 and commits.syncs < 64
+    assert told == [True] * 64 and commits.sync_count < 64
     folder.close()
-    assert sum(1 for _ in Store(Folder(str(tmp_path))).all(1)) == 64
+    assert sum(1 for _ in Store(StoreDirectory(str(tmp_path))).records_of(1)) == 64
 
 
 def test_what_is_too_old_goes_with_a_commit_in_service():
     disk = Disk(1)
-    store = Store(disk, {1: (100, 50)})
+    store = Store(disk, {1: RetentionLimit(100, 50)})
     store.put(1, b"old", b"v", 10)
     store.commit()
-    commits = Commits(store)
-    assert commits.put(1, b"new", b"v", 100, wait=20.0)
+    commits = GroupCommitter(store)
+    assert commits.write(Record(1, b"new", b"v", 100), timeout=20.0)
     commits.close()
     disk.power()
-    assert [record.key for record in Store(disk).all(1)] == [b"new"]
+    assert [record.key for record in Store(disk).records_of(1)] == [b"new"]
 
 
 def test_a_disk_that_is_stuck_holds_up_nobody_longer_than_they_say_and_then_goes_on():
@@ -291,13 +303,13 @@
         sync(name)
 
     disk.sync = slow
-    commits = Commits(Store(disk))
+    commits = GroupCommitter(Store(disk))
     began = time.monotonic()
-    assert commits.put(1, b"k", b"v", 0, wait=0.1) is False
-    assert 0.05 < time.monotonic() - began < 5 and commits.stuck() > 0
+    assert commits.write(Record(1, b"k", b"v", 0), timeout=0.1) is False
+    assert 0.05 < time.monotonic() - began < 5 and commits.stalled_for() > 0
     answers.set()
-    assert commits.put(1, b"k2", b"v", 0, wait=20.0) is True
-    assert commits.stuck() == 0 or commits.stuck() < 1
+    assert commits.write(Record(1, b"k2", b"v", 0), timeout=20.0) is True
+    assert commits.stalled_for() == 0 or commits.stalled_for() < 1
     commits.close()
 
 
@@ -312,9 +324,9 @@
         sync(name)
 
     disk.sync = fails
-    commits = Commits(Store(disk))
-    assert commits.put(1, b"k", b"v", 0, wait=20.0) is True
-    assert not failures and commits.syncs == 1
+    commits = GroupCommitter(Store(disk))
+    assert commits.write(Record(1, b"k", b"v", 0), timeout=20.0) is True
+    assert not failures and commits.sync_count == 1
     commits.close()
     disk.power()
     assert Store(disk).get(1, b"k") == b"v"
