--- a/lilacloft/cli/store.py
+++ b/lilacloft/cli/store.py
@@ -63,7 +63,7 @@
 @path
 def dump(path: str) -> int:
     """Print what is kept, one JSON object a line."""
-    from lilacloft.store.record_types import NAMES, plain
+    from lilacloft.store.record_types import KIND_NAMES, readable_value
 
     folder, found = opened(path, False)
     folder.close()
@@ -73,10 +73,10 @@
             click.echo(
                 json.dumps(
                     {
-                        "kind": NAMES.get(kind, kind),
+                        "kind": KIND_NAMES.get(kind, kind),
                         "key": key,
                         "stamp": record.timestamp,
-                        "value": plain(record),
+                        "value": readable_value(record),
                     }
                 )
             )
--- a/lilacloft/net/owner.py
+++ b/lilacloft/net/owner.py
@@ -425,7 +425,7 @@
         call.history.until = waits_until
         self.trace.add(call.at, call.name, "arrived", self.vhosts[call.vhost]["name"])
         if self.guard:
-            self.guard.knows(call, request)
+            self.guard.note_earlier_execution(call, request)
         if self.recorder:
             self.recorder.arrived(call)
         self.router.request_arrived(request)
@@ -474,7 +474,7 @@
 
     def _drop_held(self, sent: Sent) -> bool:
         """Take back a dispatch that waits for the disk; False where it does not."""
-        return bool(self.guard and self.guard.drop(sent))
+        return bool(self.guard and self.guard.withdraw(sent))
 
     def report_end(self, sent: Sent, end: End) -> None:
         """A dispatch or a check that brought no answer is over: the module hears of it after its call."""
@@ -504,7 +504,7 @@
             self.invariants.ended(call.history, outcome)
         self.trace.add(self.steady, call.name, "ended", end.name)
         if self.guard:
-            self.guard.ended(sent, end)
+            self.guard.attempt_ended(sent, end)
         if self.recorder:
             self.recorder.ended(call, sent.backend, end, took, note, waited, load)
         if self.agent:
@@ -569,7 +569,7 @@
         if event[0] == "purge" or number > self.known:
             self.post(self.told, event, None, self.feed.heard)
         if self.guard:
-            self.post(self.guard.heard, event, number)
+            self.post(self.guard.event_received, event, number)
         if self.recorder:
             self.post(self.recorder.heard, event, number, time.monotonic_ns() // NS)
 
@@ -581,7 +581,7 @@
         if what == "purge":
             key, group, at = told
             if self.guard:
-                self.guard.purged(key, group, at * 10)
+                self.guard.object_purged(key, group, at * 10)
             self.router.object_purged(key, group, self.time - self.stamps.purge(self.time, at * 10, hearing))
             return self._revise_starts()
         self.listed(
--- /dev/null
+++ b/lilacloft/store/crash_recovery.py
@@ -0,0 +1,69 @@
+"""Restores the decisions of a gateway from its store at a start, before any request has come."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from lilacloft.routing import snapshot
+from lilacloft.store import learned_state
+from lilacloft.store.endpoint_rows import EndpointRows, unpack_row
+from lilacloft.store.learned_state import AgedPart
+from lilacloft.store.recovered_state import RecoveredState, recovered_work
+
+
+def recover_endpoint_rows(recovered: RecoveredState) -> EndpointRows:
+    """Return the rows of the endpoint list that were stored."""
+    endpoint_rows = EndpointRows()
+    stored = {key: unpack_row(data) for key, data in recovered.rows.items()}
+    endpoint_rows.restore(stored, recovered.rows_complete_from)
+    return endpoint_rows
+
+
+def restore_decisions(gateway: Any, endpoint_rows: EndpointRows, recovered: RecoveredState) -> None:
+    """Apply what was recovered to a gateway whose decisions only know its configuration."""
+    _restore_endpoints(gateway, endpoint_rows, recovered)
+    _restore_learned_state(gateway, recovered)
+    _restore_purges(gateway, recovered)
+    _restore_slow_start(gateway, recovered)
+
+
+def _restore_endpoints(gateway: Any, endpoint_rows: EndpointRows, recovered: RecoveredState) -> None:
+    start = endpoint_rows.starting_point(gateway.feed.last, recovered.last_event)
+    gateway.feed.last = start.read_after
+    for event in start.events:
+        gateway.told(event)
+    if recovered.last_event > gateway.known:
+        gateway.known = recovered.last_event
+
+
+def _restore_learned_state(gateway: Any, recovered: RecoveredState) -> None:
+    initial_limits = {
+        name: backend.concurrency_limit.limit
+        for name, backend in gateway.backends.items()
+        if backend.concurrency_limit
+    }
+    parts = {
+        key: AgedPart(part.stored_at, learned_state.unpack_part(part.data))
+        for key, part in recovered.learned.items()
+    }
+    vhosts = [vhost["name"] for vhost in gateway.vhosts]
+    initial_link_limit = gateway.router.link_limit.limit
+    state = learned_state.aged_state(parts, gateway.time, vhosts, initial_limits, initial_link_limit)
+    snapshot.take(gateway.router, state, gateway.backends)
+
+
+def _restore_purges(gateway: Any, recovered: RecoveredState) -> None:
+    for target, purged_at in recovered.purges.items():
+        key, group = (target, 0) if isinstance(target, str) else ("", target)
+        age = gateway.stamps.purge(gateway.time, purged_at)
+        gateway.router.object_purged(key, group, gateway.time - age)
+
+
+def _restore_slow_start(gateway: Any, recovered: RecoveredState) -> None:
+    started = {name: backend.started for name, backend in gateway.backends.items()}
+    window = gateway.router.settings.overload_window
+    max_work = {name: float(backend.capacity) * window for name, backend in gateway.backends.items()}
+    work = recovered_work(recovered, started, window, gateway.time, max_work)
+    for name, sent in work.items():
+        backend = gateway.backends[name]
+        backend.recent_work = backend.recent_work or list(sent)  # a handed-over value is more precise
--- a/lilacloft/store/durability.py
+++ b/lilacloft/store/durability.py
@@ -1,13 +1,12 @@
-"""Decides what a gateway keeps and when a dispatch may go out for it. Owns the state of what is kept of its
-reqs.
+"""Decides when a dispatch may go out, given what must be durable before it, and what is stored about it.
 
-Between the decision module, which says where a req goes, and the sockets: a dispatch that has an effect is
-held until its intent is down, or is refused where the disk does not answer in time, as it surely never ran.
-Reqs that a process before this one may have sent are told apart by their keys. No I/O: records are asked
-for and told as down through the host. Times and spans are whole tenths of a millisecond of Unix time.
+The gate stands between the routing decisions and the connections. A dispatch that is not safe to repeat waits
+until its write-ahead intent is durable; it is rejected if the disk does not answer in time, as it was surely
+not executed. Requests that an earlier process may have sent are recognized by their keys. There is no I/O
+here: a `DurabilityHost` queues the records and reports when they are durable. Times are `Ticks` of Unix time.
 
-A key is what makes two reqs one effect: the client's idempotency key, else the req's own name, as a req
-that crosses a close is sent again under it.
+A key identifies requests with one effect. It is the client's idempotency key, or else the request's name, as
+a request that crosses the end of a connection is sent again under its name.
 """
 
 from __future__ import annotations
@@ -15,319 +14,321 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Protocol
 
+from lilacloft.routing.model import Idempotency, IdempotencyScope
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 from lilacloft.store import record_types
-from lilacloft.store.record_types import Intent, Recovered
+from lilacloft.store.idempotency import IdempotencyPolicy, Verdict, may_send_again, needs_durable_intent
+from lilacloft.store.record_types import EventNumbers, Intent, PurgeTarget, RecordKind, Work
+from lilacloft.store.recovered_state import WORK_INTERVAL, RecoveredState
 
-PATIENCE = 500  # that a dispatch waits for the disk: beyond, another try elsewhere serves the client better
-EVERY = 10_000  # between two records of one be's budget: each has all of it
-SEND, HOLD, DENY, ABORT = "send", "hold", "deny", "abort"
+# How long a dispatch waits for the disk. After that an attempt elsewhere serves the client better.
+DEFAULT_HOLD_TIMEOUT: Ticks = TICKS_PER_SECOND // 20
 
+# Counters, by the names under which they are handed over.
+INTENTS_WRITTEN = "kept"
+DISPATCHES_HELD = "held"
+DISPATCHES_REJECTED = "refused"  # as the disk did not answer in time
+KEYS_BARRED = "barred"  # as an earlier process may have sent them
 
-class Hands(Protocol):
-    """How a keeper acts; each call returns at once."""
 
-    def now(self) -> int:
-        """Tell the time."""
+class DurabilityHost(Protocol):
+    """How a gate acts. All calls return at once."""
 
-    def keep(self, kind: int, key: bytes, value: bytes | None) -> int:
-        """Ask for a record (none: its removal); returns its ticket. `down` tells when tickets are down."""
+    def now(self) -> Ticks:
+        """Return the time."""
+
+    def write_record(self, kind: int, key: bytes, value: bytes | None) -> int:
+        """Queue a record (None: a removal); returns its ticket. Tickets rise.
+
+        Once records are durable, the host calls `DurabilityGate.records_durable`.
+        """
 
     def release(self, token: str) -> None:
-        """A dispatch that was held may go out."""
+        """Send a dispatch that was held."""
 
-    def refuse(self, token: str) -> None:
-        """A dispatch that was held is not sent: it never ran."""
+    def reject(self, token: str) -> None:
+        """Drop a dispatch that was held; it was not executed."""
 
 
 @dataclass
-class Chain:
-    """All dispatches of this process under one key that are held or out: tries of one req may overlap."""
+class KeyUse:
+    """All dispatches of this process under one key that are held or in flight.
+
+    There may be several at a time, as attempts of one request can overlap.
+    """
 
-    before: Intent | None  # what was kept under the key before the first of them
-    users: int = 0  # held or out
-    sent: bool = False  # has any gone out, that may have run?
-    down: bool = False  # is their intent?
+    earlier: Intent | None  # what was stored under the key before the first of them
+    dispatches: int = 0  # how many are held or in flight
+    may_have_executed: bool = False  # whether any has gone out and may have been executed
+    intent_durable: bool = False
 
 
 @dataclass
-class Held:
+class HeldDispatch:
     """A dispatch that waits for its intent."""
 
     token: str
     key: bytes
     ticket: int
-    until: int  # from then on it is refused: the disk has had its time, or the window is over
+    expires_at: Ticks  # rejected from then on: the disk is too slow, the client gone or the window over
 
 
-class Keeper:
-    """One gateway's. The owner asks it at the one place that every dispatch passes, with a token of each."""
+class DurabilityGate:
+    """The gate of one gateway, which passes it each dispatch under a token of its own."""
 
-    def __init__(self, hands: Hands, found: Recovered | None = None, patience: int = PATIENCE) -> None:
-        self.hands, self.patience = hands, patience
-        self.intents: dict[bytes, Intent] = dict(found.intents) if found else {}
-        self.earlier = set(self.intents)  # of a process before this one
-        self.chains: dict[bytes, Chain] = {}
-        self.out: dict[str, bytes] = {}  # keys of dispatches that may run now, by token
-        self.held: dict[str, Held] = {}
-        self.order: deque[Held] = deque()  # by ticket
-        self.budgets: dict[str, int] = {}  # when each be's was last asked for
-        self.counts = dict.fromkeys(("kept", "held", "refused", "barred"), 0)
-
-    # --- a req's dispatches ---
-
-    def asks(
+    def __init__(
+        self,
+        host: DurabilityHost,
+        recovered: RecoveredState | None = None,
+        hold_timeout: Ticks = DEFAULT_HOLD_TIMEOUT,
+    ) -> None:
+        self.host, self.hold_timeout = host, hold_timeout
+        self.intents: dict[bytes, Intent] = dict(recovered.intents) if recovered else {}
+        self.earlier_keys = set(self.intents)  # keys that an earlier process has used
+        self.key_uses: dict[bytes, KeyUse] = {}
+        self.in_flight: dict[str, bytes] = {}  # keys by token
+        self.held: dict[str, HeldDispatch] = {}
+        self.held_order: deque[HeldDispatch] = deque()  # by ticket; some are not held any more
+        self.work_written_at: dict[str, Ticks] = {}  # when each backend's work was last written
+        self.counts = dict.fromkeys((INTENTS_WRITTEN, DISPATCHES_HELD, DISPATCHES_REJECTED, KEYS_BARRED), 0)
+
+    # --- dispatches ---
+
+    def admit(
         self,
         token: str,
         key: bytes,
-        effect: str,
-        window: int,
-        group: str,
+        policy: IdempotencyPolicy,
         cell: int,
-        latest: int | None = None,
-    ) -> str:
-        """May a req be dispatched to a be of a cell, and when? `send`: now. `hold`: it is told by `release`,
-        or refused, by `latest` if that is told: so that its client hears that it never ran, which nobody
-        could say of one given up in the midst. `deny`, `abort`: never by this gateway, as an earlier process
-        may have run it; denied where asking again is harmless, which is where its key makes all tries one."""
-        if not record_types.must_be_down(effect):
-            return SEND
-        now, before = self.hands.now(), self.intents.get(key)
-        if key in self.earlier and not record_types.may_send(effect, before, now, window, group, cell):
-            self.counts["barred"] += 1
-            return DENY if effect == "uniqued" and group == "all" else ABORT
-        chain = self.chains.setdefault(key, Chain(before))
-        chain.users += 1
-        if chain.down and before is not None:  # a further dispatch under an intent that is down already
-            self.out[token], chain.sent = key, True
-            return SEND
-        if before is not None and not before.over:  # the first sending counts for window and group
-            intent = Intent(before.sent, effect, False, before.cell)
-        else:
-            intent = Intent(now, effect, False, cell)
-        self.intents[key] = intent
-        until = now + self.patience if latest is None else min(now + self.patience, latest)
-        if key in self.earlier and effect == "uniqued":
-            until = min(until, intent.sent + window)
-        held = Held(token, key, self.hands.keep(record_types.INTENT, key, intent.pack()), until)
-        self.held[token] = held
-        self.order.append(held)
-        self.counts["kept"] += 1
-        self.counts["held"] += 1
-        return HOLD
-
-    def down(self, ticket: int) -> None:
-        """All records up to a ticket are down."""
-        while self.order and self.order[0].ticket <= ticket:
-            held = self.order.popleft()
+        latest: Ticks | None = None,
+    ) -> Verdict:
+        """Decide on a dispatch to a backend in `cell`.
+
+        After WAIT the host is called with `release`, or with `reject` at `latest` at the latest: early enough
+        for the client to get an answer that says that nothing was executed. An earlier process may have had
+        the request executed: then it is rejected if all attempts under its key count as one anywhere, so that
+        a retry is harmless, and fails otherwise.
+        """
+        if not needs_durable_intent(policy.idempotency):
+            return Verdict.SEND
+        now, stored = self.host.now(), self.intents.get(key)
+        if key in self.earlier_keys and not may_send_again(policy, stored, now, cell):
+            return self._bar(policy)
+        use = self.key_uses.setdefault(key, KeyUse(stored))
+        use.dispatches += 1
+        if use.intent_durable and stored is not None:
+            self.in_flight[token], use.may_have_executed = key, True
+            return Verdict.SEND
+        ticket = self._write_intent(key, policy, cell, now)
+        self._hold(HeldDispatch(token, key, ticket, self._expiry(key, policy, now, latest)))
+        return Verdict.WAIT
+
+    def _bar(self, policy: IdempotencyPolicy) -> Verdict:
+        self.counts[KEYS_BARRED] += 1
+        harmless = policy.idempotency == Idempotency.KEYED and policy.scope == IdempotencyScope.ALL
+        return Verdict.REJECT if harmless else Verdict.FAIL
+
+    def _write_intent(self, key: bytes, policy: IdempotencyPolicy, cell: int, now: Ticks) -> int:
+        """Queue the intent of a dispatch; returns its ticket. The first dispatch under a key counts for the
+        window and the scope."""
+        stored, sent_at = self.intents.get(key), now
+        if stored is not None and not stored.not_executed:
+            sent_at, cell = stored.sent_at, stored.cell
+        self.intents[key] = Intent(sent_at, policy.idempotency, False, cell)
+        self.counts[INTENTS_WRITTEN] += 1
+        return self.host.write_record(RecordKind.INTENT, key, self.intents[key].pack())
+
+    def _expiry(self, key: bytes, policy: IdempotencyPolicy, now: Ticks, latest: Ticks | None) -> Ticks:
+        expires_at = now + self.hold_timeout
+        if latest is not None:
+            expires_at = min(expires_at, latest)
+        if key in self.earlier_keys and policy.idempotency == Idempotency.KEYED:
+            expires_at = min(expires_at, self.intents[key].sent_at + policy.window)
+        return expires_at
+
+    def _hold(self, held: HeldDispatch) -> None:
+        self.held[held.token] = held
+        self.held_order.append(held)
+        self.counts[DISPATCHES_HELD] += 1
+
+    def records_durable(self, ticket: int) -> None:
+        """Release the dispatches whose intents are durable, as all records up to a ticket are."""
+        while self.held_order and self.held_order[0].ticket <= ticket:
+            held = self.held_order.popleft()
             if self.held.get(held.token) is not held:
                 continue
-            if self.hands.now() >= held.until:  # whoever asked for it counts on no answer by now
-                self._refuse(held)
+            if self.host.now() >= held.expires_at:
+                self._reject(held)
                 continue
             del self.held[held.token]
-            chain = self.chains[held.key]
-            chain.down = chain.sent = True
-            self.out[held.token] = held.key
-            self.hands.release(held.token)
+            use = self.key_uses[held.key]
+            use.intent_durable = use.may_have_executed = True
+            self.in_flight[held.token] = held.key
+            self.host.release(held.token)
 
-    def left(self, token: str) -> None:
-        """Nobody waits for a held dispatch any more: it is not sent."""
+    def withdraw(self, token: str) -> None:
+        """Drop a held dispatch for which nobody waits any more."""
         held = self.held.pop(token, None)
         if held:
-            self._less(held.key)
+            self._end_use(held.key)
+
+    def withdraw_all(self) -> list[str]:
+        """Drop all held dispatches, so that nothing is asked of the disk for a while; returns their tokens.
+
+        They were not executed, and may be dispatched again, by this process or the next.
+        """
+        tokens = list(self.held)
+        for token in tokens:
+            self.withdraw(token)
+        return tokens
 
-    def ended(self, token: str, ran: bool) -> None:
-        """A dispatch is over. What may have run must never be forgotten before its time; if all dispatches
-        under a key surely never ran, it is as if they had not been."""
-        key = self.out.pop(token, None)
+    def dispatch_ended(self, token: str, executed: bool) -> None:
+        """Take in the end of a dispatch. `executed` unless it was surely not.
+
+        The intent of a dispatch that may have been executed stays. If no dispatch under a key was, the key
+        counts as unused.
+        """
+        key = self.in_flight.pop(token, None)
         if key is None:
             return
-        chain = self.chains[key]
-        if ran:
-            chain.before, chain.sent = self.intents[key], True
-        elif not any(other == key for other in self.out.values()):
-            chain.sent = False  # none is out, and whatever ran stands in `before`
-        self._less(key)
-
-    def tick(self) -> None:
-        """Refuse what has waited for the disk for longer than it may. Its record may come down later: what
-        stood before follows it, in the same order."""
-        now = self.hands.now()
+        use = self.key_uses[key]
+        if executed:
+            use.earlier, use.may_have_executed = self.intents[key], True
+        elif key not in self.in_flight.values():
+            use.may_have_executed = False  # what was executed before is in `earlier`
+        self._end_use(key)
+
+    def expire_held(self) -> None:
+        """Reject the dispatches that have waited too long for the disk.
+
+        Their records may still become durable later. The records that undo them follow in the log.
+        """
+        now = self.host.now()
         for held in list(self.held.values()):
-            if now >= held.until:
-                self._refuse(held)
+            if now >= held.expires_at:
+                self._reject(held)
+
+    def next_expiry(self) -> Ticks | None:
+        """Return how long it takes until `expire_held` has something to do; None if nothing is held."""
+        expires_at = min((held.expires_at for held in self.held.values()), default=None)
+        return None if expires_at is None else max(0, expires_at - self.host.now())
 
-    def _refuse(self, held: Held) -> None:
+    def _reject(self, held: HeldDispatch) -> None:
         del self.held[held.token]
-        self._less(held.key)
-        self.counts["refused"] += 1
-        self.hands.refuse(held.token)
-
-    def wait(self) -> int | None:
-        """How long until `tick` has something to do; none where nothing is held."""
-        until = min((held.until for held in self.held.values()), default=None)
-        return None if until is None else max(0, until - self.hands.now())
-
-    def _less(self, key: bytes) -> None:
-        """One user of a chain fewer; with the last, what is kept is what may have run, and no more."""
-        chain = self.chains[key]
-        chain.users -= 1
-        if chain.users:
+        self._end_use(held.key)
+        self.counts[DISPATCHES_REJECTED] += 1
+        self.host.reject(held.token)
+
+    def _end_use(self, key: bytes) -> None:
+        """End one dispatch under a key. After the last one only what may have been executed stays stored."""
+        use = self.key_uses[key]
+        use.dispatches -= 1
+        if use.dispatches:
             return
-        del self.chains[key]
-        if chain.sent or self.intents.get(key) == chain.before:
+        del self.key_uses[key]
+        if use.may_have_executed or self.intents.get(key) == use.earlier:
             return
-        if chain.before is None:
+        if use.earlier is None:
             del self.intents[key]
-            self.hands.keep(record_types.INTENT, key, None)
+            self.host.write_record(RecordKind.INTENT, key, None)
         else:
-            self.intents[key] = chain.before
-            self.hands.keep(record_types.INTENT, key, chain.before.pack())
+            self.intents[key] = use.earlier
+            self.host.write_record(RecordKind.INTENT, key, use.earlier.pack())
 
-    # --- two processes, one after the other ---
+    # --- handover between processes ---
 
-    def idle(self) -> list[str]:
-        """Nothing is to be asked of the disk for a while: what is held is taken back; returns its tokens. It
-        never ran, and goes out anew, here or in the next process."""
-        tokens = list(self.held)
-        for token in tokens:
-            self.left(token)
-        return tokens
+    def dispatches_lost(self, lost: Iterable[tuple[str, bytes]]) -> None:
+        """Take in that another process died with these dispatches (token and key).
 
-    def give(self) -> dict[str, Any]:
-        """What the next process goes on with beside the store, with nothing held: what is out now. Its end
-        decides what is kept of it, and the tries under a key that run in one process are one chain."""
-        return {
-            "chains": [
-                {
-                    "key": key,
-                    "before": chain.before.pack() if chain.before else None,
-                    "users": chain.users,
-                    "sent": chain.sent,
-                    "down": chain.down,
-                    "earlier": key in self.earlier,
-                }
-                for key, chain in self.chains.items()
-            ],
-            "out": [[token, key] for token, key in self.out.items()],
-            "budgets": dict(self.budgets),
-            "counts": dict(self.counts),
-        }
-
-    def take(self, given: Mapping[str, Any]) -> None:
-        """Go on with what the process before gave; what else is in the store counts as of one before."""
-        for told in given["chains"]:
-            before = record_types.intent(told["before"]) if told["before"] else None
-            self.chains[told["key"]] = Chain(before, told["users"], told["sent"], told["down"])
-            if not told["earlier"]:
-                self.earlier.discard(told["key"])
-        self.out = {token: key for token, key in given["out"]}
-        self.budgets = dict(given["budgets"])
-        for name, count in given["counts"].items():
-            self.counts[name] = self.counts.get(name, 0) + count
-
-    def lost(self, gone: Iterable[tuple[str, bytes]]) -> None:
-        """These (tokens and keys) went over to another process that has died with them: they may have run,
-        and their clients send them again under their names. They count as of a process before this one,
-        also where their ends were told meanwhile."""
-        for token, key in gone:
-            self.ended(token, True)
+        They may have been executed, and their clients send them again under the same keys. They count as
+        dispatches of an earlier process, also if their end was reported meanwhile.
+        """
+        for token, key in lost:
+            self.dispatch_ended(token, True)
             if key in self.intents:
-                self.earlier.add(key)
+                self.earlier_keys.add(key)
 
-    def adopt(self, token: str, key: bytes, effect: str, at: int, cell: int) -> None:
-        """A dispatch of a process before that kept nothing is out: it counts from when it was sent."""
-        if not record_types.must_be_down(effect):
+    def adopt(self, token: str, key: bytes, idempotency: Idempotency, sent_at: Ticks, cell: int) -> None:
+        """Take over a dispatch in flight from an earlier process that had no store."""
+        if not needs_durable_intent(idempotency):
             return
-        chain = self.chains.setdefault(key, Chain(self.intents.get(key)))
-        chain.users, chain.sent = chain.users + 1, True
-        self.out[token] = key
-        before = self.intents.get(key)
-        if before is None or before.over:
-            self.intents[key] = Intent(at, effect, False, cell)
-            self.hands.keep(record_types.INTENT, key, self.intents[key].pack())
-            self.counts["kept"] += 1
-
-    def follow(self, intents: Mapping[bytes, Intent]) -> None:
-        """Another process has kept these meanwhile, and is over: what it sent may have run. What was asked
-        for here since, and waits for the disk, was asked without that in mind: it is refused, as it never
-        ran, and may be asked again."""
-        for key, intent in intents.items():
-            if self.intents.get(key) == intent and key in self.earlier:
+        stored = self.intents.get(key)
+        use = self.key_uses.setdefault(key, KeyUse(stored))
+        use.dispatches, use.may_have_executed = use.dispatches + 1, True
+        self.in_flight[token] = key
+        if stored is None or stored.not_executed:
+            self.intents[key] = Intent(sent_at, idempotency, False, cell)
+            self.host.write_record(RecordKind.INTENT, key, self.intents[key].pack())
+            self.counts[INTENTS_WRITTEN] += 1
+
+    def merge_intents(self, stored: Mapping[bytes, Intent]) -> None:
+        """Take in all stored intents after another process has written some and ended.
+
+        What that process sent may have been executed. Dispatches under the same keys that are held here were
+        admitted without knowing that: they are rejected, and may be tried again.
+        """
+        for key, intent in stored.items():
+            if self.intents.get(key) == intent and key in self.earlier_keys:
                 continue
-            chain = self.chains.get(key)
-            if chain is None:
+            use = self.key_uses.get(key)
+            if use is None:
                 self.intents[key] = intent
-                self.earlier.add(key)
-            elif not chain.down and intent != chain.before:  # not ours, though it may look the same
-                chain.before = intent
-                self.earlier.add(key)
+                self.earlier_keys.add(key)
+            elif not use.intent_durable and intent != use.earlier:  # it is not ours, though it may be equal
+                use.earlier = intent
+                self.earlier_keys.add(key)
                 for held in [held for held in self.held.values() if held.key == key]:
-                    self._refuse(held)
-        for key in [key for key in self.intents if key not in intents and key not in self.chains]:
+                    self._reject(held)
+        for key in [key for key in self.intents if key not in stored and key not in self.key_uses]:
             del self.intents[key]
-            self.earlier.discard(key)
+            self.earlier_keys.discard(key)
+
+    def write_relayed(self, kind: int, key: bytes, value: bytes | None) -> int:
+        """Write a record for the earlier process, which still ends its own requests; returns the ticket.
 
-    def relayed(self, kind: int, key: bytes, value: bytes | None) -> int:
-        """The process before this one, which still ends what it had open, asks for a record; returns its
-        ticket. Its reqs are not ours: their keys count as sent before."""
-        if kind == record_types.INTENT:
+        Its requests count as sent by an earlier process.
+        """
+        if kind == RecordKind.INTENT:
             if value is None:
                 self.intents.pop(key, None)
-            elif key not in self.chains:
-                self.intents[key] = record_types.intent(value)
-                self.earlier.add(key)
-        return self.hands.keep(kind, key, value)
-
-    # --- what may lag ---
-
-    def purged(self, what: str | int, at: int) -> None:
-        """A purge was told."""
-        self.hands.keep(record_types.PURGE, record_types.key(what), record_types.WHEN.pack(at))
-
-    def told(self, number: int, base: int) -> None:
-        """The change log's last number, and that from which on its rows are whole; after what it told, as one
-        log keeps order."""
-        self.hands.keep(record_types.LAST, b"", record_types.NUMBERS.pack(number, base))
-
-    def spent(self, backend: str, started: int, budget: list[tuple[int, float]], warm: int) -> None:
-        """Work sent to a be that is cold; once in a while, and not once it is warm."""
-        now = self.hands.now()
-        if not started or now - started >= warm or now - self.budgets.get(backend, 0) < EVERY:
+            elif key not in self.key_uses:
+                self.intents[key] = record_types.unpack_intent(value)
+                self.earlier_keys.add(key)
+        return self.host.write_record(kind, key, value)
+
+    # --- records that may lag ---
+
+    def object_purged(self, target: PurgeTarget, purged_at: Ticks) -> None:
+        """Write a purge."""
+        value = record_types.pack_time(purged_at)
+        self.host.write_record(RecordKind.PURGE, record_types.pack_purge_key(target), value)
+
+    def events_applied(self, numbers: EventNumbers) -> None:
+        """Write how far the change log was applied; after the records of its last event."""
+        self.host.write_record(RecordKind.LAST_EVENT, b"", record_types.pack_event_numbers(numbers))
+
+    def work_sent(self, backend: str, started: Ticks, work: list[Work], slow_start: Ticks) -> None:
+        """Write the recent work of a backend, every WORK_INTERVAL at most and only during its slow start.
+
+        `started` is when the backend started (0: not lately), `slow_start` how long its slow start lasts.
+        """
+        now = self.host.now()
+        if not started or now - started >= slow_start:
+            return
+        if now - self.work_written_at.get(backend, 0) < WORK_INTERVAL:
             return
-        self.budgets[backend] = now
-        self.hands.keep(record_types.COLD, backend.encode(), record_types.spend(budget))
+        self.work_written_at[backend] = now
+        self.host.write_record(RecordKind.SLOW_START, backend.encode(), record_types.pack_work(work))
 
-    def forget(self, oldest: int) -> int:
-        """Let go of intents that no rule asks for any more; returns how many. Those of dispatches that are
-        out or held stay."""
-        now, gone = self.hands.now(), 0
+    def remove_expired(self, max_age: Ticks) -> int:
+        """Remove intents that no rule can refer to any more; returns how many. Those in use stay."""
+        now, removed = self.host.now(), 0
         for key, intent in list(self.intents.items()):
-            if key not in self.chains and now - min(intent.sent, now) > oldest:
+            if key not in self.key_uses and now - min(intent.sent_at, now) > max_age:
                 del self.intents[key]
-                self.earlier.discard(key)
-                self.hands.keep(record_types.INTENT, key, None)
-                gone += 1
-        return gone
-
-
-def begin(
-    found: Recovered, started: Mapping[str, int], fall: int, now: int, most: Mapping[str, float]
-) -> dict[str, list[tuple[int, float]]]:
-    """The budgets that cold bes begin with after a crash, by name: what is known to be spent, and, as the
-    last records of it may not have been down, all that may have been sent since (`most`: in a fall
-    span), as if it had been sent just now. Bes that started anew since begin with nothing spent."""
-    out: dict[str, list[tuple[int, float]]] = {}
-    for backend, budget in found.cold.items():
-        since = started.get(backend, 0)
-        if not since:
-            continue
-        known = [(at, work) for at, work in budget if since <= at <= now and now - at <= fall]
-        last = max((at for at, _ in budget), default=0)
-        unknown = most.get(backend, 0.0) - sum(work for _, work in known)
-        if last >= since and now - last <= EVERY + fall and unknown > 0:
-            known.append((now, unknown))
-        out[backend] = known
-    return out
+                self.earlier_keys.discard(key)
+                self.host.write_record(RecordKind.INTENT, key, None)
+                removed += 1
+        return removed
--- /dev/null
+++ b/lilacloft/store/durability_snapshot.py
@@ -0,0 +1,72 @@
+"""Export and restore of a durability gate, for the handover to the next process, as plain values.
+
+Only what is not in the store goes over: the dispatches in flight. Their ends decide what stays stored, and
+all attempts under a key belong together, also those that an earlier process began. Nothing is held at a
+handover.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any
+
+from lilacloft.store.durability import DurabilityGate, KeyUse
+from lilacloft.store.record_types import unpack_intent
+
+# Keys of the exported map, in their order: attributes of a gate and of a `KeyUse`, and their stored names.
+GATE_KEYS = {"key_uses": "chains", "in_flight": "out", "work_written_at": "budgets", "counts": "counts"}
+KEY_USE_KEYS = {
+    "key": "key",
+    "earlier": "before",
+    "dispatches": "users",
+    "may_have_executed": "sent",
+    "intent_durable": "down",
+    "is_earlier_key": "earlier",
+}
+
+
+def export(gate: DurabilityGate) -> dict[str, Any]:
+    """Return the state of a gate, by the names in GATE_KEYS."""
+    values = {
+        "key_uses": [_export_use(key, use, key in gate.earlier_keys) for key, use in gate.key_uses.items()],
+        "in_flight": [[token, key] for token, key in gate.in_flight.items()],
+        "work_written_at": dict(gate.work_written_at),
+        "counts": dict(gate.counts),
+    }
+    return {stored: values[attribute] for attribute, stored in GATE_KEYS.items()}
+
+
+def _export_use(key: bytes, use: KeyUse, is_earlier_key: bool) -> dict[str, Any]:
+    values = {
+        "key": key,
+        "earlier": use.earlier.pack() if use.earlier else None,
+        "dispatches": use.dispatches,
+        "may_have_executed": use.may_have_executed,
+        "intent_durable": use.intent_durable,
+        "is_earlier_key": is_earlier_key,
+    }
+    return {stored: values[attribute] for attribute, stored in KEY_USE_KEYS.items()}
+
+
+def restore(gate: DurabilityGate, exported: Mapping[str, Any]) -> None:
+    """Go on with what the process before has exported. All other intents in the store count as those of an
+    earlier process."""
+    values = {attribute: exported[stored] for attribute, stored in GATE_KEYS.items()}
+    for use in values["key_uses"]:
+        _restore_use(gate, {attribute: use[stored] for attribute, stored in KEY_USE_KEYS.items()})
+    gate.in_flight = {token: key for token, key in values["in_flight"]}
+    gate.work_written_at = dict(values["work_written_at"])
+    for name, count in values["counts"].items():
+        gate.counts[name] = gate.counts.get(name, 0) + count
+
+
+def _restore_use(gate: DurabilityGate, values: Mapping[str, Any]) -> None:
+    key, earlier = values["key"], values["earlier"]
+    gate.key_uses[key] = KeyUse(
+        unpack_intent(earlier) if earlier else None,
+        values["dispatches"],
+        values["may_have_executed"],
+        values["intent_durable"],
+    )
+    if not values["is_earlier_key"]:
+        gate.earlier_keys.discard(key)
--- a/lilacloft/store/gateway_store.py
+++ b/lilacloft/store/gateway_store.py
@@ -1,9 +1,8 @@
-"""Joins a gateway's owner, the keeper and the disk: carries out what `keep.Keeper` decides, and decides
-nothing.
+"""Connects a gateway's event loop, the durability gate and the disk.
 
-All but the committing belongs to the owner's thread. It must never wait for the disk, and never send what
-the keeper holds. What a process before this one may have sent is told to the decision module with the req,
-so that its own gate keeps the rules on effects.
+All but the commits runs in the thread of the event loop, which never waits for the disk, except at a
+handover. What an earlier process may have sent is noted on the request, so that the routing decisions apply
+the rules on repeated execution to it.
 """
 
 from __future__ import annotations
@@ -11,331 +10,337 @@
 import os
 import time
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple, TypeAlias
 
-import msgspec
 from loguru import logger
 
 from lilacloft.net.back import Sent
 from lilacloft.net.conn import OUTCOMES, End
-from lilacloft.routing import snapshot
-from lilacloft.routing.model import Backend, Request
-from lilacloft.store import learned_state, record_types
-from lilacloft.store.durability import HOLD, PATIENCE, SEND, Keeper, begin
-from lilacloft.store.endpoint_rows import Listing
+from lilacloft.routing.model import Backend, Idempotency, IdempotencyScope, Outcome, Request
+from lilacloft.routing.units import Ticks
+from lilacloft.store import durability_snapshot
+from lilacloft.store.background_records import BackgroundRecords
+from lilacloft.store.crash_recovery import recover_endpoint_rows, restore_decisions
+from lilacloft.store.durability import DEFAULT_HOLD_TIMEOUT, DurabilityGate
 from lilacloft.store.files import StoreDirectory
 from lilacloft.store.group_commit import GroupCommitter
-from lilacloft.store.log import Store
+from lilacloft.store.idempotency import IdempotencyPolicy, Verdict
+from lilacloft.store.log import RetentionLimit, Store
+from lilacloft.store.record_types import EventNumbers, RecordKind, retention_limits
+from lilacloft.store.recovered_state import RecoveredState, recover_state
 
-SECOND = 10_000
-LEARNS = 5  # seconds between two looks at what was learned: some milliseconds with thousands of bes
-CLEANS = 60  # seconds between two times at which what is too old goes
+CLOSE_TIMEOUT = 1.0  # seconds
+NOT_EXECUTED = (Outcome.QUEUE_FULL, Outcome.CONNECT_FAILED, Outcome.UNSENT, Outcome.MISS)
+EARLIER_PROCESS = "earlier"  # name of the backend that stands for the unknown one of an earlier process
 
+# Sends a record to the process that writes the store: ticket, kind, key, value.
+Relay: TypeAlias = Callable[[int, int, bytes, bytes | None], None]
 
-_write = msgspec.msgpack.Encoder().encode
-_read = msgspec.msgpack.Decoder().decode
 
-
-class Reader:
-    """Reads a store while another process writes it."""
+class StoreReader:
+    """Reads a store while another process writes it, so that little is left to read when it hands over."""
 
     def __init__(self, path: str) -> None:
         self.store = Store(StoreDirectory(path, lock=False))
 
 
-class Guard:
-    """One gateway's store."""
+@dataclass
+class InheritedStore:
+    """What the process before has handed over."""
+
+    reader: StoreReader | None  # None: there was nothing to read yet
+    state: Mapping[str, Any]  # of its durability gate (durability_snapshot.py)
+    lock_fd: int  # descriptor with the store's lock
+
+
+class HeldAttempt(NamedTuple):
+    """An attempt that waits for its intent."""
+
+    sent: Sent
+    deadline: Ticks
+
+
+class GatewayStore:
+    """The store of one gateway; the `DurabilityHost` of its gate."""
 
     def __init__(
         self,
-        owner: Any,
+        gateway: Any,
         path: str,
-        patience: int = PATIENCE,
-        reader: Reader | None = None,
-        given: dict[str, Any] | None = None,
-        lock: int = -1,
+        hold_timeout: Ticks = DEFAULT_HOLD_TIMEOUT,
+        inherited: InheritedStore | None = None,
     ) -> None:
-        """After an end of any kind, or with what the process before `given`, its lock passed on, and a
-        `reader` of what it wrote."""
-        self.owner, self.path = owner, os.path.realpath(path)
-        self.folder = StoreDirectory(path, inherited_lock_fd=lock)
-        self.purge_done = owner.router.freshness.purge_lifetime
-        windows = [vhost.get("repeat_window", 0) for vhost in owner.vhosts]
+        """Open a gateway's store: after an end of any kind, or go on with an inherited one.
+
+        Raises StoreError or OSError.
+        """
+        self.gateway, self.path = gateway, os.path.realpath(path)
+        self.directory = StoreDirectory(path, inherited_lock_fd=inherited.lock_fd if inherited else -1)
+        self.purge_lifetime = gateway.router.freshness.purge_lifetime
         began = time.monotonic()
-        bounds = record_types.limits(self.purge_done, owner.longest, max(windows))
-        if reader:
-            self.store = reader.store
-            self.store.directory, self.store.retention = self.folder, bounds
-            self.store.catch_up()
+        reader = inherited.reader if inherited else None
+        self.store = self._open_store(reader)
+        recovered = self._recover_state()
+        self._log_recovery(recovered, "followed" if reader else "recovered", time.monotonic() - began)
+        self.gate = DurabilityGate(self, recovered, hold_timeout)
+        self.background = BackgroundRecords(gateway, self.gate, self.write_record, self.purge_lifetime)
+        self.endpoint_rows = recover_endpoint_rows(recovered)
+        self.held: dict[str, HeldAttempt] = {}  # by token
+        self.tokens: dict[Sent, str] = {}
+        self.withdrawn: list[Sent] = []  # were held when the gateway was quiesced
+        self.transferred: list[tuple[str, bytes]] = []  # tokens and keys of dispatches that were handed over
+        self.relayed_tickets: dict[int, int] = {}  # tickets of the process before, by ours
+        self.report_relayed: Callable[[int], None] | None = None  # tells it which of them are durable
+        self.relay: Relay | None = None  # set while another process writes the store
+        self.last_relay_ticket = 0
+        if inherited is None:
+            restore_decisions(gateway, self.endpoint_rows, recovered)
         else:
-            self.store = Store(self.folder, bounds)
-        found = self._found()
-        for line in (*self.store.report.damage, *self.store.report.torn, *found.skipped):
+            durability_snapshot.restore(self.gate, inherited.state)
+        self.commits = GroupCommitter(
+            self.store, on_durable=lambda ticket: gateway.post(self._records_durable, ticket)
+        )
+        gateway.guard = self
+
+    def _open_store(self, reader: StoreReader | None) -> Store:
+        limits = self._retention_limits()
+        if reader is None:
+            return Store(self.directory, limits)
+        store = reader.store
+        store.directory, store.retention = self.directory, limits
+        store.catch_up()
+        return store
+
+    def _retention_limits(self) -> dict[int, RetentionLimit]:
+        windows = [vhost.get("repeat_window", 0) for vhost in self.gateway.vhosts]
+        return retention_limits(self.purge_lifetime, self.gateway.longest, max(windows))
+
+    def _recover_state(self) -> RecoveredState:
+        return recover_state(self.store.all_records(), self.gateway.time, self.purge_lifetime)
+
+    def _log_recovery(self, recovered: RecoveredState, how: str, seconds: float) -> None:
+        report = self.store.report
+        for line in (*report.damage, *report.torn, *recovered.unreadable):
             logger.warning("store: {}", line)
         logger.info(
             "store: {} records {} in {:.0f} ms: {} purges, {} intents",
             self.store.record_count(),
-            "followed" if reader else "recovered",
-            1000 * (time.monotonic() - began),
-            len(found.purges),
-            len(found.intents),
-        )
-        self.keeper = Keeper(self, found, patience)
-        self.changes, self.listing = learned_state.Changes(), Listing()
-        rows = {key: _read(data) for key, data in found.rows.items()}
-        self.listing.read(
-            {
-                key: (number, (row[0], tuple(row[1]), *row[2:]) if row else ())
-                for key, (number, row) in rows.items()
-            },
-            found.base,
+            how,
+            1000 * seconds,
+            len(recovered.purges),
+            len(recovered.intents),
         )
-        self.held: dict[str, tuple[Sent, int]] = {}
-        self.tokens: dict[Sent, str] = {}
-        self.again: list[Sent] = []  # were held when all was brought to rest
-        self.over: list[tuple[str, bytes]] = []  # tokens and keys of what went over
-        self.asked: dict[int, int] = {}  # tickets of the process before, by ours
-        self.answer: Callable[[int], None] | None = None  # tells it which of them are down
-        self.relay: Callable[[int, int, bytes, bytes | None], None] | None = None
-        self.tickets = 0
-        self.seconds = 0
-        if given is None:
-            self._begin(found)
-        else:
-            self.keeper.take(given)
-        self.commits = GroupCommitter(self.store, on_durable=lambda ticket: owner.post(self._down, ticket))
-        owner.guard = self
-
-    def _found(self) -> record_types.Recovered:
-        return record_types.recovered(self.store.all_records(), self.owner.time, self.purge_done)
-
-    def _begin(self, found: record_types.Recovered) -> None:
-        """Nobody has told the decision module of anything yet."""
-        owner = self.owner
-        events, owner.feed.last = self.listing.start(owner.feed.last, found.last)
-        for event in events:
-            owner.told(event)
-        if found.last > owner.known:
-            owner.known = found.last
-        starts = {
-            name: backend.concurrency_limit.limit
-            for name, backend in owner.backends.items()
-            if backend.concurrency_limit
-        }
-        kept = {key: (at, _read(data)) for key, (at, data) in found.learned.items()}
-        names = [vhost["name"] for vhost in owner.vhosts]
-        aged = learned_state.aged(kept, owner.time, names, starts, owner.router.link_limit.limit)
-        snapshot.take(owner.router, aged, owner.backends)
-        for what, at in found.purges.items():
-            key, group = (what, 0) if isinstance(what, str) else ("", what)
-            owner.router.object_purged(key, group, owner.time - owner.stamps.purge(owner.time, at))
-        started = {name: backend.started for name, backend in owner.backends.items()}
-        window = owner.router.settings.overload_window
-        most = {name: float(backend.capacity) * window for name, backend in owner.backends.items()}
-        for name, budget in begin(found, started, window, owner.time, most).items():
-            backend = owner.backends[name]
-            backend.recent_work = backend.recent_work or list(budget)  # a process before tells better
 
     def start(self) -> None:
-        """The owner runs, and this process is the gateway."""
-        self.commits.run_before_writing(self.folder.write_pid)
-        self._second()
+        """Begin to write: the event loop runs, and this process is the gateway."""
+        self.commits.run_before_writing(self.directory.write_pid)
+        self.background.write()
 
     def close(self) -> None:
+        """Commit what is queued and release the lock."""
         if self.relay is None:
-            self.commits.close(1.0)
-        self.folder.close()
+            self.commits.close(CLOSE_TIMEOUT)
+        self.directory.close()
+
+    # --- handover between processes ---
 
-    # --- two processes, one after the other ---
+    def quiesce(self, timeout: float) -> str:
+        """Stop dispatching and writing until `resume`, or for good.
 
-    def rest(self, wait: float) -> str:
-        """Nothing is sent or asked for until `go_on`, or for good; tells why not, where what was asked for
-        cannot be had down in time."""
-        self.again = [self.held.pop(token)[0] for token in self.keeper.idle()]
-        for sent in self.again:
+        Waits for the disk for `timeout` seconds at most. Returns an empty text, or why it failed.
+        """
+        self.withdrawn = [self.held.pop(token).sent for token in self.gate.withdraw_all()]
+        for sent in self.withdrawn:
             self.tokens.pop(sent, None)
-        return "" if self.commits.flush(wait) else "the store's disk does not answer"
-
-    def told_on(self, calls: Mapping[str, Any]) -> dict[str, Any]:
-        """What the next process goes on with, of the reqs that go over to it, by name."""
-        given = self.keeper.give()
-        mine = [pair for pair in given["out"] if pair[0].split()[0] in calls]
-        self.over = [(token, key) for token, key in mine]
-        keys = {key for _, key in mine}
-        return {**given, "out": mine, "chains": [chain for chain in given["chains"] if chain["key"] in keys]}
-
-    def hand_on(self, relay: Callable[[int, int, bytes, bytes | None], None]) -> None:
-        """The next process writes from here on; what is asked for here, for reqs that stay, goes to it."""
+        return "" if self.commits.flush(timeout) else "the store's disk does not answer"
+
+    def export_state(self, calls: Mapping[str, Any]) -> dict[str, Any]:
+        """Return what the next process goes on with (durability_snapshot.py), for the requests that are
+        handed over to it, by name."""
+        exported = durability_snapshot.export(self.gate)
+        keys = durability_snapshot.GATE_KEYS
+        in_flight = [pair for pair in exported[keys["in_flight"]] if pair[0].split()[0] in calls]
+        self.transferred = [(token, key) for token, key in in_flight]
+        used = {key for _, key in in_flight}
+        key_name = durability_snapshot.KEY_USE_KEYS["key"]
+        key_uses = [use for use in exported[keys["key_uses"]] if use[key_name] in used]
+        return {**exported, keys["in_flight"]: in_flight, keys["key_uses"]: key_uses}
+
+    def delegate_writes(self, relay: Relay) -> None:
+        """Let the next process write the store. Records of the requests that stay here are relayed to it."""
         self.relay = relay
-        again, self.again = self.again, []
-        for sent in again:
-            if sent.call.client in self.owner.front.clients:
-                self.owner.report_end(sent, End.UNWRITTEN)
+        withdrawn, self.withdrawn = self.withdrawn, []
+        for sent in withdrawn:
+            if sent.call.client in self.gateway.front.clients:
+                self.gateway.report_end(sent, End.UNWRITTEN)
 
-    def go_on(self, wrote: bool) -> None:
-        """This process is the gateway after all; the other one may have written meanwhile."""
+    def resume(self, other_may_have_written: bool) -> None:
+        """Go on as the gateway after a handover that failed."""
         self.relay = None
-        again, self.again = self.again, []
-        for sent in again:
-            self.owner.report_end(sent, End.UNWRITTEN)
-        over, self.over = self.over, []
-        if wrote:
-            self.keeper.lost(over)
-            self.commits.run_before_writing(self._follow)
-            self.commits.run_before_writing(self.folder.write_pid)
-            if not any(entry[2] == self._second for entry in self.owner.timers):
-                self._second()
-
-    def _follow(self) -> None:
-        """In the commits' thread, which nothing of the store passes by."""
+        withdrawn, self.withdrawn = self.withdrawn, []
+        for sent in withdrawn:
+            self.gateway.report_end(sent, End.UNWRITTEN)
+        transferred, self.transferred = self.transferred, []
+        if other_may_have_written:
+            self.gate.dispatches_lost(transferred)
+            self.commits.run_before_writing(self._catch_up)
+            self.commits.run_before_writing(self.directory.write_pid)
+            if not self.background.is_scheduled():
+                self.background.write()
+
+    def _catch_up(self) -> None:
+        """Read what the other process has written; in the writer thread, which owns the store."""
         self.store.catch_up()
-        self.owner.post(self.keeper.follow, self._found().intents)
+        self.gateway.post(self.gate.merge_intents, self._recover_state().intents)
+
+    def adopt_attempts(self, attempts: Iterable[Sent]) -> None:
+        """Take over the attempts in flight on connections that were handed over.
 
-    def resumed(self, sents: Iterable[Sent]) -> None:
-        """Dispatches that are out on connections which have come over; where the process before had no store
-        they are kept from now on. What went over in the keeper and is not among them has lost its connection
-        on the way, and may have run."""
-        for sent in sents:
+        If the process before had no store, they are stored from now on. A handed-over dispatch without an
+        attempt has lost its connection on the way, and may have been executed.
+        """
+        for sent in attempts:
             token, call = self._token(sent), sent.call
-            if token not in self.keeper.out:
-                effect = self.owner.vhosts[call.vhost]["effect"]
-                self.keeper.adopt(token, self._key(call), effect, call.request.sent_at, sent.backend.cell)
-            if token in self.keeper.out:
+            if token not in self.gate.in_flight:
+                idempotency = Idempotency(self.gateway.vhosts[call.vhost]["effect"])
+                sent_at = call.request.sent_at
+                self.gate.adopt(token, self._key(call), idempotency, sent_at, sent.backend.cell)
+            if token in self.gate.in_flight:
                 self.tokens[sent] = token
-        for token in set(self.keeper.out) - set(self.tokens.values()):
-            self.keeper.ended(token, True)
+        for token in set(self.gate.in_flight) - set(self.tokens.values()):
+            self.gate.dispatch_ended(token, True)
 
-    def relayed(
-        self, ticket: int, kind: int, key: bytes, value: bytes | None, answer: Callable[[int], None]
+    def write_relayed(
+        self, ticket: int, kind: int, key: bytes, value: bytes | None, report: Callable[[int], None]
     ) -> None:
-        """The process before asks for a record."""
-        self.answer = answer
-        self.asked[self.keeper.relayed(kind, key, value)] = ticket
-
-    def _down(self, ticket: int) -> None:
-        theirs = [self.asked.pop(ours) for ours in sorted(self.asked) if ours <= ticket]
-        if theirs and self.answer:
-            self.answer(max(theirs))
-        if self.relay is None:
-            self.keeper.down(ticket)
+        """Write a record for the process before; `report` gets its last ticket that is durable."""
+        self.report_relayed = report
+        self.relayed_tickets[self.gate.write_relayed(kind, key, value)] = ticket
 
-    def relay_down(self, ticket: int) -> None:
-        """The next process has records down, up to one that went to it."""
+    def relayed_records_durable(self, ticket: int) -> None:
+        """Take in that the next process has made all records up to a relayed one durable."""
         if self.relay is not None:
-            self.keeper.down(ticket)
+            self.gate.records_durable(ticket)
+
+    def _records_durable(self, ticket: int) -> None:
+        durable = [ours for ours in sorted(self.relayed_tickets) if ours <= ticket]
+        relayed = [self.relayed_tickets.pop(ours) for ours in durable]
+        if relayed and self.report_relayed:
+            self.report_relayed(max(relayed))
+        if self.relay is None:
+            self.gate.records_durable(ticket)
 
-    # --- the owner's hooks ---
+    # --- hooks of the event loop ---
 
-    def knows(self, call: Any, request: Request) -> None:
-        """A req has come: has a process before this one sent it, or another try of it?"""
+    def note_earlier_execution(self, call: Any, request: Request) -> None:
+        """Note on a request that an earlier process may have had it executed, or another attempt of it."""
         key = self._key(call)
-        intent = self.keeper.intents.get(key)
-        if intent and key in self.keeper.earlier and not intent.over:
-            request.first_executed_at, request.first_executed_by = (
-                intent.sent,
-                Backend("earlier", zone=-1, cell=intent.cell),
-            )
-
-    def dispatch(self, sent: Sent, until: int) -> End | None:
-        """Send, or hold until the intent is down. By a time it will have had its own."""
-        call, vhost, token = sent.call, self.owner.vhosts[sent.call.vhost], self._token(sent)
-        verdict = self.keeper.asks(
+        intent = self.gate.intents.get(key)
+        if intent and key in self.gate.earlier_keys and not intent.not_executed:
+            request.first_executed_at = intent.sent_at
+            request.first_executed_by = Backend(EARLIER_PROCESS, zone=-1, cell=intent.cell)
+
+    def dispatch(self, sent: Sent, deadline: Ticks) -> End | None:
+        """Send an attempt, or hold it until its intent is durable; returns how it ended if it did at once.
+
+        `deadline` is when it times out. A held attempt is dropped early enough for its answer to go out.
+        """
+        token = self._token(sent)
+        verdict = self.gate.admit(
             token,
-            self._key(call),
-            vhost["effect"],
-            vhost.get("repeat_window", 0),
-            vhost.get("repeat_group", "all"),
+            self._key(sent.call),
+            self._policy(sent.call.vhost),
             sent.backend.cell,
-            until - 2 * self.owner.grain,
+            deadline - 2 * self.gateway.grain,
         )
-        if verdict == SEND:
+        if verdict == Verdict.SEND:
             self.tokens[sent] = token
-            return self.owner.back.dispatch(sent)
-        if verdict == HOLD:
+            return self.gateway.back.dispatch(sent)
+        if verdict == Verdict.WAIT:
             self.tokens[sent] = token
-            self.held[token] = sent, until
-            self.owner.at(self.owner.time + (self.keeper.wait() or 0), self.keeper.tick)
+            self.held[token] = HeldAttempt(sent, deadline)
+            self.gateway.at(self.gateway.time + (self.gate.next_expiry() or 0), self.gate.expire_held)
             return None
-        self.knows(call, call.request)  # it may have become known only since the req came
+        self.note_earlier_execution(sent.call, sent.call.request)  # may be known only since its arrival
         return End.UNWRITTEN
 
-    def drop(self, sent: Sent) -> bool:
-        """The module takes a dispatch back: was it held? Then it never ran."""
+    def withdraw(self, sent: Sent) -> bool:
+        """Drop an attempt if it is held; returns whether it was."""
         token = self.tokens.get(sent, "")
         if self.held.pop(token, None) is None:
             return False
-        self.keeper.left(token)
+        self.gate.withdraw(token)
         return True
 
-    def ended(self, sent: Sent, end: End) -> None:
-        """A dispatch is over."""
+    def attempt_ended(self, sent: Sent, end: End) -> None:
+        """Take in the end of an attempt."""
         token = self.tokens.pop(sent, None)
         if token is not None and self.held.pop(token, None) is None:
-            self.keeper.ended(token, OUTCOMES[end] not in record_types.NEVER_RAN)
+            self.gate.dispatch_ended(token, OUTCOMES[end] not in NOT_EXECUTED)
 
-    def purged(self, key: str, group: int, at: int) -> None:
-        self.keeper.purged(key or group, at)
+    def object_purged(self, key: str, group: int, purged_at: Ticks) -> None:
+        """Take in the purge of an object, or of a group if the key is empty."""
+        self.gate.object_purged(key or group, purged_at)
 
-    def heard(self, event: Any, number: int) -> None:
-        """An event of the change log was taken in."""
-        mode, told = event
+    def event_received(self, event: Any, number: int) -> None:
+        """Take in an event of the change log (net/feed.py), after it was applied."""
+        mode, payload = event
         if mode != "purge":
-            for key, kept in self.listing.told(mode, told, number).items():
-                self.keep(record_types.ROW, key, None if kept is None else _write(kept))
-        self.keeper.told(number, self.listing.base)
+            for key, stored in self.endpoint_rows.apply(mode, payload, number).items():
+                self.write_record(RecordKind.ROW, key, None if stored is None else stored.pack())
+        self.gate.events_applied(EventNumbers(number, self.endpoint_rows.complete_from))
 
     @staticmethod
     def _token(sent: Sent) -> str:
         return f"{sent.call.name} {sent.seq}"
 
-    def _key(self, call: Any) -> bytes:
+    @staticmethod
+    def _key(call: Any) -> bytes:
         return (call.replay or call.name).encode()
 
-    def _second(self) -> None:
-        owner = self.owner
-        for backend in owner.router.pools.backends:
-            warm = owner.router.slow_start.profile(backend).duration
-            self.keeper.spent(backend.name, backend.started, backend.recent_work, warm)
-        self.seconds += 1
-        if self.seconds % LEARNS == 0:
-            given = snapshot.give(owner.router, (), ())
-            parts = learned_state.parts(given, [vhost["name"] for vhost in owner.vhosts])
-            for key, part in self.changes.since(owner.time, parts).items():
-                self.keep(record_types.LEARNED, key, None if part is None else _write(part))
-        if self.seconds % CLEANS == 0:
-            self.keeper.forget(
-                record_types.limits(self.purge_done, owner.longest, 0)[record_types.INTENT].max_age
-            )
-        owner.at(owner.time + SECOND, self._second)
-
-    # --- Hands: what the keeper calls ---
-
-    def now(self) -> int:
-        return self.owner.time
-
-    def keep(self, kind: int, key: bytes, value: bytes | None) -> int:
+    def _policy(self, vhost: int) -> IdempotencyPolicy:
+        config = self.gateway.vhosts[vhost]
+        return IdempotencyPolicy(
+            Idempotency(config["effect"]),
+            config.get("repeat_window", 0),
+            IdempotencyScope(config.get("repeat_group", IdempotencyScope.ALL)),
+        )
+
+    # --- DurabilityHost ---
+
+    def now(self) -> Ticks:
+        """Return the time."""
+        return self.gateway.time
+
+    def write_record(self, kind: int, key: bytes, value: bytes | None) -> int:
+        """Queue a record here, or relay it to the process that writes the store; returns its ticket."""
         if self.relay is None:
-            return self.commits.submit(kind, key, value, self.owner.time)
-        # tickets go on rising past those of our own commits, which are all down
-        self.tickets = max(self.tickets, self.commits.last_ticket) + 1
-        if kind == record_types.INTENT:  # all else the next process knows better
-            self.relay(self.tickets, kind, key, value)
-        return self.tickets
+            return self.commits.submit(kind, key, value, self.gateway.time)
+        # tickets rise beyond those of our own commits, which are all durable
+        self.last_relay_ticket = max(self.last_relay_ticket, self.commits.last_ticket) + 1
+        if kind == RecordKind.INTENT:  # the other process has newer records of all other kinds
+            self.relay(self.last_relay_ticket, kind, key, value)
+        return self.last_relay_ticket
 
     def release(self, token: str) -> None:
-        sent, until = self.held.pop(token)
-        over = sent.call.sent is not sent or sent.call.request.finished or self.owner.time >= until
-        if over or sent.expired():
-            return self.owner.report_end(sent, End.UNWRITTEN)
-        sent.at = self.owner.time  # that it waited for the disk is no fault of its cache
-        # the loop lets the times of what is not on a connection go: this one may be gone already
-        self.owner.at(until, self.owner._time_up, sent)
-        end = self.owner.back.dispatch(sent)
+        """Send a held attempt, unless it is obsolete by now."""
+        sent, deadline = self.held.pop(token)
+        request = sent.call.request
+        obsolete = sent.call.sent is not sent or request.finished or self.gateway.time >= deadline
+        if obsolete or sent.expired():
+            return self.gateway.report_end(sent, End.UNWRITTEN)
+        sent.at = self.gateway.time  # the wait for the disk does not count as the backend's
+        # the event loop drops the timers of attempts without a connection: this one's may be gone
+        self.gateway.at(deadline, self.gateway._time_up, sent)
+        end = self.gateway.back.dispatch(sent)
         if end is not None:
-            self.owner.report_end(sent, end)
+            self.gateway.report_end(sent, end)
         return None
 
-    def refuse(self, token: str) -> None:
-        sent, _ = self.held.pop(token)
-        self.knows(sent.call, sent.call.request)  # the same: else it would be denied, as if it had never run
-        self.owner.report_end(sent, End.UNWRITTEN)
+    def reject(self, token: str) -> None:
+        """Report a held attempt as not sent."""
+        sent = self.held.pop(token).sent
+        # an earlier execution may have become known meanwhile; without it the client would hear of none
+        self.note_earlier_execution(sent.call, sent.call.request)
+        self.gateway.report_end(sent, End.UNWRITTEN)
--- a/lilacloft/store/learned_state.py
+++ b/lilacloft/store/learned_state.py
@@ -1,120 +1,166 @@
-"""Decides what of a gateway's learned state is kept, and what of it still holds after how long.
+"""Which part of a gateway's learned state is stored, and how it ages.
 
-What the decision module gives to a next process (`Router.give`) is split into parts that change one by one;
-after a crash the parts come back with their ages, and are weakened by them, as what they tell of goes on
-without anybody looking. What rules count (budgets, purges, intents) is kept elsewhere, exactly. No I/O;
-times and spans are whole tenths of a millisecond of Unix time.
+What the decisions export for a next process (routing/snapshot.py) is split into parts that change
+independently. After a crash the parts come back with their ages and are weighted by them, since what they
+describe has changed meanwhile. What rules count (slow-start work, purges, intents) is stored exactly, in
+records of its own. There is no I/O here; times are `Ticks` of Unix time.
 
-How long a thing holds is taken from how fast it can have changed, not from how long it took to learn:
+How long a value holds depends on how fast it can change, not on how long it took to learn:
 
-| what | holds |
+| value | holds |
 | --- | --- |
-| sizes and sending times, what a be can hold (`holds`) | a day: they are what objects and machines are like |
-| shares of late answers, limits | halved in each HALF towards nothing known, limits towards their start |
-| a suspicion | until its next trial is due, and never beyond TRUST; then its be counts as any other |
-| how crowded a be is | MOMENT: its requests have been answered since |
-| symptoms in a row, trials, counts of what is out | not at all: they are of dispatches that are no more |
+| sizes and transfer times, a backend's saturation | a day: they are properties of objects and machines |
+| shares of late answers, limits | halved each HALF_LIFE: towards zero, limits towards their initial value |
+| an ejection | until its next canary request is due, and MAX_EJECTION at most |
+| a backend's reported load | LOAD_LIFETIME: its requests have been answered since |
+| consecutive failures, canary requests, requests in flight | not at all: their attempts are gone |
+
+The keys of the maps are stored names; those of the exported state are in routing/snapshot.py.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable, Mapping
-from typing import Any
-
-SECOND = 10_000
-DAY = 86_400 * SECOND
-HALF = 30 * SECOND  # in which what was known of lateness is worth half
-TRUST = 60 * SECOND  # beyond which nobody is suspect for what was seen before
-MOMENT = 2 * SECOND
-ROUTER = ("value", "work", "unit")  # of the whole gateway: sizes and values
-OF_BE = ("started", "holds", "late", "suspect", "retry_at", "backoff", "crowd")
-LINK, WHOLE = b"link", b"router"
-VHOST, BE = b"vhost ", b"be "
-
-
-def parts(given: Mapping[str, Any], vhosts: Iterable[str]) -> dict[bytes, dict[str, Any]]:
-    """What `Router.give` gives, by the keys under which it is kept."""
-    out = {WHOLE: {name: given["router"][name] for name in ("late", *ROUTER)}, LINK: dict(given["link"])}
-    for name, vhost in zip(vhosts, given["vhosts"], strict=True):
-        out[VHOST + name.encode()] = dict(vhost)
-    for name, told in given["bes"].items():
-        kept = {key: told[key] for key in OF_BE}
-        out[BE + name.encode()] = {**kept, "way": dict(told["way"]) if told["way"] else None}
-    return out
-
-
-def worth(age: int) -> float:
-    """How much what was known of lateness is still worth, 0 to 1."""
-    return 0.0 if age > DAY else 0.5 ** (age / HALF)
-
-
-def limit(kept: Mapping[str, Any], start: float, now: int, age: int) -> dict[str, Any]:
-    """A limit, drawn back to its start as its age grows: by ratio, as it was cut and raised."""
-    weight = worth(age)
-    learned = max(float(kept["limit"]), 1e-6)
+from typing import Any, NamedTuple, TypeAlias
+
+import msgspec
+
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
+from lilacloft.store.record_types import DAY
+
+HALF_LIFE: Ticks = 30 * TICKS_PER_SECOND  # of what was learned from late answers
+MAX_EJECTION: Ticks = 60 * TICKS_PER_SECOND  # for failures that an earlier process saw
+LOAD_LIFETIME: Ticks = 2 * TICKS_PER_SECOND
+MIN_LIMIT = 1e-6  # keeps a limit's logarithm finite
+NOISE = 0.05  # relative difference up to which two values count as the same
+
+# Stored names: keys of the exported state that are taken over unchanged.
+ROUTER_KEYS = ("value", "work", "unit")
+BACKEND_KEYS = ("started", "holds", "late", "suspect", "retry_at", "backoff", "crowd")
+
+_encode = msgspec.msgpack.Encoder().encode
+_decode = msgspec.msgpack.Decoder().decode
+
+# Keys of the records.
+LINK_KEY, ROUTER_KEY = b"link", b"router"
+VHOST_PREFIX, BACKEND_PREFIX = b"vhost ", b"be "
+
+Part: TypeAlias = dict[str, Any]  # plain values by their stored names
+
+
+class AgedPart(NamedTuple):
+    """A part that was stored, and when."""
+
+    stored_at: Ticks
+    values: Mapping[str, Any]
+
+
+def pack_part(part: Part) -> bytes:
+    """Return the value of a LEARNED record."""
+    return _encode(part)
+
+
+def unpack_part(data: bytes) -> Part:
+    """Read the value of a LEARNED record. Raises msgspec.MsgspecError."""
+    return dict(_decode(data))
+
+
+def split_parts(exported: Mapping[str, Any], vhosts: Iterable[str]) -> dict[bytes, Part]:
+    """Split the exported state of the decisions into parts, by the keys of their records."""
+    parts = {
+        ROUTER_KEY: {name: exported["router"][name] for name in ("late", *ROUTER_KEYS)},
+        LINK_KEY: dict(exported["link"]),
+    }
+    for name, vhost in zip(vhosts, exported["vhosts"], strict=True):
+        parts[VHOST_PREFIX + name.encode()] = dict(vhost)
+    for name, backend in exported["bes"].items():
+        part = {key: backend[key] for key in BACKEND_KEYS}
+        part["way"] = dict(backend["way"]) if backend["way"] else None
+        parts[BACKEND_PREFIX + name.encode()] = part
+    return parts
+
+
+def remaining_weight(age: Ticks) -> float:
+    """Return the weight of what was learned from late answers at an age, from 0 to 1."""
+    return 0.0 if age > DAY else 0.5 ** (age / HALF_LIFE)
+
+
+def aged_limit(stored: Mapping[str, Any], initial: float, now: Ticks, age: Ticks) -> Part:
+    """Return a concurrency limit, drawn back towards its initial value as its age grows.
+
+    It moves by ratio, as limits are cut and raised by ratio.
+    """
+    weight = remaining_weight(age)
+    learned = max(float(stored["limit"]), MIN_LIMIT)
     return {
-        "limit": start * math.exp(weight * math.log(learned / start)),
-        "late": kept["late"] * weight,
-        "calm": min(kept["calm"], now + TRUST),
-        "ended": min(kept["ended"], now),
-        "took": kept["took"],
+        "limit": initial * math.exp(weight * math.log(learned / initial)),
+        "late": stored["late"] * weight,
+        "calm": min(stored["calm"], now + MAX_EJECTION),
+        "ended": min(stored["ended"], now),
+        "took": stored["took"],
     }
 
 
-def backend(kept: Mapping[str, Any], start: float | None, now: int, age: int) -> dict[str, Any]:
-    """What still holds of one be, in the form in which `Router.take` reads it. `start`: its limit at a
-    start, none where it has none."""
-    out: dict[str, Any] = {
-        "started": kept["started"],
+def aged_backend(stored: Mapping[str, Any], initial_limit: float | None, now: Ticks, age: Ticks) -> Part:
+    """Return what still holds of one backend, as `snapshot.take` reads it.
+
+    `initial_limit` is None if the backend has no concurrency limit.
+    """
+    part: Part = {
+        "started": stored["started"],
         "reqs": [],
         "trial": None,
         "way": None,
-        "late": kept["late"] * worth(age),
+        "late": stored["late"] * remaining_weight(age),
     }
     if age <= DAY:
-        out["holds"] = kept["holds"]
-    if age <= MOMENT:
-        out["crowd"] = kept["crowd"]
-    if kept["suspect"] and age <= TRUST and kept["retry_at"] > now:
-        out.update(suspect=True, retry_at=min(kept["retry_at"], now + TRUST), backoff=kept["backoff"])
-    if kept["way"] and start:
-        out["way"] = limit(kept["way"], start, now, age)
-    return out
-
-
-def aged(
-    found: Mapping[bytes, tuple[int, Mapping[str, Any]]],
-    now: int,
+        part["holds"] = stored["holds"]
+    if age <= LOAD_LIFETIME:
+        part["crowd"] = stored["crowd"]
+    if stored["suspect"] and age <= MAX_EJECTION and stored["retry_at"] > now:
+        part["suspect"] = True
+        part["retry_at"] = min(stored["retry_at"], now + MAX_EJECTION)
+        part["backoff"] = stored["backoff"]
+    if stored["way"] and initial_limit:
+        part["way"] = aged_limit(stored["way"], initial_limit, now, age)
+    return part
+
+
+def aged_state(
+    stored: Mapping[bytes, AgedPart],
+    now: Ticks,
     vhosts: Iterable[str],
-    starts: Mapping[str, float],
-    link: float,
+    initial_limits: Mapping[str, float],
+    initial_link_limit: float,
 ) -> dict[str, Any]:
-    """All parts with the times when they were kept, weakened by their ages; what `Router.take` takes. A time
-    that lies ahead says that the clock was put back: then only what holds for a day is taken, as its age is
-    not known. `starts`: the limits at a start of the bes that are listed; `link`: that of the link."""
-
-    def age(at: int) -> int:
-        return now - at if at <= now else DAY
-
-    router: dict[str, Any] = {}
-    at, whole = found.get(WHOLE, (0, None))
-    if whole and age(at) <= DAY:
-        router = {name: whole[name] for name in ROUTER}
-        router["late"] = whole["late"] * worth(age(at))
-    by_vhost = []
-    for name in vhosts:
-        at, kept = found.get(VHOST + name.encode(), (0, None))
-        by_vhost.append(dict(kept) if kept and age(at) <= DAY else {})
-    at, kept = found.get(LINK, (0, None))
+    """Return all stored parts, weighted by their ages, as `snapshot.take` reads them.
+
+    `initial_limits` has the limits of all listed backends at a start, by name. A part that was stored in the
+    future tells that the clock was set back. As its age is unknown, it counts as a day old.
+    """
+
+    def age_of(stored_at: Ticks) -> Ticks:
+        return now - stored_at if stored_at <= now else DAY
+
     backends = {}
-    for key, (since, told) in found.items():
-        if key.startswith(BE) and (name := key[len(BE) :].decode()) in starts:
-            backends[name] = backend(told, starts[name], now, age(since))
+    for key, part in stored.items():
+        if key.startswith(BACKEND_PREFIX):
+            name = key[len(BACKEND_PREFIX) :].decode()
+            if name in initial_limits:
+                age = age_of(part.stored_at)
+                backends[name] = aged_backend(part.values, initial_limits[name], now, age)
+    vhost_parts = [stored.get(VHOST_PREFIX + name.encode()) for name in vhosts]
+    router, link = stored.get(ROUTER_KEY), stored.get(LINK_KEY)
     return {
-        "router": router,
-        "vhosts": by_vhost,
-        "link": limit(kept, link, now, age(at)) if kept else {},
+        "router": _aged_router(router.values, age_of(router.stored_at)) if router else {},
+        "vhosts": [
+            dict(part.values) if part and part.values and age_of(part.stored_at) <= DAY else {}
+            for part in vhost_parts
+        ],
+        "link": aged_limit(link.values, initial_link_limit, now, age_of(link.stored_at))
+        if link and link.values
+        else {},
         "bes": backends,
         "objs": [],
         "purges": [],
@@ -123,30 +169,36 @@
     }
 
 
-class Changes:
-    """Which parts are worth a record: those that have changed since they were last kept, by more than noise,
-    and those that are not there any more."""
+def _aged_router(stored: Mapping[str, Any], age: Ticks) -> Part:
+    if not stored or age > DAY:
+        return {}
+    return {**{name: stored[name] for name in ROUTER_KEYS}, "late": stored["late"] * remaining_weight(age)}
+
+
+class ChangeFilter:
+    """Chooses the parts to write: those that have changed by more than noise or were last written a HALF_LIFE
+    ago, and those that are gone."""
 
     def __init__(self) -> None:
-        self.kept: dict[bytes, tuple[int, dict[str, Any]]] = {}
+        self.written: dict[bytes, AgedPart] = {}
 
-    def since(self, now: int, found: Mapping[bytes, dict[str, Any]]) -> dict[bytes, dict[str, Any] | None]:
-        """What is to be kept now: parts by key, none for those that go."""
-        out: dict[bytes, dict[str, Any] | None] = {}
-        for key, part in found.items():
-            at, before = self.kept.get(key, (0, None))
-            if before is None or now - at >= HALF or differs(before, part):
-                out[key], self.kept[key] = part, (now, part)
-        for key in [key for key in self.kept if key not in found]:
-            out[key] = None
-            del self.kept[key]
-        return out
+    def changes(self, now: Ticks, parts: Mapping[bytes, Part]) -> dict[bytes, Part | None]:
+        """Return the records to write now, by key (None: a removal)."""
+        changed: dict[bytes, Part | None] = {}
+        for key, part in parts.items():
+            before = self.written.get(key)
+            if before is None or now - before.stored_at >= HALF_LIFE or differs(before.values, part):
+                changed[key], self.written[key] = part, AgedPart(now, part)
+        for key in [key for key in self.written if key not in parts]:
+            changed[key] = None
+            del self.written[key]
+        return changed
 
 
 def differs(one: Any, other: Any) -> bool:
-    """Do two values differ by more than a twentieth, at any depth?"""
+    """Return whether two plain values differ by more than noise, at any depth."""
     if isinstance(one, dict) and isinstance(other, dict):
         return one.keys() != other.keys() or any(differs(one[key], other[key]) for key in one)
     if isinstance(one, bool) or not isinstance(one, int | float) or not isinstance(other, int | float):
         return one != other
-    return abs(one - other) > 0.05 * max(abs(one), abs(other))
+    return abs(one - other) > NOISE * max(abs(one), abs(other))
--- /dev/null
+++ b/lilacloft/store/recovered_state.py
@@ -0,0 +1,103 @@
+"""What a gateway knows from its store after a crash, decoded from the records."""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
+from lilacloft.store import record_types
+from lilacloft.store.framing import Record
+from lilacloft.store.record_types import KIND_NAMES, Intent, PurgeTarget, RecordKind, Work
+
+# Interval between two records of one backend's work. Each record has all of its recent work.
+WORK_INTERVAL: Ticks = TICKS_PER_SECOND
+
+
+class LearnedPart(NamedTuple):
+    """A part of the learned state as it was stored."""
+
+    stored_at: Ticks
+    data: bytes
+
+
+@dataclass
+class RecoveredState:
+    """The decoded records of a store."""
+
+    purges: dict[PurgeTarget, Ticks] = field(default_factory=dict)  # when each was purged
+    intents: dict[bytes, Intent] = field(default_factory=dict)  # by idempotency key
+    slow_start_work: dict[str, list[Work]] = field(default_factory=dict)  # by the backend's name
+    last_event: int = 0  # of the change log
+    rows_complete_from: int = 0  # number of the event from which on all rows are stored
+    rows: dict[bytes, bytes] = field(default_factory=dict)  # encoded (endpoint_rows.py)
+    learned: dict[bytes, LearnedPart] = field(default_factory=dict)
+    unreadable: list[str] = field(default_factory=list)  # records that could not be decoded, for operators
+
+
+def recover_state(records: Iterable[Record], now: Ticks, purge_lifetime: Ticks) -> RecoveredState:
+    """Decode all records of a store; those that cannot be decoded are reported and skipped.
+
+    A purge's time in the future, after the clock was set back, counts as now: so purges hold longer rather
+    than shorter.
+    """
+    state = RecoveredState()
+    for record in records:
+        try:
+            _decode(state, record, now, purge_lifetime)
+        except (ValueError, struct.error, UnicodeDecodeError) as error:
+            kind = KIND_NAMES.get(record.kind, record.kind)
+            state.unreadable.append(f"{kind} {record.key!r}: {error}")
+    return state
+
+
+def _decode(state: RecoveredState, record: Record, now: Ticks, purge_lifetime: Ticks) -> None:
+    value = record.value or b""
+    if record.kind == RecordKind.PURGE:
+        purged_at = min(record_types.unpack_time(value), now)
+        if now - purged_at <= purge_lifetime:
+            state.purges[record_types.unpack_purge_key(record.key)] = purged_at
+    elif record.kind == RecordKind.INTENT:
+        state.intents[record.key] = record_types.unpack_intent(value)
+    elif record.kind == RecordKind.SLOW_START:
+        state.slow_start_work[record.key.decode()] = record_types.unpack_work(value)
+    elif record.kind == RecordKind.LAST_EVENT:
+        numbers = record_types.unpack_event_numbers(value)
+        state.last_event, state.rows_complete_from = numbers
+    elif record.kind == RecordKind.ROW:
+        state.rows[record.key] = value
+    elif record.kind == RecordKind.LEARNED:
+        state.learned[record.key] = LearnedPart(record.timestamp, value)
+
+
+def recovered_work(
+    state: RecoveredState,
+    started: Mapping[str, Ticks],
+    window: Ticks,
+    now: Ticks,
+    max_work: Mapping[str, float],
+) -> dict[str, list[Work]]:
+    """Return the recent work of backends in slow start after a crash, by name.
+
+    `started` has when each backend started (0: not lately), `max_work` the most transfer time in ticks that
+    may be sent to it in `window`. As the last records may not have been durable, all that may have been sent
+    since counts as sent just now. A backend that restarted since its record has no work.
+    """
+    recovered: dict[str, list[Work]] = {}
+    for name, stored in state.slow_start_work.items():
+        started_at = started.get(name, 0)
+        if not started_at:
+            continue
+        known = [
+            (sent_at, work)
+            for sent_at, work in stored
+            if started_at <= sent_at <= now and now - sent_at <= window
+        ]
+        last_sent_at = max((sent_at for sent_at, _ in stored), default=0)
+        unknown = max_work.get(name, 0.0) - sum(work for _, work in known)
+        if last_sent_at >= started_at and now - last_sent_at <= WORK_INTERVAL + window and unknown > 0:
+            known.append((now, unknown))
+        recovered[name] = known
+    return recovered
--- a/lilacloft/upgrade/carry.py
+++ b/lilacloft/upgrade/carry.py
@@ -147,10 +147,10 @@
 
 
 def kept(owner: Any, calls: Iterable[Call]) -> form.Kept | None:
-    """What the store's keeper goes on with there."""
+    """What the store goes on with there."""
     if owner.guard is None:
         return None
-    told = owner.guard.told_on({call.name: call for call in calls})
+    told = owner.guard.export_state({call.name: call for call in calls})
     return form.Kept(
         owner.guard.path,
         [form.Chain(**chain) for chain in told["chains"]],
@@ -218,7 +218,7 @@
             until[told[0]] = when
         elif what == owner.back_ended:
             over[told[0]] = (told[1].name, when)
-    held = set(owner.guard.again) if owner.guard else ()  # they go out anew
+    held = set(owner.guard.withdrawn) if owner.guard else ()  # they go out anew
     out = [call.sent for call in calls if call.sent is not None]
     out += [sent for line in places for sent in line.out.values() if sent.call is None]
     for sent in out:
@@ -404,7 +404,7 @@
             conn.start()
         guard = self.owner.guard
         if guard:
-            guard.resumed(
+            guard.adopt_attempts(
                 call.sent for call in self.owner.calls.values() if call.sent and call.sent not in self.again
             )
         for sent in self.again:
--- a/lilacloft/upgrade/form.py
+++ b/lilacloft/upgrade/form.py
@@ -145,7 +145,7 @@
 
 
 class Kept(Struct):
-    """What `Keeper.give` gives, and its store, whose lock is the last descriptor."""
+    """What `durability_snapshot.export` returns, and its store, whose lock is the last descriptor."""
 
     folder: str
     chains: list[Chain] = []
--- a/lilacloft/upgrade/offer.py
+++ b/lilacloft/upgrade/offer.py
@@ -200,7 +200,7 @@
                     max(LOOK, min(self.leaving.left(), SAYS)), (Kind.SERVING, Kind.DOWN)
                 )
                 if kind is Kind.DOWN:
-                    self.owner.post(self.owner.guard.relay_down, form.read(payload, int))
+                    self.owner.post(self.owner.guard.relayed_records_durable, form.read(payload, int))
                     continue
                 self.serves = True
                 self.on_owner(self._look, False)
@@ -261,14 +261,14 @@
         try:
             why = rest.bring(time.monotonic() + leaving.left(), lambda: leaving.phase == phases.TAKING)
             if not why and self.owner.guard:
-                why = self.owner.guard.rest(leaving.left() / 2)
+                why = self.owner.guard.quiesce(leaving.left() / 2)
             if why:
                 return leaving.unheld(why)
             state, self.conns = carry.tell(self.owner, leaving.mode, rest.since())
             self.counted, state.reload = state.counts, self.reloaded
             fds = [conn.sock.fileno() for conn in self.conns]
             if state.store is not None:
-                fds.append(self.owner.guard.folder.lock_fd)
+                fds.append(self.owner.guard.directory.lock_fd)
             channel.send(Kind.STATE, state, tuple(fds), leaving.left())
             kind, payload = self._receive(Kind.HAVE, Kind.REFUSE)
             if kind is Kind.REFUSE:
@@ -377,14 +377,14 @@
             self.owner.router.set_standby(False)
         self.conns = []
         if self.owner.guard:
-            self.owner.guard.go_on(emptied)
+            self.owner.guard.resume(emptied)
         self.rest.release()
         self._status()
 
     def let_go(self, mode: str) -> None:
         self.rest.moves(self.conns)
         if self.owner.guard:
-            self.owner.guard.hand_on(self._keep)
+            self.owner.guard.delegate_writes(self._keep)
         if mode == phases.DRAIN:
             self.owner.router.set_standby(True)
             self.rest.release(doors=False)
--- a/lilacloft/upgrade/process.py
+++ b/lilacloft/upgrade/process.py
@@ -70,10 +70,11 @@
     if not store or "folder" not in store:
         return None
     from lilacloft.store.errors import StoreError
-    from lilacloft.store.gateway_store import Guard
+    from lilacloft.store.gateway_store import GatewayStore, InheritedStore
 
     try:
-        return Guard(owner, store["folder"], int(store.get("patience", 0.05) * 10_000), **more)
+        inherited = InheritedStore(**more) if more else None
+        return GatewayStore(owner, store["folder"], int(store.get("patience", 0.05) * 10_000), inherited)
     except StoreError as wrong:
         raise UnusableError(str(wrong)) from wrong
 
@@ -96,9 +97,9 @@
     """Most of a store, read while the old process still writes it."""
     if not folder or not os.path.isdir(folder):
         return None
-    from lilacloft.store.gateway_store import Reader
+    from lilacloft.store.gateway_store import StoreReader
 
-    return Reader(folder)
+    return StoreReader(folder)
 
 
 def _recorder(owner: Any, config: dict[str, Any], record: Mapping[str, Any] | None) -> Any:
@@ -138,7 +139,7 @@
         taking.state()
         given = taking.told.state.store
         guard = (
-            _guard(taking.owner, store, reader=reader, given=form.plain(given), lock=taking.lock)
+            _guard(taking.owner, store, reader=reader, state=form.plain(given), lock_fd=taking.lock)
             if given
             else _guard(taking.owner, store)
         )
--- a/lilacloft/upgrade/take.py
+++ b/lilacloft/upgrade/take.py
@@ -155,7 +155,12 @@
                     keep = form.read(payload, form.Keep)
                     if owner.guard:
                         owner.post(
-                            owner.guard.relayed, keep.ticket, keep.kind, keep.key, keep.value, self._down
+                            owner.guard.write_relayed,
+                            keep.ticket,
+                            keep.kind,
+                            keep.key,
+                            keep.value,
+                            self._down,
                         )
                 elif kind is Kind.LEFT:
                     owner.post(carry.add, owner, form.read(payload, form.Left).counts)
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -39,12 +39,14 @@
 from lilacloft.routing.model import Backend, ObjectPart, Request
 from lilacloft.routing.router import Router
 from lilacloft.settings import settings
-from lilacloft.store import learned_state, record_types
-from lilacloft.store.durability import Keeper
-from lilacloft.store.endpoint_rows import Listing
+from lilacloft.store import durability_snapshot, learned_state, record_types
+from lilacloft.store.durability import DurabilityGate
+from lilacloft.store.endpoint_rows import EndpointRows, unpack_row
 from lilacloft.store.files import StoreDirectory
 from lilacloft.store.framing import Record
 from lilacloft.store.log import Store
+from lilacloft.store.record_types import RecordKind
+from lilacloft.store.recovered_state import RecoveredState, recover_state
 from lilacloft.upgrade import carry, form
 from lilacloft.upgrade.words import OWN
 from lilacloft.zones.course import Tally, Told
@@ -79,16 +81,16 @@
             for record in store.records_of(kind)
         ],
         "dump": [
-            [record_types.NAMES[kind], record.key.decode(), lists(record_types.plain(record))]
+            [record_types.KIND_NAMES[kind], record.key.decode(), lists(record_types.readable_value(record))]
             for kind in sorted(store.records)
             for record in store.records_of(kind)
         ],
     }
 
 
-def _recovered(folder: Path, now: int, purge_done: int) -> record_types.Recovered:
+def _recovered(folder: Path, now: int, purge_done: int) -> RecoveredState:
     store = Store(StoreDirectory(str(folder), lock=False))
-    return record_types.recovered(store.all_records(), now, purge_done)
+    return recover_state(store.all_records(), now, purge_done)
 
 
 def store_recovered(folder: Path, now: int, purge_done: int) -> Plain:
@@ -97,29 +99,33 @@
     return {
         "purges": found.purges,
         "intents": {
-            key.decode(): {"sent": one.sent, "effect": one.effect, "over": one.over, "cell": one.cell}
+            key.decode(): {
+                "sent": one.sent_at,
+                "effect": one.idempotency,
+                "over": one.not_executed,
+                "cell": one.cell,
+            }
             for key, one in found.intents.items()
         },
-        "cold": lists(found.cold),
-        "last": found.last,
-        "base": found.base,
+        "cold": lists(found.slow_start_work),
+        "last": found.last_event,
+        "base": found.rows_complete_from,
         "rows": {key.decode(): msgspec.msgpack.decode(row) for key, row in found.rows.items()},
         "learned": {
             key.decode(): [stamp, msgspec.msgpack.decode(data)]
             for key, (stamp, data) in found.learned.items()
         },
-        "skipped": found.skipped,
+        "skipped": found.unreadable,
     }
 
 
 def store_listing(folder: Path, now: int, purge_done: int, known: int) -> Plain:
     """The list of backends with which a start goes on whose configuration is of the event `known`."""
     found = _recovered(folder, now, purge_done)
-    rows = {key: msgspec.msgpack.decode(row) for key, row in found.rows.items()}
-    listing = Listing()
-    listing.read({key: (number, tuple(row)) for key, (number, row) in rows.items()}, found.base)
-    events, ask_from = listing.start(known, found.last)
-    return {"base": listing.base, "full": listing.full, "events": lists(events), "from": ask_from}
+    rows = EndpointRows()
+    rows.restore({key: unpack_row(row) for key, row in found.rows.items()}, found.rows_complete_from)
+    events, ask_from = rows.starting_point(known, found.last_event)
+    return {"base": rows.complete_from, "full": rows.last_full, "events": lists(events), "from": ask_from}
 
 
 def store_learned(
@@ -127,24 +133,27 @@
 ) -> Plain:
     """What of the learned state still holds after a crash, as the decisions take it."""
     found = _recovered(folder, now, purge_done)
-    kept = {key: (at, msgspec.msgpack.decode(data)) for key, (at, data) in found.learned.items()}
-    return lists(learned_state.aged(kept, now, vhosts, starts, link))
+    kept = {
+        key: learned_state.AgedPart(part.stored_at, learned_state.unpack_part(part.data))
+        for key, part in found.learned.items()
+    }
+    return lists(learned_state.aged_state(kept, now, vhosts, starts, link))
 
 
 def _record(plain: Plain) -> Record:
     """A store's record as its writers make it; `kind` is the stored number; no `value`: a removal."""
     kind, key, value = plain["kind"], plain["key"], plain.get("value")
-    stored_key = record_types.key(key) if kind == record_types.PURGE else key.encode()
+    stored_key = record_types.pack_purge_key(key) if kind == RecordKind.PURGE else key.encode()
     if value is None:
         return Record(kind, stored_key, None, plain["stamp"])
-    if kind == record_types.PURGE:
-        data = record_types.WHEN.pack(value)
-    elif kind == record_types.INTENT:
+    if kind == RecordKind.PURGE:
+        data = record_types.pack_time(value)
+    elif kind == RecordKind.INTENT:
         data = record_types.Intent(value["sent"], value["effect"], value["over"], value["cell"]).pack()
-    elif kind == record_types.COLD:
-        data = record_types.spend(value)
-    elif kind == record_types.LAST:
-        data = record_types.NUMBERS.pack(*value)
+    elif kind == RecordKind.SLOW_START:
+        data = record_types.pack_work(value)
+    elif kind == RecordKind.LAST_EVENT:
+        data = record_types.pack_event_numbers(record_types.EventNumbers(*value))
     else:
         data = msgspec.msgpack.encode(value)
     return Record(kind, stored_key, data, plain["stamp"])
@@ -166,8 +175,8 @@
 
 def listing_rows(mode: str, rows: list[list[Any]], number: int) -> Plain:
     """What is to be kept of an event of the change log, by key; none for what goes."""
-    told = Listing().told(mode, [tuple(row) for row in rows], number)
-    return {key.decode(): lists(value) for key, value in told.items()}
+    changes = EndpointRows().apply(mode, [tuple(row) for row in rows], number)
+    return {key.decode(): lists(value) for key, value in changes.items()}
 
 
 # --- records ---
@@ -363,7 +372,7 @@
     """The parts of the learned state that a store keeps of a state that was taken, by key: their values,
     and their bytes in hex."""
     router, _, _ = _taken(_state(data), config)
-    parts = learned_state.parts(snapshot.give(router, (), ()), vhosts)
+    parts = learned_state.split_parts(snapshot.give(router, (), ()), vhosts)
     return {key.decode(): [part, msgspec.msgpack.encode(part).hex()] for key, part in parts.items()}
 
 
@@ -487,9 +496,9 @@
 def open_effects_values(kept: Plain, folder: Path, now: int, purge_done: int) -> Plain:
     """What a handover says of open effects, as the next process has taken it beside a store, and tells it
     again."""
-    keeper = Keeper(Idle(now), _recovered(folder, now, purge_done))  # type: ignore[arg-type]
-    keeper.take(form.plain(msgspec.convert(kept, form.Kept)))
-    told = keeper.give()
+    gate = DurabilityGate(Idle(now), _recovered(folder, now, purge_done))  # type: ignore[arg-type]
+    durability_snapshot.restore(gate, form.plain(msgspec.convert(kept, form.Kept)))
+    told = durability_snapshot.export(gate)
     chains = [form.Chain(**chain) for chain in told["chains"]]
     return lists(form.plain(form.Kept(kept["folder"], chains, told["out"], told["budgets"], told["counts"])))
 
--- a/tests/test_endpoint_rows.py
+++ b/tests/test_endpoint_rows.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lilacloft.store.endpoint_rows import FULL, STATUS, Listing
+from lilacloft.store.endpoint_rows import FULL_LIST_KEY, STATUS_INDEX, EndpointRows
 
 
 def row(name, status, turn=0):
@@ -21,7 +21,7 @@
             now = {}
         for one in rows:
             now[one[0]] = one
-    return {name: one for name, one in now.items() if one[STATUS]}
+    return {name: one for name, one in now.items() if one[STATUS_INDEX]}
 
 
 def events(chance, count):
@@ -62,38 +62,39 @@
     chance = random.Random(seed)
     story = events(chance, 14)
     base = chance.randrange(1, 8)
-    one, kept = Listing(base=base), Kept()
+    one, kept = EndpointRows(complete_from=base), Kept()
     for number in range(base + 1, len(story) + 1):
         mode, rows = story[number - 1]
-        kept.add(number, one.told(mode, rows, number))
+        kept.add(number, one.apply(mode, rows, number))
     for last in range(base, len(story) + 1):
         for known in range(1, len(story) + 1):
-            two = Listing()
-            two.read(kept.at(last), base)
-            told, ask = two.start(known, last)
+            two = EndpointRows()
+            two.restore(kept.at(last), base)
+            told, ask = two.starting_point(known, last)
             now = played(story, known)  # as the configuration has it
             for mode, rows in told:
                 now = {} if mode == "full" else now
                 now.update((one[0], one) for one in rows)
-                now = {name: one for name, one in now.items() if one[STATUS]}
+                now = {name: one for name, one in now.items() if one[STATUS_INDEX]}
             if known < base:
-                assert not told and ask == known and two.base == known
+                assert not told and ask == known and two.complete_from == known
             else:
                 assert now == played(story, max(known, last)) and ask == last
 
 
 def test_without_a_number_down_the_log_is_asked_from_the_configuration_on():
-    one = Listing()
-    assert one.start(7, 0) == ([], 7) and one.base == 7
+    one = EndpointRows()
+    assert one.starting_point(7, 0) == ([], 7) and one.complete_from == 7
 
 
 def test_what_is_kept_is_bounded_by_the_bes_told_of():
-    one = Listing(base=1)
+    one = EndpointRows(complete_from=1)
     for number in range(2, 200):
-        changes = one.told("delta", [row("a", number % 3)], number)
+        changes = one.apply("delta", [row("a", number % 3)], number)
         assert list(changes) == [b"a"]
     assert len(one.rows) == 1
-    changes = one.told("full", [row("b", 1)], 200)
-    assert changes == {FULL: (200, ()), b"a": None, b"b": (200, row("b", 1))} and list(one.rows) == ["b"]
-    again = one.told("full", [row("b", 2)], 201)
-    assert list(again) == [FULL, b"b"] and again[b"b"] == (201, row("b", 2))
+    changes = one.apply("full", [row("b", 1)], 200)
+    assert changes == {FULL_LIST_KEY: (200, ()), b"a": None, b"b": (200, row("b", 1))}
+    assert list(one.rows) == ["b"]
+    again = one.apply("full", [row("b", 2)], 201)
+    assert list(again) == [FULL_LIST_KEY, b"b"] and again[b"b"] == (201, row("b", 2))
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -8,18 +8,19 @@
 from lilacloft.routing import snapshot
 from lilacloft.store import learned_state
 from lilacloft.store.learned_state import (
-    BE,
-    DAY,
-    HALF,
-    LINK,
-    MOMENT,
-    TRUST,
-    VHOST,
-    WHOLE,
-    Changes,
-    aged,
-    parts,
+    BACKEND_PREFIX,
+    HALF_LIFE,
+    LINK_KEY,
+    LOAD_LIFETIME,
+    MAX_EJECTION,
+    ROUTER_KEY,
+    VHOST_PREFIX,
+    AgedPart,
+    ChangeFilter,
+    aged_state,
+    split_parts,
 )
+from lilacloft.store.record_types import DAY
 from rigs.model import SEC, Model, settings
 
 FIELDS = ("holds", "late", "suspect", "crowd")
@@ -42,9 +43,10 @@
 
 def kept(model):
     """Its parts as they are read from a store, all kept now."""
-    data = msgspec.msgpack.encode(parts(snapshot.give(model.router, (), ()), ["v"]))
+    data = msgspec.msgpack.encode(split_parts(snapshot.give(model.router, (), ()), ["v"]))
     return {
-        key: (model.time, part) for key, part in msgspec.msgpack.decode(data, type=dict[bytes, dict]).items()
+        key: AgedPart(model.time, part)
+        for key, part in msgspec.msgpack.decode(data, type=dict[bytes, dict]).items()
     }
 
 
@@ -59,7 +61,7 @@
         if backend.concurrency_limit
     }
     snapshot.take(
-        new.router, aged(kept(model), new.time, ["v"], starts, new.router.link_limit.limit), backends
+        new.router, aged_state(kept(model), new.time, ["v"], starts, new.router.link_limit.limit), backends
     )
     return new
 
@@ -79,7 +81,7 @@
         )
         assert not other.requests and other.canary is None and other.consecutive_failures == 0
         before = abs(one.concurrency_limit.limit - start.concurrency_limit.limit)
-        for age in (HALF // 2, HALF, 3 * HALF, 20 * HALF):
+        for age in (HALF_LIFE // 2, HALF_LIFE, 3 * HALF_LIFE, 20 * HALF_LIFE):
             later = next(backend for backend in again(model, age).caches if backend.name == one.name)
             gap = abs(later.concurrency_limit.limit - start.concurrency_limit.limit)
             assert gap <= before + 1e-9 and later.late_fill_share <= one.late_fill_share
@@ -98,18 +100,18 @@
 
 def test_a_limit_goes_half_of_its_way_back_in_each_half_life():
     told = {"limit": 2.0, "late": 0.4, "calm": 50, "ended": 40, "took": 3}
-    assert learned_state.limit(told, 32.0, 100, 0)["limit"] == pytest.approx(2.0)
-    assert learned_state.limit(told, 32.0, 100, HALF) == {
+    assert learned_state.aged_limit(told, 32.0, 100, 0)["limit"] == pytest.approx(2.0)
+    assert learned_state.aged_limit(told, 32.0, 100, HALF_LIFE) == {
         "limit": pytest.approx(8.0),
         "late": 0.2,
         "calm": 50,
         "ended": 40,
         "took": 3,
     }
-    assert learned_state.limit(told, 32.0, 100, 2 * HALF)["limit"] == pytest.approx(16.0)
-    assert learned_state.limit(told, 32.0, 100, DAY + 1)["limit"] == 32.0
-    ahead = learned_state.limit({**told, "calm": 10 * TRUST, "ended": 900}, 32.0, 100, 0)
-    assert ahead["calm"] == 100 + TRUST and ahead["ended"] == 100
+    assert learned_state.aged_limit(told, 32.0, 100, 2 * HALF_LIFE)["limit"] == pytest.approx(16.0)
+    assert learned_state.aged_limit(told, 32.0, 100, DAY + 1)["limit"] == 32.0
+    ahead = learned_state.aged_limit({**told, "calm": 10 * MAX_EJECTION, "ended": 900}, 32.0, 100, 0)
+    assert ahead["calm"] == 100 + MAX_EJECTION and ahead["ended"] == 100
 
 
 def test_a_suspicion_holds_until_its_next_trial_and_never_beyond_trust():
@@ -123,12 +125,18 @@
         "crowd": 7.0,
         "way": None,
     }
-    got = learned_state.backend(told, 10.0, 400, 100)
+    got = learned_state.aged_backend(told, 10.0, 400, 100)
     assert (got["suspect"], got["retry_at"], got["backoff"], got["crowd"]) == (True, 500, 90, 7.0)
-    assert "suspect" not in learned_state.backend(told, 10.0, 500, 100)
-    assert "suspect" not in learned_state.backend({**told, "retry_at": 10**9}, 10.0, 400, TRUST + 1)
-    assert learned_state.backend({**told, "retry_at": 10**9}, 10.0, 400, 0)["retry_at"] == 400 + TRUST
-    assert "crowd" not in learned_state.backend(told, 10.0, 400, MOMENT + 1) and got["holds"] == 4.0
+    assert "suspect" not in learned_state.aged_backend(told, 10.0, 500, 100)
+    assert "suspect" not in learned_state.aged_backend(
+        {**told, "retry_at": 10**9}, 10.0, 400, MAX_EJECTION + 1
+    )
+    assert (
+        learned_state.aged_backend({**told, "retry_at": 10**9}, 10.0, 400, 0)["retry_at"]
+        == 400 + MAX_EJECTION
+    )
+    assert "crowd" not in learned_state.aged_backend(told, 10.0, 400, LOAD_LIFETIME + 1)
+    assert got["holds"] == 4.0
 
 
 def test_a_clock_put_back_leaves_only_what_holds_for_a_day():
@@ -155,24 +163,25 @@
 
 
 def test_only_what_has_changed_is_kept_again_and_what_is_gone_goes():
-    changes, told = Changes(), {WHOLE: {"value": 1.0}, BE + b"a": {"late": 0.5, "way": {"limit": 3.0}}}
-    assert changes.since(0, told) == told and changes.since(1, told) == {}
-    told[BE + b"a"] = {"late": 0.5, "way": {"limit": 3.1}}
-    assert changes.since(2, told) == {}  # noise
-    told[BE + b"a"] = {"late": 0.5, "way": {"limit": 3.3}}
-    assert list(changes.since(3, told)) == [BE + b"a"]
-    told[BE + b"a"] = {"late": 0.5, "way": None}
-    assert list(changes.since(4, told)) == [BE + b"a"]
-    assert changes.since(4 + HALF, told) == told  # young again, else it would fade while it holds
-    del told[BE + b"a"]
-    assert changes.since(5 + HALF, told) == {BE + b"a": None}
+    changes = ChangeFilter()
+    told = {ROUTER_KEY: {"value": 1.0}, BACKEND_PREFIX + b"a": {"late": 0.5, "way": {"limit": 3.0}}}
+    assert changes.changes(0, told) == told and changes.changes(1, told) == {}
+    told[BACKEND_PREFIX + b"a"] = {"late": 0.5, "way": {"limit": 3.1}}
+    assert changes.changes(2, told) == {}  # noise
+    told[BACKEND_PREFIX + b"a"] = {"late": 0.5, "way": {"limit": 3.3}}
+    assert list(changes.changes(3, told)) == [BACKEND_PREFIX + b"a"]
+    told[BACKEND_PREFIX + b"a"] = {"late": 0.5, "way": None}
+    assert list(changes.changes(4, told)) == [BACKEND_PREFIX + b"a"]
+    assert changes.changes(4 + HALF_LIFE, told) == told  # young again, else it would fade while it holds
+    del told[BACKEND_PREFIX + b"a"]
+    assert changes.changes(5 + HALF_LIFE, told) == {BACKEND_PREFIX + b"a": None}
     assert learned_state.differs({"a": 1}, {"b": 1}) and learned_state.differs(True, False)
     assert not learned_state.differs(0, 0.0)
 
 
 def test_parts_of_what_is_listed_no_more_or_not_known_are_passed_over():
     told = kept(busy(1))
-    assert {WHOLE, LINK, VHOST + b"v"} <= set(told)
-    got = aged(told, 10**9, ["other"], {}, 4.0)
+    assert {ROUTER_KEY, LINK_KEY, VHOST_PREFIX + b"v"} <= set(told)
+    got = aged_state(told, 10**9, ["other"], {}, 4.0)
     assert got["vhosts"] == [{}] and got["bes"] == {}
-    assert aged({}, 5, ["v"], {"c0": 3.0}, 4.0)["link"] == {}
+    assert aged_state({}, 5, ["v"], {"c0": 3.0}, 4.0)["link"] == {}
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,7 +13,16 @@
 from lilacloft.store.files import StoreDirectory
 from lilacloft.store.framing import Record
 from lilacloft.store.group_commit import GroupCommitter
+from lilacloft.store.idempotency import (
+    IdempotencyPolicy,
+    Verdict,
+    may_send_again,
+    needs_durable_intent,
+    verdict_while_pending,
+)
 from lilacloft.store.log import RetentionLimit, Store
+from lilacloft.store.record_types import Intent, RecordKind
+from lilacloft.store.recovered_state import recover_state
 from rigs.disk_model import CrashError, Disk
 from rigs.store import Bytes, _cut, crash, make_log
 
@@ -237,7 +246,7 @@
     folder = StoreDirectory(str(tmp_path))
     store = Store(folder)
     for number in range(20):
-        store.put(record_types.PURGE, b"%016x" % number, record_types.WHEN.pack(number), number)
+        store.put(RecordKind.PURGE, b"%016x" % number, record_types.pack_time(number), number)
         store.commit()
     folder.close()
     path = tmp_path / segment_name(1)
@@ -336,10 +345,11 @@
 
 
 def test_what_must_be_down_before_a_dispatch_and_what_a_stuck_disk_does_to_it():
-    assert [record_types.must_be_down(effect) for effect in record_types.EFFECTS] == [False, True, True]
-    assert record_types.stuck("replayable", 10**9, 5) == "send"
+    assert [needs_durable_intent(one) for one in record_types.STORED_IDEMPOTENCY] == [False, True, True]
+    assert verdict_while_pending("replayable", 10**9, 5) == Verdict.SEND
     assert (
-        record_types.stuck("non-replayable", 4, 5) == "wait" and record_types.stuck("uniqued", 5, 5) == "deny"
+        verdict_while_pending("non-replayable", 4, 5) == Verdict.WAIT
+        and verdict_while_pending("uniqued", 5, 5) == Verdict.REJECT
     )
 
 
@@ -358,25 +368,27 @@
     ],
 )
 def test_a_req_that_a_process_before_may_have_sent(effect, over, cell, now, group, may):
-    before = record_types.Intent(101 - 50, effect, over, 1)
-    assert record_types.intent(before.pack()) == before
-    assert record_types.may_send(effect, before, now, 100, group, cell) is may
-    assert record_types.may_send(effect, None, now, 100, group, cell)
+    before, policy = Intent(101 - 50, effect, over, 1), IdempotencyPolicy(effect, 100, group)
+    assert record_types.unpack_intent(before.pack()) == before
+    assert may_send_again(policy, before, now, cell) is may
+    assert may_send_again(policy, None, now, cell)
 
 
 def test_what_is_recovered_bears_nonsense_and_a_clock_put_back():
     records = [
-        Record(record_types.PURGE, record_types.key("00ff"), record_types.WHEN.pack(900)),
-        Record(record_types.PURGE, record_types.key(7), record_types.WHEN.pack(5000)),  # ahead of the clock
-        Record(record_types.PURGE, record_types.key("old"), record_types.WHEN.pack(10)),
-        Record(record_types.PURGE, b"#x", record_types.WHEN.pack(900)),
-        Record(record_types.INTENT, b"ref", record_types.Intent(5, "uniqued", False, 3).pack()),
-        Record(record_types.INTENT, b"bad", b"?"),
-        Record(record_types.COLD, b"s-1", record_types.spend([(1, 2.5), (3, 4.0)])),
-        Record(record_types.LAST, b"", record_types.WHEN.pack(41)),
+        Record(RecordKind.PURGE, record_types.pack_purge_key("00ff"), record_types.pack_time(900)),
+        Record(
+            RecordKind.PURGE, record_types.pack_purge_key(7), record_types.pack_time(5000)
+        ),  # ahead of the clock
+        Record(RecordKind.PURGE, record_types.pack_purge_key("old"), record_types.pack_time(10)),
+        Record(RecordKind.PURGE, b"#x", record_types.pack_time(900)),
+        Record(RecordKind.INTENT, b"ref", Intent(5, "uniqued", False, 3).pack()),
+        Record(RecordKind.INTENT, b"bad", b"?"),
+        Record(RecordKind.SLOW_START, b"s-1", record_types.pack_work([(1, 2.5), (3, 4.0)])),
+        Record(RecordKind.LAST_EVENT, b"", record_types.pack_time(41)),
     ]
-    found = record_types.recovered(records, 1000, 500)
-    assert found.purges == {"00ff": 900, 7: 1000} and found.last == 41
-    assert found.intents == {b"ref": record_types.Intent(5, "uniqued", False, 3)}
-    assert found.cold == {"s-1": [(1, 2.5), (3, 4.0)]}
-    assert len(found.skipped) == 2 and "intent b'bad'" in found.skipped[1]
+    found = recover_state(records, 1000, 500)
+    assert found.purges == {"00ff": 900, 7: 1000} and found.last_event == 41
+    assert found.intents == {b"ref": Intent(5, "uniqued", False, 3)}
+    assert found.slow_start_work == {"s-1": [(1, 2.5), (3, 4.0)]}
+    assert len(found.unreadable) == 2 and "intent b'bad'" in found.unreadable[1]
