--- a/lilacloft/store/durability.py
+++ b/lilacloft/store/durability.py
@@ -24,11 +24,11 @@
 from lilacloft.store.recovered_state import WORK_INTERVAL, RecoveredState
 
 # How long a dispatch waits for the disk. After that an attempt elsewhere serves the client better.
-DEFAULT_HOLD_TIMEOUT: Ticks = TICKS_PER_SECOND // 20
+DEFAULT_DURABILITY_TIMEOUT: Ticks = TICKS_PER_SECOND // 20
 
 # Counters, by the names under which they are handed over.
 INTENTS_WRITTEN = "kept"
-DISPATCHES_HELD = "held"
+DISPATCHES_DELAYED = "held"
 DISPATCHES_REJECTED = "refused"  # as the disk did not answer in time
 KEYS_BARRED = "barred"  # as an earlier process may have sent them
 
@@ -46,27 +46,27 @@
         """
 
     def release(self, token: str) -> None:
-        """Send a dispatch that was held."""
+        """Send a dispatch that was pending."""
 
     def reject(self, token: str) -> None:
-        """Drop a dispatch that was held; it was not executed."""
+        """Drop a dispatch that was pending; it was not executed."""
 
 
 @dataclass
 class KeyUse:
-    """All dispatches of this process under one key that are held or in flight.
+    """All dispatches of this process under one key that are pending or in flight.
 
     There may be several at a time, as attempts of one request can overlap.
     """
 
     earlier: Intent | None  # what was stored under the key before the first of them
-    dispatches: int = 0  # how many are held or in flight
+    dispatches: int = 0  # how many are pending or in flight
     may_have_executed: bool = False  # whether any has gone out and may have been executed
     intent_durable: bool = False
 
 
 @dataclass
-class HeldDispatch:
+class PendingDispatch:
     """A dispatch that waits for its intent."""
 
     token: str
@@ -82,17 +82,19 @@
         self,
         host: DurabilityHost,
         recovered: RecoveredState | None = None,
-        hold_timeout: Ticks = DEFAULT_HOLD_TIMEOUT,
+        durability_timeout: Ticks = DEFAULT_DURABILITY_TIMEOUT,
     ) -> None:
-        self.host, self.hold_timeout = host, hold_timeout
+        self.host, self.durability_timeout = host, durability_timeout
         self.intents: dict[bytes, Intent] = dict(recovered.intents) if recovered else {}
         self.earlier_keys = set(self.intents)  # keys that an earlier process has used
         self.key_uses: dict[bytes, KeyUse] = {}
         self.in_flight: dict[str, bytes] = {}  # keys by token
-        self.held: dict[str, HeldDispatch] = {}
-        self.held_order: deque[HeldDispatch] = deque()  # by ticket; some are not held any more
+        self.pending: dict[str, PendingDispatch] = {}
+        self.pending_order: deque[PendingDispatch] = deque()  # by ticket; some are not pending any more
         self.work_written_at: dict[str, Ticks] = {}  # when each backend's work was last written
-        self.counts = dict.fromkeys((INTENTS_WRITTEN, DISPATCHES_HELD, DISPATCHES_REJECTED, KEYS_BARRED), 0)
+        self.counts = dict.fromkeys(
+            (INTENTS_WRITTEN, DISPATCHES_DELAYED, DISPATCHES_REJECTED, KEYS_BARRED), 0
+        )
 
     # --- dispatches ---
 
@@ -122,7 +124,7 @@
             self.in_flight[token], use.may_have_executed = key, True
             return Verdict.SEND
         ticket = self._write_intent(key, policy, cell, now)
-        self._hold(HeldDispatch(token, key, ticket, self._expiry(key, policy, now, latest)))
+        self._add_pending(PendingDispatch(token, key, ticket, self._expiry(key, policy, now, latest)))
         return Verdict.WAIT
 
     def _bar(self, policy: IdempotencyPolicy) -> Verdict:
@@ -141,45 +143,45 @@
         return self.host.write_record(RecordKind.INTENT, key, self.intents[key].pack())
 
     def _expiry(self, key: bytes, policy: IdempotencyPolicy, now: Ticks, latest: Ticks | None) -> Ticks:
-        expires_at = now + self.hold_timeout
+        expires_at = now + self.durability_timeout
         if latest is not None:
             expires_at = min(expires_at, latest)
         if key in self.earlier_keys and policy.idempotency == Idempotency.KEYED:
             expires_at = min(expires_at, self.intents[key].sent_at + policy.window)
         return expires_at
 
-    def _hold(self, held: HeldDispatch) -> None:
-        self.held[held.token] = held
-        self.held_order.append(held)
-        self.counts[DISPATCHES_HELD] += 1
+    def _add_pending(self, pending: PendingDispatch) -> None:
+        self.pending[pending.token] = pending
+        self.pending_order.append(pending)
+        self.counts[DISPATCHES_DELAYED] += 1
 
     def records_durable(self, ticket: int) -> None:
         """Release the dispatches whose intents are durable, as all records up to a ticket are."""
-        while self.held_order and self.held_order[0].ticket <= ticket:
-            held = self.held_order.popleft()
-            if self.held.get(held.token) is not held:
+        while self.pending_order and self.pending_order[0].ticket <= ticket:
+            pending = self.pending_order.popleft()
+            if self.pending.get(pending.token) is not pending:
                 continue
-            if self.host.now() >= held.expires_at:
-                self._reject(held)
+            if self.host.now() >= pending.expires_at:
+                self._reject(pending)
                 continue
-            del self.held[held.token]
-            use = self.key_uses[held.key]
+            del self.pending[pending.token]
+            use = self.key_uses[pending.key]
             use.intent_durable = use.may_have_executed = True
-            self.in_flight[held.token] = held.key
-            self.host.release(held.token)
+            self.in_flight[pending.token] = pending.key
+            self.host.release(pending.token)
 
     def withdraw(self, token: str) -> None:
-        """Drop a held dispatch for which nobody waits any more."""
-        held = self.held.pop(token, None)
-        if held:
-            self._end_use(held.key)
+        """Drop a pending dispatch for which nobody waits any more."""
+        pending = self.pending.pop(token, None)
+        if pending:
+            self._end_use(pending.key)
 
     def withdraw_all(self) -> list[str]:
-        """Drop all held dispatches, so that nothing is asked of the disk for a while; returns their tokens.
+        """Drop all pending dispatches, so that nothing waits for the disk; returns their tokens.
 
         They were not executed, and may be dispatched again, by this process or the next.
         """
-        tokens = list(self.held)
+        tokens = list(self.pending)
         for token in tokens:
             self.withdraw(token)
         return tokens
@@ -200,26 +202,26 @@
             use.may_have_executed = False  # what was executed before is in `earlier`
         self._end_use(key)
 
-    def expire_held(self) -> None:
+    def expire_pending(self) -> None:
         """Reject the dispatches that have waited too long for the disk.
 
         Their records may still become durable later. The records that undo them follow in the log.
         """
         now = self.host.now()
-        for held in list(self.held.values()):
-            if now >= held.expires_at:
-                self._reject(held)
+        for pending in list(self.pending.values()):
+            if now >= pending.expires_at:
+                self._reject(pending)
 
     def next_expiry(self) -> Ticks | None:
-        """Return how long it takes until `expire_held` has something to do; None if nothing is held."""
-        expires_at = min((held.expires_at for held in self.held.values()), default=None)
+        """Return how long it takes until `expire_pending` has something to do; None if nothing is pending."""
+        expires_at = min((pending.expires_at for pending in self.pending.values()), default=None)
         return None if expires_at is None else max(0, expires_at - self.host.now())
 
-    def _reject(self, held: HeldDispatch) -> None:
-        del self.held[held.token]
-        self._end_use(held.key)
+    def _reject(self, pending: PendingDispatch) -> None:
+        del self.pending[pending.token]
+        self._end_use(pending.key)
         self.counts[DISPATCHES_REJECTED] += 1
-        self.host.reject(held.token)
+        self.host.reject(pending.token)
 
     def _end_use(self, key: bytes) -> None:
         """End one dispatch under a key. After the last one only what may have been executed stays stored."""
@@ -266,8 +268,8 @@
     def merge_intents(self, stored: Mapping[bytes, Intent]) -> None:
         """Take in all stored intents after another process has written some and ended.
 
-        What that process sent may have been executed. Dispatches under the same keys that are held here were
-        admitted without knowing that: they are rejected, and may be tried again.
+        What that process sent may have been executed. Dispatches under the same keys that are pending here
+        were admitted without that knowledge: they are rejected, and may be tried again.
         """
         for key, intent in stored.items():
             if self.intents.get(key) == intent and key in self.earlier_keys:
@@ -279,8 +281,8 @@
             elif not use.intent_durable and intent != use.earlier:  # it is not ours, though it may be equal
                 use.earlier = intent
                 self.earlier_keys.add(key)
-                for held in [held for held in self.held.values() if held.key == key]:
-                    self._reject(held)
+                for pending in [pending for pending in self.pending.values() if pending.key == key]:
+                    self._reject(pending)
         for key in [key for key in self.intents if key not in stored and key not in self.key_uses]:
             del self.intents[key]
             self.earlier_keys.discard(key)
--- a/lilacloft/store/durability_snapshot.py
+++ b/lilacloft/store/durability_snapshot.py
@@ -1,7 +1,7 @@
 """Export and restore of a durability gate, for the handover to the next process, as plain values.
 
 Only what is not in the store goes over: the dispatches in flight. Their ends decide what stays stored, and
-all attempts under a key belong together, also those that an earlier process began. Nothing is held at a
+all attempts under a key belong together, also those that an earlier process began. Nothing is pending at a
 handover.
 """
 
--- a/lilacloft/store/gateway_store.py
+++ b/lilacloft/store/gateway_store.py
@@ -22,7 +22,7 @@
 from lilacloft.store import durability_snapshot
 from lilacloft.store.background_records import BackgroundRecords
 from lilacloft.store.crash_recovery import recover_endpoint_rows, restore_decisions
-from lilacloft.store.durability import DEFAULT_HOLD_TIMEOUT, DurabilityGate
+from lilacloft.store.durability import DEFAULT_DURABILITY_TIMEOUT, DurabilityGate
 from lilacloft.store.files import StoreDirectory
 from lilacloft.store.group_commit import GroupCommitter
 from lilacloft.store.idempotency import IdempotencyPolicy, Verdict
@@ -54,7 +54,7 @@
     lock_fd: int  # descriptor with the store's lock
 
 
-class HeldAttempt(NamedTuple):
+class PendingAttempt(NamedTuple):
     """An attempt that waits for its intent."""
 
     sent: Sent
@@ -68,7 +68,7 @@
         self,
         gateway: Any,
         path: str,
-        hold_timeout: Ticks = DEFAULT_HOLD_TIMEOUT,
+        durability_timeout: Ticks = DEFAULT_DURABILITY_TIMEOUT,
         inherited: InheritedStore | None = None,
     ) -> None:
         """Open a gateway's store: after an end of any kind, or go on with an inherited one.
@@ -83,12 +83,12 @@
         self.store = self._open_store(reader)
         recovered = self._recover_state()
         self._log_recovery(recovered, "followed" if reader else "recovered", time.monotonic() - began)
-        self.gate = DurabilityGate(self, recovered, hold_timeout)
+        self.gate = DurabilityGate(self, recovered, durability_timeout)
         self.background = BackgroundRecords(gateway, self.gate, self.write_record, self.purge_lifetime)
         self.endpoint_rows = recover_endpoint_rows(recovered)
-        self.held: dict[str, HeldAttempt] = {}  # by token
+        self.pending: dict[str, PendingAttempt] = {}  # by token
         self.tokens: dict[Sent, str] = {}
-        self.withdrawn: list[Sent] = []  # were held when the gateway was quiesced
+        self.withdrawn: list[Sent] = []  # were pending when the gateway was quiesced
         self.transferred: list[tuple[str, bytes]] = []  # tokens and keys of dispatches that were handed over
         self.relayed_tickets: dict[int, int] = {}  # tickets of the process before, by ours
         self.report_relayed: Callable[[int], None] | None = None  # tells it which of them are durable
@@ -150,7 +150,7 @@
 
         Waits for the disk for `timeout` seconds at most. Returns an empty text, or why it failed.
         """
-        self.withdrawn = [self.held.pop(token).sent for token in self.gate.withdraw_all()]
+        self.withdrawn = [self.pending.pop(token).sent for token in self.gate.withdraw_all()]
         for sent in self.withdrawn:
             self.tokens.pop(sent, None)
         return "" if self.commits.flush(timeout) else "the store's disk does not answer"
@@ -242,9 +242,9 @@
             request.first_executed_by = Backend(EARLIER_PROCESS, zone=-1, cell=intent.cell)
 
     def dispatch(self, sent: Sent, deadline: Ticks) -> End | None:
-        """Send an attempt, or hold it until its intent is durable; returns how it ended if it did at once.
+        """Send an attempt, or delay it until its intent is durable; returns how it ended if it did at once.
 
-        `deadline` is when it times out. A held attempt is dropped early enough for its answer to go out.
+        `deadline` is when it times out. A pending attempt is dropped early enough for its answer to go out.
         """
         token = self._token(sent)
         verdict = self.gate.admit(
@@ -259,16 +259,16 @@
             return self.gateway.back.dispatch(sent)
         if verdict == Verdict.WAIT:
             self.tokens[sent] = token
-            self.held[token] = HeldAttempt(sent, deadline)
-            self.gateway.at(self.gateway.time + (self.gate.next_expiry() or 0), self.gate.expire_held)
+            self.pending[token] = PendingAttempt(sent, deadline)
+            self.gateway.at(self.gateway.time + (self.gate.next_expiry() or 0), self.gate.expire_pending)
             return None
         self.note_earlier_execution(sent.call, sent.call.request)  # may be known only since its arrival
         return End.UNWRITTEN
 
     def withdraw(self, sent: Sent) -> bool:
-        """Drop an attempt if it is held; returns whether it was."""
+        """Drop an attempt if it is pending; returns whether it was."""
         token = self.tokens.get(sent, "")
-        if self.held.pop(token, None) is None:
+        if self.pending.pop(token, None) is None:
             return False
         self.gate.withdraw(token)
         return True
@@ -276,7 +276,7 @@
     def attempt_ended(self, sent: Sent, end: End) -> None:
         """Take in the end of an attempt."""
         token = self.tokens.pop(sent, None)
-        if token is not None and self.held.pop(token, None) is None:
+        if token is not None and self.pending.pop(token, None) is None:
             self.gate.dispatch_ended(token, OUTCOMES[end] not in NOT_EXECUTED)
 
     def object_purged(self, key: str, group: int, purged_at: Ticks) -> None:
@@ -324,8 +324,8 @@
         return self.last_relay_ticket
 
     def release(self, token: str) -> None:
-        """Send a held attempt, unless it is obsolete by now."""
-        sent, deadline = self.held.pop(token)
+        """Send a pending attempt, unless it is obsolete by now."""
+        sent, deadline = self.pending.pop(token)
         request = sent.call.request
         obsolete = sent.call.sent is not sent or request.finished or self.gateway.time >= deadline
         if obsolete or sent.expired():
@@ -339,8 +339,8 @@
         return None
 
     def reject(self, token: str) -> None:
-        """Report a held attempt as not sent."""
-        sent = self.held.pop(token).sent
+        """Report a pending attempt as not sent."""
+        sent = self.pending.pop(token).sent
         # an earlier execution may have become known meanwhile; without it the client would hear of none
         self.note_earlier_execution(sent.call, sent.call.request)
         self.gateway.report_end(sent, End.UNWRITTEN)
--- a/lilacloft/store/idempotency.py
+++ b/lilacloft/store/idempotency.py
@@ -1,7 +1,7 @@
 """Rules on what may be sent, and when, under an idempotency key.
 
 A request that is not safe to repeat is dispatched only after a durable write-ahead intent: without it, a
-crash could lead to a second execution. A request that is held back for the intent was surely not executed.
+crash could lead to a second execution. A request that still waits for the intent was surely not executed.
 """
 
 from __future__ import annotations
@@ -50,8 +50,8 @@
     return in_window and (policy.scope != IdempotencyScope.CELL or cell == earlier.cell)
 
 
-def verdict_while_pending(idempotency: Idempotency, waited: Ticks, hold_timeout: Ticks) -> Verdict:
+def verdict_while_pending(idempotency: Idempotency, waited: Ticks, durability_timeout: Ticks) -> Verdict:
     """Return what becomes of a dispatch whose intent has not become durable for some time."""
     if not needs_durable_intent(idempotency):
         return Verdict.SEND
-    return Verdict.WAIT if waited < hold_timeout else Verdict.REJECT
+    return Verdict.WAIT if waited < durability_timeout else Verdict.REJECT
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -239,14 +239,16 @@
 def test_what_waits_for_the_disk_is_not_sent_on_for_who_has_left(in_process, tmp_path, leaves):
     """The news that its intent is down lies in the owner's queue before that of its leaving."""
     world, down = in_process(silent), queue.SimpleQueue()
-    guard = world.does(lambda: GatewayStore(world.owner, str(tmp_path / "store"), hold_timeout=5 * TENTHS))
+    guard = world.does(
+        lambda: GatewayStore(world.owner, str(tmp_path / "store"), durability_timeout=5 * TENTHS)
+    )
     world.does(guard.start)
     guard.commits.on_durable = down.put
     asker = world.asker()
     tag = asker.ask(b"pay", body=b"x", allow=3000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
-    until(lambda: guard.gate.held_order)
+    until(lambda: guard.gate.pending_order)
     ticket = 0
-    while ticket < guard.gate.held_order[0].ticket:
+    while ticket < guard.gate.pending_order[0].ticket:
         ticket = down.get(timeout=5)
     go = world.stall()
     world.owner.post(guard._records_durable, ticket)
--- a/tests/test_durability.py
+++ b/tests/test_durability.py
@@ -72,10 +72,10 @@
     one = Plain()
     assert one.asks("a") == Verdict.WAIT and one.gate.next_expiry() == PATIENCE
     one.time += PATIENCE - 1
-    one.gate.expire_held()
+    one.gate.expire_pending()
     assert not one.refused
     one.time += 1
-    one.gate.expire_held()
+    one.gate.expire_pending()
     assert one.refused == ["a"] and one.gate.next_expiry() is None
     one.sync()
     assert not one.released
@@ -87,7 +87,7 @@
     assert one.gate.admit("a", b"k", KEYED, 1, one.time + 70) == Verdict.WAIT
     assert one.gate.next_expiry() == 70
     one.time += 70
-    one.gate.expire_held()
+    one.gate.expire_pending()
     assert one.refused == ["a"]
     assert one.gate.admit("b", b"k", KEYED, 1, one.time - 5) == Verdict.WAIT
     assert one.gate.next_expiry() == 0
@@ -222,7 +222,7 @@
             del waits[token]
             one.gate.withdraw(token)
         elif doing < 0.9:
-            one.gate.expire_held()
+            one.gate.expire_pending()
         elif doing < 0.93:  # all at rest, another process goes on with what is out
             assert set(one.gate.withdraw_all()) == set(waits)
             waits.clear()
@@ -230,7 +230,7 @@
             given = durability_snapshot.export(one.gate)
             two = Plain(one.records, one.time + 30)
             durability_snapshot.restore(two.gate, {**given, "out": [list(pair) for pair in given["out"]]})
-            assert set(two.gate.in_flight) == set(out) and not two.gate.held
+            assert set(two.gate.in_flight) == set(out) and not two.gate.pending
             for done in list(ran):
                 if done not in {k for k, _ in out.values()}:
                     crashed[done] = crashed.get(done) or ran[done]
@@ -276,8 +276,8 @@
         one.released.clear()
         one.refused.clear()
     one.time += PATIENCE
-    one.gate.expire_held()
-    assert set(one.refused) == set(waits) and not one.gate.held
+    one.gate.expire_pending()
+    assert set(one.refused) == set(waits) and not one.gate.pending
 
 
 def test_what_was_asked_for_before_another_process_was_known_to_have_sent_it_is_refused():
