--- a/rigs/disk_model.py
+++ b/rigs/disk_model.py
@@ -1,11 +1,9 @@
-"""A model of a disk under a store, in memory: what is written is lost, torn or out of order until it was
-synced.
-
-Writes go to a file in pages; until a sync each page may be down or not, each for itself. Names made, moved
-and removed may be down or not until the names are synced, in their order. Writes and syncs may fail on
-purpose; after a sync that failed the pages that were not down are forgotten as if they were clean, as
-kernels do: a later sync says nothing of them. A crash may come before any call, or in the middle of a
-write.
+"""A model of a disk in memory: what was written and not synced may be lost, torn or reordered by a crash.
+
+Writes go to a file in pages. Until a sync each page may be durable or not, independently. Names created,
+renamed and removed become durable in their order, some or all, until the directory is synced. Writes and
+syncs can be made to fail. After a failed sync the pages that are not durable count as clean, as in kernels: a
+later sync does not write them. A crash can come before any call, or in the middle of a write.
 """
 
 from __future__ import annotations
@@ -13,102 +11,108 @@
 import errno
 import random
 
-PAGE = 64
+PAGE = 64  # bytes
 
 
 class CrashError(Exception):
-    """The power is gone."""
+    """The modelled power failed."""
 
 
 class Node:
-    """A file: what is down, and the pages that may be."""
+    """A file: its durable bytes, and the pages that may not be durable."""
 
     def __init__(self) -> None:
-        self.cache = bytearray()  # what a reader sees while the power is on
-        self.down = bytearray()
-        self.dirty: set[int] = set()
-
-    def crash(self, chance: random.Random) -> None:
-        """Each page that was not synced is down or not."""
-        for page in sorted(self.dirty):
-            if chance.random() < 0.5:
-                self.write_down(page)
-        self.cache, self.dirty = bytearray(self.down), set()
-
-    def write_down(self, page: int) -> None:
+        self.cache = bytearray()  # what a reader sees until a crash
+        self.durable = bytearray()
+        self.dirty_pages: set[int] = set()
+
+    def crash(self, random_source: random.Random) -> None:
+        """Write each dirty page or drop it."""
+        for page in sorted(self.dirty_pages):
+            if random_source.random() < 0.5:
+                self.write_page(page)
+        self.cache, self.dirty_pages = bytearray(self.durable), set()
+
+    def write_page(self, page: int) -> None:
+        """Make a page durable."""
         start, end = page * PAGE, min((page + 1) * PAGE, len(self.cache))
-        if len(self.down) < end:
-            self.down.extend(bytes(end - len(self.down)))  # a hole before it reads as zeros
-        self.down[start:end] = self.cache[start:end]
+        if len(self.durable) < end:
+            self.durable.extend(bytes(end - len(self.durable)))  # a hole before it reads as zeros
+        self.durable[start:end] = self.cache[start:end]
 
 
 class Disk:
-    """A folder on that disk."""
+    """A directory on the modelled disk; a `Directory` of the store."""
 
     def __init__(self, seed: int, faults: float = 0.0) -> None:
-        self.chance, self.faults = random.Random(seed), faults
-        self.now: dict[str, Node] = {}
-        self.down: dict[str, Node] = {}
-        self.changes: list[tuple[str, str, Node | None]] = []  # names not synced: what, name, file
+        """`faults`: probability that a call fails with an OSError."""
+        self.random, self.faults = random.Random(seed), faults
+        self.files: dict[str, Node] = {}
+        self.durable_files: dict[str, Node] = {}
+        self.unsynced_names: list[tuple[str, str, Node | None]] = []  # operation, name, file
         self.calls = 0
-        self.crash_at: int | None = None
-        self.lies = False  # a sync that is told as done and is not: the break made on purpose
+        self.crash_at: int | None = None  # number of the call before which the power fails
+        self.skips_syncs = False  # a fault made on purpose: syncs do nothing
 
-    # --- the power ---
+    # --- crashes and faults ---
 
     def _call(self) -> None:
         self.calls += 1
         if self.crash_at is not None and self.calls >= self.crash_at:
             raise CrashError()
 
-    def _may_fail(self, what: str) -> None:
-        if self.chance.random() < self.faults:
-            raise OSError(errno.EIO, f"Input/output error in {what}")
-
-    def power(self) -> None:
-        """The power is back: what was down is all there is."""
-        for what, name, node in self.changes[: self.chance.randrange(len(self.changes) + 1)]:
-            self._name(self.down, what, name, node)
-        self.now, self.changes = dict(self.down), []
-        for node in self.now.values():
-            node.crash(self.chance)
+    def _may_fail(self, operation: str) -> None:
+        if self.random.random() < self.faults:
+            raise OSError(errno.EIO, f"Input/output error in {operation}")
+
+    def restart(self) -> None:
+        """Restore the power: only what was durable is there."""
+        for operation, name, node in self.unsynced_names[
+            : self.random.randrange(len(self.unsynced_names) + 1)
+        ]:
+            self._change_name(self.durable_files, operation, name, node)
+        self.files, self.unsynced_names = dict(self.durable_files), []
+        for node in self.files.values():
+            node.crash(self.random)
         self.calls, self.crash_at = 0, None
 
     @staticmethod
-    def _name(names: dict[str, Node], what: str, name: str, node: Node | None) -> None:
-        if what == "remove":
-            names.pop(name, None)
+    def _change_name(files: dict[str, Node], operation: str, name: str, node: Node | None) -> None:
+        if operation == "remove":
+            files.pop(name, None)
         elif node is not None:
-            for old in [old for old, other in names.items() if other is node]:
-                del names[old]
-            names[name] = node
+            for old in [old for old, other in files.items() if other is node]:
+                del files[old]
+            files[name] = node
 
-    # --- Files ---
+    # --- Directory ---
 
     def names(self) -> list[str]:
-        return sorted(self.now)
+        """Return the names of all files."""
+        return sorted(self.files)
 
     def read(self, name: str) -> bytes:
-        return bytes(self.now[name].cache)
+        """Return all bytes of a file."""
+        return bytes(self.files[name].cache)
 
     def create(self, name: str) -> None:
+        """Create an empty file, or truncate one."""
         self._call()
         self._may_fail("create")
         node = Node()
-        self.now[name] = node
-        self.changes.append(("make", name, node))
+        self.files[name] = node
+        self.unsynced_names.append(("make", name, node))
 
     def append(self, name: str, data: bytes) -> None:
-        node = self.now[name]
-        part = len(data)
+        """Write to the end of a file; a part of the data if the power or the write fails."""
+        node = self.files[name]
         try:
             self._call()
         except CrashError:
-            part = self.chance.randrange(len(data) + 1)
-            self._write(node, data[:part])
+            self._write(node, data[: self.random.randrange(len(data) + 1)])
             raise
-        if self.chance.random() < self.faults:
-            self._write(node, data[: self.chance.randrange(len(data) + 1)])
+        if self.random.random() < self.faults:
+            self._write(node, data[: self.random.randrange(len(data) + 1)])
             raise OSError(errno.ENOSPC, "No space left on device")
         self._write(node, data)
 
@@ -116,41 +120,45 @@
     def _write(node: Node, data: bytes) -> None:
         start = len(node.cache)
         node.cache += data
-        node.dirty.update(range(start // PAGE, -(-len(node.cache) // PAGE)))
+        node.dirty_pages.update(range(start // PAGE, -(-len(node.cache) // PAGE)))
 
     def sync(self, name: str) -> None:
+        """Make a file's bytes durable."""
         self._call()
-        node = self.now[name]
-        if self.lies:
+        node = self.files[name]
+        if self.skips_syncs:
             return
-        if self.chance.random() < self.faults:
-            for page in sorted(node.dirty):
-                if self.chance.random() < 0.5:
-                    node.write_down(page)
-            node.dirty.clear()  # forgotten: a sync after this one says nothing of them
+        if self.random.random() < self.faults:
+            for page in sorted(node.dirty_pages):
+                if self.random.random() < 0.5:
+                    node.write_page(page)
+            node.dirty_pages.clear()  # a later sync does not write them
             raise OSError(errno.EIO, "Input/output error in sync")
-        for page in sorted(node.dirty):
-            node.write_down(page)
-        node.dirty.clear()
+        for page in sorted(node.dirty_pages):
+            node.write_page(page)
+        node.dirty_pages.clear()
 
     def sync_directory(self) -> None:
+        """Make all names durable."""
         self._call()
-        if self.lies:
+        if self.skips_syncs:
             return
         self._may_fail("sync of names")
-        for what, name, node in self.changes:
-            self._name(self.down, what, name, node)
-        self.changes.clear()
+        for operation, name, node in self.unsynced_names:
+            self._change_name(self.durable_files, operation, name, node)
+        self.unsynced_names.clear()
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file."""
         self._call()
         self._may_fail("rename")
-        node = self.now.pop(old)
-        self.now[new] = node
-        self.changes.append(("make", new, node))
+        node = self.files.pop(old)
+        self.files[new] = node
+        self.unsynced_names.append(("make", new, node))
 
     def remove(self, name: str) -> None:
+        """Remove a file."""
         self._call()
         self._may_fail("remove")
-        self.now.pop(name, None)
-        self.changes.append(("remove", name, None))
+        self.files.pop(name, None)
+        self.unsynced_names.append(("remove", name, None))
--- a/rigs/slow_disk.py
+++ b/rigs/slow_disk.py
@@ -1,4 +1,4 @@
-"""A gateway whose disk does not answer for a while: `python -m rigs.slow_disk SECONDS serve ...`."""
+"""A gateway whose disk takes some seconds for each sync: `python -m rigs.slow_disk SECONDS serve ...`."""
 
 import sys
 import time
@@ -9,9 +9,10 @@
 if __name__ == "__main__":
     sync = StoreDirectory.sync
 
-    def slow(self: StoreDirectory, name: str) -> None:
+    def slow_sync(self: StoreDirectory, name: str) -> None:
+        """Wait, then sync."""
         time.sleep(float(sys.argv[1]))
         sync(self, name)
 
-    StoreDirectory.sync = slow
+    StoreDirectory.sync = slow_sync
     sys.exit(main(sys.argv[2:]))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -24,12 +24,12 @@
 from lilacloft.store.record_types import Intent, RecordKind
 from lilacloft.store.recovered_state import recover_state
 from rigs.disk_model import CrashError, Disk
-from rigs.store import Bytes, _cut, crash, make_log
+from rigs.store_recovery import CutJob, MemoryFiles, check_cuts, crash, make_log
 
 
 def test_a_log_cut_at_every_byte_recovers_exactly_what_was_committed_before():
     data, ends = make_log(3000, 7)
-    assert _cut((data, ends, 0, len(data) + 1)) == []
+    assert check_cuts(CutJob(data, ends, 0, len(data) + 1)) == []
 
 
 @pytest.mark.parametrize("block", range(8))
@@ -38,7 +38,7 @@
 
 
 def test_syncs_left_out_are_caught():
-    assert sum(bool(crash(seed, lies=True)) for seed in range(20)) == 20
+    assert sum(bool(crash(seed, skips_syncs=True)) for seed in range(20)) == 20
 
 
 def test_a_crash_at_each_step_of_a_compaction_leaves_all_that_was_kept():
@@ -56,7 +56,7 @@
             done = True
         except CrashError:
             pass
-        disk.power()
+        disk.restart()
         again = Store(disk)
         assert [again.get(1, b"%d" % place) for place in range(10)] == [
             b"%d" % (30 + place) for place in range(10)
@@ -87,7 +87,7 @@
     with pytest.raises(CrashError):
         store.commit()
     disk.append = appended
-    disk.power()
+    disk.restart()
     assert Store(disk).get(1, b"k") == b"old" * 100
 
 
@@ -120,7 +120,7 @@
     setattr(disk, what, works)
     store.commit()
     assert store.durable_sequence == before + 3
-    disk.power()
+    disk.restart()
     again = Store(disk)
     assert again.get(1, b"new") == b"y" * 300 and again.get(1, b"more") == b"z" * 300
     assert all(again.get(1, b"%d" % number) == b"x" * 40 for number in range(6)) and not again.report.damage
@@ -130,21 +130,21 @@
     data, ends = make_log(4000, 3)
     chance = random.Random(1)
     for _ in range(60):
-        place = chance.randrange(framing.FILE_HEADER.size, ends[-2][0])
+        place = chance.randrange(framing.FILE_HEADER.size, ends[-2].offset)
         spoilt = bytearray(data)
         spoilt[place] ^= 1 << chance.randrange(8)
-        store = Store(Bytes({segment_name(1): bytes(spoilt)}))
+        store = Store(MemoryFiles({segment_name(1): bytes(spoilt)}))
         assert len(store.report.damage) == 1 and "what follows them was kept" in store.report.damage[0]
-        assert store.report.frames == len(ends) - 1 and store.durable_sequence == ends[-1][1]
+        assert store.report.frames == len(ends) - 1 and store.durable_sequence == ends[-1].records
 
 
 def test_a_spoilt_head_costs_no_frame_and_an_unknown_version_is_refused():
     data, ends = make_log(1000, 3)
-    store = Store(Bytes({segment_name(1): b"xxxx" + data[4:]}))
-    assert store.durable_sequence == ends[-1][1] and "no file of a store" in store.report.damage[0]
+    store = Store(MemoryFiles({segment_name(1): b"xxxx" + data[4:]}))
+    assert store.durable_sequence == ends[-1].records and "no file of a store" in store.report.damage[0]
     newer = framing.pack_file_header(1, 9) + data[framing.FILE_HEADER.size :]
     with pytest.raises(StoreError, match="version 9; 1 to 2"):
-        Store(Bytes({segment_name(1): newer}))
+        Store(MemoryFiles({segment_name(1): newer}))
 
 
 def test_a_store_of_the_version_before_is_read():
@@ -154,7 +154,7 @@
         + framing.pack_frame(1, records[:2], 1)
         + framing.pack_frame(3, records[2:], 1)
     )
-    store = Store(Bytes({segment_name(1): data}))
+    store = Store(MemoryFiles({segment_name(1): data}))
     assert (store.get(1, b"a"), store.get(1, b"b"), store.durable_sequence) == (None, b"2", 3)
 
 
@@ -298,7 +298,7 @@
     commits = GroupCommitter(store)
     assert commits.write(Record(1, b"new", b"v", 100), timeout=20.0)
     commits.close()
-    disk.power()
+    disk.restart()
     assert [record.key for record in Store(disk).records_of(1)] == [b"new"]
 
 
@@ -337,7 +337,7 @@
     assert commits.write(Record(1, b"k", b"v", 0), timeout=20.0) is True
     assert not failures and commits.sync_count == 1
     commits.close()
-    disk.power()
+    disk.restart()
     assert Store(disk).get(1, b"k") == b"v"
 
 
