--- a/lilacloft/cli/store.py
+++ b/lilacloft/cli/store.py
@@ -1,19 +1,40 @@
-"""Commands on a store: what is in it, what is wrong with it, and what can be done."""
+"""Commands on a store: inspect it, check it, compact it and repair it.
+
+What a command needs of the store is imported when it runs, so that other commands start without it.
+"""
 
 from __future__ import annotations
 
 import json
 import os
 import shutil
-from typing import Any
+from collections.abc import Iterator
+from contextlib import contextmanager
+from typing import TYPE_CHECKING, NamedTuple
 
 import click
 
-path = click.argument("path", metavar="DIR")
+if TYPE_CHECKING:
+    from lilacloft.store.files import StoreDirectory
+    from lilacloft.store.log import Store
+    from lilacloft.store.recovery import RecoveryReport
+
+MAX_BACKUPS = 1000
+path_argument = click.argument("path", metavar="DIR")
+
+
+class OpenStore(NamedTuple):
+    """A store and the directory of its files."""
 
+    directory: StoreDirectory
+    store: Store
 
-def opened(path: str, lock: bool) -> tuple[Any, Any]:
-    """A folder and the store in it; a usage error in words where there is none, or another process writes."""
+
+def open_store(path: str, lock: bool) -> OpenStore:
+    """Open a store: with the lock, to write it, or without, to read it.
+
+    Raises click.ClickException if there is none, it cannot be read, or another process writes it.
+    """
     from lilacloft.store.errors import StoreError
     from lilacloft.store.files import StoreDirectory
     from lilacloft.store.log import Store
@@ -21,22 +42,42 @@
     if not os.path.isdir(path):
         raise click.ClickException(f"{path}: there is no such folder")
     try:
-        folder = StoreDirectory(path, lock)
-    except (StoreError, OSError) as wrong:
-        raise click.ClickException(str(wrong)) from wrong
+        directory = StoreDirectory(path, lock)
+    except (StoreError, OSError) as error:
+        raise click.ClickException(str(error)) from error
+    try:
+        return OpenStore(directory, Store(directory))
+    except (StoreError, OSError) as error:
+        directory.close()
+        raise click.ClickException(f"{path}: {error}") from error
+
+
+@contextmanager
+def locked_store(path: str) -> Iterator[OpenStore]:
+    """Open a store for writing, and close it afterwards. An OSError within ends the command."""
+    opened = open_store(path, True)
     try:
-        return folder, Store(folder)
-    except (StoreError, OSError) as wrong:
-        folder.close()
-        raise click.ClickException(f"{path}: {wrong}") from wrong
+        yield opened
+    except OSError as error:
+        raise click.ClickException(str(error)) from error
+    finally:
+        opened.directory.close()
+
+
+def read_store(path: str) -> OpenStore:
+    """Read a store that another process may be writing; its directory is closed."""
+    opened = open_store(path, False)
+    opened.directory.close()
+    return opened
 
 
-def told(found: Any) -> None:
-    for line in found.damage:
+def print_report(report: RecoveryReport) -> None:
+    """Print what could not be read."""
+    for line in report.damage:
         click.echo(f"damage: {line}")
-    for line in found.torn:
+    for line in report.torn:
         click.echo(f"torn: {line}")
-    for line in found.ignored:
+    for line in report.ignored:
         click.echo(f"left over: {line}")
 
 
@@ -46,89 +87,79 @@
 
 
 @store.command()
-@path
+@path_argument
 def check(path: str) -> int:
     """Say what is there. Code 1 where anything was lost; a torn end is what any crash leaves."""
-    folder, found = opened(path, False)
-    folder.close()
-    told(found.report)
+    directory, found = read_store(path)
+    print_report(found.report)
     click.echo(
         f"{found.durable_sequence} records written, {found.record_count()} kept, in "
-        f"{len(folder.names())} files"
+        f"{len(directory.names())} files"
     )
     return 1 if found.report.damage else 0
 
 
 @store.command()
-@path
+@path_argument
 def dump(path: str) -> int:
     """Print what is kept, one JSON object a line."""
     from lilacloft.store.record_types import KIND_NAMES, readable_value
 
-    folder, found = opened(path, False)
-    folder.close()
+    found = read_store(path).store
     for kind in sorted(found.records):
         for record in found.records_of(kind):
-            key = record.key.decode("utf-8", "replace")
-            click.echo(
-                json.dumps(
-                    {
-                        "kind": KIND_NAMES.get(kind, kind),
-                        "key": key,
-                        "stamp": record.timestamp,
-                        "value": readable_value(record),
-                    }
-                )
-            )
+            line = {
+                "kind": KIND_NAMES.get(kind, kind),
+                "key": record.key.decode("utf-8", "replace"),
+                "stamp": record.timestamp,
+                "value": readable_value(record),
+            }
+            click.echo(json.dumps(line))
     return 0
 
 
 @store.command()
-@path
+@path_argument
 def compact(path: str) -> int:
     """Write what is kept anew, and drop the rest. Refused while a gateway writes there, or with damage."""
-    folder, found = opened(path, True)
-    try:
+    with locked_store(path) as (directory, found):
         if found.report.damage:
-            told(found.report)
+            print_report(found.report)
             raise click.ClickException("there is damage: repair first, which keeps the old files")
-        before = sum(os.path.getsize(os.path.join(path, name)) for name in folder.names())
+        before = total_size(path, directory)
         found.compact()
-        after = sum(os.path.getsize(os.path.join(path, name)) for name in folder.names())
-        click.echo(f"{before} bytes before, {after} after")
-    except OSError as wrong:
-        raise click.ClickException(str(wrong)) from wrong
-    finally:
-        folder.close()
+        click.echo(f"{before} bytes before, {total_size(path, directory)} after")
     return 0
 
 
 @store.command()
-@path
+@path_argument
 def repair(path: str) -> int:
     """Keep all that is whole, and say what is not. The old files stay beside, in a folder that is named."""
-    folder, found = opened(path, True)
-    try:
-        told(found.report)
+    with locked_store(path) as (directory, found):
+        print_report(found.report)
         if not found.report.damage:
             click.echo("nothing to repair")
             return 0
-        aside = next(
-            name
-            for number in range(1, 1000)
-            if not os.path.exists(name := os.path.join(path, f"before-repair-{number}"))
-        )
-        os.mkdir(aside)
-        for name in folder.names():
-            shutil.copy2(os.path.join(path, name), aside)
+        backup = back_up(path, directory)
         found.compact()
-        count = found.record_count()
-        click.echo(f"{count} records kept; the files as they were are in {aside}")
-    except OSError as wrong:
-        raise click.ClickException(str(wrong)) from wrong
-    finally:
-        folder.close()
+        click.echo(f"{found.record_count()} records kept; the files as they were are in {backup}")
     return 0
 
 
+def total_size(path: str, directory: StoreDirectory) -> int:
+    """Return the size of a store's files in bytes."""
+    return sum(os.path.getsize(os.path.join(path, name)) for name in directory.names())
+
+
+def back_up(path: str, directory: StoreDirectory) -> str:
+    """Copy a store's files into a new folder beside them; returns its path."""
+    candidates = (os.path.join(path, f"before-repair-{number}") for number in range(1, MAX_BACKUPS))
+    backup = next(candidate for candidate in candidates if not os.path.exists(candidate))
+    os.mkdir(backup)
+    for name in directory.names():
+        shutil.copy2(os.path.join(path, name), backup)
+    return backup
+
+
 COMMANDS = (store,)
--- a/lilacloft/store/__init__.py
+++ b/lilacloft/store/__init__.py
@@ -1,5 +1,7 @@
-"""What must survive a power cut: an append-only log with an index, snapshots and recovery.
+"""The durable state of a gateway: an append-only log with snapshots and crash recovery.
 
-It owns the order of writes and syncs. It must never tell that something is down before a sync has said so,
-never take a failed sync for a good one later, and never drop what is whole.
+From the bytes up: framing (the format), directory and files (where the bytes are), recovery (reading), log
+(writing), group_commit (the writer thread). On top of it: record_types and recovered_state (what is stored),
+endpoint_rows and learned_state (two kinds of it), idempotency and durability (what must be durable before a
+dispatch), crash_recovery, background_records and gateway_store (the connection to the gateway).
 """
