--- a/tests/test_durability.py
+++ b/tests/test_durability.py
@@ -1,4 +1,4 @@
-"""What a gateway keeps of its reqs, beside a plain model: a disk that commits in order until a crash."""
+"""The durability gate, with a model of a disk that commits in order until a crash."""
 
 import random
 
@@ -11,28 +11,25 @@
 from lilacloft.store.record_types import Intent, RecordKind
 from lilacloft.store.recovered_state import WORK_INTERVAL, RecoveredState, recover_state, recovered_work
 
-WINDOW, PATIENCE = 20_000, 500
+WINDOW, TIMEOUT = 20_000, 500
 KEYED = IdempotencyPolicy("uniqued", WINDOW, "all")
 
 
-class Plain:
-    """Hands with a list of records, of which so many are down; and what went out, in the plainest words."""
+class FakeHost:
+    """A host with a list of records, of which the first `durable` are durable, and what was released."""
 
     def __init__(self, records=(), time=100_000):
-        self.time, self.records, self.down = time, list(records), len(records)
-        self.released, self.refused = [], []
-        kept = {}
+        self.time, self.records, self.durable = time, list(records), len(records)
+        self.released, self.rejected = [], []
+        stored_records = {}
         for kind, key, value in self.records:
-            kept.pop((kind, key), None)
+            stored_records.pop((kind, key), None)
             if value is not None:
-                kept[kind, key] = value
-        self.kept = [Record(kind, key, value) for (kind, key), value in kept.items()]
-        found = recover_state(self.kept, time, 60_000)
-        assert not found.unreadable
-        self.gate = DurabilityGate(self, found, PATIENCE)
-
-    def as_kept(self):
-        return self.kept
+                stored_records[kind, key] = value
+        self.stored_records = [Record(kind, key, value) for (kind, key), value in stored_records.items()]
+        recovered = recover_state(self.stored_records, time, 60_000)
+        assert not recovered.unreadable
+        self.gate = DurabilityGate(self, recovered, TIMEOUT)
 
     def now(self):
         return self.time
@@ -45,54 +42,54 @@
         self.released.append(token)
 
     def reject(self, token):
-        self.refused.append(token)
+        self.rejected.append(token)
 
     def sync(self, count=None):
-        self.down = len(self.records) if count is None else min(len(self.records), self.down + count)
-        self.gate.records_durable(self.down)
+        self.durable = len(self.records) if count is None else min(len(self.records), self.durable + count)
+        self.gate.records_durable(self.durable)
 
-    def asks(self, token, key=b"k", effect="uniqued", group="all", cell=1):
+    def admit(self, token, key=b"k", effect="uniqued", group="all", cell=1):
         return self.gate.admit(token, key, IdempotencyPolicy(effect, WINDOW, group), cell)
 
     def crash(self, after=1000):
-        """A new process on what was down."""
-        return Plain(self.records[: self.down], self.time + after)
-
-
-def test_a_dispatch_with_an_effect_waits_until_its_intent_is_down_and_others_never_wait():
-    one = Plain()
-    assert one.asks("a", effect="replayable") == Verdict.SEND and not one.records
-    assert one.asks("b") == Verdict.WAIT and not one.released
-    one.sync()
-    assert one.released == ["b"]
-    assert one.asks("c") == Verdict.SEND  # under the same key: its intent is down already
-
-
-def test_a_disk_that_does_not_answer_refuses_what_waits_and_a_late_answer_releases_nothing():
-    one = Plain()
-    assert one.asks("a") == Verdict.WAIT and one.gate.next_expiry() == PATIENCE
-    one.time += PATIENCE - 1
-    one.gate.expire_pending()
-    assert not one.refused
-    one.time += 1
-    one.gate.expire_pending()
-    assert one.refused == ["a"] and one.gate.next_expiry() is None
-    one.sync()
-    assert not one.released
-    assert one.crash().asks("a2") == Verdict.WAIT  # it never ran, and that is down as well
-
-
-def test_what_is_held_is_refused_before_its_client_goes_so_that_it_is_known_never_to_have_run():
-    one = Plain()
-    assert one.gate.admit("a", b"k", KEYED, 1, one.time + 70) == Verdict.WAIT
-    assert one.gate.next_expiry() == 70
-    one.time += 70
-    one.gate.expire_pending()
-    assert one.refused == ["a"]
-    assert one.gate.admit("b", b"k", KEYED, 1, one.time - 5) == Verdict.WAIT
-    assert one.gate.next_expiry() == 0
-    one.sync()
-    assert one.refused == ["a", "b"] and not one.released
+        """Start a new process with the durable records."""
+        return FakeHost(self.records[: self.durable], self.time + after)
+
+
+def test_a_dispatch_that_is_not_idempotent_waits_until_its_intent_is_durable_and_others_never_wait():
+    host = FakeHost()
+    assert host.admit("a", effect="replayable") == Verdict.SEND and not host.records
+    assert host.admit("b") == Verdict.WAIT and not host.released
+    host.sync()
+    assert host.released == ["b"]
+    assert host.admit("c") == Verdict.SEND  # under the same key, whose intent is durable
+
+
+def test_a_stalled_disk_rejects_pending_dispatches_and_a_late_sync_releases_none():
+    host = FakeHost()
+    assert host.admit("a") == Verdict.WAIT and host.gate.next_expiry() == TIMEOUT
+    host.time += TIMEOUT - 1
+    host.gate.expire_pending()
+    assert not host.rejected
+    host.time += 1
+    host.gate.expire_pending()
+    assert host.rejected == ["a"] and host.gate.next_expiry() is None
+    host.sync()
+    assert not host.released
+    assert host.crash().admit("a2") == Verdict.WAIT  # it was not executed, and that is durable as well
+
+
+def test_a_pending_dispatch_is_rejected_before_its_client_disconnects():
+    host = FakeHost()
+    assert host.gate.admit("a", b"k", KEYED, 1, host.time + 70) == Verdict.WAIT
+    assert host.gate.next_expiry() == 70
+    host.time += 70
+    host.gate.expire_pending()
+    assert host.rejected == ["a"]
+    assert host.gate.admit("b", b"k", KEYED, 1, host.time - 5) == Verdict.WAIT
+    assert host.gate.next_expiry() == 0
+    host.sync()
+    assert host.rejected == ["a", "b"] and not host.released
 
 
 @pytest.mark.parametrize(
@@ -106,226 +103,238 @@
         ("uniqued", "cell", 1, WINDOW, Verdict.FAIL),
     ],
 )
-def test_what_a_process_before_may_have_sent_is_answered_by_the_rules(effect, group, cell, after, want):
-    one = Plain()
-    assert one.asks("a", effect=effect, group=group) == Verdict.WAIT
-    one.sync()
-    two = one.crash(after)
-    assert two.asks("b", effect=effect, group=group, cell=cell) == want
-    if want == Verdict.WAIT:  # the window still counts from the first sending, also after another crash
-        two.sync()
-        assert two.crash(WINDOW - after).asks("c", effect=effect, group=group) != Verdict.WAIT
-
-
-def test_what_surely_never_ran_leaves_nothing_behind():
-    one = Plain()
-    one.asks("a", effect="non-replayable")
-    one.sync()
-    one.gate.dispatch_ended("a", executed=False)
-    one.sync()
-    assert one.crash().asks("b", effect="non-replayable") == Verdict.WAIT
-    one.asks("b", effect="non-replayable")
-    one.sync()
-    one.gate.dispatch_ended("b", executed=True)
-    one.sync()
-    assert one.crash().asks("c", effect="non-replayable") == Verdict.FAIL
-
-
-def test_a_client_that_leaves_while_its_dispatch_is_held_takes_it_back():
-    one = Plain()
-    one.asks("a", effect="non-replayable")
-    one.gate.withdraw("a")
-    one.sync()
-    assert not one.released and one.crash().asks("b", effect="non-replayable") == Verdict.WAIT
-
-
-def test_intents_go_when_no_rule_can_ask_for_them_and_not_before():
-    one = Plain()
-    one.asks("a", b"old")
-    one.asks("b", b"out")
-    one.sync()
-    one.gate.dispatch_ended("a", executed=True)
-    one.time += 50_000
-    assert one.gate.remove_expired(60_000) == 0
-    one.time += 20_000
-    assert one.gate.remove_expired(60_000) == 1 and b"out" in one.gate.intents
-    one.time -= 90_000  # the clock is put back: nothing is old now
-    assert one.gate.remove_expired(60_000) == 0
-
-
-def test_budgets_are_kept_once_in_a_while_and_only_while_a_be_is_cold():
-    one = Plain()
-    one.gate.work_sent("s", 0, [], 150_000)
-    one.gate.work_sent("s", one.time - 150_000, [(one.time, 1.0)], 150_000)
-    assert not one.records
-    one.gate.work_sent("s", one.time - 10, [(one.time, 1.0)], 150_000)
-    one.gate.work_sent("s", one.time - 10, [(one.time, 2.0)], 150_000)
-    assert len(one.records) == 1
-    one.time += WORK_INTERVAL
-    one.gate.work_sent("s", one.time - 10, [(one.time, 2.0)], 150_000)
-    assert len(one.records) == 2
-
-
-def test_a_cold_budget_goes_on_where_it_stood_and_what_is_not_known_counts_as_spent():
-    found = RecoveredState(slow_start_work={"s": [(900, 2.0)], "t": [(900, 2.0)], "u": [(900, 2.0)]})
+def test_the_verdict_on_what_an_earlier_process_may_have_sent(effect, group, cell, after, want):
+    host = FakeHost()
+    assert host.admit("a", effect=effect, group=group) == Verdict.WAIT
+    host.sync()
+    next_host = host.crash(after)
+    assert next_host.admit("b", effect=effect, group=group, cell=cell) == want
+    if want == Verdict.WAIT:  # the window counts from the first dispatch, also after another crash
+        next_host.sync()
+        assert next_host.crash(WINDOW - after).admit("c", effect=effect, group=group) != Verdict.WAIT
+
+
+def test_what_was_surely_not_executed_leaves_no_intent():
+    host = FakeHost()
+    host.admit("a", effect="non-replayable")
+    host.sync()
+    host.gate.dispatch_ended("a", executed=False)
+    host.sync()
+    assert host.crash().admit("b", effect="non-replayable") == Verdict.WAIT
+    host.admit("b", effect="non-replayable")
+    host.sync()
+    host.gate.dispatch_ended("b", executed=True)
+    host.sync()
+    assert host.crash().admit("c", effect="non-replayable") == Verdict.FAIL
+
+
+def test_a_client_that_disconnects_withdraws_its_pending_dispatch():
+    host = FakeHost()
+    host.admit("a", effect="non-replayable")
+    host.gate.withdraw("a")
+    host.sync()
+    assert not host.released and host.crash().admit("b", effect="non-replayable") == Verdict.WAIT
+
+
+def test_intents_are_removed_when_no_rule_can_refer_to_them_and_not_before():
+    host = FakeHost()
+    host.admit("a", b"old")
+    host.admit("b", b"out")
+    host.sync()
+    host.gate.dispatch_ended("a", executed=True)
+    host.time += 50_000
+    assert host.gate.remove_expired(60_000) == 0
+    host.time += 20_000
+    assert host.gate.remove_expired(60_000) == 1 and b"out" in host.gate.intents
+    host.time -= 90_000  # the clock is set back: nothing is old now
+    assert host.gate.remove_expired(60_000) == 0
+
+
+def test_slow_start_work_is_written_at_intervals_and_only_during_slow_start():
+    host = FakeHost()
+    host.gate.work_sent("s", 0, [], 150_000)
+    host.gate.work_sent("s", host.time - 150_000, [(host.time, 1.0)], 150_000)
+    assert not host.records
+    host.gate.work_sent("s", host.time - 10, [(host.time, 1.0)], 150_000)
+    host.gate.work_sent("s", host.time - 10, [(host.time, 2.0)], 150_000)
+    assert len(host.records) == 1
+    host.time += WORK_INTERVAL
+    host.gate.work_sent("s", host.time - 10, [(host.time, 2.0)], 150_000)
+    assert len(host.records) == 2
+
+
+def test_slow_start_work_is_recovered_and_what_is_unknown_counts_as_sent():
+    recovered = RecoveredState(slow_start_work={"s": [(900, 2.0)], "t": [(900, 2.0)], "u": [(900, 2.0)]})
     started = {"s": 500, "t": 950}
-    got = recovered_work(found, started, 10_000, 1000, {"s": 5.0, "t": 5.0, "u": 5.0})
-    assert got == {"s": [(900, 2.0), (1000, 3.0)], "t": []}  # t began anew since, u is not listed
-    assert recovered_work(found, {"s": 500}, 10_000, 1000 + 2 * WORK_INTERVAL, {"s": 5.0}) == {"s": []}
+    got = recovered_work(recovered, started, 10_000, 1000, {"s": 5.0, "t": 5.0, "u": 5.0})
+    assert got == {"s": [(900, 2.0), (1000, 3.0)], "t": []}  # t has restarted since, u is not listed
+    assert recovered_work(recovered, {"s": 500}, 10_000, 1000 + 2 * WORK_INTERVAL, {"s": 5.0}) == {"s": []}
 
 
 @pytest.mark.parametrize("seed", range(300))
-def test_on_generated_events_nothing_goes_out_before_its_intent_is_down_and_no_crash_sends_twice(seed):
-    """Plain words: of one key, a non-replayable req goes out again only if all before surely never ran; a
-    uniqued one only within its window from the first that may have run; every held one is released or
-    refused, once."""
-    chance = random.Random(seed)
-    one = Plain()
-    ran, first, out, waits, number = {}, {}, {}, {}, 0
-
-    def gone_out(token, key):
-        intent_down = [record for record in one.records[: one.down] if record[1] == key]
-        assert intent_down and intent_down[-1][2] is not None or key in {k for k, _ in out.values()}
+def test_on_random_events_nothing_is_sent_before_its_intent_is_durable_and_no_crash_sends_twice(seed):
+    """Under one key, a request that is not idempotent is sent again only if no earlier one may have been
+    executed; one with an idempotency key only within its window from the first that may have been; every
+    pending one is released or rejected, once."""
+    random_source = random.Random(seed)
+    host = FakeHost()
+    executed_keys, first_sent_at, in_flight, pending, number = {}, {}, {}, {}, 0
+
+    def record_sent(token, key):
+        durable_records = [record for record in host.records[: host.durable] if record[1] == key]
+        assert (
+            durable_records
+            and durable_records[-1][2] is not None
+            or key in {k for k, _ in in_flight.values()}
+        )
         effect = "non-replayable" if key.startswith(b"n") else "uniqued"
-        if effect == "uniqued" and first.get(key) is not None and crashed.get(key):
-            assert one.time < first[key] + WINDOW
+        if effect == "uniqued" and first_sent_at.get(key) is not None and crashed.get(key):
+            assert host.time < first_sent_at[key] + WINDOW
         if effect == "non-replayable" and crashed.get(key):
-            assert not ran.get(key)
-        first[key] = one.time if first.get(key) is None else first[key]
-        out[token] = (key, one.time)
+            assert not executed_keys.get(key)
+        first_sent_at[key] = host.time if first_sent_at.get(key) is None else first_sent_at[key]
+        in_flight[token] = (key, host.time)
 
     crashed = {}
     for _ in range(80):
-        one.time += chance.choice([1, 50, 300, 5000])
-        doing = chance.random()
-        key = chance.choice([b"u1", b"u2", b"n1", b"n2"])
-        if doing < 0.4:
+        host.time += random_source.choice([1, 50, 300, 5000])
+        choice = random_source.random()
+        key = random_source.choice([b"u1", b"u2", b"n1", b"n2"])
+        if choice < 0.4:
             number += 1
             token = f"t{number}"
-            verdict = one.asks(token, key, "non-replayable" if key.startswith(b"n") else "uniqued")
+            verdict = host.admit(token, key, "non-replayable" if key.startswith(b"n") else "uniqued")
             if verdict == Verdict.SEND:
-                gone_out(token, key)
+                record_sent(token, key)
             elif verdict == Verdict.WAIT:
-                waits[token] = key
-        elif doing < 0.65:
-            one.sync(chance.choice([1, 2, None]))
-        elif doing < 0.8 and out:
-            token = chance.choice(sorted(out))
-            done, _ = out.pop(token)
-            may = chance.random() < 0.5
-            one.gate.dispatch_ended(token, may)
-            ran[done] = ran.get(done) or may
-            if not may and not ran.get(done) and done not in {k for k, _ in out.values()}:
-                first[done] = None
-        elif doing < 0.85 and waits:
-            token = chance.choice(sorted(waits))
-            del waits[token]
-            one.gate.withdraw(token)
-        elif doing < 0.9:
-            one.gate.expire_pending()
-        elif doing < 0.93:  # all at rest, another process goes on with what is out
-            assert set(one.gate.withdraw_all()) == set(waits)
-            waits.clear()
-            one.sync()
-            given = durability_snapshot.export(one.gate)
-            two = Plain(one.records, one.time + 30)
-            durability_snapshot.restore(two.gate, {**given, "out": [list(pair) for pair in given["out"]]})
-            assert set(two.gate.in_flight) == set(out) and not two.gate.pending
-            for done in list(ran):
-                if done not in {k for k, _ in out.values()}:
-                    crashed[done] = crashed.get(done) or ran[done]
-            one = two
-        elif doing < 0.95:  # one that goes on for a while, and dies with all that is out; the old one is back
-            assert set(one.gate.withdraw_all()) == set(waits)
-            waits.clear()
-            one.sync()
-            two = Plain(one.records, one.time)
-            durability_snapshot.restore(two.gate, durability_snapshot.export(one.gate))
-            for nth in range(chance.randrange(3)):
-                other = chance.choice([b"u1", b"u2", b"n1", b"n2"])
-                verdict = two.asks(
-                    f"x{number} {nth}", other, "non-replayable" if other.startswith(b"n") else "uniqued"
+                pending[token] = key
+        elif choice < 0.65:
+            host.sync(random_source.choice([1, 2, None]))
+        elif choice < 0.8 and in_flight:
+            token = random_source.choice(sorted(in_flight))
+            ended_key, _ = in_flight.pop(token)
+            executed = random_source.random() < 0.5
+            host.gate.dispatch_ended(token, executed)
+            executed_keys[ended_key] = executed_keys.get(ended_key) or executed
+            if (
+                not executed
+                and not executed_keys.get(ended_key)
+                and ended_key not in {k for k, _ in in_flight.values()}
+            ):
+                first_sent_at[ended_key] = None
+        elif choice < 0.85 and pending:
+            token = random_source.choice(sorted(pending))
+            del pending[token]
+            host.gate.withdraw(token)
+        elif choice < 0.9:
+            host.gate.expire_pending()
+        elif choice < 0.93:  # a handover: another process goes on
+            assert set(host.gate.withdraw_all()) == set(pending)
+            pending.clear()
+            host.sync()
+            exported = durability_snapshot.export(host.gate)
+            next_host = FakeHost(host.records, host.time + 30)
+            durability_snapshot.restore(
+                next_host.gate, {**exported, "out": [list(pair) for pair in exported["out"]]}
+            )
+            assert set(next_host.gate.in_flight) == set(in_flight) and not next_host.gate.pending
+            for ended_key in list(executed_keys):
+                if ended_key not in {k for k, _ in in_flight.values()}:
+                    crashed[ended_key] = crashed.get(ended_key) or executed_keys[ended_key]
+            host = next_host
+        elif choice < 0.95:  # a handover to a process that sends some and dies; the old one goes on
+            assert set(host.gate.withdraw_all()) == set(pending)
+            pending.clear()
+            host.sync()
+            next_host = FakeHost(host.records, host.time)
+            durability_snapshot.restore(next_host.gate, durability_snapshot.export(host.gate))
+            for index in range(random_source.randrange(3)):
+                other = random_source.choice([b"u1", b"u2", b"n1", b"n2"])
+                verdict = next_host.admit(
+                    f"x{number} {index}", other, "non-replayable" if other.startswith(b"n") else "uniqued"
                 )
-                two.sync(chance.choice([1, None]))
-                if verdict == Verdict.SEND or two.released:
-                    assert not (other.startswith(b"n") and crashed.get(other) and ran.get(other))
-                    first[other] = one.time if first.get(other) is None else first[other]
-                    ran[other] = True
-                two.released.clear()
-            for token, (done, _) in out.items():
-                one.gate.dispatch_ended(token, True)
-                ran[done] = True
-            out.clear()
-            for done in list(ran):
-                crashed[done] = crashed.get(done) or ran[done]
-            one.records, one.down = two.records[: two.down], two.down
-            found = recover_state(Plain(one.records, one.time).as_kept(), one.time, 60_000)
-            one.gate.merge_intents(found.intents)
+                next_host.sync(random_source.choice([1, None]))
+                if verdict == Verdict.SEND or next_host.released:
+                    assert not (other.startswith(b"n") and crashed.get(other) and executed_keys.get(other))
+                    first_sent_at[other] = (
+                        host.time if first_sent_at.get(other) is None else first_sent_at[other]
+                    )
+                    executed_keys[other] = True
+                next_host.released.clear()
+            for token, (ended_key, _) in in_flight.items():
+                host.gate.dispatch_ended(token, True)
+                executed_keys[ended_key] = True
+            in_flight.clear()
+            for ended_key in list(executed_keys):
+                crashed[ended_key] = crashed.get(ended_key) or executed_keys[ended_key]
+            host.records, host.durable = next_host.records[: next_host.durable], next_host.durable
+            recovered = recover_state(FakeHost(host.records, host.time).stored_records, host.time, 60_000)
+            host.gate.merge_intents(recovered.intents)
         else:
-            for done, _ in out.values():
-                ran[done] = crashed[done] = True  # nobody knows: it may have
-            for done in list(ran):
-                crashed[done] = crashed.get(done) or ran[done]
-            out.clear()
-            waits.clear()
-            one = one.crash(chance.choice([1, 3000]))
-        for token in one.released:
-            gone_out(token, waits.pop(token))
-        for token in one.refused:
-            del waits[token]
-        one.released.clear()
-        one.refused.clear()
-    one.time += PATIENCE
-    one.gate.expire_pending()
-    assert set(one.refused) == set(waits) and not one.gate.pending
-
-
-def test_what_was_asked_for_before_another_process_was_known_to_have_sent_it_is_refused():
-    one, two = Plain(), Plain()
-    assert one.asks("a", b"n", "non-replayable") == Verdict.WAIT
-    assert two.asks("b", b"n", "non-replayable") == Verdict.WAIT
-    two.sync()
-    one.gate.merge_intents(recover_state([Record(*two.records[0])], one.time, 60_000).intents)
-    assert one.refused == ["a"] and one.asks("c", b"n", "non-replayable") == Verdict.FAIL
-    one.sync()
-    assert one.crash().asks("d", b"n", "non-replayable") == Verdict.FAIL
-
-
-def test_records_of_a_process_before_that_still_ends_what_it_had_bar_its_reqs_here():
-    one, two = Plain(), Plain()
-    one.asks("a", b"n", "non-replayable")
-    ticket = two.gate.write_relayed(*one.records[0])
-    assert ticket == 1 and two.asks("b", b"n", "non-replayable") == Verdict.FAIL
-    two.gate.write_relayed(RecordKind.INTENT, b"n", None)  # it surely never ran
-    assert two.asks("c", b"n", "non-replayable") == Verdict.WAIT
-
-
-def test_what_went_over_to_a_process_that_died_with_it_is_never_sent_again():
-    one = Plain()
-    one.asks("a", b"n", "non-replayable")
-    one.sync()
-    one.asks("e", b"m", "non-replayable")
-    one.sync()
-    one.gate.dispatch_ended("e", executed=True)  # its client's connection ended first
-    one.gate.dispatches_lost([("a", b"n"), ("e", b"m"), ("of nobody", b"x")])
-    assert one.asks("f", b"m", "non-replayable") == Verdict.FAIL
-    assert one.asks("b", b"n", "non-replayable") == Verdict.FAIL and not one.gate.key_uses
-    one.sync()
-    assert one.crash().asks("c", b"n", "non-replayable") == Verdict.FAIL
-
-
-def test_what_a_process_before_sent_without_a_store_is_kept_from_now_on():
-    one = Plain()
-    one.gate.adopt("r", b"x", "replayable", 5, 1)
-    assert not one.records
-    one.gate.adopt("a", b"n", "non-replayable", 99_000, 1)
-    one.sync()
-    assert one.crash().asks("b", b"n", "non-replayable") == Verdict.FAIL
-    one.gate.dispatch_ended("a", executed=False)
-    one.sync()
-    assert one.crash().asks("b", b"n", "non-replayable") == Verdict.WAIT
-
-
-def test_an_intent_that_was_packed_reads_the_same():
+            for ended_key, _ in in_flight.values():
+                executed_keys[ended_key] = crashed[ended_key] = True  # it may have been
+            for ended_key in list(executed_keys):
+                crashed[ended_key] = crashed.get(ended_key) or executed_keys[ended_key]
+            in_flight.clear()
+            pending.clear()
+            host = host.crash(random_source.choice([1, 3000]))
+        for token in host.released:
+            record_sent(token, pending.pop(token))
+        for token in host.rejected:
+            del pending[token]
+        host.released.clear()
+        host.rejected.clear()
+    host.time += TIMEOUT
+    host.gate.expire_pending()
+    assert set(host.rejected) == set(pending) and not host.gate.pending
+
+
+def test_a_pending_dispatch_is_rejected_once_another_process_is_found_to_have_sent_it():
+    host, next_host = FakeHost(), FakeHost()
+    assert host.admit("a", b"n", "non-replayable") == Verdict.WAIT
+    assert next_host.admit("b", b"n", "non-replayable") == Verdict.WAIT
+    next_host.sync()
+    host.gate.merge_intents(recover_state([Record(*next_host.records[0])], host.time, 60_000).intents)
+    assert host.rejected == ["a"] and host.admit("c", b"n", "non-replayable") == Verdict.FAIL
+    host.sync()
+    assert host.crash().admit("d", b"n", "non-replayable") == Verdict.FAIL
+
+
+def test_relayed_records_of_an_earlier_process_bar_its_requests_here():
+    host, next_host = FakeHost(), FakeHost()
+    host.admit("a", b"n", "non-replayable")
+    ticket = next_host.gate.write_relayed(*host.records[0])
+    assert ticket == 1 and next_host.admit("b", b"n", "non-replayable") == Verdict.FAIL
+    next_host.gate.write_relayed(RecordKind.INTENT, b"n", None)  # it was surely not executed
+    assert next_host.admit("c", b"n", "non-replayable") == Verdict.WAIT
+
+
+def test_what_was_handed_over_to_a_process_that_died_is_never_sent_again():
+    host = FakeHost()
+    host.admit("a", b"n", "non-replayable")
+    host.sync()
+    host.admit("e", b"m", "non-replayable")
+    host.sync()
+    host.gate.dispatch_ended("e", executed=True)  # its client's connection ended first
+    host.gate.dispatches_lost([("a", b"n"), ("e", b"m"), ("of nobody", b"x")])
+    assert host.admit("f", b"m", "non-replayable") == Verdict.FAIL
+    assert host.admit("b", b"n", "non-replayable") == Verdict.FAIL and not host.gate.key_uses
+    host.sync()
+    assert host.crash().admit("c", b"n", "non-replayable") == Verdict.FAIL
+
+
+def test_what_an_earlier_process_sent_without_a_store_is_stored_from_now_on():
+    host = FakeHost()
+    host.gate.adopt("r", b"x", "replayable", 5, 1)
+    assert not host.records
+    host.gate.adopt("a", b"n", "non-replayable", 99_000, 1)
+    host.sync()
+    assert host.crash().admit("b", b"n", "non-replayable") == Verdict.FAIL
+    host.gate.dispatch_ended("a", executed=False)
+    host.sync()
+    assert host.crash().admit("b", b"n", "non-replayable") == Verdict.WAIT
+
+
+def test_a_packed_intent_reads_the_same():
     for effect in record_types.STORED_IDEMPOTENCY:
         assert record_types.unpack_intent(Intent(7, effect, True, 9).pack()) == Intent(7, effect, True, 9)
--- a/tests/test_endpoint_rows.py
+++ b/tests/test_endpoint_rows.py
@@ -1,4 +1,4 @@
-"""Which list of bes holds after a crash, beside a plain model that plays all events again."""
+"""Which endpoint list a start uses after a crash, compared with a replay of all events."""
 
 import random
 
@@ -11,34 +11,34 @@
     return (name, ("127.0.0.1", 9), 0, 0, turn, status, 1.0, 0)
 
 
-def played(events, upto):
-    """The list as of a number: of names to rows."""
-    now = {}
+def replayed(events, upto):
+    """Return the list after the event with a number: rows by name."""
+    current = {}
     for number, (mode, rows) in enumerate(events, 1):
         if number > upto:
             break
         if mode == "full":
-            now = {}
-        for one in rows:
-            now[one[0]] = one
-    return {name: one for name, one in now.items() if one[STATUS_INDEX]}
+            current = {}
+        for endpoint in rows:
+            current[endpoint[0]] = endpoint
+    return {name: endpoint for name, endpoint in current.items() if endpoint[STATUS_INDEX]}
 
 
-def events(chance, count):
+def random_events(random_source, count):
     out = [("full", [row(f"s{name}", 1) for name in range(4)])]
     for turn in range(count):
-        names = chance.sample(range(6), chance.randrange(1, 4))
+        names = random_source.sample(range(6), random_source.randrange(1, 4))
         out.append(
             (
-                "full" if chance.random() < 0.15 else "delta",
-                [row(f"s{name}", chance.choice([0, 1, 2]), turn) for name in names],
+                "full" if random_source.random() < 0.15 else "delta",
+                [row(f"s{name}", random_source.choice([0, 1, 2]), turn) for name in names],
             )
         )
     return out
 
 
-class Kept:
-    """What a store would hold of it, of which all up to a number is down."""
+class FakeStore:
+    """The records that a store has after any event."""
 
     def __init__(self):
         self.writes = []
@@ -50,51 +50,53 @@
         found = {}
         for when, changes in self.writes:
             if when <= number:
-                for key, told in changes.items():
+                for key, stored in changes.items():
                     found.pop(key, None)
-                    if told is not None:
-                        found[key] = told
+                    if stored is not None:
+                        found[key] = stored
         return found
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_any_configuration_from_the_base_on_starts_with_the_list_as_of_what_is_down(seed):
-    chance = random.Random(seed)
-    story = events(chance, 14)
-    base = chance.randrange(1, 8)
-    one, kept = EndpointRows(complete_from=base), Kept()
-    for number in range(base + 1, len(story) + 1):
-        mode, rows = story[number - 1]
-        kept.add(number, one.apply(mode, rows, number))
-    for last in range(base, len(story) + 1):
-        for known in range(1, len(story) + 1):
-            two = EndpointRows()
-            two.restore(kept.at(last), base)
-            told, ask = two.starting_point(known, last)
-            now = played(story, known)  # as the configuration has it
-            for mode, rows in told:
-                now = {} if mode == "full" else now
-                now.update((one[0], one) for one in rows)
-                now = {name: one for name, one in now.items() if one[STATUS_INDEX]}
-            if known < base:
-                assert not told and ask == known and two.complete_from == known
+def test_any_configuration_from_the_first_complete_event_on_starts_with_the_durable_list(seed):
+    random_source = random.Random(seed)
+    log_events = random_events(random_source, 14)
+    base = random_source.randrange(1, 8)
+    endpoint_rows, store = EndpointRows(complete_from=base), FakeStore()
+    for number in range(base + 1, len(log_events) + 1):
+        mode, rows = log_events[number - 1]
+        store.add(number, endpoint_rows.apply(mode, rows, number))
+    for last in range(base, len(log_events) + 1):
+        for configured in range(1, len(log_events) + 1):
+            restored = EndpointRows()
+            restored.restore(store.at(last), base)
+            events_to_apply, read_after = restored.starting_point(configured, last)
+            current = replayed(log_events, configured)  # as the configuration has it
+            for mode, rows in events_to_apply:
+                current = {} if mode == "full" else current
+                current.update((endpoint[0], endpoint) for endpoint in rows)
+                current = {name: endpoint for name, endpoint in current.items() if endpoint[STATUS_INDEX]}
+            if configured < base:
+                assert (
+                    not events_to_apply and read_after == configured and restored.complete_from == configured
+                )
             else:
-                assert now == played(story, max(known, last)) and ask == last
+                assert current == replayed(log_events, max(configured, last)) and read_after == last
 
 
-def test_without_a_number_down_the_log_is_asked_from_the_configuration_on():
-    one = EndpointRows()
-    assert one.starting_point(7, 0) == ([], 7) and one.complete_from == 7
+def test_without_a_durable_event_the_change_log_is_read_from_the_configuration_on():
+    endpoint_rows = EndpointRows()
+    assert endpoint_rows.starting_point(7, 0) == ([], 7) and endpoint_rows.complete_from == 7
 
 
-def test_what_is_kept_is_bounded_by_the_bes_told_of():
-    one = EndpointRows(complete_from=1)
+def test_stored_rows_are_bounded_by_the_backends_in_events():
+    endpoint_rows = EndpointRows(complete_from=1)
     for number in range(2, 200):
-        changes = one.apply("delta", [row("a", number % 3)], number)
+        changes = endpoint_rows.apply("delta", [row("a", number % 3)], number)
         assert list(changes) == [b"a"]
-    assert len(one.rows) == 1
-    changes = one.apply("full", [row("b", 1)], 200)
+    assert len(endpoint_rows.rows) == 1
+    changes = endpoint_rows.apply("full", [row("b", 1)], 200)
     assert changes == {FULL_LIST_KEY: (200, ()), b"a": None, b"b": (200, row("b", 1))}
-    assert list(one.rows) == ["b"]
-    again = one.apply("full", [row("b", 2)], 201)
+    assert list(endpoint_rows.rows) == ["b"]
+    again = endpoint_rows.apply("full", [row("b", 2)], 201)
     assert list(again) == [FULL_LIST_KEY, b"b"] and again[b"b"] == (201, row("b", 2))
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -1,4 +1,4 @@
-"""A gateway with a store: killed and started again it knows what it has sent, and the purges it was told."""
+"""A gateway with a store: after a kill and a restart it knows what it has sent, and its purges."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 from rigs.scene import booked
 from rigs.stands import encode, processes, record, serves, silent
 
-STORE = '(store (folder "store") (patience 1s))'  # far above what a busy machine's disk takes
+STORE = '(store (folder "store") (patience 1s))'  # far longer than a busy machine's disk takes
 BOTH = STORE + '(upgrade (handover "h.sock") (limits (starting 5s) (warming 5s) (taking 1s) (committed 1s)))'
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
@@ -25,29 +25,29 @@
         yield make
 
 
-def none_comes(cache, wait=0.3):
+def assert_nothing_sent(cache, wait=0.3):
     time.sleep(wait)
     while not cache.seen.empty():
         assert cache.seen.get()[2][0] != b"do"
 
 
-def test_a_booking_that_may_have_run_is_never_sent_again_after_a_kill(world):
+def test_a_booking_that_may_have_been_executed_is_never_sent_again_after_a_kill(world):
     world = world(silent)
     ref = f"{77:016x}"
     world.asker().ask(b"book", body=b"seat", ref=ref)
     world.caches[0].next()
     world.killed()
     asker = world.asker()
-    tag = asker.ask(b"book", body=b"seat", ref=ref)  # what crossed the end of a connection is sent again
+    tag = asker.ask(b"book", body=b"seat", ref=ref)  # sent again, as it crossed the end of its connection
     assert asker.answer()[:2] == [tag, b"500"]
-    none_comes(world.caches[0])
-    tag = asker.ask(b"book", body=b"seat")  # another one goes its way
+    assert_nothing_sent(world.caches[0])
+    tag = asker.ask(b"book", body=b"seat")  # another one is sent
     _, sock, items = world.caches[0].next()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_MISS", b"ok"))
     assert asker.answer()[:2] == [tag, b"200"]
 
 
-def test_a_uniqued_req_goes_out_again_within_its_window_only(world):
+def test_a_request_with_an_idempotency_key_is_sent_again_only_within_its_window(world):
     world = world(silent)
     world.asker().ask(b"pay", body=b"fare", replay=KEY)
     world.caches[0].next()
@@ -64,10 +64,10 @@
     asker = world.asker()
     tag = asker.ask(b"pay", body=b"fare", replay=KEY)
     assert asker.answer()[:2] == [tag, b"503"]
-    none_comes(world.caches[0])
+    assert_nothing_sent(world.caches[0])
 
 
-def test_what_surely_never_ran_may_be_sent_after_a_kill(world):
+def test_what_was_surely_not_executed_may_be_sent_after_a_kill(world):
     world = world(lambda stand, sock, items: sock.sendall(encode(items[1], b"full", b"-")))
     ref = f"{78:016x}"
     asker = world.asker()
@@ -81,11 +81,11 @@
     assert world.caches[0].next()[2][0] == b"do"
 
 
-def test_a_purge_told_before_the_kill_holds_from_the_first_req_on(world):
+def test_a_purge_received_before_the_kill_holds_from_the_first_request_on(world):
     world = world(serves())
     world.log.add(2, 3, (9).to_bytes(8, "big") + int(time.time() * 1000).to_bytes(8, "big"))
     time.sleep(0.3)
-    world.log.close()  # and nobody tells it again
+    world.log.close()  # so that it is not sent again
     world.log.break_off()
     world.killed()
     asker = world.asker()
@@ -95,8 +95,8 @@
     assert "1 purges" in world.told("store:", 2)
 
 
-def test_a_purge_that_was_told_and_not_yet_down_is_told_again_and_an_older_list_is_not(world):
-    """The configuration of the new start names events that the killed process may not have got down."""
+def test_a_purge_that_was_not_yet_durable_is_received_again_and_an_older_list_is_not(world):
+    """The configuration of the new start is as of an event that the killed process had not stored."""
     world = world(serves(), serves())
     world.log.add(2, 2, record(1, world.caches[0].port))
     time.sleep(0.3)
@@ -117,29 +117,29 @@
     assert world.caches[0].seen.empty()  # the list stays as the configuration has it
 
 
-def test_a_disk_that_does_not_answer_stops_no_read_and_lets_no_booking_out(world):
+def test_a_stalled_disk_delays_no_read_and_sends_no_booking(world):
     world = world(serves(), program=("rigs.slow_disk", "3"), forms='(store (folder "store"))')
     asker = world.asker()
     began = time.monotonic()
     tag = asker.ask(b"book", body=b"seat", allow=2500)
     assert asker.answer()[:2] == [tag, b"503"] and time.monotonic() - began < 2
-    none_comes(world.caches[0], 0.0)
+    assert_nothing_sent(world.caches[0], 0.0)
     tag = asker.ask(key=1)
     assert asker.answer()[:2] == [tag, b"200"]
 
 
-def test_a_second_gateway_on_one_store_is_refused(world, tmp_path):
+def test_a_second_gateway_on_one_store_does_not_start(world, tmp_path):
     world = world(serves())
-    assert f"process {world.process.pid} writes there" in second(world, tmp_path)
+    assert f"process {world.process.pid} writes there" in second_gateway_errors(world, tmp_path)
 
 
-def second(world, tmp_path):
-    """What another gateway says that is started on the same store."""
+def second_gateway_errors(world, tmp_path):
+    """Return the errors of another gateway that is started on the same store."""
     config = json.loads(world.path.read_text())
     config["listen"] = "127.0.0.1:0"
     (tmp_path / "two.json").write_text(json.dumps(config))
     (tmp_path / "two.sexp").write_text(f"(lilacloft {STORE})")
-    words = [
+    command = [
         sys.executable,
         "-m",
         "lilacloft",
@@ -149,7 +149,7 @@
         "--settings",
         str(tmp_path / "two.sexp"),
     ]
-    told = subprocess.run(words, capture_output=True, text=True, timeout=30)
+    told = subprocess.run(command, capture_output=True, text=True, timeout=30)
     assert told.returncode == 2
     return told.stderr
 
@@ -161,8 +161,8 @@
     sock.sendall(encode(items[1], b"data", b"remark=TCP_MISS", body))
 
 
-def ended(world):
-    """Kill whoever is the gateway now, and start it anew."""
+def kill_and_start(world):
+    """Kill the processes of the gateway, and start it again."""
     for pid in processes(str(world.path)):
         os.kill(pid, signal.SIGKILL)
     world.process.wait()
@@ -172,22 +172,22 @@
     world.start()
 
 
-def test_the_store_goes_over_with_what_is_out_and_its_end_is_kept_by_the_new_process(world, tmp_path):
+def test_the_store_is_handed_over_and_the_new_process_stores_the_ends_of_what_is_in_flight(world, tmp_path):
     world = world(silent, forms=BOTH)
     asker, refs = world.asker(), [f"{number:016x}" for number in (81, 82)]
     tags = [asker.ask(b"book", body=b"seat", ref=ref) for ref in refs]
     outs = [world.caches[0].next() for _ in refs]
     outs.sort(key=lambda out: out[2][1])  # as they were asked
     assert world.upgrade() == (True, "")
-    assert "writes there" in second(world, tmp_path)
+    assert "writes there" in second_gateway_errors(world, tmp_path)
     _, sock, items = outs[0]
     answered(sock, items)
     assert asker.answer() == [tags[0], b"200", b"", b"ok"]
     _, sock, items = outs[1]
-    sock.sendall(encode(items[1], b"full", b"-"))  # this one never ran
+    sock.sendall(encode(items[1], b"full", b"-"))  # this one was not executed
     assert asker.answer()[0] == tags[1]
     time.sleep(0.3)
-    ended(world)
+    kill_and_start(world)
     while not world.caches[0].seen.empty():
         world.caches[0].seen.get()
     asker = world.asker()
@@ -197,30 +197,30 @@
     assert world.caches[0].next()[2][0] == b"do"
 
 
-def test_what_stays_with_the_old_process_has_its_records_written_by_the_new_one(world):
+def test_the_new_process_writes_the_records_of_what_stays_with_the_old_one(world):
     world = world(silent, silent, forms=BOTH)
     asker = world.asker()
     ref = f"{83:016x}"
     tag = asker.ask(b"book", body=b"seat", ref=ref)
-    first, sock, items = first_of(world.caches)
+    first, sock, items = first_dispatch(world.caches)
     other = world.caches[first is world.caches[0]]
     thread = threading.Thread(target=lambda: world.upgrade(mode="drain"))
     thread.start()
     world.told("upgrade: letting go")
-    sock.sendall(encode(items[1], b"full", b"-"))  # it never ran: its next dispatch needs another record
+    sock.sendall(encode(items[1], b"full", b"-"))  # not executed: its next dispatch needs another record
     _, sock, items = other.next()
     assert items[0] == b"do"
     answered(sock, items)
     assert asker.answer()[:2] == [tag, b"200"]
     thread.join(10)
-    ended(world)
+    kill_and_start(world)
     asker = world.asker()
     tag = asker.ask(b"book", body=b"seat", ref=ref)
     assert asker.answer()[:2] == [tag, b"500"]
 
 
-def first_of(caches):
-    """The cache that is sent something, with its connection and what it was sent."""
+def first_dispatch(caches):
+    """Return the cache that a request is sent to, its connection and the message."""
     for _ in range(1000):
         for cache in caches:
             while not cache.seen.empty():
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.parametrize("step", ["have", "taken", "orphan"])
-def test_wherever_the_new_process_fails_the_store_goes_on(world, step):
+def test_wherever_the_new_process_fails_the_old_one_goes_on_with_the_store(world, step):
     world = world(silent, forms=BOTH)
     ref = f"{84:016x}"
     world.asker().ask(b"book", body=b"seat", ref=ref)
@@ -242,22 +242,21 @@
         world.told("this process goes on")
     asker = world.asker()
     if step == "taken":
-        # 100 kills under load with an open door found this: what went over with the new process was sent
-        # again by its client to the old one that went on, which took it for a new req
+        # its client sends it again to the old process, which must not take it for a new request
         tag = asker.ask(b"book", body=b"seat", ref=ref)
         assert asker.answer()[:2] == [tag, b"500"]
-        none_comes(world.caches[0])
+        assert_nothing_sent(world.caches[0])
     tag = asker.ask(b"book", body=b"seat")
     _, sock, items = world.caches[0].next()
     answered(sock, items)
     assert asker.answer()[:2] == [tag, b"200"]
-    ended(world)
+    kill_and_start(world)
     asker = world.asker()
     tag = asker.ask(b"book", body=b"seat", ref=ref)
     assert asker.answer()[:2] == [tag, b"500"]
 
 
-def test_what_a_new_process_sent_before_it_died_is_known_to_the_old_one_that_goes_on(world):
+def test_the_old_process_that_goes_on_finds_what_a_new_one_sent_before_it_died(world):
     world = world(silent, forms=BOTH)
     asker = world.asker()
     tag = asker.ask(b"book", body=b"seat")
@@ -278,21 +277,21 @@
     assert asker.answer()[:2] == [tag, b"200"]
 
 
-def test_with_a_disk_that_does_not_answer_nothing_is_handed_over(world):
+def test_with_a_stalled_disk_nothing_is_handed_over(world):
     world = world(silent, forms=BOTH, program=("rigs.slow_disk", "8"))
     asker = world.asker()
     tag = asker.ask(b"book", body=b"seat")
     done, why = world.upgrade()
     assert not done and "disk does not answer" in why
     assert asker.answer()[:2] == [tag, b"503"]
-    none_comes(world.caches[0], 0.0)
+    assert_nothing_sent(world.caches[0], 0.0)
 
 
-def test_a_new_process_without_the_store_is_not_wanted(world, tmp_path):
+def test_a_new_process_without_the_store_is_rejected(world, tmp_path):
     world = world(serves(), forms=BOTH)
     (tmp_path / "none.sexp").write_text('(lilacloft (upgrade (handover "h.sock")))')
-    words = [str(tmp_path / "none.sexp") if word == str(world.settings) else word for word in world.command]
-    done, why = world.upgrade(to=" ".join(words))
+    command = [str(tmp_path / "none.sexp") if word == str(world.settings) else word for word in world.command]
+    done, why = world.upgrade(to=" ".join(command))
     assert not done and "keeps no store instead of" in why
     asker = world.asker()
     tag = asker.ask(b"book", body=b"seat")
@@ -302,13 +301,13 @@
 # --- lists and what was learned ---
 
 
-def test_a_drain_told_before_the_kill_holds_from_the_first_req_on_though_nobody_tells_it_again(world):
+def test_a_drain_received_before_the_kill_holds_from_the_first_request_on_without_the_change_log(world):
     world = world(serves(), serves())
     world.log.add(2, 2, record(1, world.caches[0].port, state=1))
     time.sleep(0.5)
     world.log.close()
     world.log.break_off()
-    world.killed()  # with a configuration that knows of no drain
+    world.killed()  # with a configuration without the drain
     asker = world.asker()
     for key in range(12):
         asker.ask(key=key)
@@ -316,7 +315,7 @@
     assert world.caches[0].seen.empty() and not world.caches[1].seen.empty()
 
 
-def test_what_a_gateway_has_learned_is_in_its_store_and_taken_at_the_next_start(world):
+def test_what_a_gateway_has_learned_is_stored_and_restored_at_the_next_start(world):
     world = world(serves())
     asker = world.asker()
     for key in range(40):
@@ -340,7 +339,7 @@
         if row["kind"] == "learned"
     }
     assert {"router", "link", "vhost clip", "be s-00000001"} <= set(kept)
-    assert 0 < kept["vhost clip"]["work"] < 20_000  # its half of a target at a start
+    assert 0 < kept["vhost clip"]["work"] < 20_000  # half of the latency objective at a start
     asker = world.asker()
     asker.ask(key=1)
     assert asker.answer()[1] == b"200" and "Traceback" not in world.file.read_text()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: what is told as down is there after any crash, and what is not is whole or not there."""
+"""The store: what was reported as durable survives any crash; all else is there as a whole or not at all."""
 
 import random
 import threading
@@ -33,15 +33,15 @@
 
 
 @pytest.mark.parametrize("block", range(8))
-def test_no_crash_on_the_modelled_disk_loses_what_was_told_as_down(block):
+def test_no_crash_on_the_modelled_disk_loses_what_was_reported_as_durable(block):
     assert [line for seed in range(block * 40, block * 40 + 40) for line in crash(seed)] == []
 
 
-def test_syncs_left_out_are_caught():
+def test_omitted_syncs_are_detected():
     assert sum(bool(crash(seed, skips_syncs=True)) for seed in range(20)) == 20
 
 
-def test_a_crash_at_each_step_of_a_compaction_leaves_all_that_was_kept():
+def test_a_crash_at_each_step_of_a_compaction_loses_no_record():
     for step in range(1, 30):
         disk = Disk(step)
         store = Store(disk)
@@ -57,20 +57,20 @@
         except CrashError:
             pass
         disk.restart()
-        again = Store(disk)
-        assert [again.get(1, b"%d" % place) for place in range(10)] == [
+        recovered = Store(disk)
+        assert [recovered.get(1, b"%d" % place) for place in range(10)] == [
             b"%d" % (30 + place) for place in range(10)
         ]
-        assert again.report.damage == [] and again.durable_sequence in (40, 41)
-        assert again.get(2, b"x") in ((b"waits",) if done else (None, b"waits"))
+        assert recovered.report.damage == [] and recovered.durable_sequence in (40, 41)
+        assert recovered.get(2, b"x") in ((b"waits",) if done else (None, b"waits"))
         if done:
             assert len(disk.names()) == 2
             break
     assert done
 
 
-def test_a_value_that_is_about_to_be_replaced_stays_until_its_successor_is_down():
-    """A log turns with something waiting: the snapshot holds what was down, not what waits."""
+def test_a_value_that_is_being_replaced_stays_until_its_successor_is_durable():
+    """A snapshot that is written while records are pending has the durable values, not the pending ones."""
     disk = Disk(1)
     store = Store(disk, segment_bytes=200)
     store.put(1, b"k", b"old" * 100)
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("what", ["append", "sync", "create", "sync_directory", "rename", "remove"])
-def test_after_any_failure_a_new_log_has_all_that_was_not_told_as_down(what):
+def test_after_any_failure_a_new_segment_has_all_pending_records(what):
     disk = Disk(3)
     store = Store(disk, segment_bytes=300)
     for number in range(6):
@@ -101,8 +101,8 @@
     works = getattr(disk, what)
     calls = []
 
-    def fails(*told):
-        calls.append(told)
+    def fails(*arguments):
+        calls.append(arguments)
         raise OSError(5, "Input/output error")
 
     setattr(disk, what, fails)
@@ -121,24 +121,25 @@
     store.commit()
     assert store.durable_sequence == before + 3
     disk.restart()
-    again = Store(disk)
-    assert again.get(1, b"new") == b"y" * 300 and again.get(1, b"more") == b"z" * 300
-    assert all(again.get(1, b"%d" % number) == b"x" * 40 for number in range(6)) and not again.report.damage
+    recovered = Store(disk)
+    assert recovered.get(1, b"new") == b"y" * 300 and recovered.get(1, b"more") == b"z" * 300
+    assert all(recovered.get(1, b"%d" % number) == b"x" * 40 for number in range(6))
+    assert not recovered.report.damage
 
 
-def test_a_flipped_bit_in_the_middle_is_told_and_what_follows_is_kept():
+def test_a_flipped_bit_in_the_middle_is_reported_and_what_follows_is_recovered():
     data, ends = make_log(4000, 3)
-    chance = random.Random(1)
+    random_source = random.Random(1)
     for _ in range(60):
-        place = chance.randrange(framing.FILE_HEADER.size, ends[-2].offset)
-        spoilt = bytearray(data)
-        spoilt[place] ^= 1 << chance.randrange(8)
-        store = Store(MemoryFiles({segment_name(1): bytes(spoilt)}))
+        place = random_source.randrange(framing.FILE_HEADER.size, ends[-2].offset)
+        damaged = bytearray(data)
+        damaged[place] ^= 1 << random_source.randrange(8)
+        store = Store(MemoryFiles({segment_name(1): bytes(damaged)}))
         assert len(store.report.damage) == 1 and "what follows them was kept" in store.report.damage[0]
         assert store.report.frames == len(ends) - 1 and store.durable_sequence == ends[-1].records
 
 
-def test_a_spoilt_head_costs_no_frame_and_an_unknown_version_is_refused():
+def test_a_damaged_header_costs_no_frame_and_an_unknown_version_is_an_error():
     data, ends = make_log(1000, 3)
     store = Store(MemoryFiles({segment_name(1): b"xxxx" + data[4:]}))
     assert store.durable_sequence == ends[-1].records and "no file of a store" in store.report.damage[0]
@@ -147,7 +148,7 @@
         Store(MemoryFiles({segment_name(1): newer}))
 
 
-def test_a_store_of_the_version_before_is_read():
+def test_a_store_of_the_previous_version_is_read():
     records = [Record(1, b"a", b"1"), Record(1, b"b", b"2"), Record(1, b"a", None)]
     data = (
         framing.pack_file_header(1, 1)
@@ -158,7 +159,7 @@
     assert (store.get(1, b"a"), store.get(1, b"b"), store.durable_sequence) == (None, b"2", 3)
 
 
-def test_a_snapshot_that_is_not_whole_is_told_and_the_logs_before_it_are_taken():
+def test_an_incomplete_snapshot_is_reported_and_the_older_segments_are_read():
     disk = Disk(5)
     store = Store(disk)
     for number in range(5):
@@ -168,67 +169,67 @@
     disk.append(
         snapshot_name(2), framing.pack_file_header(2) + framing.pack_frame(6, [Record(1, b"0", b"x")])
     )
-    again = Store(disk)
-    assert again.durable_sequence == 5 and again.report.damage == [f"{snapshot_name(2)}: not whole"]
+    recovered = Store(disk)
+    assert recovered.durable_sequence == 5 and recovered.report.damage == [f"{snapshot_name(2)}: not whole"]
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_two_processes_that_write_by_turns_each_follow_what_the_other_has_committed(seed):
-    """One disk without faults; who does not write looks in at random, also in the midst of the other's work
-    and of its compactions, and must know all before it writes itself."""
-    chance, disk = random.Random(seed), Disk(seed)
-    one, two = Store(disk, segment_bytes=400), Store(disk, segment_bytes=400)
-    want = {}
+def test_two_processes_that_write_by_turns_each_read_what_the_other_has_committed(seed):
+    """One disk without faults. The process that does not write reads at random times, also during the other's
+    writes and compactions, and must have read everything before it writes itself."""
+    random_source, disk = random.Random(seed), Disk(seed)
+    writer, reader = Store(disk, segment_bytes=400), Store(disk, segment_bytes=400)
+    expected = {}
     for turn in range(40):
-        one.catch_up()
-        found = {key: record.value for mine in one.records.values() for key, record in mine.items()}
-        assert (
-            found == want and not one.report.damage and one.durable_sequence == Store(disk).durable_sequence
-        )
-        for step in range(chance.randrange(6)):
-            key, value = b"k%d" % chance.randrange(5), chance.choice([None, b"%d %d" % (turn, step) * 9])
-            one.put(1, key, value)
-            want.pop(key, None)
+        writer.catch_up()
+        found = {key: record.value for mine in writer.records.values() for key, record in mine.items()}
+        assert found == expected and not writer.report.damage
+        assert writer.durable_sequence == Store(disk).durable_sequence
+        for step in range(random_source.randrange(6)):
+            key = b"k%d" % random_source.randrange(5)
+            value = random_source.choice([None, b"%d %d" % (turn, step) * 9])
+            writer.put(1, key, value)
+            expected.pop(key, None)
             if value is not None:
-                want[key] = value
-            if chance.random() < 0.4:
-                one.commit()
-            if chance.random() < 0.1:
-                one.compact()
-            if chance.random() < 0.2:
-                two.catch_up()  # it only reads
-        one.commit()
-        if chance.random() < 0.5:
-            one, two = two, one
-
-
-def test_one_that_follows_keeps_what_waits_after_what_it_found():
+                expected[key] = value
+            if random_source.random() < 0.4:
+                writer.commit()
+            if random_source.random() < 0.1:
+                writer.compact()
+            if random_source.random() < 0.2:
+                reader.catch_up()  # it only reads
+        writer.commit()
+        if random_source.random() < 0.5:
+            writer, reader = reader, writer
+
+
+def test_pending_records_follow_what_catching_up_has_found():
     disk = Disk(1)
-    one, two = Store(disk), Store(disk)
-    one.put(1, b"a", b"of one")
-    one.commit()
-    two.put(1, b"a", b"of two")
-    two.put(1, b"b", b"of two")
-    two.catch_up()
-    assert two.get(1, b"a") == b"of two" and two.durable_sequence == 1
-    two.commit()
+    writer, reader = Store(disk), Store(disk)
+    writer.put(1, b"a", b"of one")
+    writer.commit()
+    reader.put(1, b"a", b"of two")
+    reader.put(1, b"b", b"of two")
+    reader.catch_up()
+    assert reader.get(1, b"a") == b"of two" and reader.durable_sequence == 1
+    reader.commit()
     assert {key: record.value for key, record in Store(disk).records[1].items()} == {
         b"a": b"of two",
         b"b": b"of two",
     }
 
 
-def test_kinds_are_bounded_by_number_and_age_and_a_clock_put_back_lets_nothing_go():
+def test_kinds_are_bounded_by_count_and_age_and_a_clock_set_back_removes_nothing():
     store = Store(Disk(1), {1: RetentionLimit(5, 100)})
     for number in range(8):
         store.put(1, b"%d" % number, b"x", 1000 + number)
     assert store.apply_retention(1010) == 3
     assert [record.key for record in store.records_of(1)] == [b"%d" % n for n in range(3, 8)]
-    assert store.apply_retention(500) == 0  # all of them lie ahead of such a clock
+    assert store.apply_retention(500) == 0  # all of them are in its future
     assert store.apply_retention(1105) == 2
 
 
-def test_a_second_writer_is_refused_in_words(tmp_path, capsys):
+def test_a_second_writer_gets_an_error_that_names_the_first(tmp_path, capsys):
     folder = StoreDirectory(str(tmp_path))
     store = Store(folder)
     store.put(1, b"k", b"v")
@@ -237,12 +238,12 @@
         StoreDirectory(str(tmp_path))
     assert main(["store", "compact", str(tmp_path)]) == 1
     assert "writes there" in capsys.readouterr().err
-    assert main(["store", "check", str(tmp_path)]) == 0  # looking is free
+    assert main(["store", "check", str(tmp_path)]) == 0  # reading needs no lock
     folder.close()
     StoreDirectory(str(tmp_path)).close()
 
 
-def test_the_commands_tell_what_is_wrong_and_drop_nothing_that_is_whole(tmp_path, capsys):
+def test_the_commands_report_damage_and_drop_no_valid_record(tmp_path, capsys):
     folder = StoreDirectory(str(tmp_path))
     store = Store(folder)
     for number in range(20):
@@ -258,10 +259,9 @@
     assert main(["store", "compact", str(tmp_path)]) == 1
     assert "repair first" in capsys.readouterr().err
     assert main(["store", "repair", str(tmp_path)]) == 0
-    told = capsys.readouterr().out
-    assert "19 records kept" in told and (
-        tmp_path / "before-repair-1" / segment_name(1)
-    ).read_bytes() == bytes(data)
+    output = capsys.readouterr().out
+    assert "19 records kept" in output
+    assert (tmp_path / "before-repair-1" / segment_name(1)).read_bytes() == bytes(data)
     assert main(["store", "check", str(tmp_path)]) == 0
     assert main(["store", "dump", str(tmp_path)]) == 0
     assert capsys.readouterr().out.count('"kind": "purge"') == 19
@@ -271,38 +271,38 @@
 # --- group commit ---
 
 
-def test_many_writers_share_a_sync_and_each_is_told_when_its_record_is_down(tmp_path):
+def test_many_writers_share_a_sync_and_each_learns_when_its_record_is_durable(tmp_path):
     folder = StoreDirectory(str(tmp_path))
-    commits = GroupCommitter(Store(folder))
-    told = []
+    committer = GroupCommitter(Store(folder))
+    durable = []
 
     def work(number):
-        told.append(commits.write(Record(1, b"%d" % number, b"v", 0), timeout=20.0))
+        durable.append(committer.write(Record(1, b"%d" % number, b"v", 0), timeout=20.0))
 
     threads = [threading.Thread(target=work, args=(number,)) for number in range(64)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    commits.close()
-    assert told == [True] * 64 and commits.sync_count < 64
+    committer.close()
+    assert durable == [True] * 64 and committer.sync_count < 64
     folder.close()
     assert sum(1 for _ in Store(StoreDirectory(str(tmp_path))).records_of(1)) == 64
 
 
-def test_what_is_too_old_goes_with_a_commit_in_service():
+def test_records_beyond_their_maximum_age_are_removed_with_a_commit():
     disk = Disk(1)
     store = Store(disk, {1: RetentionLimit(100, 50)})
     store.put(1, b"old", b"v", 10)
     store.commit()
-    commits = GroupCommitter(store)
-    assert commits.write(Record(1, b"new", b"v", 100), timeout=20.0)
-    commits.close()
+    committer = GroupCommitter(store)
+    assert committer.write(Record(1, b"new", b"v", 100), timeout=20.0)
+    committer.close()
     disk.restart()
     assert [record.key for record in Store(disk).records_of(1)] == [b"new"]
 
 
-def test_a_disk_that_is_stuck_holds_up_nobody_longer_than_they_say_and_then_goes_on():
+def test_a_stalled_disk_delays_no_writer_beyond_its_timeout_and_commits_go_on_afterwards():
     disk = Disk(1)
     answers = threading.Event()
     sync = disk.sync
@@ -312,17 +312,17 @@
         sync(name)
 
     disk.sync = slow
-    commits = GroupCommitter(Store(disk))
+    committer = GroupCommitter(Store(disk))
     began = time.monotonic()
-    assert commits.write(Record(1, b"k", b"v", 0), timeout=0.1) is False
-    assert 0.05 < time.monotonic() - began < 5 and commits.stalled_for() > 0
+    assert committer.write(Record(1, b"k", b"v", 0), timeout=0.1) is False
+    assert 0.05 < time.monotonic() - began < 5 and committer.stalled_for() > 0
     answers.set()
-    assert commits.write(Record(1, b"k2", b"v", 0), timeout=20.0) is True
-    assert commits.stalled_for() == 0 or commits.stalled_for() < 1
-    commits.close()
+    assert committer.write(Record(1, b"k2", b"v", 0), timeout=20.0) is True
+    assert committer.stalled_for() == 0 or committer.stalled_for() < 1
+    committer.close()
 
 
-def test_a_commit_that_failed_is_told_only_once_it_is_down():
+def test_a_failed_commit_is_reported_only_once_it_is_durable():
     disk = Disk(1)
     sync, failures = disk.sync, [1, 2]
 
@@ -333,24 +333,22 @@
         sync(name)
 
     disk.sync = fails
-    commits = GroupCommitter(Store(disk))
-    assert commits.write(Record(1, b"k", b"v", 0), timeout=20.0) is True
-    assert not failures and commits.sync_count == 1
-    commits.close()
+    committer = GroupCommitter(Store(disk))
+    assert committer.write(Record(1, b"k", b"v", 0), timeout=20.0) is True
+    assert not failures and committer.sync_count == 1
+    committer.close()
     disk.restart()
     assert Store(disk).get(1, b"k") == b"v"
 
 
-# --- what a gateway keeps ---
+# --- what a gateway stores ---
 
 
-def test_what_must_be_down_before_a_dispatch_and_what_a_stuck_disk_does_to_it():
-    assert [needs_durable_intent(one) for one in record_types.STORED_IDEMPOTENCY] == [False, True, True]
+def test_which_dispatches_need_a_durable_intent_and_what_a_stalled_disk_does_to_them():
+    assert list(map(needs_durable_intent, record_types.STORED_IDEMPOTENCY)) == [False, True, True]
     assert verdict_while_pending("replayable", 10**9, 5) == Verdict.SEND
-    assert (
-        verdict_while_pending("non-replayable", 4, 5) == Verdict.WAIT
-        and verdict_while_pending("uniqued", 5, 5) == Verdict.REJECT
-    )
+    assert verdict_while_pending("non-replayable", 4, 5) == Verdict.WAIT
+    assert verdict_while_pending("uniqued", 5, 5) == Verdict.REJECT
 
 
 @pytest.mark.parametrize(
@@ -362,19 +360,19 @@
         ("uniqued", False, 1, 100, "all", True),
         ("uniqued", False, 1, 151, "all", False),
         ("uniqued", False, 1, 51, "all", True),
-        ("uniqued", False, 1, 50, "all", False),  # the clock was put back: its age is not known
+        ("uniqued", False, 1, 50, "all", False),  # the clock was set back: its age is unknown
         ("uniqued", False, 2, 100, "cell", False),
         ("uniqued", False, 1, 100, "cell", True),
     ],
 )
-def test_a_req_that_a_process_before_may_have_sent(effect, over, cell, now, group, may):
+def test_whether_what_an_earlier_process_may_have_sent_is_sent_again(effect, over, cell, now, group, may):
     before, policy = Intent(101 - 50, effect, over, 1), IdempotencyPolicy(effect, 100, group)
     assert record_types.unpack_intent(before.pack()) == before
     assert may_send_again(policy, before, now, cell) is may
     assert may_send_again(policy, None, now, cell)
 
 
-def test_what_is_recovered_bears_nonsense_and_a_clock_put_back():
+def test_recovery_skips_unreadable_records_and_tolerates_a_clock_set_back():
     records = [
         Record(RecordKind.PURGE, record_types.pack_purge_key("00ff"), record_types.pack_time(900)),
         Record(
