--- a/lilacloft/store/gateway_store.py
+++ b/lilacloft/store/gateway_store.py
@@ -98,7 +98,7 @@
             restore_decisions(gateway, self.endpoint_rows, recovered)
         else:
             durability_snapshot.restore(self.gate, inherited.state)
-        self.commits = GroupCommitter(
+        self.committer = GroupCommitter(
             self.store, on_durable=lambda ticket: gateway.post(self._records_durable, ticket)
         )
         gateway.guard = self
@@ -134,13 +134,13 @@
 
     def start(self) -> None:
         """Begin to write: the event loop runs, and this process is the gateway."""
-        self.commits.run_before_writing(self.directory.write_pid)
+        self.committer.run_before_writing(self.directory.write_pid)
         self.background.write()
 
     def close(self) -> None:
         """Commit what is queued and release the lock."""
         if self.relay is None:
-            self.commits.close(CLOSE_TIMEOUT)
+            self.committer.close(CLOSE_TIMEOUT)
         self.directory.close()
 
     # --- handover between processes ---
@@ -153,7 +153,7 @@
         self.withdrawn = [self.pending.pop(token).sent for token in self.gate.withdraw_all()]
         for sent in self.withdrawn:
             self.tokens.pop(sent, None)
-        return "" if self.commits.flush(timeout) else "the store's disk does not answer"
+        return "" if self.committer.flush(timeout) else "the store's disk does not answer"
 
     def export_state(self, calls: Mapping[str, Any]) -> dict[str, Any]:
         """Return what the next process goes on with (durability_snapshot.py), for the requests that are
@@ -184,8 +184,8 @@
         transferred, self.transferred = self.transferred, []
         if other_may_have_written:
             self.gate.dispatches_lost(transferred)
-            self.commits.run_before_writing(self._catch_up)
-            self.commits.run_before_writing(self.directory.write_pid)
+            self.committer.run_before_writing(self._catch_up)
+            self.committer.run_before_writing(self.directory.write_pid)
             if not self.background.is_scheduled():
                 self.background.write()
 
@@ -316,9 +316,9 @@
     def write_record(self, kind: int, key: bytes, value: bytes | None) -> int:
         """Queue a record here, or relay it to the process that writes the store; returns its ticket."""
         if self.relay is None:
-            return self.commits.submit(kind, key, value, self.gateway.time)
+            return self.committer.submit(kind, key, value, self.gateway.time)
         # tickets rise beyond those of our own commits, which are all durable
-        self.last_relay_ticket = max(self.last_relay_ticket, self.commits.last_ticket) + 1
+        self.last_relay_ticket = max(self.last_relay_ticket, self.committer.last_ticket) + 1
         if kind == RecordKind.INTENT:  # the other process has newer records of all other kinds
             self.relay(self.last_relay_ticket, kind, key, value)
         return self.last_relay_ticket
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -243,7 +243,7 @@
         lambda: GatewayStore(world.owner, str(tmp_path / "store"), durability_timeout=5 * TENTHS)
     )
     world.does(guard.start)
-    guard.commits.on_durable = down.put
+    guard.committer.on_durable = down.put
     asker = world.asker()
     tag = asker.ask(b"pay", body=b"x", allow=3000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     until(lambda: guard.gate.pending_order)
