--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -51,7 +51,7 @@
         call.history.until = client_deadline
         gateway.trace.add(call.at, call.name, "arrived", gateway.vhosts[call.vhost]["name"])
         if gateway.guard:
-            gateway.guard.knows(call, request)
+            gateway.guard.note_earlier_execution(call, request)
         if gateway.recorder:
             gateway.recorder.arrived(call)
         gateway.router.request_arrived(request)
--- a/lilacloft/gateway/discovery.py
+++ b/lilacloft/gateway/discovery.py
@@ -49,7 +49,7 @@
         if event[0] == PURGE or number > self.last_applied_event:
             gateway.loop.post(self.apply_event, event, None, gateway.feed.heard)
         if gateway.guard:
-            gateway.loop.post(gateway.guard.heard, event, number)
+            gateway.loop.post(gateway.guard.event_received, event, number)
         if gateway.recorder:
             gateway.loop.post(gateway.recorder.heard, event, number, monotonic_ticks())
 
@@ -77,7 +77,7 @@
         key, group, unix_milliseconds = content
         gateway, stamp = self.gateway, unix_milliseconds * TICKS_PER_MILLISECOND
         if gateway.guard:
-            gateway.guard.purged(key, group, stamp)
+            gateway.guard.object_purged(key, group, stamp)
         now = gateway.clock.time
         gateway.router.object_purged(key, group, now - self.stamps.purge(now, stamp, hearing))
         self._correct_start_times()
--- a/lilacloft/gateway/dispatcher.py
+++ b/lilacloft/gateway/dispatcher.py
@@ -122,7 +122,7 @@
     def _withdraw_from_store(self, sent: Sent) -> bool:
         """Take back an attempt that waits for the disk; False where it does not."""
         guard = self.gateway.guard
-        return bool(guard and guard.drop(sent))
+        return bool(guard and guard.withdraw(sent))
 
     def send_deadline_passed(self, call: Call) -> None:
         """Give a request up at once where it is not out at a backend: nothing may be sent for it any more."""
@@ -177,7 +177,7 @@
         """Tell the store, the records and the planners' agent of an attempt's end."""
         gateway, call = self.gateway, sent.call
         if gateway.guard:
-            gateway.guard.ended(sent, end)
+            gateway.guard.attempt_ended(sent, end)
         if gateway.recorder:
             gateway.recorder.ended(call, sent.backend, end, duration, reply.note, reply.queued, reply.load)
         if gateway.agent:
--- /dev/null
+++ b/lilacloft/store/gateway_store.py
@@ -0,0 +1,346 @@
+"""Connects a gateway's event loop, the durability gate and the disk.
+
+All but the commits runs in the thread of the event loop, which never waits for the disk, except at a
+handover. What an earlier process may have sent is noted on the request, so that the routing decisions apply
+the rules on repeated execution to it.
+"""
+
+from __future__ import annotations
+
+import os
+import time
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
+from typing import Any, NamedTuple, TypeAlias
+
+from loguru import logger
+
+from lilacloft.net.back import Sent
+from lilacloft.net.conn import OUTCOMES, End
+from lilacloft.routing.model import Backend, Idempotency, IdempotencyScope, Outcome, Request
+from lilacloft.routing.units import Ticks
+from lilacloft.store import durability_snapshot
+from lilacloft.store.background_records import BackgroundRecords
+from lilacloft.store.crash_recovery import recover_endpoint_rows, restore_decisions
+from lilacloft.store.durability import DEFAULT_DURABILITY_TIMEOUT, DurabilityGate
+from lilacloft.store.files import StoreDirectory
+from lilacloft.store.group_commit import GroupCommitter
+from lilacloft.store.idempotency import IdempotencyPolicy, Verdict
+from lilacloft.store.log import RetentionLimit, Store
+from lilacloft.store.record_types import EventNumbers, RecordKind, retention_limits
+from lilacloft.store.recovered_state import RecoveredState, recover_state
+
+CLOSE_TIMEOUT = 1.0  # seconds
+NOT_EXECUTED = (Outcome.QUEUE_FULL, Outcome.CONNECT_FAILED, Outcome.UNSENT, Outcome.MISS)
+EARLIER_PROCESS = "earlier"  # name of the backend that stands for the unknown one of an earlier process
+
+# Sends a record to the process that writes the store: ticket, kind, key, value.
+Relay: TypeAlias = Callable[[int, int, bytes, bytes | None], None]
+
+
+class StoreReader:
+    """Reads a store while another process writes it, so that little is left to read when it hands over."""
+
+    def __init__(self, path: str) -> None:
+        self.store = Store(StoreDirectory(path, lock=False))
+
+
+@dataclass
+class InheritedStore:
+    """What the process before has handed over."""
+
+    reader: StoreReader | None  # None: there was nothing to read yet
+    state: Mapping[str, Any]  # of its durability gate (durability_snapshot.py)
+    lock_fd: int  # descriptor with the store's lock
+
+
+class PendingAttempt(NamedTuple):
+    """An attempt that waits for its intent."""
+
+    sent: Sent
+    deadline: Ticks
+
+
+class GatewayStore:
+    """The store of one gateway; the `DurabilityHost` of its gate."""
+
+    def __init__(
+        self,
+        gateway: Any,
+        path: str,
+        durability_timeout: Ticks = DEFAULT_DURABILITY_TIMEOUT,
+        inherited: InheritedStore | None = None,
+    ) -> None:
+        """Open a gateway's store: after an end of any kind, or go on with an inherited one.
+
+        Raises StoreError or OSError.
+        """
+        self.gateway, self.path = gateway, os.path.realpath(path)
+        self.directory = StoreDirectory(path, inherited_lock_fd=inherited.lock_fd if inherited else -1)
+        self.purge_lifetime = gateway.router.freshness.purge_lifetime
+        began = time.monotonic()
+        reader = inherited.reader if inherited else None
+        self.store = self._open_store(reader)
+        recovered = self._recover_state()
+        self._log_recovery(recovered, "followed" if reader else "recovered", time.monotonic() - began)
+        self.gate = DurabilityGate(self, recovered, durability_timeout)
+        self.background = BackgroundRecords(gateway, self.gate, self.write_record, self.purge_lifetime)
+        self.endpoint_rows = recover_endpoint_rows(recovered)
+        self.pending: dict[str, PendingAttempt] = {}  # by token
+        self.tokens: dict[Sent, str] = {}
+        self.withdrawn: list[Sent] = []  # were pending when the gateway was quiesced
+        self.transferred: list[tuple[str, bytes]] = []  # tokens and keys of dispatches that were handed over
+        self.relayed_tickets: dict[int, int] = {}  # tickets of the process before, by ours
+        self.report_relayed: Callable[[int], None] | None = None  # tells it which of them are durable
+        self.relay: Relay | None = None  # set while another process writes the store
+        self.last_relay_ticket = 0
+        if inherited is None:
+            restore_decisions(gateway, self.endpoint_rows, recovered)
+        else:
+            durability_snapshot.restore(self.gate, inherited.state)
+        self.committer = GroupCommitter(
+            self.store, on_durable=lambda ticket: gateway.post(self._records_durable, ticket)
+        )
+        gateway.guard = self
+
+    def _open_store(self, reader: StoreReader | None) -> Store:
+        limits = self._retention_limits()
+        if reader is None:
+            return Store(self.directory, limits)
+        store = reader.store
+        store.directory, store.retention = self.directory, limits
+        store.catch_up()
+        return store
+
+    def _retention_limits(self) -> dict[int, RetentionLimit]:
+        windows = [vhost.get("repeat_window", 0) for vhost in self.gateway.vhosts]
+        return retention_limits(self.purge_lifetime, self.gateway.max_client_timeout, max(windows))
+
+    def _recover_state(self) -> RecoveredState:
+        return recover_state(self.store.all_records(), self.gateway.time, self.purge_lifetime)
+
+    def _log_recovery(self, recovered: RecoveredState, how: str, seconds: float) -> None:
+        report = self.store.report
+        for line in (*report.damage, *report.torn, *recovered.unreadable):
+            logger.warning("store: {}", line)
+        logger.info(
+            "store: {} records {} in {:.0f} ms: {} purges, {} intents",
+            self.store.record_count(),
+            how,
+            1000 * seconds,
+            len(recovered.purges),
+            len(recovered.intents),
+        )
+
+    def start(self) -> None:
+        """Begin to write: the event loop runs, and this process is the gateway."""
+        self.committer.run_before_writing(self.directory.write_pid)
+        self.background.write()
+
+    def close(self) -> None:
+        """Commit what is queued and release the lock."""
+        if self.relay is None:
+            self.committer.close(CLOSE_TIMEOUT)
+        self.directory.close()
+
+    # --- handover between processes ---
+
+    def quiesce(self, timeout: float) -> str:
+        """Stop dispatching and writing until `resume`, or for good.
+
+        Waits for the disk for `timeout` seconds at most. Returns an empty text, or why it failed.
+        """
+        self.withdrawn = [self.pending.pop(token).sent for token in self.gate.withdraw_all()]
+        for sent in self.withdrawn:
+            self.tokens.pop(sent, None)
+        return "" if self.committer.flush(timeout) else "the store's disk does not answer"
+
+    def export_state(self, calls: Mapping[str, Any]) -> dict[str, Any]:
+        """Return what the next process goes on with (durability_snapshot.py), for the requests that are
+        handed over to it, by name."""
+        exported = durability_snapshot.export(self.gate)
+        keys = durability_snapshot.GATE_KEYS
+        in_flight = [pair for pair in exported[keys["in_flight"]] if pair[0].split()[0] in calls]
+        self.transferred = [(token, key) for token, key in in_flight]
+        used = {key for _, key in in_flight}
+        key_name = durability_snapshot.KEY_USE_KEYS["key"]
+        key_uses = [use for use in exported[keys["key_uses"]] if use[key_name] in used]
+        return {**exported, keys["in_flight"]: in_flight, keys["key_uses"]: key_uses}
+
+    def delegate_writes(self, relay: Relay) -> None:
+        """Let the next process write the store. Records of the requests that stay here are relayed to it."""
+        self.relay = relay
+        withdrawn, self.withdrawn = self.withdrawn, []
+        for sent in withdrawn:
+            if sent.call.client in self.gateway.front.clients:
+                self.gateway.report_end(sent, End.UNWRITTEN)
+
+    def resume(self, other_may_have_written: bool) -> None:
+        """Go on as the gateway after a handover that failed."""
+        self.relay = None
+        withdrawn, self.withdrawn = self.withdrawn, []
+        for sent in withdrawn:
+            self.gateway.report_end(sent, End.UNWRITTEN)
+        transferred, self.transferred = self.transferred, []
+        if other_may_have_written:
+            self.gate.dispatches_lost(transferred)
+            self.committer.run_before_writing(self._catch_up)
+            self.committer.run_before_writing(self.directory.write_pid)
+            if not self.background.is_scheduled():
+                self.background.write()
+
+    def _catch_up(self) -> None:
+        """Read what the other process has written; in the writer thread, which owns the store."""
+        self.store.catch_up()
+        self.gateway.post(self.gate.merge_intents, self._recover_state().intents)
+
+    def adopt_attempts(self, attempts: Iterable[Sent]) -> None:
+        """Take over the attempts in flight on connections that were handed over.
+
+        If the process before had no store, they are stored from now on. A handed-over dispatch without an
+        attempt has lost its connection on the way, and may have been executed.
+        """
+        for sent in attempts:
+            token, call = self._token(sent), sent.call
+            if token not in self.gate.in_flight:
+                idempotency = Idempotency(self.gateway.vhosts[call.vhost]["effect"])
+                sent_at = call.request.sent_at
+                self.gate.adopt(token, self._key(call), idempotency, sent_at, sent.backend.cell)
+            if token in self.gate.in_flight:
+                self.tokens[sent] = token
+        for token in set(self.gate.in_flight) - set(self.tokens.values()):
+            self.gate.dispatch_ended(token, True)
+
+    def write_relayed(
+        self, ticket: int, kind: int, key: bytes, value: bytes | None, report: Callable[[int], None]
+    ) -> None:
+        """Write a record for the process before; `report` gets its last ticket that is durable."""
+        self.report_relayed = report
+        self.relayed_tickets[self.gate.write_relayed(kind, key, value)] = ticket
+
+    def relayed_records_durable(self, ticket: int) -> None:
+        """Take in that the next process has made all records up to a relayed one durable."""
+        if self.relay is not None:
+            self.gate.records_durable(ticket)
+
+    def _records_durable(self, ticket: int) -> None:
+        durable = [ours for ours in sorted(self.relayed_tickets) if ours <= ticket]
+        relayed = [self.relayed_tickets.pop(ours) for ours in durable]
+        if relayed and self.report_relayed:
+            self.report_relayed(max(relayed))
+        if self.relay is None:
+            self.gate.records_durable(ticket)
+
+    # --- hooks of the event loop ---
+
+    def note_earlier_execution(self, call: Any, request: Request) -> None:
+        """Note on a request that an earlier process may have had it executed, or another attempt of it."""
+        key = self._key(call)
+        intent = self.gate.intents.get(key)
+        if intent and key in self.gate.earlier_keys and not intent.not_executed:
+            request.first_executed_at = intent.sent_at
+            request.first_executed_by = Backend(EARLIER_PROCESS, zone=-1, cell=intent.cell)
+
+    def dispatch(self, sent: Sent, deadline: Ticks) -> End | None:
+        """Send an attempt, or delay it until its intent is durable; returns how it ended if it did at once.
+
+        `deadline` is when it times out. A pending attempt is dropped early enough for its answer to go out.
+        """
+        token = self._token(sent)
+        verdict = self.gate.admit(
+            token,
+            self._key(sent.call),
+            self._policy(sent.call.vhost),
+            sent.backend.cell,
+            deadline - 2 * self.gateway.granularity,
+        )
+        if verdict == Verdict.SEND:
+            self.tokens[sent] = token
+            return self.gateway.back.dispatch(sent)
+        if verdict == Verdict.WAIT:
+            self.tokens[sent] = token
+            self.pending[token] = PendingAttempt(sent, deadline)
+            self.gateway.call_at(self.gateway.time + (self.gate.next_expiry() or 0), self.gate.expire_pending)
+            return None
+        self.note_earlier_execution(sent.call, sent.call.request)  # may be known only since its arrival
+        return End.UNWRITTEN
+
+    def withdraw(self, sent: Sent) -> bool:
+        """Drop an attempt if it is pending; returns whether it was."""
+        token = self.tokens.get(sent, "")
+        if self.pending.pop(token, None) is None:
+            return False
+        self.gate.withdraw(token)
+        return True
+
+    def attempt_ended(self, sent: Sent, end: End) -> None:
+        """Take in the end of an attempt."""
+        token = self.tokens.pop(sent, None)
+        if token is not None and self.pending.pop(token, None) is None:
+            self.gate.dispatch_ended(token, OUTCOMES[end] not in NOT_EXECUTED)
+
+    def object_purged(self, key: str, group: int, purged_at: Ticks) -> None:
+        """Take in the purge of an object, or of a group if the key is empty."""
+        self.gate.object_purged(key or group, purged_at)
+
+    def event_received(self, event: Any, number: int) -> None:
+        """Take in an event of the change log (net/feed.py), after it was applied."""
+        mode, payload = event
+        if mode != "purge":
+            for key, stored in self.endpoint_rows.apply(mode, payload, number).items():
+                self.write_record(RecordKind.ROW, key, None if stored is None else stored.pack())
+        self.gate.events_applied(EventNumbers(number, self.endpoint_rows.complete_from))
+
+    @staticmethod
+    def _token(sent: Sent) -> str:
+        return f"{sent.call.name} {sent.seq}"
+
+    @staticmethod
+    def _key(call: Any) -> bytes:
+        return (call.replay or call.name).encode()
+
+    def _policy(self, vhost: int) -> IdempotencyPolicy:
+        config = self.gateway.vhosts[vhost]
+        return IdempotencyPolicy(
+            Idempotency(config["effect"]),
+            config.get("repeat_window", 0),
+            IdempotencyScope(config.get("repeat_group", IdempotencyScope.ALL)),
+        )
+
+    # --- DurabilityHost ---
+
+    def now(self) -> Ticks:
+        """Return the time."""
+        return self.gateway.time
+
+    def write_record(self, kind: int, key: bytes, value: bytes | None) -> int:
+        """Queue a record here, or relay it to the process that writes the store; returns its ticket."""
+        if self.relay is None:
+            return self.committer.submit(kind, key, value, self.gateway.time)
+        # tickets rise beyond those of our own commits, which are all durable
+        self.last_relay_ticket = max(self.last_relay_ticket, self.committer.last_ticket) + 1
+        if kind == RecordKind.INTENT:  # the other process has newer records of all other kinds
+            self.relay(self.last_relay_ticket, kind, key, value)
+        return self.last_relay_ticket
+
+    def release(self, token: str) -> None:
+        """Send a pending attempt, unless it is obsolete by now."""
+        sent, deadline = self.pending.pop(token)
+        request = sent.call.request
+        obsolete = sent.call.sent is not sent or request.finished or self.gateway.time >= deadline
+        if obsolete or sent.expired():
+            return self.gateway.report_end(sent, End.UNWRITTEN)
+        sent.at = self.gateway.time  # the wait for the disk does not count as the backend's
+        # the event loop drops the timers of attempts without a connection: this one's may be gone
+        self.gateway.call_at(deadline, self.gateway.attempt_timed_out, sent)
+        end = self.gateway.back.dispatch(sent)
+        if end is not None:
+            self.gateway.report_end(sent, end)
+        return None
+
+    def reject(self, token: str) -> None:
+        """Report a pending attempt as not sent."""
+        sent = self.pending.pop(token).sent
+        # an earlier execution may have become known meanwhile; without it the client would hear of none
+        self.note_earlier_execution(sent.call, sent.call.request)
+        self.gateway.report_end(sent, End.UNWRITTEN)
