--- a/lilacloft/cli/gateway.py
+++ b/lilacloft/cli/gateway.py
@@ -53,7 +53,7 @@
     if supervised:
         if not handover:
             raise click.UsageError("--supervised needs --handover, or a handover in the settings")
-        from lilacloft.upgrade.supervise import Supervisor
+        from lilacloft.handover.supervisor import Supervisor
 
         listen = serving.read(config).get("listen", "")
         host, _, port = str(listen).rpartition(":")
--- a/lilacloft/cli/upgrade.py
+++ b/lilacloft/cli/upgrade.py
@@ -17,8 +17,8 @@
 @click.option("--wait", type=float, default=120.0, metavar="SECONDS", help="for all of it")
 def upgrade(handover: str, to: str, mode: str | None, wait: float) -> int:
     """Replace a gateway while it serves. Code 0 once the new one serves and the old one has ended."""
-    from lilacloft.upgrade.ask import ask
-    from lilacloft.upgrade.form import Phase
+    from lilacloft.handover.messages import Phase
+    from lilacloft.handover.request import ask
 
     def tell(phase: Phase) -> None:
         why = f": {phase.why}" * bool(phase.why)
--- a/lilacloft/upgrade/channel.py
+++ b/lilacloft/handover/channel.py
@@ -14,7 +14,7 @@
 from collections import deque
 from typing import Any
 
-from lilacloft.upgrade.form import HEAD, FormError, Kind, check, frame, head, read
+from lilacloft.handover.messages import HEAD, FormError, Kind, check, frame, head, read
 
 BATCH = 100  # descriptors in one message; the kernel takes 253
 PIECE = 1 << 16
--- a/lilacloft/upgrade/process.py
+++ b/lilacloft/handover/process.py
@@ -12,12 +12,12 @@
 from loguru import logger
 
 from lilacloft.errors import NotWantedError, UnusableError
+from lilacloft.handover import messages
+from lilacloft.handover.channel import BrokenError
+from lilacloft.handover.receiver import Taking
+from lilacloft.handover.sender import Offer, listen
 from lilacloft.net.conn import Conn
 from lilacloft.settings import TENTHS
-from lilacloft.upgrade import form
-from lilacloft.upgrade.channel import BrokenError
-from lilacloft.upgrade.offer import Offer, listen
-from lilacloft.upgrade.take import Taking
 
 Make = Callable[[dict[str, Any], socket.socket | None, bool], Any]
 
@@ -138,14 +138,14 @@
         taking.state()
         given = taking.told.state.store
         guard = (
-            _guard(taking.owner, store, reader=reader, given=form.plain(given), lock=taking.lock)
+            _guard(taking.owner, store, reader=reader, given=messages.plain(given), lock=taking.lock)
             if given
             else _guard(taking.owner, store)
         )
         taking.have()
     except NotWantedError:
         raise
-    except (form.FormError, BrokenError) as wrong:
+    except (messages.FormError, BrokenError) as wrong:
         taking.refuse(str(wrong))
         raise NotWantedError(str(wrong)) from wrong
     except Exception as wrong:
--- a/lilacloft/upgrade/rest.py
+++ b/lilacloft/handover/quiesce.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from typing import Any
 
+from lilacloft.handover import messages, state_transfer
 from lilacloft.net.conn import Conn, End, State
 from lilacloft.net.front import Client
 from lilacloft.routing import snapshot
-from lilacloft.upgrade import carry, form
 
 LOOK = 0.002  # seconds between two looks at what ends by itself
 SLICE = 2000  # entries of the module's table told in one event: some 10 ms
@@ -65,7 +65,7 @@
         owner.feed.gate.acquire()
         self.doors = True
         while True:
-            for conn in (*list(owner.front.clients), *carry.lines(owner)):
+            for conn in (*list(owner.front.clients), *state_transfer.lines(owner)):
                 if conn not in self.held and conn.end is None and conn.state is not State.UNREADABLE:
                     conn.hold()
                     self.held[conn] = False
@@ -79,7 +79,7 @@
                 return "called off"
             now = {
                 conn
-                for conn in (*list(owner.front.clients), *carry.lines(owner))
+                for conn in (*list(owner.front.clients), *state_transfer.lines(owner))
                 if not (isinstance(conn, Client) and conn.state is State.UNREADABLE)
             }
             for conn in list(self.held):
@@ -167,19 +167,19 @@
                 conn.gate.release()
         self.moved = [conn for conn in self.moved if conn not in conns]
 
-    def free_later(self) -> list[tuple[Client, form.Client]]:
+    def free_later(self) -> list[tuple[Client, messages.Client]]:
         """Clients' connections that nothing is open on any more, at rest from now on."""
         out = []
         for client in list(self.owner.front.clients):
-            if not carry.free(client):
+            if not state_transfer.free(client):
                 continue
             was = client in self.held  # no more is read there in any case
             if not was:
                 client.hold()
             client.still()
             self.held[client] = True
-            if carry.free(client):
-                out.append((client, carry.client_told(client, 0)))
+            if state_transfer.free(client):
+                out.append((client, state_transfer.client_told(client, 0)))
             elif was:
                 self._unstill(client)
             else:
--- a/lilacloft/upgrade/take.py
+++ b/lilacloft/handover/receiver.py
@@ -16,11 +16,11 @@
 from loguru import logger
 
 from lilacloft.errors import NotWantedError
-from lilacloft.upgrade import carry, form
-from lilacloft.upgrade.channel import BrokenError, Channel
-from lilacloft.upgrade.form import FormError, Kind
-from lilacloft.upgrade.offer import hello
-from lilacloft.upgrade.phases import Coming
+from lilacloft.handover import messages, state_transfer
+from lilacloft.handover.channel import BrokenError, Channel
+from lilacloft.handover.messages import FormError, Kind
+from lilacloft.handover.phases import Coming
+from lilacloft.handover.sender import hello
 
 PATIENCE = 30.0  # seconds without a word from the old process: its own limits are far below
 DEAD = 0.5  # seconds in which the end of a process that has closed everything is seen
@@ -34,8 +34,8 @@
         self.coming = Coming()
         self.parent = 0
         self.owner: Any = None
-        self.told: carry.Told | None = None
-        self.listed: list[form.Listed] = []
+        self.told: state_transfer.Told | None = None
+        self.listed: list[messages.Listed] = []
         self.listener: socket.socket | None = None
         self.handover: socket.socket | None = None
         self.lock = -1  # of the store
@@ -47,20 +47,20 @@
     def warm(self) -> None:
         """Take the listeners."""
         _, payload = self._next(Kind.WARM)
-        warm = form.read(payload, form.Warm)
-        if warm.least > form.VERSION:
-            raise FormError(f"the old process writes form {warm.least}, {form.VERSION} is read here")
+        warm = messages.read(payload, messages.Warm)
+        if warm.least > messages.VERSION:
+            raise FormError(f"the old process writes form {warm.least}, {messages.VERSION} is read here")
         self.parent, self.listed = warm.parent, warm.listed
         self.listener, self.handover = self.channel.sockets(2)
 
     def table(self) -> None:
         """Take the list and the module's table into the owner made meanwhile, while the old one serves."""
-        self.told = carry.Told(self.owner)
+        self.told = state_transfer.Told(self.owner)
         self.told.warm(self.listed, iter(self._part, []))
 
-    def _part(self) -> list[form.ObjectPart]:
+    def _part(self) -> list[messages.ObjectPart]:
         _, payload = self._next(Kind.TABLE)
-        return form.read(payload, list[form.ObjectPart])
+        return messages.read(payload, list[messages.ObjectPart])
 
     def ready(self) -> None:
         """Ready for the rest."""
@@ -70,9 +70,9 @@
         """Take everything else, and make a whole gateway of it, which does not begin yet."""
         kind, payload = self._next(Kind.STATE)
         began = time.monotonic()
-        state = form.read(payload, form.State)
-        if state.least > form.VERSION:
-            raise FormError(f"the state is of form {state.version}, {form.VERSION} is read here")
+        state = messages.read(payload, messages.State)
+        if state.least > messages.VERSION:
+            raise FormError(f"the state is of form {state.version}, {messages.VERSION} is read here")
         socks = self.channel.sockets(state.sockets - (state.store is not None))
         if state.store is not None:  # after all connections
             self.lock = self.channel.descriptors(1)[0]
@@ -118,14 +118,14 @@
     def refuse(self, why: str) -> None:
         """Say why this one cannot go on."""
         try:
-            self.channel.send(Kind.REFUSE, form.Said(why[:4096]))
+            self.channel.send(Kind.REFUSE, messages.Said(why[:4096]))
         except (BrokenError, FormError):
             logger.error("upgrade: {}", why)
 
     def _next(self, kind: Kind) -> tuple[Kind, bytes]:
         found, payload = self.channel.receive(PATIENCE, (kind, Kind.DISMISS))
         if found is Kind.DISMISS:
-            why = form.read(payload, form.Said).why
+            why = messages.read(payload, messages.Said).why
             self.coming.dismissed(why)
             raise NotWantedError(why)
         return found, payload
@@ -149,16 +149,16 @@
                     PATIENCE, (Kind.LATER, Kind.LEFT, Kind.RELOAD, Kind.STOP, Kind.KEEP)
                 )
                 if kind is Kind.LATER:
-                    told = form.read(payload, form.Client)
+                    told = messages.read(payload, messages.Client)
                     owner.post(self._later, told, self.channel.sockets(1)[0])
                 elif kind is Kind.KEEP:
-                    keep = form.read(payload, form.Keep)
+                    keep = messages.read(payload, messages.Keep)
                     if owner.guard:
                         owner.post(
                             owner.guard.relayed, keep.ticket, keep.kind, keep.key, keep.value, self._down
                         )
                 elif kind is Kind.LEFT:
-                    owner.post(carry.add, owner, form.read(payload, form.Left).counts)
+                    owner.post(state_transfer.add, owner, messages.read(payload, messages.Left).counts)
                 elif kind is Kind.RELOAD:
                     os.kill(os.getpid(), 1)
                 else:
@@ -172,6 +172,6 @@
         with contextlib.suppress(BrokenError):
             self.channel.send(Kind.DOWN, ticket, wait=0.1)
 
-    def _later(self, told: form.Client, sock: socket.socket) -> None:
+    def _later(self, told: messages.Client, sock: socket.socket) -> None:
         client = self.told.client(told, sock)
         client.start()
--- a/lilacloft/upgrade/ask.py
+++ b/lilacloft/handover/request.py
@@ -7,15 +7,15 @@
 import time
 from collections.abc import Callable
 
-from lilacloft.upgrade import form
-from lilacloft.upgrade.channel import BrokenError, Channel
-from lilacloft.upgrade.form import FormError, Kind
+from lilacloft.handover import messages
+from lilacloft.handover.channel import BrokenError, Channel
+from lilacloft.handover.messages import FormError, Kind
 
 CONNECT = 2.0
 
 
 def ask(
-    path: str, to: str, mode: str, tell: Callable[[form.Phase], None], wait: float = 120.0
+    path: str, to: str, mode: str, tell: Callable[[messages.Phase], None], wait: float = 120.0
 ) -> tuple[bool, str]:
     """Replace the gateway that offers a handover at a path; tells each phase as it comes. Returns whether the
     new process serves and the old one has ended, and else why not."""
@@ -28,10 +28,10 @@
         return False, f"{path}: {wrong.strerror or wrong}"
     channel, until, last = Channel(sock), time.monotonic() + wait, "nothing"
     try:
-        channel.send(Kind.ASK, form.Ask(to, mode))
+        channel.send(Kind.ASK, messages.Ask(to, mode))
         while True:
             _, payload = channel.receive(max(0.0, until - time.monotonic()), (Kind.PHASE,))
-            phase = form.read(payload, form.Phase)
+            phase = messages.read(payload, messages.Phase)
             tell(phase)
             last = phase.phase
             if phase.done and not phase.ok:
--- a/lilacloft/upgrade/offer.py
+++ b/lilacloft/handover/sender.py
@@ -22,12 +22,12 @@
 from loguru import logger
 
 from lilacloft import __version__
+from lilacloft.handover import messages, phases, state_transfer
+from lilacloft.handover.channel import BrokenError, Channel
+from lilacloft.handover.messages import FormError, Kind
+from lilacloft.handover.process_arguments import command
+from lilacloft.handover.quiesce import SLICE, Rest
 from lilacloft.routing.model import RejectReason
-from lilacloft.upgrade import carry, form, phases
-from lilacloft.upgrade.channel import BrokenError, Channel
-from lilacloft.upgrade.form import FormError, Kind
-from lilacloft.upgrade.rest import SLICE, Rest
-from lilacloft.upgrade.words import command
 
 ASKERS = 4  # connections to the socket at once; more are closed
 SAYS = 2.0  # seconds in which one that has connected says what it wants
@@ -123,14 +123,14 @@
             if uid not in (0, os.getuid()):
                 raise RefusedError(f"user {uid} may not ask for an upgrade")
             _, payload = control.receive(SAYS, (Kind.ASK,))
-            ask = form.read(payload, form.Ask)
+            ask = messages.read(payload, messages.Ask)
             self._upgrade(ask, control)
         except (FormError, BrokenError, OSError) as wrong:
             logger.warning("handover: process {} is let go: {}", pid, wrong)
         except RefusedError as wrong:
             logger.warning("handover: process {} is refused: {}", pid, wrong)
             with contextlib.suppress(BrokenError):
-                control.send(Kind.PHASE, form.Phase("refused", str(wrong), done=True))
+                control.send(Kind.PHASE, messages.Phase("refused", str(wrong), done=True))
         except Exception:
             logger.exception("handover failed")
             self.on_owner(self._lost, "a fault of ours")
@@ -138,7 +138,7 @@
             control.close()
             self.askers.release()
 
-    def _upgrade(self, ask: form.Ask, control: Channel) -> None:
+    def _upgrade(self, ask: messages.Ask, control: Channel) -> None:
         with self.lock:
             busy = self.leaving.phase != phases.IDLE
             if not busy:
@@ -171,25 +171,27 @@
         """From the start of the new process to its end or ours."""
         kind, payload = self._receive(Kind.HELLO, Kind.REFUSE)
         if kind is Kind.REFUSE:
-            return self.on_owner(self._lost, form.read(payload, form.Said).why)
-        hello = form.read(payload, form.Hello)
+            return self.on_owner(self._lost, messages.read(payload, messages.Said).why)
+        hello = messages.read(payload, messages.Hello)
         own = [vhost["name"] for vhost in self.owner.vhosts]
         why = ""
-        if hello.form < form.VERSION:
+        if hello.form < messages.VERSION:
             why = f"form {hello.form} cannot hold open reqs"
         elif hello.vhosts != own:
             why = f"vhosts {hello.vhosts} are not {own}"
         store = self.owner.guard.path if self.owner.guard else ""
         if store and hello.store != store:  # what was sent there must be known to who goes on
             raise FormError(f"the new process keeps {hello.store or 'no store'} instead of {store}")
-        if hello.form < form.LEAST:
-            raise FormError(f"lilacloft {hello.version} reads form {hello.form}, not {form.LEAST} or later")
+        if hello.form < messages.LEAST:
+            raise FormError(
+                f"lilacloft {hello.version} reads form {hello.form}, not {messages.LEAST} or later"
+            )
         with self.lock:
             self.leaving.hello(not why, why)
         self._warm()
         kind, payload = self._receive(Kind.READY, Kind.REFUSE)
         if kind is Kind.REFUSE:
-            return self.on_owner(self._lost, form.read(payload, form.Said).why)
+            return self.on_owner(self._lost, messages.read(payload, messages.Said).why)
         with self.lock:
             self.leaving.ready()
         self.on_owner(self._swap)
@@ -200,7 +202,7 @@
                     max(LOOK, min(self.leaving.left(), SAYS)), (Kind.SERVING, Kind.DOWN)
                 )
                 if kind is Kind.DOWN:
-                    self.owner.post(self.owner.guard.relay_down, form.read(payload, int))
+                    self.owner.post(self.owner.guard.relay_down, messages.read(payload, int))
                     continue
                 self.serves = True
                 self.on_owner(self._look, False)
@@ -240,8 +242,10 @@
         owner, channel = self.owner, self.channel
         channel.send(
             Kind.WARM,
-            form.Warm(
-                os.getpid(), mode=self.leaving.mode, listed=self.on_owner(lambda: list(carry.listed(owner)))
+            messages.Warm(
+                os.getpid(),
+                mode=self.leaving.mode,
+                listed=self.on_owner(lambda: list(state_transfer.listed(owner))),
             ),
             (owner.front.sock.fileno(), self.sock.fileno()),
         )
@@ -264,7 +268,7 @@
                 why = self.owner.guard.rest(leaving.left() / 2)
             if why:
                 return leaving.unheld(why)
-            state, self.conns = carry.tell(self.owner, leaving.mode, rest.since())
+            state, self.conns = state_transfer.tell(self.owner, leaving.mode, rest.since())
             self.counted, state.reload = state.counts, self.reloaded
             fds = [conn.sock.fileno() for conn in self.conns]
             if state.store is not None:
@@ -272,7 +276,7 @@
             channel.send(Kind.STATE, state, tuple(fds), leaving.left())
             kind, payload = self._receive(Kind.HAVE, Kind.REFUSE)
             if kind is Kind.REFUSE:
-                raise FormError(form.read(payload, form.Said).why)
+                raise FormError(messages.read(payload, messages.Said).why)
             leaving.have()
             self._receive(Kind.TAKEN)
             leaving.taken()
@@ -357,7 +361,7 @@
         if self.control is not None:
             done = phase in (phases.IDLE, phases.GONE)
             with contextlib.suppress(BrokenError, FormError):
-                told = form.Phase(phase, why[:4096], took, pid, done, phase == phases.GONE)
+                told = messages.Phase(phase, why[:4096], took, pid, done, phase == phases.GONE)
                 self.control.send(Kind.PHASE, told, wait=LOOK)
             if done:
                 self.control = None
@@ -392,7 +396,7 @@
     def _keep(self, ticket: int, kind: int, key: bytes, value: bytes | None) -> None:
         """A record of what is still open here."""
         try:
-            self.channel.send(Kind.KEEP, form.Keep(ticket, kind, key, value), wait=0.1)
+            self.channel.send(Kind.KEEP, messages.Keep(ticket, kind, key, value), wait=0.1)
         except (BrokenError, FormError) as wrong:  # what waits for it is refused when its time is up
             logger.warning("upgrade: a record cannot be handed on: {}", wrong)
 
@@ -406,10 +410,10 @@
     def end(self) -> None:
         left = {
             part: {name: count - self.counted.get(part, {}).get(name, 0) for name, count in own.items()}
-            for part, own in carry.counts(self.owner).items()
+            for part, own in state_transfer.counts(self.owner).items()
         }
         with contextlib.suppress(BrokenError, FormError):
-            self.channel.send(Kind.LEFT, form.Left(left))
+            self.channel.send(Kind.LEFT, messages.Left(left))
         self.owner.gone = True
 
     def kill(self) -> None:
@@ -429,7 +433,7 @@
     def dismiss(self, why: str) -> None:
         if self.channel is not None:
             with contextlib.suppress(BrokenError, FormError):
-                self.channel.send(Kind.DISMISS, form.Said(why[:4096]), wait=LOOK)
+                self.channel.send(Kind.DISMISS, messages.Said(why[:4096]), wait=LOOK)
 
     def _status(self) -> None:
         """Tell a supervisor who the gateway is."""
@@ -438,6 +442,6 @@
                 os.write(self.status, b"gateway %d\n" % os.getpid())
 
 
-def hello(vhosts: list[str], store: str = "") -> form.Hello:
+def hello(vhosts: list[str], store: str = "") -> messages.Hello:
     """What a new process says first."""
-    return form.Hello(__version__, form.VERSION, vhosts, os.path.realpath(store) if store else "")
+    return messages.Hello(__version__, messages.VERSION, vhosts, os.path.realpath(store) if store else "")
--- a/lilacloft/upgrade/carry.py
+++ b/lilacloft/handover/state_transfer.py
@@ -1,7 +1,7 @@
 """Owns the state of a gateway at rest, as it is told to the process that goes on with it and made anew
 there.
 
-`tell` reads an owner whose connections are at rest (lilacloft/upgrade/rest.py); `Told` makes the same of
+`tell` reads an owner whose connections are at rest (lilacloft/handover/quiesce.py); `Told` makes the same of
 what was told. Neither reads, writes or closes anything: connections are but numbers on the way, and whoever
 calls sees to the descriptors. What the decisions go on with is `lilacloft.routing.snapshot`'s.
 """
@@ -11,13 +11,13 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
+from lilacloft.handover import messages
 from lilacloft.net.back import Line, Pool, Sent
 from lilacloft.net.conn import Conn, End, State, Waiting
 from lilacloft.net.front import Call, Client
 from lilacloft.net.tcp_info import bytes_received
 from lilacloft.routing.model import Backend, Request
 from lilacloft.routing.snapshot import give, recall, take
-from lilacloft.upgrade import form
 
 # what goes over as it is, of a client's connection and of a request
 CLIENT_FIELDS = ("said", "offences", "taken", "settled", "used", "moved")
@@ -78,12 +78,12 @@
     }
 
 
-def client_told(client: Client, sock: int) -> form.Client:
+def client_told(client: Client, sock: int) -> messages.Client:
     told = {name: getattr(client, name) for name in CLIENT_FIELDS}
-    return form.Client(**stream(client, sock), **told)
+    return messages.Client(**stream(client, sock), **told)
 
 
-def tell(owner: Any, mode: str, places: Iterable[tuple[str, int]]) -> tuple[form.State, list[Conn]]:
+def tell(owner: Any, mode: str, places: Iterable[tuple[str, int]]) -> tuple[messages.State, list[Conn]]:
     """The state of an owner at rest, and the connections that go over, in the order of their descriptors. In
     mode `whole` all that can go over does; in mode `drain` what nothing is open on."""
     whole = mode == "whole"
@@ -105,7 +105,7 @@
     call_number = {call: place for place, call in enumerate(calls)}
     places = dict.fromkeys(places)
     places.update(((call.key, call.part), None) for call in calls)
-    return form.State(
+    return messages.State(
         mode=mode,
         time=owner.time,
         steady=owner.steady,
@@ -118,7 +118,7 @@
         checks=owner.back.checks,
         clients=[client_told(client, number[client]) for client in clients],
         lines=[
-            form.Line(
+            messages.Line(
                 backend=line.pool.backend.name,
                 host=line.pool.address[0],
                 port=line.pool.address[1],
@@ -132,7 +132,7 @@
             for line in carried
         ],
         calls=[
-            form.Call(
+            messages.Call(
                 client=number[call.client],
                 open=call.client.open.get(call.tag) is call,
                 lines=[line_number.get(line, -1) for line in call.lines],
@@ -146,14 +146,14 @@
     ), conns
 
 
-def kept(owner: Any, calls: Iterable[Call]) -> form.Kept | None:
+def kept(owner: Any, calls: Iterable[Call]) -> messages.Kept | None:
     """What the store's keeper goes on with there."""
     if owner.guard is None:
         return None
     told = owner.guard.told_on({call.name: call for call in calls})
-    return form.Kept(
+    return messages.Kept(
         owner.guard.path,
-        [form.Chain(**chain) for chain in told["chains"]],
+        [messages.Chain(**chain) for chain in told["chains"]],
         *(told[name] for name in ("out", "budgets", "counts")),
     )
 
@@ -185,19 +185,19 @@
     owner.feed.events += told.get("log", {}).get("events", 0)
 
 
-def stamps(owner: Any) -> form.Stamps:
+def stamps(owner: Any) -> messages.Stamps:
     """What is known of the change log's clock, and of starts by it."""
     own = owner.stamps
     starts = {backend: (start.stamp, start.meant, start.revisable) for backend, start in own.starts.items()}
-    return form.Stamps(own.lag, own.at, starts)
+    return messages.Stamps(own.lag, own.at, starts)
 
 
-def listed(owner: Any) -> Iterable[form.Listed]:
+def listed(owner: Any) -> Iterable[messages.Listed]:
     """The list held; of status 0 those that are listed no more but still have something out."""
     for name, backend in owner.backends.items():
         pool = owner.back.pools.get(backend)
         host, port = pool.address if pool else ("", 0)
-        yield form.Listed(
+        yield messages.Listed(
             name,
             host,
             port,
@@ -210,7 +210,7 @@
         )
 
 
-def sents(owner: Any, calls: dict[Call, int], places: dict[Line, int]) -> Iterable[form.Sent]:
+def sents(owner: Any, calls: dict[Call, int], places: dict[Line, int]) -> Iterable[messages.Sent]:
     """What is out: dispatches by their calls, checks by their connections; with the times due for them."""
     until, over = {}, {}
     for when, _, what, told in owner.timers:
@@ -224,7 +224,7 @@
     for sent in out:
         if sent.conn is None and sent not in over and sent not in held:
             continue  # told in this very turn: nothing is owed for it
-        yield form.Sent(
+        yield messages.Sent(
             call=calls.get(sent.call) if sent.call else None,
             backend=sent.backend.name,
             seq=sent.seq,
@@ -243,24 +243,24 @@
 
     def __init__(self, owner: Any) -> None:
         self.owner = owner
-        self.state = form.State()
+        self.state = messages.State()
         self.conns: list[Conn] = []  # to be started once this process is the gateway
         self.again: list[Sent] = []  # dispatches whose connection had not come up: they go out anew
 
-    def warm(self, rows: list[form.Listed], table: Iterable[list[form.ObjectPart]]) -> None:
+    def warm(self, rows: list[messages.Listed], table: Iterable[list[messages.ObjectPart]]) -> None:
         """Make what can be made while the old process still serves: the list, and most of the table."""
         self._list(rows)
         for object_parts in table:
-            recall(self.owner.router, form.plain(object_parts), self.owner.backends)
+            recall(self.owner.router, messages.plain(object_parts), self.owner.backends)
 
-    def make(self, state: form.State, sock: Callable[[int], Any]) -> None:
+    def make(self, state: messages.State, sock: Callable[[int], Any]) -> None:
         """Make everything; `sock` gives the socket of a number. Raises FormError where it does not fit."""
         self.state, owner = state, self.owner
         if state.module is None:
-            raise form.FormError("a state without the module's part")
+            raise messages.FormError("a state without the module's part")
         own = [vhost["name"] for vhost in owner.vhosts]
         if state.calls and state.vhosts != own:
-            raise form.FormError(f"open reqs of vhosts {state.vhosts}, known are {own}")
+            raise messages.FormError(f"open reqs of vhosts {state.vhosts}, known are {own}")
         # the module's time goes on: both processes read the same monotonic clock
         owner.time, owner.steady = state.time, state.steady
         owner._tick()
@@ -268,7 +268,7 @@
             self._list(state.listed)
             if state.stamps:
                 owner.stamps.take(state.stamps.lag, state.stamps.at, state.stamps.starts)
-            given = form.plain(state.module)
+            given = messages.plain(state.module)
             given["vhosts"] = self._by_name(given["vhosts"], state.vhosts, own)
             requests = take(owner.router, given, owner.backends)
             add(owner, state.counts)
@@ -283,7 +283,7 @@
             for told in state.sents:
                 self._sent(told, calls, carried)
         except (KeyError, IndexError, ValueError, TypeError, AttributeError) as wrong:
-            raise form.FormError(f"a state that does not fit together: {wrong!r}") from wrong
+            raise messages.FormError(f"a state that does not fit together: {wrong!r}") from wrong
 
     @staticmethod
     def _by_name(kept: list[Any], names: list[str], own: list[str]) -> list[Any]:
@@ -291,7 +291,7 @@
         by_name = dict(zip(names, kept, strict=False))
         return [by_name.get(name, {}) for name in own]
 
-    def _list(self, listed: list[form.Listed]) -> None:
+    def _list(self, listed: list[messages.Listed]) -> None:
         owner = self.owner
         rows = [
             (
@@ -314,7 +314,7 @@
                     told.name, told.zone, told.kind, told.cell, 0, told.size, told.started
                 )
 
-    def client(self, told: form.Client, sock: Any) -> Client:
+    def client(self, told: messages.Client, sock: Any) -> Client:
         """One client's connection."""
         front = self.owner.front
         client = Client(front, sock)
@@ -324,7 +324,7 @@
         front.clients[client] = None
         return client
 
-    def _stream(self, conn: Conn, told: form.Stream) -> None:
+    def _stream(self, conn: Conn, told: messages.Stream) -> None:
         conn.buffer.feed(told.held)
         conn.backlog.extend(Waiting(at, memoryview(rest), begun=True) for at, rest in told.backlog)
         conn.queued, conn.written, conn.came, conn.begun = told.queued, told.written, told.came, told.begun
@@ -332,7 +332,7 @@
         conn.reached = min((at - len(rest) for at, rest in told.backlog), default=told.queued)
         self.conns.append(conn)
 
-    def _line(self, told: form.Line, sock: Any) -> Line:
+    def _line(self, told: messages.Line, sock: Any) -> Line:
         back, backend = self.owner.back, self.owner.backends[told.backend]
         pool, address = back.pools.get(backend), (told.host, told.port)
         if pool is None or (pool.address, pool.life) != (address, told.life):
@@ -345,7 +345,7 @@
         return line
 
     def _call(
-        self, told: form.Call, request: Request, clients: dict[int, Client], carried: list[Line]
+        self, told: messages.Call, request: Request, clients: dict[int, Client], carried: list[Line]
     ) -> Call:
         call = Call.__new__(Call)
         for name in CALL_FIELDS:
@@ -361,7 +361,7 @@
         self.owner.calls[request] = call
         return call
 
-    def _sent(self, told: form.Sent, calls: list[Call], carried: list[Line]) -> None:
+    def _sent(self, told: messages.Sent, calls: list[Call], carried: list[Line]) -> None:
         owner = self.owner
         call = None if told.call is None else calls[told.call]
         sent = Sent(
--- a/lilacloft/upgrade/supervise.py
+++ b/lilacloft/handover/supervisor.py
@@ -18,8 +18,8 @@
 
 from loguru import logger
 
-from lilacloft.upgrade.watch import Watch
-from lilacloft.upgrade.words import command
+from lilacloft.handover.process_arguments import command
+from lilacloft.handover.watchdog import Watch
 
 SUBREAPER = 36  # prctl(2): workers started by workers come to us when theirs ends
 SIGNALS = {signal.SIGTERM: "TERM", signal.SIGHUP: "HUP", signal.SIGUSR1: "USR1", signal.SIGINT: "TERM"}
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -68,7 +68,7 @@
 
 def serve(path: str | None, **more: Any) -> int:
     """Run one gateway to its end; returns the code. With more than a configuration it can be replaced, or
-    takes over: `lilacloft.upgrade.process.prepare` says what there is."""
+    takes over: `lilacloft.handover.process.prepare` says what there is."""
     threading.stack_size(256 * 1024)
     asked: queue.SimpleQueue[bool] = queue.SimpleQueue()  # its put may interrupt itself, as a signal does
     signal.signal(signal.SIGHUP, lambda *_: asked.put(True))
@@ -104,7 +104,7 @@
 
 def prepare(path: str | None, **more: Any) -> tuple[Any, Callable[[], None] | None]:
     """A gateway that can be replaced; none where it was to take over and is not wanted."""
-    from lilacloft.upgrade import process
+    from lilacloft.handover import process
 
     try:
         return process.prepare(read(path), make, **more)
--- a/rigs/crash.py
+++ b/rigs/crash.py
@@ -19,10 +19,10 @@
 from typing import Any
 
 from lilacloft.__main__ import main
-from lilacloft.upgrade import form, offer
-from lilacloft.upgrade.carry import Told
-from lilacloft.upgrade.phases import Coming
-from lilacloft.upgrade.take import Taking
+from lilacloft.handover import messages, sender
+from lilacloft.handover.phases import Coming
+from lilacloft.handover.receiver import Taking
+from lilacloft.handover.state_transfer import Told
 
 STEPS = (
     "exit",
@@ -68,14 +68,14 @@
         Taking.hello = lambda self, *_: self.channel.sock.sendall(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
     elif step in ("old", "ancient"):
         version = 1 if step == "old" else 0
-        offer.__dict__["hello"] = lambda vhosts, *_: form.Hello("0.3.0", version, vhosts)
-        from lilacloft.upgrade import take
+        sender.__dict__["hello"] = lambda vhosts, *_: messages.Hello("0.3.0", version, vhosts)
+        from lilacloft.handover import receiver
 
-        take.__dict__["hello"] = offer.__dict__["hello"]
+        receiver.__dict__["hello"] = sender.__dict__["hello"]
     elif step == "unreadable":
 
-        def refuse(self: Told, state: form.State, sock: Any) -> None:
-            raise form.FormError("a field that cannot be read")
+        def refuse(self: Told, state: messages.State, sock: Any) -> None:
+            raise messages.FormError("a field that cannot be read")
 
         Told.make = refuse
     elif step == "stuck":
--- a/rigs/demo.py
+++ b/rigs/demo.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from lilacloft.upgrade.ask import ask
+from lilacloft.handover.request import ask
 from rigs.checker import check
 from rigs.load import Load
 from rigs.scene import Scene
--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -8,10 +8,10 @@
 import threading
 import time
 
+from lilacloft.handover import state_transfer
+from lilacloft.handover.quiesce import Rest
 from lilacloft.net.conn import End
 from lilacloft.net.owner import Owner
-from lilacloft.upgrade import carry
-from lilacloft.upgrade.rest import Rest
 from rigs.stands import World
 
 
@@ -114,9 +114,9 @@
     Connections must be `movable`."""
     rest = Rest(world.owner)
     assert world.does(lambda: rest.bring(time.monotonic() + 4, lambda: True)) == ""
-    state, conns = world.does(lambda: carry.tell(world.owner, "whole", []))
+    state, conns = world.does(lambda: state_transfer.tell(world.owner, "whole", []))
     successor = Owner({**world.config, "listen": "127.0.0.1:0"}, follows=True)
-    told = carry.Told(successor)
+    told = state_transfer.Told(successor)
     told.make(state, lambda place: socket.socket(fileno=os.dup(conns[place].sock.fileno())))
     try:
         yield told
--- a/rigs/stands.py
+++ b/rigs/stands.py
@@ -18,8 +18,8 @@
 
 from loguru import logger
 
+from lilacloft.handover.request import ask
 from lilacloft.net.resp import Buffer, encode, listed
-from lilacloft.upgrade.ask import ask
 
 logger.remove()  # threads of earlier tests may log when the test runner's standard error is gone
 
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -19,6 +19,8 @@
 
 from lilacloft import needed
 from lilacloft.config.reader import load
+from lilacloft.handover import messages, state_transfer
+from lilacloft.handover.process_arguments import OWN
 from lilacloft.net import feed
 from lilacloft.net.conn import OUTCOMES, End
 from lilacloft.net.owner import Owner
@@ -45,8 +47,6 @@
 from lilacloft.store.keep import Keeper
 from lilacloft.store.listing import Listing
 from lilacloft.store.log import Store
-from lilacloft.upgrade import carry, form
-from lilacloft.upgrade.words import OWN
 from lilacloft.zones.course import Tally, Told
 
 Plain = dict[str, Any]
@@ -269,18 +269,18 @@
 # --- handover between processes ---
 
 PAYLOADS: dict[int, Any] = {  # by the number of the kind of frame
-    1: form.Ask,
-    2: form.Phase,
-    3: form.Hello,
-    4: form.Warm,
-    5: list[form.ObjectPart],
+    1: messages.Ask,
+    2: messages.Phase,
+    3: messages.Hello,
+    4: messages.Warm,
+    5: list[messages.ObjectPart],
     7: int,
-    8: form.State,
-    13: form.Client,
-    14: form.Said,
-    17: form.Said,
-    18: form.Left,
-    19: form.Keep,
+    8: messages.State,
+    13: messages.Client,
+    14: messages.Said,
+    17: messages.Said,
+    18: messages.Left,
+    19: messages.Keep,
     20: int,
 }
 
@@ -289,10 +289,10 @@
     """Frames one after the other: of each the form's version, its kind's number, and its payload's values."""
     out = []
     while data:
-        size = form.HEAD.size
-        kind, length, crc = form.head(data[:size])
-        payload = form.check(data[size : size + length], crc)
-        value = form.plain(form.read(payload, PAYLOADS[kind])) if kind in PAYLOADS else payload
+        size = messages.HEAD.size
+        kind, length, crc = messages.head(data[:size])
+        payload = messages.check(data[size : size + length], crc)
+        value = messages.plain(messages.read(payload, PAYLOADS[kind])) if kind in PAYLOADS else payload
         out.append([data[4], int(kind), lists(value)])
         data = data[size + length :]
     return out
@@ -300,14 +300,14 @@
 
 def handover_kinds() -> list[int]:
     """The numbers of all kinds of frames."""
-    return [int(kind) for kind in form.Kind]
+    return [int(kind) for kind in messages.Kind]
 
 
 def handover_frame(kind: int, value: Any) -> bytes:
     """One frame of plain values; none or empty bytes for one without a payload."""
     if kind not in PAYLOADS:
-        return form.frame(form.Kind(kind))
-    return form.frame(form.Kind(kind), msgspec.convert(value, PAYLOADS[kind]))
+        return messages.frame(messages.Kind(kind))
+    return messages.frame(messages.Kind(kind), msgspec.convert(value, PAYLOADS[kind]))
 
 
 def process_options() -> list[str]:
@@ -329,7 +329,7 @@
         return lambda *words: None
 
 
-def _taken(state: form.State, config: Plain) -> tuple[Router, list[Request], dict[str, Backend]]:
+def _taken(state: messages.State, config: Plain) -> tuple[Router, list[Request], dict[str, Backend]]:
     """A router that goes on with a state's module, as the next process makes it."""
     router = Router(Idle(state.time), settings(needed.told(config)))
     backends = {one.name: Backend(one.name) for one in state.listed}
@@ -338,11 +338,11 @@
         for one in state.listed
     ]
     router.endpoints_changed("cached", rows)
-    return router, snapshot.take(router, form.plain(state.module), backends), backends
+    return router, snapshot.take(router, messages.plain(state.module), backends), backends
 
 
-def _state(data: bytes) -> form.State:
-    return form.read(data[form.HEAD.size :], form.State)
+def _state(data: bytes) -> messages.State:
+    return messages.read(data[messages.HEAD.size :], messages.State)
 
 
 def state_frame(data: bytes, config: Plain) -> bytes:
@@ -350,13 +350,15 @@
     state = _state(data)
     router, requests, _ = _taken(state, config)
     state.module = snapshot.give(router, requests, list(router.freshness.object_parts))  # type: ignore[assignment]
-    return form.frame(form.Kind.STATE, state)
+    return messages.frame(messages.Kind.STATE, state)
 
 
 def table_frame(data: bytes, config: Plain) -> bytes:
     """The frame of the table's entries of a state that was taken."""
     router, _, _ = _taken(_state(data), config)
-    return form.frame(form.Kind.TABLE, snapshot.give(router, (), list(router.freshness.object_parts))["objs"])
+    return messages.frame(
+        messages.Kind.TABLE, snapshot.give(router, (), list(router.freshness.object_parts))["objs"]
+    )
 
 
 def learned_values(data: bytes, config: Plain, vhosts: list[str]) -> dict[str, list[Any]]:
@@ -488,10 +490,12 @@
     """What a handover says of open effects, as the next process has taken it beside a store, and tells it
     again."""
     keeper = Keeper(Idle(now), _recovered(folder, now, purge_done))  # type: ignore[arg-type]
-    keeper.take(form.plain(msgspec.convert(kept, form.Kept)))
+    keeper.take(messages.plain(msgspec.convert(kept, messages.Kept)))
     told = keeper.give()
-    chains = [form.Chain(**chain) for chain in told["chains"]]
-    return lists(form.plain(form.Kept(kept["folder"], chains, told["out"], told["budgets"], told["counts"])))
+    chains = [messages.Chain(**chain) for chain in told["chains"]]
+    return lists(
+        messages.plain(messages.Kept(kept["folder"], chains, told["out"], told["budgets"], told["counts"]))
+    )
 
 
 def state_through_owner(data: bytes, config: Plain) -> tuple[Plain, bytes]:
@@ -499,16 +503,16 @@
     with the moment of the frame that was taken. The gateway does not run; its sockets lead nowhere."""
     before = _state(data)
     owner = Owner({**config, "listen": "127.0.0.1:0"}, follows=True)
-    told, pairs = carry.Told(owner), [socket.socketpair() for _ in range(before.sockets)]
+    told, pairs = state_transfer.Told(owner), [socket.socketpair() for _ in range(before.sockets)]
     try:
         told.make(before, lambda number: pairs[number][0])
-        after, _ = carry.tell(owner, before.mode, list(owner.router.freshness.object_parts))
+        after, _ = state_transfer.tell(owner, before.mode, list(owner.router.freshness.object_parts))
     finally:
         owner.front.sock.close()
         for one in (one for pair in pairs for one in pair):
             one.close()
     after.time, after.steady = before.time, before.steady
-    return lists(form.plain(after)), form.frame(form.Kind.STATE, after)
+    return lists(messages.plain(after)), messages.frame(messages.Kind.STATE, after)
 
 
 # --- forwarders and planners ---
--- a/rigs/upgrade.py
+++ b/rigs/upgrade.py
@@ -25,9 +25,9 @@
 
 from hdrh.histogram import HdrHistogram
 
+from lilacloft.handover import messages
+from lilacloft.handover.request import ask
 from lilacloft.net.resp import encode
-from lilacloft.upgrade import form
-from lilacloft.upgrade.ask import ask
 from rigs.checker import check
 from rigs.crash import STEPS
 from rigs.load import Load
@@ -128,11 +128,11 @@
         to = "" if step == "fine" else shlex.join([sys.executable, "-m", "rigs.crash", step, *words[3:]])
         if step == "fine":
             to = shlex.join(words)
-        phases: list[form.Phase] = []
+        phases: list[messages.Phase] = []
         held = Held([self.pid])
         held.start()
 
-        def tell(phase: form.Phase) -> None:
+        def tell(phase: messages.Phase) -> None:
             phases.append(phase)
             if phase.pid and phase.pid not in held.pids:
                 held.pids.append(phase.pid)
--- a/tests/test_carried.py
+++ b/tests/test_carried.py
@@ -6,6 +6,7 @@
 import msgspec
 import pytest
 
+from lilacloft.handover import messages
 from lilacloft.net.conn import Conn
 from lilacloft.routing import snapshot
 from lilacloft.routing.concurrency import AdaptiveLimit
@@ -14,7 +15,6 @@
 from lilacloft.routing.router import Router
 from lilacloft.routing.snapshot import give, take
 from lilacloft.routing.virtual_host import VirtualHost
-from lilacloft.upgrade import form
 from rigs.inprocess import handed_over, limits, until
 from rigs.model import SEC, Model, settings, vhost
 from rigs.stands import silent
@@ -25,7 +25,7 @@
 
 def carried(given):
     """What `give` gave, through its form on the way."""
-    return form.plain(form.read(form._write(given), form.Module))
+    return messages.plain(messages.read(messages._write(given), messages.Module))
 
 
 def replace(model, open_reqs):
@@ -160,10 +160,10 @@
         "LIMIT": AdaptiveLimit(1.0, 1.0),
     }
     forms = {
-        "BACKEND": form.Backend,
-        "OBJECT_PART": form.ObjectPart,
-        "REQUEST": form.Request,
-        "LIMIT": form.Limit,
+        "BACKEND": messages.Backend,
+        "OBJECT_PART": messages.ObjectPart,
+        "REQUEST": messages.Request,
+        "LIMIT": messages.Limit,
     }
     for kind, record in records.items():
         keys = getattr(snapshot, f"{kind}_KEYS")
@@ -225,8 +225,8 @@
 
 def state(**more):
     model = Model(settings())
-    return form.State(
-        module=msgspec.convert(copy.deepcopy(give(model.router, (), ())), form.Module),
+    return messages.State(
+        module=msgspec.convert(copy.deepcopy(give(model.router, (), ())), messages.Module),
         time=7,
         last=41,
         **more,
@@ -234,14 +234,14 @@
 
 
 def test_a_newer_writers_fields_are_skipped_and_an_older_ones_have_defaults():
-    plain = form.plain(state())
+    plain = messages.plain(state())
     plain["weather"] = {"rain": True}
     plain["module"]["bes"]["c0"]["mood"] = 3
     del plain["checks"], plain["module"]["due"]
-    found = form.read(form._write(plain), form.State)
+    found = messages.read(messages._write(plain), messages.State)
     assert (found.last, found.checks, found.module.due) == (41, 0, [])
     new = Model(settings())
-    take(new.router, form.plain(found.module), {backend.name: backend for backend in new.caches})
+    take(new.router, messages.plain(found.module), {backend.name: backend for backend in new.caches})
 
 
 @pytest.mark.parametrize(
@@ -254,16 +254,16 @@
     ],
 )
 def test_what_is_no_frame_is_told_apart(spoil, told):
-    data = spoil(form.frame(form.Kind.STATE, state()))
-    with pytest.raises(form.FormError, match=told):
-        _, _, crc = form.head(data[: form.HEAD.size])
-        form.check(data[form.HEAD.size :], crc)
+    data = spoil(messages.frame(messages.Kind.STATE, state()))
+    with pytest.raises(messages.FormError, match=told):
+        _, _, crc = messages.head(data[: messages.HEAD.size])
+        messages.check(data[messages.HEAD.size :], crc)
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x81\xa4time\xa1x", b"\x90" * 9999, b"\x81\xa6module\x01"])
 def test_a_record_that_cannot_be_read_is_an_error_of_the_form(data):
-    with pytest.raises(form.FormError):
-        form.read(data, form.State)
+    with pytest.raises(messages.FormError):
+        messages.read(data, messages.State)
 
 
 def test_what_waits_at_a_handover_keeps_the_window_of_its_effect(in_process, late, monkeypatch):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,10 +11,10 @@
 import msgspec
 import pytest
 
+from lilacloft.handover import messages, state_transfer
 from lilacloft.net.feed import Heard
 from lilacloft.net.owner import Owner
 from lilacloft.net.resp import fields
-from lilacloft.upgrade import carry, form
 from rigs.inprocess import forgets, until
 from rigs.scene import booked
 from rigs.stands import World, record, serves, silent
@@ -148,10 +148,12 @@
     told = ("s-00000001", ("127.0.0.1", world.caches[0].port), 0, 0, 0, 1, 5.0, now - 300)
     world.log.add(3, 2, record(1, world.caches[0].port, started=now - 300))
     until(lambda: world.does(lambda: world.owner.backends["s-00000001"].started))
-    state, _ = world.does(lambda: carry.tell(world.owner, "drain", []))
+    state, _ = world.does(lambda: state_transfer.tell(world.owner, "drain", []))
     successor = Owner({**world.config, "listen": "127.0.0.1:0"}, follows=True)
     try:
-        carry.Told(successor).make(form.read(msgspec.msgpack.encode(state), form.State), [].__getitem__)
+        state_transfer.Told(successor).make(
+            messages.read(msgspec.msgpack.encode(state), messages.State), [].__getitem__
+        )
         started = successor.backends["s-00000001"].started
         assert started == world.owner.backends["s-00000001"].started
         successor.told(("delta", [told]), None, Heard(successor.steady, current=False))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,11 +14,11 @@
 
 import pytest
 
+from lilacloft.handover import messages
+from lilacloft.handover.messages import HEAD, Kind
+from lilacloft.handover.process_arguments import command
+from lilacloft.handover.sender import Offer
 from lilacloft.net.resp import fields, listed
-from lilacloft.upgrade import form
-from lilacloft.upgrade.form import HEAD, Kind
-from lilacloft.upgrade.offer import Offer
-from lilacloft.upgrade.words import command
 from rigs.crash import STEPS
 from rigs.scene import booked
 from rigs.stands import World, encode, record, serves, silent
@@ -305,9 +305,9 @@
     [
         b"GET / HTTP/1.1\r\n\r\n",
         HEAD.pack(b"llup", 2, Kind.STATE, 1 << 31, 0),
-        form.frame(Kind.COMMIT),
-        form.frame(Kind.ASK, {"to": 7}),
-        form.frame(Kind.ASK)[:-1],
+        messages.frame(Kind.COMMIT),
+        messages.frame(Kind.ASK, {"to": 7}),
+        messages.frame(Kind.ASK)[:-1],
         b"",
     ],
 )
@@ -484,7 +484,7 @@
         "msgspec",
         "crc32c",
         "lark",
-        "lilacloft.upgrade",
+        "lilacloft.handover",
         "lilacloft.cli",
         "lilacloft.config",
         "lilacloft.record",
--- a/tests/test_upgrade_core.py
+++ b/tests/test_upgrade_core.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from lilacloft.upgrade import phases
-from lilacloft.upgrade.phases import Coming, Leaving, room
-from lilacloft.upgrade.watch import MOST, Watch
+from lilacloft.handover import phases
+from lilacloft.handover.phases import Coming, Leaving, room
+from lilacloft.handover.watchdog import MOST, Watch
 
 OWN, ALLOWED = {"memory_mb": 40.0, "sockets": 100.0}, {"memory_mb": 192.0, "sockets": 1024.0}
 
