--- a/lilacloft/handover/quiesce.py
+++ b/lilacloft/handover/quiesce.py
@@ -42,7 +42,7 @@
 
     def slice(self, places: list[tuple[str, int]]) -> list[Any]:
         """Some entries of it."""
-        return snapshot.give(self.owner.router, (), places)["objs"]
+        return snapshot.export_object_parts(self.owner.router, places)
 
     def since(self) -> list[tuple[str, int]]:
         """The places that may have changed since `table`: each req moves its own to the end."""
--- a/lilacloft/handover/state_transfer.py
+++ b/lilacloft/handover/state_transfer.py
@@ -17,7 +17,7 @@
 from lilacloft.net.front import Call, Client
 from lilacloft.net.tcp_info import bytes_received
 from lilacloft.routing.model import Backend, Request
-from lilacloft.routing.snapshot import give, recall, take
+from lilacloft.routing.snapshot import export_state, restore_object_parts, restore_state
 
 # what goes over as it is, of a client's connection and of a request
 CLIENT_FIELDS = ("said", "offences", "taken", "settled", "used", "moved")
@@ -113,7 +113,7 @@
         last=owner.feed.last,
         listed=list(listed(owner)),
         stamps=stamps(owner),
-        module=give(owner.router, [call.request for call in calls], places),
+        module=export_state(owner.router, [call.request for call in calls], places),
         counts=counts(owner),
         checks=owner.back.checks,
         clients=[client_told(client, number[client]) for client in clients],
@@ -251,7 +251,7 @@
         """Make what can be made while the old process still serves: the list, and most of the table."""
         self._list(rows)
         for object_parts in table:
-            recall(self.owner.router, messages.plain(object_parts), self.owner.backends)
+            restore_object_parts(self.owner.router, messages.plain(object_parts), self.owner.backends)
 
     def make(self, state: messages.State, sock: Callable[[int], Any]) -> None:
         """Make everything; `sock` gives the socket of a number. Raises FormError where it does not fit."""
@@ -270,7 +270,7 @@
                 owner.stamps.take(state.stamps.lag, state.stamps.at, state.stamps.starts)
             given = messages.plain(state.module)
             given["vhosts"] = self._by_name(given["vhosts"], state.vhosts, own)
-            requests = take(owner.router, given, owner.backends)
+            requests = restore_state(owner.router, given, owner.backends)
             add(owner, state.counts)
             owner.feed.last = max(owner.feed.last, state.last)
             owner.back.checks = state.checks
--- a/lilacloft/routing/snapshot.py
+++ b/lilacloft/routing/snapshot.py
@@ -1,7 +1,10 @@
-"""Owns the state of a gateway's decisions as it goes over to the next process, as plain values: what of each
-record is kept, and how another module goes on with it.
+"""Snapshot of a router's state: export as plain values for the next process or a store, and restore.
 
-It must never decide: what it carries was decided before, and counts the same after.
+Exported is what a rule counts on and what takes long to learn. The rest is sent again by discovery, is
+counted from the open requests, or starts with its defaults. Nothing is decided here.
+
+The keys of the exported values are stored and sent: the tables below pin them, whatever the attributes are
+called. All times are `Ticks` of the gateway's own time.
 """
 
 from __future__ import annotations
@@ -10,12 +13,10 @@
 from typing import Any
 
 from lilacloft.routing.concurrency import AdaptiveLimit
-from lilacloft.routing.model import Backend, ObjectPart, Request
+from lilacloft.routing.model import Backend, ObjectPart, PartKey, Request
 from lilacloft.routing.router import Router
 
-# What the next process goes on with, by record: attribute and the key under which it goes over. It is what a
-# rule counts and what takes long to learn. The rest is told anew, found by counting the open requests, or
-# starts as at a start.
+# By record: each exported attribute and the key under which it is stored and sent.
 ROUTER_KEYS = ("late", "value", "work", "unit", "arrivals", "caught_up", "borne")
 VHOST_KEYS = {"mean_transfer_time": "work", "usual_answer_time": "usual"}
 LIMIT_KEYS = {
@@ -69,16 +70,83 @@
 }
 
 
+# Values of a request's key "way": which limit counts its fill; otherwise the name of its source, or None.
+LINK_FILL_LIMIT = ""
+
+
 def _export(record: Any, keys: Mapping[str, str]) -> dict[str, Any]:
+    """Return a record's exported attributes under their keys."""
     return {key: getattr(record, attribute) for attribute, key in keys.items()}
 
 
 def _restore(record: Any, keys: Mapping[str, str], exported: Mapping[str, Any]) -> None:
+    """Set a record's attributes to exported values; those that were not exported stay."""
     for attribute, key in keys.items():
         if key in exported:
             setattr(record, attribute, exported[key])
 
 
+# --- export ---
+
+
+def export_state(
+    router: Router, requests: list[Request] | tuple[()], part_keys: Iterable[PartKey]
+) -> dict[str, Any]:
+    """Return a router's state as plain values.
+
+    `requests`: the open requests that are exported; others refer to them by their index. `part_keys`: which
+    object parts are exported.
+    """
+    index = {request: position for position, request in enumerate(requests)}
+    return {
+        "router": _export_router(router),
+        "vhosts": [_export(vhost, VHOST_KEYS) for vhost in router.virtual_hosts],
+        "link": _export(router.link_limit, LIMIT_KEYS),
+        "bes": {
+            name: _export_backend(backend, index)
+            for name, backend in _backends_by_name(router, requests).items()
+        },
+        "objs": export_object_parts(router, part_keys),
+        "purges": list(router.freshness.purges.items()),
+        "reqs": [_export_request(request, router.link_limit) for request in requests],
+        "due": [
+            (due_at, index[request], seq)
+            for due_at, _, request, seq in sorted(router.deadlines.deadlines)
+            if request in index
+        ],
+    }
+
+
+def export_object_parts(router: Router, part_keys: Iterable[PartKey]) -> list[dict[str, Any]]:
+    """Return those of the given object parts that the router has, as plain values."""
+    object_parts = router.freshness.object_parts
+    return [
+        {
+            "place": part_key,
+            **_export(object_parts[part_key], OBJECT_PART_KEYS),
+            "home": _name(object_parts[part_key].last_served_by),
+        }
+        for part_key in part_keys
+        if part_key in object_parts
+    ]
+
+
+def _name(backend: Backend | None) -> str | None:
+    return backend and backend.name
+
+
+def _backends_by_name(router: Router, requests: Iterable[Request]) -> dict[str, Backend]:
+    """Return all backends that open requests refer to, also unlisted ones, and all that are listed."""
+    backends = {
+        backend.name: backend
+        for request in requests
+        for backend in (request.backend, request.source, request.first_executed_by, *request.failed_backends)
+        if backend
+    }
+    backends.update((backend.name, backend) for backend in router.pools.backends)
+    return backends
+
+
 def _export_router(router: Router) -> dict[str, Any]:
     return {
         "late": router.outliers.late_share,
@@ -91,6 +159,73 @@
     }
 
 
+def _export_backend(backend: Backend, index: Mapping[Request, int]) -> dict[str, Any]:
+    """Return a backend as plain values. `index`: that of each exported request."""
+    return {
+        **_export(backend, BACKEND_KEYS),
+        "started": backend.started,
+        "way": backend.concurrency_limit and _export(backend.concurrency_limit, LIMIT_KEYS),
+        "reqs": [index[request] for request in backend.requests if request in index],
+        "trial": index.get(backend.canary),
+    }
+
+
+def _export_request(request: Request, link_limit: AdaptiveLimit) -> dict[str, Any]:
+    return {
+        **_export(request, REQUEST_KEYS),
+        "be": _name(request.backend),
+        "source": _name(request.source),
+        "ran_at": _name(request.first_executed_by),
+        "avoid": [backend.name for backend in request.failed_backends],
+        "cached": request.object_part is not None,
+        "way": LINK_FILL_LIMIT
+        if request.fill_limit is link_limit
+        else request.fill_limit and request.source.name,
+    }
+
+
+# --- restore ---
+
+
+def restore_state(
+    router: Router, exported: Mapping[str, Any], backends: Mapping[str, Backend]
+) -> list[Request]:
+    """Continue with an exported state, and return its requests in their order.
+
+    `backends`: by name, those that the endpoint list or a request names. What was exported of an earlier
+    start of a backend is passed over.
+    """
+    _restore_router(router, exported["router"])
+    for vhost, values in zip(router.virtual_hosts, exported["vhosts"], strict=False):
+        _restore(vhost, VHOST_KEYS, values)
+    _restore(router.link_limit, LIMIT_KEYS, exported["link"])
+    for name, values in exported["bes"].items():
+        backend = backends.get(name)
+        if backend and backend.started == values["started"]:
+            _restore_backend(backend, values, 1 / router.settings.gateways)
+    restore_object_parts(router, exported["objs"], backends)
+    purges = router.freshness.purges
+    purges.update((purged, max(at, purges.get(purged, 0))) for purged, at in exported["purges"])
+    requests = [_restore_request(router, values, backends) for values in exported["reqs"]]
+    for name, values in exported["bes"].items():
+        if name in backends:
+            _restore_in_flight(backends[name], values, requests)
+    for due_at, position, seq in exported["due"]:
+        router.deadlines.add(due_at, requests[position], seq)
+    return requests
+
+
+def restore_object_parts(
+    router: Router, object_parts: Iterable[Mapping[str, Any]], backends: Mapping[str, Backend]
+) -> None:
+    """Add exported object parts to the router's, least recently requested first."""
+    for values in object_parts:
+        part_key = tuple(values["place"])
+        object_part = router.freshness.entry(part_key)
+        _restore(object_part, OBJECT_PART_KEYS, values)
+        object_part.last_served_by = backends.get(values["home"])
+
+
 def _restore_router(router: Router, exported: Mapping[str, Any]) -> None:
     values = _export_router(router) | {key: exported[key] for key in ROUTER_KEYS if key in exported}
     router.outliers.late_share = values["late"]
@@ -102,128 +237,38 @@
     router.slow_start.learned_capacity = values["borne"]
 
 
-def give(
-    router: Router, requests: list[Request] | tuple[()], places: Iterable[tuple[str, int]]
-) -> dict[str, Any]:
-    """What the next process goes on with, as plain values: open reqs, and the table at some places."""
-    index = {request: place for place, request in enumerate(requests)}
-    backends = {
-        backend.name: backend
-        for request in requests
-        for backend in (request.backend, request.source, request.first_executed_by, *request.failed_backends)
-        if backend
-    }
-    backends.update((backend.name, backend) for backend in router.pools.backends)
-    object_parts = [
-        (place, router.freshness.object_parts[place])
-        for place in places
-        if place in router.freshness.object_parts
-    ]
-    return {
-        "router": _export_router(router),
-        "vhosts": [_export(vhost, VHOST_KEYS) for vhost in router.virtual_hosts],
-        "link": _export(router.link_limit, LIMIT_KEYS),
-        "bes": {
-            name: {
-                **_export(backend, BACKEND_KEYS),
-                "started": backend.started,
-                "way": backend.concurrency_limit and _export(backend.concurrency_limit, LIMIT_KEYS),
-                "reqs": [index[request] for request in backend.requests if request in index],
-                "trial": index.get(backend.canary),
-            }
-            for name, backend in backends.items()
-        },
-        "objs": [
-            {
-                "place": place,
-                **_export(object_part, OBJECT_PART_KEYS),
-                "home": object_part.last_served_by and object_part.last_served_by.name,
-            }
-            for place, object_part in object_parts
-        ],
-        "purges": list(router.freshness.purges.items()),
-        "reqs": [
-            {
-                **_export(request, REQUEST_KEYS),
-                "be": request.backend and request.backend.name,
-                "source": request.source and request.source.name,
-                "ran_at": request.first_executed_by and request.first_executed_by.name,
-                "avoid": [backend.name for backend in request.failed_backends],
-                "cached": request.object_part is not None,
-                "way": ""
-                if request.fill_limit is router.link_limit
-                else request.fill_limit and request.source.name,
-            }
-            for request in requests
-        ],
-        "due": [
-            (when, index[request], seq)
-            for when, _, request, seq in sorted(router.deadlines.deadlines)
-            if request in index
-        ],
-    }
+def _restore_backend(backend: Backend, exported: Mapping[str, Any], gateway_share: float) -> None:
+    """Restore what was learned of a backend. `gateway_share`: this gateway's share of its capacity."""
+    _restore(backend, BACKEND_KEYS, exported)
+    backend.recent_work = [(at, work) for at, work in backend.recent_work]
+    if exported["way"]:
+        backend.concurrency_limit = backend.concurrency_limit or AdaptiveLimit(1.0, gateway_share)
+        _restore(backend.concurrency_limit, LIMIT_KEYS, exported["way"])
 
 
-def take(router: Router, given: Mapping[str, Any], backends: Mapping[str, Backend]) -> list[Request]:
-    """Go on with what another gave, its list told; returns its reqs. What is of earlier lives is void."""
-    _restore_router(router, given["router"])
-    for vhost, kept in zip(router.virtual_hosts, given["vhosts"], strict=False):
-        _restore(vhost, VHOST_KEYS, kept)
-    _restore(router.link_limit, LIMIT_KEYS, given["link"])
-    for name, kept in given["bes"].items():
-        backend = backends.get(name)
-        if backend and backend.started == kept["started"]:
-            _restore(backend, BACKEND_KEYS, kept)
-            backend.recent_work = [(at, work) for at, work in backend.recent_work]
-            if kept["way"]:
-                backend.concurrency_limit = backend.concurrency_limit or AdaptiveLimit(
-                    1.0, 1 / router.settings.gateways
-                )
-                _restore(backend.concurrency_limit, LIMIT_KEYS, kept["way"])
-    recall(router, given["objs"], backends)
-    router.freshness.purges.update(
-        (what, max(at, router.freshness.purges.get(what, 0))) for what, at in given["purges"]
-    )
-    requests = [_resume(router, kept, backends) for kept in given["reqs"]]
-    for name, kept in given["bes"].items():
-        if name in backends:
-            backends[name].requests = {requests[place]: None for place in kept["reqs"]}
-            backends[name].in_flight_load = sum(request.load_units for request in backends[name].requests)
-            backends[name].canary = None if kept["trial"] is None else requests[kept["trial"]]
-    for when, place, seq in given["due"]:
-        router.deadlines.add(when, requests[place], seq)
-    return requests
+def _restore_in_flight(backend: Backend, exported: Mapping[str, Any], requests: list[Request]) -> None:
+    """Restore which of the exported requests are in flight at a backend."""
+    backend.requests = {requests[position]: None for position in exported["reqs"]}
+    backend.in_flight_load = sum(request.load_units for request in backend.requests)
+    backend.canary = None if exported["trial"] is None else requests[exported["trial"]]
 
 
-def recall(
-    router: Router, object_parts: Iterable[Mapping[str, Any]], backends: Mapping[str, Backend]
-) -> None:
-    """Entries of the table that another process gave, least lately asked first."""
-    for kept in object_parts:
-        place = tuple(kept["place"])
-        object_part = router.freshness.entry(place)
-        _restore(object_part, OBJECT_PART_KEYS, kept)
-        object_part.last_served_by = backends.get(kept["home"])
-
-
-def _resume(router: Router, kept: Mapping[str, Any], backends: Mapping[str, Backend]) -> Request:
-    """One open req of another process, with its dispatch if one is out: the counts it stands in."""
-    request = Request(**{attribute: kept[key] for attribute, key in REQUEST_KEYS.items()})
-    request.backend, request.source, request.first_executed_by = (
-        backends.get(kept["be"]),
-        backends.get(kept["source"]),
-        backends.get(kept["ran_at"]),
-    )
-    request.failed_backends = [backends[name] for name in kept["avoid"] if name in backends]
-    if kept["cached"]:
-        request.object_part = router.freshness.object_parts.setdefault(
-            (request.key, request.part), ObjectPart()
-        )
-    request.fill_limit = (
-        router.link_limit if kept["way"] == "" else request.source.concurrency_limit if kept["way"] else None
-    )
+def _restore_request(router: Router, exported: Mapping[str, Any], backends: Mapping[str, Backend]) -> Request:
+    """Return one open request, counted by the limits that its attempt in flight is subject to."""
+    request = Request(**{attribute: exported[key] for attribute, key in REQUEST_KEYS.items()})
+    request.backend = backends.get(exported["be"])
+    request.source = backends.get(exported["source"])
+    request.first_executed_by = backends.get(exported["ran_at"])
+    request.failed_backends = [backends[name] for name in exported["avoid"] if name in backends]
+    if exported["cached"]:
+        part_key = (request.key, request.part)
+        request.object_part = router.freshness.object_parts.setdefault(part_key, ObjectPart())
+    if exported["way"] == LINK_FILL_LIMIT:
+        request.fill_limit = router.link_limit
+    else:
+        request.fill_limit = request.source.concurrency_limit if exported["way"] else None
     if request.in_flight:
-        for way in (request.backend.concurrency_limit, request.fill_limit):
-            if way:
-                way.in_flight += 1
+        for limit in (request.backend.concurrency_limit, request.fill_limit):
+            if limit:
+                limit.in_flight += 1
     return request
--- a/lilacloft/store/guard.py
+++ b/lilacloft/store/guard.py
@@ -126,7 +126,7 @@
         kept = {key: (at, _read(data)) for key, (at, data) in found.learned.items()}
         names = [vhost["name"] for vhost in owner.vhosts]
         aged = learned.aged(kept, owner.time, names, starts, owner.router.link_limit.limit)
-        snapshot.take(owner.router, aged, owner.backends)
+        snapshot.restore_state(owner.router, aged, owner.backends)
         for what, at in found.purges.items():
             key, group = (what, 0) if isinstance(what, str) else ("", what)
             owner.router.object_purged(key, group, owner.time - owner.stamps.purge(owner.time, at))
@@ -299,7 +299,7 @@
             self.keeper.spent(backend.name, backend.started, backend.recent_work, warm)
         self.seconds += 1
         if self.seconds % LEARNS == 0:
-            given = snapshot.give(owner.router, (), ())
+            given = snapshot.export_state(owner.router, (), ())
             parts = learned.parts(given, [vhost["name"] for vhost in owner.vhosts])
             for key, part in self.changes.since(owner.time, parts).items():
                 self.keep(kinds.LEARNED, key, None if part is None else _write(part))
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -338,7 +338,7 @@
         for one in state.listed
     ]
     router.endpoints_changed("cached", rows)
-    return router, snapshot.take(router, messages.plain(state.module), backends), backends
+    return router, snapshot.restore_state(router, messages.plain(state.module), backends), backends
 
 
 def _state(data: bytes) -> messages.State:
@@ -349,7 +349,7 @@
     """A frame of a state, read, taken into a router, given again by that and written again."""
     state = _state(data)
     router, requests, _ = _taken(state, config)
-    state.module = snapshot.give(router, requests, list(router.freshness.object_parts))  # type: ignore[assignment]
+    state.module = snapshot.export_state(router, requests, list(router.freshness.object_parts))  # type: ignore[assignment]
     return messages.frame(messages.Kind.STATE, state)
 
 
@@ -357,7 +357,7 @@
     """The frame of the table's entries of a state that was taken."""
     router, _, _ = _taken(_state(data), config)
     return messages.frame(
-        messages.Kind.TABLE, snapshot.give(router, (), list(router.freshness.object_parts))["objs"]
+        messages.Kind.TABLE, snapshot.export_object_parts(router, list(router.freshness.object_parts))
     )
 
 
@@ -365,7 +365,7 @@
     """The parts of the learned state that a store keeps of a state that was taken, by key: their values,
     and their bytes in hex."""
     router, _, _ = _taken(_state(data), config)
-    parts = learned.parts(snapshot.give(router, (), ()), vhosts)
+    parts = learned.parts(snapshot.export_state(router, (), ()), vhosts)
     return {key.decode(): [part, msgspec.msgpack.encode(part).hex()] for key, part in parts.items()}
 
 
--- a/tests/test_carried.py
+++ b/tests/test_carried.py
@@ -13,7 +13,7 @@
 from lilacloft.routing.host import Endpoint
 from lilacloft.routing.model import Backend, ObjectPart, Request
 from lilacloft.routing.router import Router
-from lilacloft.routing.snapshot import give, take
+from lilacloft.routing.snapshot import export_state, restore_state
 from lilacloft.routing.virtual_host import VirtualHost
 from rigs.inprocess import handed_over, limits, until
 from rigs.model import SEC, Model, settings, vhost
@@ -24,7 +24,7 @@
 
 
 def carried(given):
-    """What `give` gave, through its form on the way."""
+    """An exported state, encoded and decoded as on its way to the next process."""
     return messages.plain(messages.read(messages._write(given), messages.Module))
 
 
@@ -37,7 +37,7 @@
         for backend in [*model.caches, *model.parents, model.origin]
     }
     places = list(old.freshness.object_parts)
-    given = carried(give(old, open_reqs, places))
+    given = carried(export_state(old, open_reqs, places))
     was = {backend: backends[backend.name] for backend in [*model.caches, *model.parents, model.origin]}
     model.caches = [was[backend] for backend in model.caches]
     model.parents = [was[backend] for backend in model.parents]
@@ -60,7 +60,7 @@
             for backend, (status, started, _) in model.listed.items()
         ],
     )
-    requests = take(model.router, given, backends)
+    requests = restore_state(model.router, given, backends)
     new = dict(zip(open_reqs, requests, strict=True))
     model.history = {
         new.get(request, request): [
@@ -213,10 +213,12 @@
 def test_what_was_learned_of_an_earlier_life_of_a_cache_is_passed_over():
     model = Model(settings())
     model.caches[0].ejected, model.caches[0].consecutive_failures = True, 9
-    given = carried(give(model.router, (), ()))
+    given = carried(export_state(model.router, (), ()))
     new = Model(settings())
     new.list("delta", [(new.caches[0], 1, new.time)])
-    take(new.router, given, {backend.name: backend for backend in [*new.caches, *new.parents, new.origin]})
+    restore_state(
+        new.router, given, {backend.name: backend for backend in [*new.caches, *new.parents, new.origin]}
+    )
     assert not new.caches[0].ejected and new.caches[0].consecutive_failures == 0
 
 
@@ -226,7 +228,7 @@
 def state(**more):
     model = Model(settings())
     return messages.State(
-        module=msgspec.convert(copy.deepcopy(give(model.router, (), ())), messages.Module),
+        module=msgspec.convert(copy.deepcopy(export_state(model.router, (), ())), messages.Module),
         time=7,
         last=41,
         **more,
@@ -241,7 +243,7 @@
     found = messages.read(messages._write(plain), messages.State)
     assert (found.last, found.checks, found.module.due) == (41, 0, [])
     new = Model(settings())
-    take(new.router, messages.plain(found.module), {backend.name: backend for backend in new.caches})
+    restore_state(new.router, messages.plain(found.module), {backend.name: backend for backend in new.caches})
 
 
 @pytest.mark.parametrize(
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -30,7 +30,7 @@
 
 def kept(model):
     """Its parts as they are read from a store, all kept now."""
-    data = msgspec.msgpack.encode(parts(snapshot.give(model.router, (), ()), ["v"]))
+    data = msgspec.msgpack.encode(parts(snapshot.export_state(model.router, (), ()), ["v"]))
     return {
         key: (model.time, part) for key, part in msgspec.msgpack.decode(data, type=dict[bytes, dict]).items()
     }
@@ -46,7 +46,7 @@
         for name, backend in backends.items()
         if backend.concurrency_limit
     }
-    snapshot.take(
+    snapshot.restore_state(
         new.router, aged(kept(model), new.time, ["v"], starts, new.router.link_limit.limit), backends
     )
     return new
