--- a/lilacloft/cli/upgrade.py
+++ b/lilacloft/cli/upgrade.py
@@ -17,19 +17,20 @@
 @click.option("--wait", type=float, default=120.0, metavar="SECONDS", help="for all of it")
 def upgrade(handover: str, to: str, mode: str | None, wait: float) -> int:
     """Replace a gateway while it serves. Code 0 once the new one serves and the old one has ended."""
-    from lilacloft.handover.messages import Phase
-    from lilacloft.handover.request import ask
-
-    def tell(phase: Phase) -> None:
-        why = f": {phase.why}" * bool(phase.why)
-        logger.bind(phase=phase.phase, why=phase.why, took=phase.took, pid=phase.pid).info(
-            "{}{} (the last took {:.0f} ms)", phase.phase.replace("_", " "), why, 1000 * phase.took
+    from lilacloft.handover.messages import PhaseReport
+    from lilacloft.handover.request import request_upgrade
+
+    def log_phase(report: PhaseReport) -> None:
+        seconds = report.previous_phase_seconds
+        reason = f": {report.reason}" * bool(report.reason)
+        logger.bind(phase=report.phase, why=report.reason, took=seconds, pid=report.pid).info(
+            "{}{} (the last took {:.0f} ms)", report.phase.replace("_", " "), reason, 1000 * seconds
         )
 
-    done, why = ask(handover, to, mode or "", tell, wait)
-    if not done:
-        logger.error("not upgraded: {}", why)
-    return 0 if done else 1
+    result = request_upgrade(handover, to, mode or "", log_phase, wait)
+    if not result.succeeded:
+        logger.error("not upgraded: {}", result.reason)
+    return 0 if result.succeeded else 1
 
 
 COMMANDS = (upgrade,)
--- a/lilacloft/handover/__init__.py
+++ b/lilacloft/handover/__init__.py
@@ -1,7 +1,7 @@
-"""Replacing a gateway while it serves: a new process goes on with the listener, connections and state of
-the old.
+"""Replaces a gateway process while it serves: a new process continues with its listening sockets,
+connections, open requests and state.
 
-The package owns the phases of an upgrade, the form in which state goes over, and the supervisor. It must
-never decide where a req goes, never let two processes be the gateway at once, and never close the listener
-on the way.
+The process that is replaced is the sender, the new one the receiver. The package has the phases of a
+handover, the messages between the two, and the supervisor. It never decides where a request goes, never lets
+two processes be the gateway at once, and never closes the listening socket on the way.
 """
--- a/lilacloft/handover/channel.py
+++ b/lilacloft/handover/channel.py
@@ -1,6 +1,8 @@
-"""Owns a Unix socket between two processes of a gateway, or to the upgrade command: frames and descriptors.
+"""A Unix socket between two processes of a gateway, or to the upgrade command, that carries frames and
+descriptors.
 
-It must never wait without a limit, never take more than a frame may hold, and never know what a frame is for.
+No call waits without a limit, and no frame is read that is longer than its kind may be. What a frame is for
+is not known here.
 """
 
 from __future__ import annotations
@@ -12,106 +14,168 @@
 import struct
 import time
 from collections import deque
-from typing import Any
+from typing import Any, NamedTuple
 
-from lilacloft.handover.messages import HEAD, FormError, Kind, check, frame, head, read
+from lilacloft.handover.framing import (
+    HEADER,
+    FormatError,
+    MessageKind,
+    decode,
+    decode_header,
+    encode_frame,
+    verify_payload,
+)
 
-BATCH = 100  # descriptors in one message; the kernel takes 253
-PIECE = 1 << 16
+DESCRIPTORS_PER_MESSAGE = 100  # the kernel takes 253
+READ_BYTES = 1 << 16  # at most in one read
+SEND_TIMEOUT = 5.0  # seconds
+MIN_SOCKET_TIMEOUT = 0.001  # seconds; 0 would make the socket non-blocking
+DESCRIPTOR_BYTES = 4
+PEER_CREDENTIALS = "3i"  # pid, uid, gid
 
 
-class BrokenError(Exception):
-    """The other side has ended, or said nothing in time; the text says which."""
+class ChannelError(Exception):
+    """The other side cannot be talked to; the text says why."""
+
+
+class ChannelClosedError(ChannelError):
+    """The other side has ended."""
+
+
+class ChannelTimeoutError(ChannelError):
+    """Nothing came within the time."""
+
+
+class Peer(NamedTuple):
+    """Who is at the other side, as the kernel knows it."""
+
+    pid: int
+    uid: int
+
+
+class Frame(NamedTuple):
+    """A frame that was received."""
+
+    kind: MessageKind
+    payload: bytes
+
+    def decode(self, message_type: Any) -> Any:
+        """Return its message of a type; raises FormatError if it holds none."""
+        return decode(self.payload, message_type)
 
 
 class Channel:
-    """One end. One thread may send while another receives."""
+    """One end of the channel. One thread may send while another receives."""
 
     def __init__(self, sock: socket.socket) -> None:
+        """Take over a connected socket; `close` closes it."""
         self.sock = sock
-        self.held = bytearray()
-        self.fds: deque[int] = deque()  # received and not yet asked for
-
-    def peer(self) -> tuple[int, int]:
-        """Process and user at the other side, as the kernel knows them."""
-        data = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
-        pid, uid, _ = struct.unpack("3i", data)
-        return pid, uid
-
-    def send(self, kind: Kind, record: Any = None, fds: tuple[int, ...] = (), wait: float = 5.0) -> None:
-        """Write one frame, with descriptors in as many messages as they need before it."""
-        data = memoryview(frame(kind, record))
-        self.sock.settimeout(wait)
-        until = time.monotonic() + wait
+        self._received = bytearray()
+        self._descriptors: deque[int] = deque()  # received, and not taken yet
+
+    def peer(self) -> Peer:
+        """Return the process and the user at the other side."""
+        size = struct.calcsize(PEER_CREDENTIALS)
+        data = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size)
+        pid, uid, _ = struct.unpack(PEER_CREDENTIALS, data)
+        return Peer(pid, uid)
+
+    def send(
+        self,
+        kind: MessageKind,
+        message: Any = None,
+        descriptors: tuple[int, ...] = (),
+        timeout: float = SEND_TIMEOUT,
+    ) -> None:
+        """Write one frame, and its descriptors before it, within a time in seconds.
+
+        Raises ChannelError if the other side does not take it, FormatError if the message is too long.
+        """
+        data = memoryview(encode_frame(kind, message))
+        self.sock.settimeout(timeout)
+        deadline = time.monotonic() + timeout
         try:
-            for at in range(0, len(fds), BATCH):
-                part = fds[at : at + BATCH]
-                more = frame(Kind.SOCKETS, len(part))
-                if self.sock.sendmsg(
-                    [more], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", part))]
-                ) < len(more):
-                    raise BrokenError("the other side does not read")
+            self._send_descriptors(descriptors)
             while data:
-                self.sock.settimeout(max(0.001, until - time.monotonic()))
+                self.sock.settimeout(max(MIN_SOCKET_TIMEOUT, deadline - time.monotonic()))
                 data = data[self.sock.send(data) :]
-        except (OSError, ValueError) as wrong:
-            raise BrokenError(f"cannot be written to: {wrong}") from wrong
-
-    def receive(self, wait: float, among: tuple[Kind, ...] = ()) -> tuple[Kind, bytes]:
-        """The next frame within a time, of one of some kinds; descriptors before it are put by."""
-        until = time.monotonic() + wait
+        except (OSError, ValueError) as error:
+            raise ChannelError(f"cannot be written to: {error}") from error
+
+    def _send_descriptors(self, descriptors: tuple[int, ...]) -> None:
+        """Write descriptors, in as many messages as they need."""
+        for start in range(0, len(descriptors), DESCRIPTORS_PER_MESSAGE):
+            batch = descriptors[start : start + DESCRIPTORS_PER_MESSAGE]
+            frame = encode_frame(MessageKind.DESCRIPTORS, len(batch))
+            rights = (socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", batch))
+            if self.sock.sendmsg([frame], [rights]) < len(frame):
+                raise ChannelError("the other side does not read")
+
+    def receive(self, timeout: float, kinds: tuple[MessageKind, ...] = ()) -> Frame:
+        """Return the next frame within a time in seconds; descriptors before it wait for `take_descriptors`.
+
+        `kinds`: those that are expected; empty: any. Raises ChannelClosedError, ChannelTimeoutError or
+        another ChannelError if none comes, and FormatError if it is not as expected.
+        """
+        deadline = time.monotonic() + timeout
         while True:
-            kind, length, crc = head(self._read(HEAD.size, until))
-            payload = check(self._read(length, until), crc)
-            if kind is Kind.SOCKETS:
-                read(payload, int)
+            header = decode_header(self._read(HEADER.size, deadline))
+            payload = verify_payload(self._read(header.length, deadline), header.checksum)
+            if header.kind is MessageKind.DESCRIPTORS:
+                decode(payload, int)
                 continue
-            if among and kind not in among:
-                raise FormError(f"{kind.name} instead of {' or '.join(one.name for one in among)}")
-            return kind, payload
-
-    def _read(self, count: int, until: float) -> bytes:
-        while len(self.held) < count:
-            left = until - time.monotonic()
-            if left <= 0:
-                raise BrokenError("nothing came in time")
-            self.sock.settimeout(left)
-            try:
-                data, others, _, _ = self.sock.recvmsg(
-                    min(PIECE, max(count - len(self.held), HEAD.size)),
-                    socket.CMSG_SPACE(4 * BATCH),
-                    socket.MSG_CMSG_CLOEXEC,
-                )
-            except TimeoutError:
-                continue  # the socket's limit may have been that of another thread that sends
-            except OSError as wrong:
-                raise BrokenError(f"broken: {wrong}") from wrong
-            for level, kind, inside in others:
-                if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
-                    fds = array.array("i")
-                    fds.frombytes(inside[: len(inside) - len(inside) % fds.itemsize])
-                    self.fds.extend(fds)
-            if not data:
-                raise BrokenError("the other side has ended")
-            self.held += data
-        data = bytes(self.held[:count])
-        del self.held[:count]
+            if kinds and header.kind not in kinds:
+                expected = " or ".join(kind.name for kind in kinds)
+                raise FormatError(f"{header.kind.name} instead of {expected}")
+            return Frame(header.kind, payload)
+
+    def _read(self, size: int, deadline: float) -> bytes:
+        """Return the next bytes, which may have been received before."""
+        while len(self._received) < size:
+            seconds_left = deadline - time.monotonic()
+            if seconds_left <= 0:
+                raise ChannelTimeoutError("nothing came in time")
+            self.sock.settimeout(seconds_left)
+            self._receive_more(size - len(self._received))
+        data = bytes(self._received[:size])
+        del self._received[:size]
         return data
 
-    def sockets(self, count: int) -> list[socket.socket]:
-        """The next descriptors as sockets."""
-        return [socket.socket(fileno=fd) for fd in self.descriptors(count)]
-
-    def descriptors(self, count: int) -> list[int]:
-        """The next descriptors."""
-        if len(self.fds) < count:
-            raise FormError(f"{len(self.fds)} descriptors instead of {count}")
-        return [self.fds.popleft() for _ in range(count)]
+    def _receive_more(self, missing: int) -> None:
+        """Read once from the socket; `missing`: bytes that are waited for."""
+        try:
+            data, ancillary, _, _ = self.sock.recvmsg(
+                min(READ_BYTES, max(missing, HEADER.size)),
+                socket.CMSG_SPACE(DESCRIPTOR_BYTES * DESCRIPTORS_PER_MESSAGE),
+                socket.MSG_CMSG_CLOEXEC,
+            )
+        except TimeoutError:
+            return  # the socket's limit may have been that of another thread that sends
+        except OSError as error:
+            raise ChannelError(f"broken: {error}") from error
+        for level, message_type, content in ancillary:
+            if level == socket.SOL_SOCKET and message_type == socket.SCM_RIGHTS:
+                descriptors = array.array("i")
+                descriptors.frombytes(content[: len(content) - len(content) % descriptors.itemsize])
+                self._descriptors.extend(descriptors)
+        if not data:
+            raise ChannelClosedError("the other side has ended")
+        self._received += data
+
+    def take_sockets(self, count: int) -> list[socket.socket]:
+        """Return the next descriptors that were received as sockets; see `take_descriptors`."""
+        return [socket.socket(fileno=descriptor) for descriptor in self.take_descriptors(count)]
+
+    def take_descriptors(self, count: int) -> list[int]:
+        """Return the next descriptors that were received; raises FormatError if there are fewer."""
+        if len(self._descriptors) < count:
+            raise FormatError(f"{len(self._descriptors)} descriptors instead of {count}")
+        return [self._descriptors.popleft() for _ in range(count)]
 
     def close(self) -> None:
-        """End it; what was not asked for goes with it."""
-        while self.fds:
-            os.close(self.fds.popleft())
+        """Close it, and the descriptors that were not taken."""
+        while self._descriptors:
+            os.close(self._descriptors.popleft())
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
--- /dev/null
+++ b/lilacloft/handover/counters.py
@@ -0,0 +1,44 @@
+"""A gateway's counters: exported with the state, and added to those of the next process."""
+
+from __future__ import annotations
+
+from typing import Any, TypeAlias
+
+GroupedCounts: TypeAlias = dict[str, dict[str, int]]  # by group, then by name
+DISCOVERY_GROUP = "log"
+
+
+def _groups(gateway: Any) -> GroupedCounts:
+    """Return the gateway's own counters but those of discovery, by group."""
+    return {
+        "answers": gateway.counts,
+        "front": gateway.front.counts,
+        "back": gateway.back.counts,
+        "ends": gateway.ends,
+    }
+
+
+def export_counters(gateway: Any) -> GroupedCounts:
+    """Return all counters by group and name."""
+    counts = {group: dict(own) for group, own in _groups(gateway).items()}
+    counts[DISCOVERY_GROUP] = {"connects": gateway.feed.connects, "events": gateway.feed.events}
+    return counts
+
+
+def add_counters(gateway: Any, exported: GroupedCounts) -> None:
+    """Add what another process has counted; counters that this gateway does not have are passed over."""
+    for group, own in _groups(gateway).items():
+        for name, count in exported.get(group, {}).items():
+            if name in own:
+                own[name] += count
+    discovery = exported.get(DISCOVERY_GROUP, {})
+    gateway.feed.connects += discovery.get("connects", 0)
+    gateway.feed.events += discovery.get("events", 0)
+
+
+def counted_since(gateway: Any, exported: GroupedCounts) -> GroupedCounts:
+    """Return what a gateway has counted since its counters were exported."""
+    return {
+        group: {name: count - exported.get(group, {}).get(name, 0) for name, count in counts.items()}
+        for group, counts in export_counters(gateway).items()
+    }
--- a/lilacloft/handover/messages.py
+++ b/lilacloft/handover/messages.py
@@ -1,200 +1,178 @@
-"""Owns the form in which one process tells another: frames with a length and a checksum, and the state's
-records.
-
-It knows no socket. A frame is `head payload`; the head holds a magic word, the form's version, the kind,
-the payload's length and its CRC32C. Payloads are MessagePack of the records below: fields that a reader
-does not know are skipped, fields that a writer did not know have their defaults. Times are whole tenths of
-a millisecond: those of the module in Unix time, those named `steady` of the machine's monotonic clock,
-which both processes share.
+"""Messages between two processes of a gateway, and between a gateway and the upgrade command.
+
+Each message is a MessagePack map of its fields in the order in which they are defined here, by the names that
+`lilacloft.handover.wire_names` pins. `lilacloft.handover.framing` puts messages in frames.
+
+Times are `Ticks` of the gateway's own time unless said otherwise. Monotonic times are of the machine's
+monotonic clock, which both processes share. Connections and requests refer to each other by index.
 """
 
 from __future__ import annotations
 
-import struct
-from enum import IntEnum
-from typing import Any
-
-import msgspec
-from crc32c import crc32c
 from msgspec import UNSET, Struct, UnsetType
 
-from lilacloft.routing import snapshot
-
-VERSION = 2  # of the state; 1 had no lines that go over with what is out on them
-LEAST = 1  # the oldest reader that can go on with what is written now, if only in part
-MAGIC = b"llup"
-HEAD = struct.Struct(">4sBBII")
-
-
-class Kind(IntEnum):
-    """Kinds of frames."""
-
-    ASK = 1  # upgrade command to gateway: Ask
-    PHASE = 2  # gateway to upgrade command: Phase
-    HELLO = 3  # new to old: Hello
-    WARM = 4  # old to new: Warm, with the listeners
-    TABLE = 5  # old to new: some of the table, a list of Obj
-    READY = 6  # new to old
-    SOCKETS = 7  # old to new: so many descriptors, in the order in which the state counts them
-    STATE = 8  # old to new: State
-    HAVE = 9  # new to old
-    COMMIT = 10  # old to new
-    TAKEN = 11  # new to old
-    SERVING = 12  # new to old: its first turn is over
-    LATER = 13  # old to new: a client's connection that has become free since, with its descriptor
-    DISMISS = 14  # old to new: Said
-    RELOAD = 15  # old to new: read the configuration again
-    STOP = 16  # old to new: SIGTERM came
-    REFUSE = 17  # new to old: Said
-    LEFT = 18  # old to new: Left, nothing is left there
-    KEEP = 19  # old to new: Keep, a record of what is still open there
-    DOWN = 20  # new to old: the last ticket of such records that is down
-
-
-MOST = {
-    Kind.STATE: 64 << 20,
-    Kind.TABLE: 8 << 20,
-    Kind.LATER: 1 << 20,
-    Kind.WARM: 4 << 20,
-}  # bytes in a payload
-ELSE = 1 << 16
-
-
-# Keys on the wire, where the attributes here have other names (the decisions': routing/snapshot.py).
-NAMES = {"backend": "be", "backends": "bes", "requests": "reqs", "object_parts": "objs"}
-LIMIT_KEYS = snapshot.LIMIT_KEYS
-BACKEND_KEYS = {**snapshot.BACKEND_KEYS, **NAMES, "concurrency_limit": "way", "canary": "trial"}
-OBJECT_PART_KEYS = {**snapshot.OBJECT_PART_KEYS, "last_served_by": "home"}
-REQUEST_KEYS = {
-    **snapshot.REQUEST_KEYS,
-    **NAMES,
-    "first_executed_by": "ran_at",
-    "failed_backends": "avoid",
-    "fill_limit": "way",
-}
-
-
-class FormError(Exception):
-    """What came is none of the frames or records above; the text says why."""
-
-
-class Ask(Struct):
-    to: str = ""
-    mode: str = ""  # whole or drain; empty: as the gateway's settings say
-
-
-class Phase(Struct):
+from lilacloft.handover import wire_names
+from lilacloft.handover.framing import OLDEST_READER_VERSION, STATE_VERSION
+from lilacloft.routing.units import Ticks
+
+MAX_REASON_CHARACTERS = 4096  # of a text that says why
+
+# --- upgrade command and gateway ---
+
+
+class UpgradeRequest(Struct, rename=wire_names.UPGRADE_REQUEST_KEYS):
+    """Asks a gateway to be replaced."""
+
+    command: str = ""  # what starts the new process; empty: what started this one
+    mode: str = ""  # a HandoverMode; empty: as the gateway's settings say
+
+
+class PhaseReport(Struct, rename=wire_names.PHASE_REPORT_KEYS):
+    """Says that a phase of the handover has begun."""
+
     phase: str
-    why: str = ""
-    took: float = 0.0
-    pid: int = 0
-    done: bool = False  # the last one
-    ok: bool = False
+    reason: str = ""
+    previous_phase_seconds: float = 0.0
+    pid: int = 0  # of the new process; 0: there is none yet
+    is_final: bool = False
+    succeeded: bool = False
+
+
+# --- before the state is sent ---
+
+
+class Reason(Struct, rename=wire_names.REASON_KEYS):
+    """Why a receiver is dismissed, or refuses."""
 
+    reason: str = ""
 
-class Said(Struct):
-    why: str = ""
 
+class Hello(Struct, rename=wire_names.HELLO_KEYS):
+    """The first message of a receiver."""
 
-class Hello(Struct):
     version: str
-    form: int  # the newest state that it reads
+    state_version: int  # the newest that it reads
     vhosts: list[str] = []
-    store: str = ""  # the folder of its store
+    store_folder: str = ""  # empty: it has no store
 
 
-class Listed(Struct):
+class ListedBackend(Struct, rename=wire_names.LISTED_BACKEND_KEYS):
+    """One row of the endpoint list."""
+
     name: str
     host: str
     port: int
     zone: int
     kind: int
     cell: int
-    status: int
-    size: float
-    started: int
+    status: int  # a BackendStatus; GONE: not listed any more, but requests are in flight there
+    capacity: float
+    started: Ticks
+
 
+class WarmUp(Struct, rename=wire_names.WARM_UP_KEYS):
+    """What a receiver can prepare while the sender still serves."""
 
-class Warm(Struct):
-    parent: int  # the old process's id
-    least: int = LEAST
+    sender_pid: int
+    oldest_reader: int = OLDEST_READER_VERSION
     mode: str = "whole"
-    listed: list[Listed] = []
+    backends: list[ListedBackend] = []
+
+
+# --- after the commit ---
 
 
-class Left(Struct):
+class FinalCounters(Struct):
+    """What a sender has counted since its state was exported, by group and name."""
+
     counts: dict[str, dict[str, int]] = {}
 
 
-class Keep(Struct):
+class StoreRecord(Struct):
+    """A record that a sender needs in the store, which is the receiver's now."""
+
     ticket: int
     kind: int
     key: bytes
-    value: bytes | None = None
+    value: bytes | None = None  # None: a removal
+
 
+# --- the state: store ---
 
-class Chain(Struct):
-    """Tries under one key (lilacloft/store/keep.py)."""
+
+class EffectState(Struct, rename=wire_names.EFFECT_KEYS):
+    """The attempts under one idempotency key (lilacloft/store/keep.py)."""
 
     key: bytes
-    before: bytes | None = None
-    users: int = 0
-    sent: bool = False
-    down: bool = False
-    earlier: bool = False
+    previous_intent: bytes | None = None
+    in_flight: int = 0
+    was_sent: bool = False
+    is_synced: bool = False
+    of_earlier_process: bool = False
 
 
-class Kept(Struct):
-    """What `Keeper.give` gives, and its store, whose lock is the last descriptor."""
+class StoreState(Struct, rename=wire_names.STORE_STATE_KEYS):
+    """What the store's writer continues with. The lock of its folder is the last descriptor."""
 
     folder: str
-    chains: list[Chain] = []
-    out: list[tuple[str, bytes]] = []
+    effects: list[EffectState] = []
+    attempts: list[tuple[str, bytes]] = []  # token and key of each that is in flight
     budgets: dict[str, int] = {}
     counts: dict[str, int] = {}
 
 
-class Limit(Struct, rename=LIMIT_KEYS):
+# --- the state: decisions (what `snapshot.export_state` returns) ---
+
+
+class LimitState(Struct, rename=wire_names.LIMIT_KEYS):
+    """An adaptive concurrency limit."""
+
     limit: float | UnsetType = UNSET
     late_share: float | UnsetType = UNSET
-    next_cut_at: int | UnsetType = UNSET
-    last_ended_at: int | UnsetType = UNSET
-    last_duration: int | UnsetType = UNSET
+    next_cut_at: Ticks | UnsetType = UNSET
+    last_ended_at: Ticks | UnsetType = UNSET
+    last_duration: Ticks | UnsetType = UNSET
+
 
+class BackendState(Struct, rename=wire_names.BACKEND_KEYS):
+    """What was learned of a backend, and what is in flight there."""
 
-class Backend(Struct, rename=BACKEND_KEYS):
-    started: int
-    concurrency_limit: Limit | None = None
-    canary: int | None = None
-    requests: list[int] = []  # what is out there, in the order in which it was sent
+    started: Ticks
+    concurrency_limit: LimitState | None = None
+    canary: int | None = None  # index of a request
+    requests: list[int] = []  # indices of those in flight, in the order in which they were sent
     reported_load: float | UnsetType = UNSET
     saturation_in_flight: float | UnsetType = UNSET
-    health_checked_at: int | UnsetType = UNSET
-    last_answer_at: int | UnsetType = UNSET
+    health_checked_at: Ticks | UnsetType = UNSET
+    last_answer_at: Ticks | UnsetType = UNSET
     consecutive_failures: int | UnsetType = UNSET
     late_fill_share: float | UnsetType = UNSET
     ejected: bool | UnsetType = UNSET
-    retry_at: int | UnsetType = UNSET
-    backoff: int | UnsetType = UNSET
-    recent_work: list[tuple[int, float]] = []
+    retry_at: Ticks | UnsetType = UNSET
+    backoff: Ticks | UnsetType = UNSET
+    recent_work: list[tuple[Ticks, float]] = []
 
 
-class ObjectPart(Struct, rename=OBJECT_PART_KEYS):
-    place: tuple[str, int]
+class ObjectPartState(Struct, rename=wire_names.OBJECT_PART_KEYS):
+    """What is known of the cached copies of one part of an object."""
+
+    part_key: tuple[str, int]
     last_served_by: str | None = None
-    revalidated_at: int | None | UnsetType = UNSET
+    revalidated_at: Ticks | None | UnsetType = UNSET
     request_count: int | UnsetType = UNSET
-    filled_at: int | UnsetType = UNSET
+    filled_at: Ticks | UnsetType = UNSET
     min_transfer_time: float | UnsetType = UNSET
 
 
-class Request(Struct, rename=REQUEST_KEYS):
+class RequestState(Struct, rename=wire_names.REQUEST_KEYS):
+    """An open request as the decisions know it; backends by name."""
+
     key: str
     part: int
     purge_group: int
     kbytes: float
-    arrived_at: int
-    deadline: int
+    arrived_at: Ticks
+    deadline: Ticks
     vhost: int
     tenant: int = 0
     is_write: bool = False
@@ -202,174 +180,142 @@
     streaming: bool = False
     in_flight: bool = False
     attempts: int = 0
-    sent_at: int = 0
+    sent_at: Ticks = 0
     load_units: float = 0.0
     transfer_time: float = 0.0
     expects_fill: bool = False
-    first_executed_at: int | None = None
+    first_executed_at: Ticks | None = None
     revalidates: bool = False
     may_collapse: bool = True
     cache_only: bool = False
-    send_by: int = 0
+    send_by: Ticks = 0
     backend: str | None = None
     source: str | None = None
     first_executed_by: str | None = None
     failed_backends: list[str] = []
     cached: bool = False
-    fill_limit: str | None = None
+    fill_limit: str | None = None  # empty: the link's; else the source whose limit counts the fill
 
 
-class Module(Struct, rename=NAMES):
-    """What `Router.give` gives."""
+class RouterState(Struct, rename=wire_names.ROUTER_KEYS):
+    """All that the decisions continue with."""
 
     router: dict[str, int | float]
     vhosts: list[dict[str, int | float]]
-    link: Limit
-    backends: dict[str, Backend]
-    purges: list[tuple[str | int, int]] = []
-    object_parts: list[ObjectPart] = []
-    requests: list[Request] = []
-    due: list[tuple[int, int, int]] = []
+    link_limit: LimitState
+    backends: dict[str, BackendState]
+    purges: list[tuple[str | int, Ticks]] = []
+    object_parts: list[ObjectPartState] = []
+    requests: list[RequestState] = []
+    deadlines: list[tuple[Ticks, int, int]] = []  # when, index of the request, number of the attempt
 
 
-class Stream(Struct):
-    """A connection at rest: a client's or one to a be."""
+# --- the state: connections and what is open on them ---
 
-    sock: int  # which descriptor
-    held: bytes = b""  # what has come of the message in hand
-    backlog: list[tuple[int, bytes]] = []
-    queued: int = 0
-    written: int = 0
-    came: float = 0.0  # steady, in seconds
-    begun: float = 0.0
-    passed_on: int = -1  # bytes read; -1: a writer that did not count them
 
+class ConnectionState(Struct, rename=wire_names.CONNECTION_KEYS):
+    """A connection at rest; its times are monotonic, in seconds."""
 
-class Client(Stream, kw_only=True):
-    said: int = 0
-    offences: int = 0
-    taken: int = 0
-    settled: int = 0
-    used: float = 0.0
-    moved: tuple[int, float] = (0, 0.0)
+    descriptor: int  # index among the descriptors that are sent
+    partial_message: bytes = b""  # what was read of a message that is not complete
+    unsent: list[tuple[int, bytes]] = []  # messages: end in the stream of bytes sent, what is left of each
+    queued_bytes: int = 0
+    written_bytes: int = 0
+    last_read_at: float = 0.0
+    message_began_at: float = 0.0
+    consumed_bytes: int = -1  # bytes read; -1: a sender that did not count them
 
 
-class Line(Stream, kw_only=True, rename=NAMES):
+class ClientConnectionState(ConnectionState, kw_only=True, rename=wire_names.CLIENT_CONNECTION_KEYS):
+    """A client's connection."""
+
+    message_count: int = 0
+    useless_message_count: int = 0  # since the last request
+    request_count: int = 0
+    settled_request_count: int = 0  # those that are owed no answer any more
+    last_used_at: float = 0.0
+    write_progress: tuple[int, float] = (0, 0.0)  # bytes written, and since when no more were
+
+
+class BackendConnectionState(ConnectionState, kw_only=True, rename=wire_names.BACKEND_CONNECTION_KEYS):
+    """A connection to a backend."""
+
     backend: str
     host: str
     port: int
-    life: int
-    heard: int = 0
-    used: int = 0
-    made: int = 0
-    shunned: bool = False
+    backend_started: Ticks
+    last_answer_at: Ticks = 0
+    last_used_at: Ticks = 0
+    created_at: Ticks = 0
+    is_retired: bool = False  # takes no new attempts
+
 
+class ClientRequestState(Struct, rename=wire_names.CLIENT_REQUEST_KEYS):
+    """An open request as its client sent it."""
 
-class Call(Struct):
-    client: int  # which client
+    client: int  # descriptor of its connection
     tag: bytes
     name: str
     vhost: int
     key: str
     part: int
-    group: int
+    purge_group: int
     kbytes: float
-    allow: int
-    at: int  # steady
-    replay: str | None = None
-    got: str | None = None
+    timeout_ms: int
+    received_at: Ticks  # monotonic
+    idempotency_key: str | None = None
+    cached_version: str | None = None
     body: bytes = b""
-    open: bool = True
-    lines: list[int] = []  # -1: one that has ended
+    is_open: bool = True
+    connections: list[int] = []  # indices of those it was sent on; -1: one that has ended
+
 
+class AttemptState(Struct, rename=wire_names.ATTEMPT_KEYS):
+    """An attempt or a health check in flight."""
 
-class Sent(Struct, rename=NAMES):
-    call: int | None
+    request: int | None  # index; None: a health check
     backend: str
     seq: int
     name: bytes
     data: bytes
-    at: int
-    line: int | None = None
-    place: int = 0
-    until: int | None = None
-    over: tuple[str, int] | None = None  # given up by us: its end, and when the module is told of it
+    sent_at: Ticks
+    connection: int | None = None  # index; None: it has none
+    stream_end: int = 0  # where it ends in the stream of bytes sent
+    deadline: Ticks | None = None
+    pending_end: tuple[str, Ticks] | None = None  # given up: name of its end, and when it is reported
+
+
+class ClockOffsetState(Struct, rename=wire_names.CLOCK_OFFSET_KEYS):
+    """What `lilacloft.stamps` has estimated of discovery's clock.
 
+    `backend_starts`: by backend the stamp of its start, what that means in the gateway's time, and whether it
+    may be corrected.
+    """
 
-class Stamps(Struct):
-    """What `lilacloft.stamps` knows: the least lag and when it was seen; by backend the stamp of its start,
-    what that means in the module's time, and whether it may be corrected."""
+    minimum_lag: Ticks | None = None
+    measured_at: Ticks = 0
+    backend_starts: dict[str, tuple[int, Ticks, bool]] = {}
 
-    lag: int | None = None
-    at: int = 0
-    starts: dict[str, tuple[int, int, bool]] = {}
 
+class GatewayState(Struct, rename=wire_names.GATEWAY_KEYS):
+    """A whole gateway at rest."""
 
-class State(Struct):
-    version: int = VERSION
-    least: int = LEAST
+    version: int = STATE_VERSION
+    oldest_reader: int = OLDEST_READER_VERSION
     mode: str = "whole"
-    time: int = 0
-    steady: int = 0
+    time: Ticks = 0
+    monotonic_time: Ticks = 0
     vhosts: list[str] = []
-    last: int = 0  # the change log's number
-    listed: list[Listed] = []
-    stamps: Stamps | None = None
-    module: Module | None = None
+    last_event: int = 0  # number of the last event of discovery
+    backends: list[ListedBackend] = []
+    clock_offset: ClockOffsetState | None = None
+    router: RouterState | None = None
     counts: dict[str, dict[str, int]] = {}
-    checks: int = 0
-    clients: list[Client] = []
-    lines: list[Line] = []
-    calls: list[Call] = []
-    sents: list[Sent] = []
-    sockets: int = 0
-    reload: bool = False
-    store: Kept | None = None
-
-
-_write = msgspec.msgpack.Encoder().encode
-_readers: dict[Any, msgspec.msgpack.Decoder[Any]] = {}
-
-
-def frame(kind: Kind, record: Any = None) -> bytes:
-    """A whole frame."""
-    payload = b"" if record is None else _write(record)
-    if len(payload) > MOST.get(kind, ELSE):
-        raise FormError(f"{kind.name} of {len(payload)} bytes is too long")
-    return HEAD.pack(MAGIC, VERSION, kind, len(payload), crc32c(payload)) + payload
-
-
-def head(data: bytes) -> tuple[Kind, int, int]:
-    """Kind, length and checksum of the payload that follows a head; an unknown kind or length is refused."""
-    magic, _, kind, length, crc = HEAD.unpack(data)
-    if magic != MAGIC:
-        raise FormError("no frame")
-    try:
-        kind = Kind(kind)
-    except ValueError:
-        raise FormError(f"unknown kind {kind}") from None
-    if length > MOST.get(kind, ELSE):
-        raise FormError(f"{kind.name} of {length} bytes is too long")
-    return kind, length, crc
-
-
-def check(payload: bytes, crc: int) -> bytes:
-    """The payload, if it is what was written."""
-    if crc32c(payload) != crc:
-        raise FormError("the checksum does not fit")
-    return payload
-
-
-def read(payload: bytes, form: Any) -> Any:
-    """A record of a form."""
-    if form not in _readers:
-        _readers[form] = msgspec.msgpack.Decoder(form)
-    try:
-        return _readers[form].decode(payload)
-    except (msgspec.MsgspecError, RecursionError) as wrong:
-        raise FormError(str(wrong)) from wrong
-
-
-def plain(record: Any) -> Any:
-    """A record as plain values, without what its writer left out."""
-    return msgspec.to_builtins(record, builtin_types=(bytes,))
+    health_check_count: int = 0
+    clients: list[ClientConnectionState] = []
+    backend_connections: list[BackendConnectionState] = []
+    requests: list[ClientRequestState] = []
+    attempts: list[AttemptState] = []
+    descriptor_count: int = 0
+    must_reload: bool = False  # SIGHUP came on the way
+    store: StoreState | None = None
--- a/lilacloft/handover/phases.py
+++ b/lilacloft/handover/phases.py
@@ -1,247 +1,287 @@
-"""Decides the course of an upgrade on the side of the old process: phases, time limits, the way back from
-each.
+"""State machines of a handover: the sender's phases with their time limits, and when the receiver may serve.
 
-Owns the state of one upgrade at a time; does no I/O and knows no clock but its host's. The order is
+No I/O, and no clock but the host's. The phases of the sender, the process that is replaced, are
 
     idle - starting - warming - ready - taking - committed - letting_go - gone
 
-and from each up to `committed` the way back is idle, with the old process the gateway as if nothing had
-been. From `letting_go` the way back is idle too, but what the new one had taken is lost with it, as with
-any process that dies. The one message that decides is `commit` with its answer `taken`: see `lost`.
+From each phase up to `committed` a failure leads back to idle, with the sender serving as before. From
+`letting_go` it does so too, but what was transferred is lost with the receiver, as with any process that
+dies. `commit` with its acknowledgement is the one message that decides: see `SenderStateMachine.lost`.
 
-Times are seconds as floats, by a clock that is never put back.
+Times are seconds as floats, by a monotonic clock.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Mapping
+from enum import StrEnum
 from typing import Protocol
 
-IDLE, STARTING, WARMING, READY, TAKING, COMMITTED, LETTING_GO, GONE = (
-    "idle",
-    "starting",
-    "warming",
-    "ready",
-    "taking",
-    "committed",
-    "letting_go",
-    "gone",
-)
-ORDER = (IDLE, STARTING, WARMING, READY, TAKING, COMMITTED, LETTING_GO, GONE)
-# seconds that each phase may take; settings may name others. Nothing is served from `taking` to `committed`
-LIMITS = {STARTING: 10.0, WARMING: 10.0, READY: 2.0, TAKING: 0.3, COMMITTED: 0.3, LETTING_GO: 8.0}
-WHOLE, DRAIN = "whole", "drain"  # what becomes of open reqs: they go over, or are finished by the old process
-FAREWELL = 1.0  # seconds for the answers of what was given up to get out
-SPARE = 32  # descriptors that an upgrade itself needs, on both sides
-GROWTH = 1.1  # part of the old process's memory that the new one may come to, before anything of it is freed
-
-
-class Ways(Protocol):
-    """How the phases act. Each call is made at once; what follows from it comes back as an event."""
+from lilacloft.handover.resources import ResourceUsage, missing_capacity
 
-    def now(self) -> float:
-        """Tell the time in seconds."""
 
-    def start(self) -> None:
-        """Run the new process; it says `hello`."""
+class Phase(StrEnum):
+    """A phase of the sender; its value is in settings, logs, records and the upgrade command's output."""
+
+    IDLE = "idle"
+    STARTING = "starting"
+    WARMING = "warming"
+    READY = "ready"
+    TRANSFERRING = "taking"
+    COMMITTED = "committed"
+    DRAINING = "letting_go"
+    DONE = "gone"
+
+    @property
+    def label(self) -> str:
+        """The phase as it is printed."""
+        return self.replace("_", " ")
+
 
-    def warm(self) -> None:
-        """Send what may change until the end but need not all be sent there; the new process says `ready`."""
+class HandoverMode(StrEnum):
+    """What happens to open requests."""
 
-    def take(self, mode: str) -> None:
-        """Bring everything to rest, send it, and the new process says `have`."""
+    WHOLE = "whole"  # they go over
+    DRAIN = "drain"  # the sender finishes them
 
-    def commit(self) -> None:
-        """Tell the new process that it is the gateway; it answers `taken`."""
 
-    def go_on(self, emptied: bool) -> None:
-        """Serve again: with all that was at rest, or, emptied, without what had gone over."""
+# Seconds that each phase may take unless settings say otherwise. Nothing is served from TRANSFERRING to
+# COMMITTED.
+DEFAULT_PHASE_LIMITS: Mapping[str, float] = {
+    Phase.STARTING: 10.0,
+    Phase.WARMING: 10.0,
+    Phase.READY: 2.0,
+    Phase.TRANSFERRING: 0.3,
+    Phase.COMMITTED: 0.3,
+    Phase.DRAINING: 8.0,
+}
+FLUSH_SECONDS = 1.0  # for the answers of requests that were rejected at the end of DRAINING to be written
 
-    def let_go(self, mode: str) -> None:
-        """Finish what has stayed here."""
 
-    def cut(self) -> None:
-        """Give up what is still open here, with its answers, and read nothing more."""
+class SenderActions(Protocol):
+    """What a `SenderStateMachine` does. Each call returns at once; what follows comes back as an event."""
+
+    def now(self) -> float:
+        """Return the time in seconds."""
+
+    def start_receiver(self) -> None:
+        """Start the new process; it answers with `hello`."""
 
-    def end(self) -> None:
-        """End this process: another is the gateway, and nothing is owed here."""
+    def send_warm_up(self) -> None:
+        """Send what the receiver can prepare while this process serves; it answers with `ready`."""
 
-    def kill(self) -> None:
-        """End the new process surely, and return once it is over; an answer it gave before may still be
-        read."""
+    def transfer_state(self, mode: HandoverMode) -> None:
+        """Quiesce and send the state; the receiver answers that it has restored it."""
 
-    def heard(self) -> bool:
-        """Did the new process, which is over, answer `commit` with `taken` before?"""
+    def send_commit(self) -> None:
+        """Notify the receiver that it is the gateway; it acknowledges."""
 
-    def dismiss(self, why: str) -> None:
-        """Tell the new process that it is not wanted."""
+    def resume(self, transferred_is_lost: bool) -> None:
+        """Serve again: everything at rest, or only what had not been transferred."""
 
-    def report(self, phase: str, why: str, took: float) -> None:
-        """A phase has begun, after the last one took so many seconds; for `idle`, why it came to that."""
+    def drain(self, mode: HandoverMode) -> None:
+        """Finish what was not transferred."""
 
+    def reject_open_requests(self) -> None:
+        """Reject what is still open here, and read nothing more."""
 
-def room(own: Mapping[str, float], limits: Mapping[str, float]) -> str:
-    """Why an upgrade has no room beside what this process holds; empty where there is room. Of both the keys
-    `memory_mb` and `sockets`: in the end both processes hold every descriptor once, and the state twice."""
-    needs = {"memory_mb": own["memory_mb"] * (1 + GROWTH), "sockets": own["sockets"] * 2 + SPARE}
-    for name, need in needs.items():
-        if need > limits[name]:
-            return f"no room: {need:.0f} {name} are needed, {limits[name]:.0f} allowed"
-    return ""
+    def exit(self) -> None:
+        """End this process: the receiver is the gateway, and nothing is open here."""
 
+    def kill_receiver(self) -> None:
+        """Kill the new process and return once it has ended; its earlier messages can still be read."""
 
-class Leaving:
-    """One gateway process that can be replaced."""
+    def was_acknowledged(self) -> bool:
+        """Return whether the receiver, which has ended, had acknowledged `commit`."""
 
-    def __init__(self, ways: Ways, limits: Mapping[str, float] | None = None) -> None:
-        self.ways, self.limits = ways, {**LIMITS, **(limits or {})}
-        self.phase, self.mode, self.wanted = IDLE, WHOLE, WHOLE
-        self.since = self.until = 0.0
-        self.stopping = False  # SIGTERM came
-        self.was_cut = False
+    def dismiss_receiver(self, reason: str) -> None:
+        """Notify the receiver that it is not wanted."""
 
-    # --- what happens ---
+    def report_phase(self, phase: Phase, reason: str, previous_phase_seconds: float) -> None:
+        """Report that a phase has begun; for IDLE with the reason."""
 
-    def asked(self, mode: str, own: Mapping[str, float], limits: Mapping[str, float]) -> str:
-        """Somebody asks for an upgrade; tells why not, or nothing where it begins."""
-        if self.phase != IDLE:
-            return f"another upgrade is {self.phase.replace('_', ' ')}"
-        if self.stopping:
+
+class SenderStateMachine:
+    """One gateway process that can be replaced, again and again until a handover succeeds."""
+
+    def __init__(self, actions: SenderActions, limits: Mapping[str, float] | None = None) -> None:
+        """`limits`: seconds by phase, where they are not those of DEFAULT_PHASE_LIMITS."""
+        self.actions = actions
+        self.limits = {**DEFAULT_PHASE_LIMITS, **(limits or {})}
+        self.phase = Phase.IDLE
+        self.mode = HandoverMode.WHOLE
+        self.requested_mode = HandoverMode.WHOLE
+        self.phase_began_at = 0.0
+        self.deadline = 0.0
+        self.is_stopping = False  # SIGTERM came
+        self.has_rejected = False  # what was still open at the end of DRAINING
+
+    # --- events ---
+
+    def upgrade_requested(self, mode: str, used: ResourceUsage, limits: Mapping[str, float]) -> str:
+        """Begin a handover; returns why it does not begin, or an empty text.
+
+        `used`: what this process uses of the resources that `limits` names.
+        """
+        if self.phase != Phase.IDLE:
+            return f"another upgrade is {self.phase.label}"
+        if self.is_stopping:
             return "this gateway is about to end"
-        if mode not in (WHOLE, DRAIN):
-            return f"unknown mode {mode!r}: {WHOLE} or {DRAIN} expected"
-        lacks = room(own, limits)
-        if lacks:
-            return lacks
-        self.wanted, self.was_cut = mode, False
-        self._enter(STARTING)
-        self.ways.start()
+        if mode not in tuple(HandoverMode):
+            return f"unknown mode {mode!r}: {HandoverMode.WHOLE} or {HandoverMode.DRAIN} expected"
+        missing = missing_capacity(used, limits)
+        if missing:
+            return missing
+        self.requested_mode = HandoverMode(mode)
+        self.has_rejected = False
+        self._enter(Phase.STARTING)
+        self.actions.start_receiver()
         return ""
 
-    def hello(self, can_whole: bool, why_not: str = "") -> None:
-        """The new process runs, and says whether it can go on with open reqs."""
-        if self.phase != STARTING:
+    def hello_received(self, can_take_requests: bool, reason: str = "") -> None:
+        """The receiver runs. `reason`: why it cannot continue with open requests, if it cannot."""
+        if self.phase != Phase.STARTING:
             return self.lost(f"hello while {self.phase}")
-        self.mode = self.wanted if can_whole else DRAIN
-        self._enter(WARMING, "" if can_whole or self.wanted == DRAIN else f"drain: {why_not}")
-        return self.ways.warm()
-
-    def ready(self) -> None:
-        """It holds what it was sent, and waits for the rest."""
-        if self.phase != WARMING:
+        self.mode = self.requested_mode if can_take_requests else HandoverMode.DRAIN
+        downgraded = self.mode != self.requested_mode
+        self._enter(Phase.WARMING, f"drain: {reason}" if downgraded else "")
+        return self.actions.send_warm_up()
+
+    def ready_received(self) -> None:
+        """The receiver has prepared what it was sent, and waits for the state."""
+        if self.phase != Phase.WARMING:
             return self.lost(f"ready while {self.phase}")
-        self._enter(READY)
+        self._enter(Phase.READY)
         return None
 
-    def turn(self) -> None:
-        """The module's thread has come to it: from here on nothing is served until it is decided."""
-        if self.phase == READY:
-            self._enter(TAKING)
-            self.ways.take(self.mode)
+    def begin_transfer(self) -> None:
+        """The event loop has come to it: nothing is served from here until the handover is decided."""
+        if self.phase == Phase.READY:
+            self._enter(Phase.TRANSFERRING)
+            self.actions.transfer_state(self.mode)
 
-    def unheld(self, why: str) -> None:
+    def quiesce_failed(self, reason: str) -> None:
         """Not everything could be brought to rest in time."""
-        self.lost(why)
+        self.lost(reason)
 
-    def have(self) -> None:
-        """It has everything."""
-        if self.phase != TAKING:
+    def state_restored(self) -> None:
+        """The receiver has the whole state."""
+        if self.phase != Phase.TRANSFERRING:
             return self.lost(f"have while {self.phase}")
-        self._enter(COMMITTED)
-        return self.ways.commit()
+        self._enter(Phase.COMMITTED)
+        return self.actions.send_commit()
 
-    def taken(self) -> None:
-        """It is the gateway."""
-        if self.phase != COMMITTED:
+    def commit_acknowledged(self) -> None:
+        """The receiver is the gateway."""
+        if self.phase != Phase.COMMITTED:
             return self.lost(f"taken while {self.phase}")
-        self._enter(LETTING_GO)
-        return self.ways.let_go(self.mode)
-
-    def remains(self, serves: bool, empty: bool) -> None:
-        """Does the new one serve by its own word, and is nothing left here? Then this process may end. What
-        is left after the phase's limit is given up with its answers, and goes once it has had time for
-        those."""
-        if self.phase != LETTING_GO or not serves:
+        self._enter(Phase.DRAINING)
+        return self.actions.drain(self.mode)
+
+    def check_drained(self, receiver_serves: bool, is_empty: bool) -> None:
+        """End this process once the receiver serves and nothing is open here.
+
+        What is still open at the end of the phase is rejected; its answers get FLUSH_SECONDS to be written.
+        """
+        if self.phase != Phase.DRAINING or not receiver_serves:
             return
-        late = self.ways.now() >= self.until
-        if empty or (late and self.was_cut):
-            self._enter(GONE)
-            self.ways.end()
-        elif late:
-            self.was_cut, self.until = True, self.ways.now() + FAREWELL
-            self.ways.cut()
-
-    def lost(self, why: str) -> None:
-        """The new process has ended, broken off, refused, or does what nobody asked it.
-
-        Before `commit` was sent it is not the gateway, whatever it holds. After that, its end without `taken`
-        says that it read and wrote nothing on what it holds, as it answers first and begins then: all goes on
-        here. After `taken` it was the gateway: what it held has gone with it, and this one serves on without.
+        is_late = self.actions.now() >= self.deadline
+        if is_empty or (is_late and self.has_rejected):
+            self._enter(Phase.DONE)
+            self.actions.exit()
+        elif is_late:
+            self.has_rejected = True
+            self.deadline = self.actions.now() + FLUSH_SECONDS
+            self.actions.reject_open_requests()
+
+    def lost(self, reason: str) -> None:
+        """The receiver has ended, broken off, refused, or sent what was not expected.
+
+        Before `commit` was sent it is not the gateway, whatever it has. After that, if it ended without an
+        acknowledgement, it has read and written nothing on what it was sent, as it acknowledges first:
+        everything resumes here. After the acknowledgement it was the gateway: what it had is lost with it,
+        and this process serves without.
         """
-        if self.phase in (IDLE, GONE):
+        if self.phase in (Phase.IDLE, Phase.DONE):
             return
         phase = self.phase
-        self.ways.dismiss(why)
-        self.ways.kill()
-        if phase == COMMITTED and self.ways.heard():
-            phase = LETTING_GO  # it answered before it ended
-        self._enter(IDLE, f"{why} while {phase.replace('_', ' ')}")
-        if phase in (TAKING, COMMITTED, LETTING_GO):
-            self.ways.go_on(emptied=phase == LETTING_GO)
-
-    def stop(self) -> None:
-        """SIGTERM. Before the commit the upgrade is called off, and this process ends as it always does;
-        after it the new one is the gateway, and is told."""
-        self.stopping = True
-        if self.phase in (STARTING, WARMING, READY, TAKING):
+        self.actions.dismiss_receiver(reason)
+        self.actions.kill_receiver()
+        if phase == Phase.COMMITTED and self.actions.was_acknowledged():
+            phase = Phase.DRAINING  # it acknowledged before it ended
+        self._enter(Phase.IDLE, f"{reason} while {phase.label}")
+        if phase in (Phase.TRANSFERRING, Phase.COMMITTED, Phase.DRAINING):
+            self.actions.resume(transferred_is_lost=phase == Phase.DRAINING)
+
+    def stop_requested(self) -> None:
+        """SIGTERM came.
+
+        Before the commit the handover is aborted, and this process ends as without one. After it the receiver
+        is the gateway, and is notified.
+        """
+        self.is_stopping = True
+        if self.phase in (Phase.STARTING, Phase.WARMING, Phase.READY, Phase.TRANSFERRING):
             self.lost("the gateway was told to stop")
 
-    def tick(self) -> None:
-        """Look at the time limit of the phase."""
-        if self.phase not in (IDLE, GONE) and self.ways.now() >= self.until:
+    def check_time_limit(self) -> None:
+        """Abort the handover if the phase takes longer than it may."""
+        if self.phase not in (Phase.IDLE, Phase.DONE) and self.actions.now() >= self.deadline:
             self.lost(f"more than {self.limits[self.phase]:g} s")
 
-    def left(self) -> float:
-        """Seconds until the phase's limit."""
-        return max(0.0, self.until - self.ways.now()) if self.phase not in (IDLE, GONE) else math.inf
+    def seconds_left(self) -> float:
+        """Return the seconds until the phase's limit; infinite in a phase without one."""
+        if self.phase in (Phase.IDLE, Phase.DONE):
+            return math.inf
+        return max(0.0, self.deadline - self.actions.now())
 
-    def _enter(self, phase: str, why: str = "") -> None:
-        now = self.ways.now()
-        took, self.since = now - self.since if self.phase != IDLE else 0.0, now
-        self.phase, self.until = phase, now + self.limits.get(phase, math.inf)
-        self.ways.report(phase, why, took)
+    def _enter(self, phase: Phase, reason: str = "") -> None:
+        now = self.actions.now()
+        previous_phase_seconds = now - self.phase_began_at if self.phase != Phase.IDLE else 0.0
+        self.phase_began_at = now
+        self.phase = phase
+        self.deadline = now + self.limits.get(phase, math.inf)
+        self.actions.report_phase(phase, reason, previous_phase_seconds)
 
 
-class Coming:
-    """The new process: when it may act as the gateway, and what it does when the old one falls silent."""
+class ReceiverStateMachine:
+    """The new process: when it is the gateway, and what follows if the sender ends."""
 
     def __init__(self) -> None:
-        self.holds = self.gateway = self.over = False
-        self.why = ""
-
-    def state(self) -> bool:
-        """Everything has come, whole: it could go on from here."""
-        self.holds = not self.over
-        return self.holds
-
-    def commit(self) -> bool:
-        """The old one says that this is the gateway. Answered first, before anything is read or written, so
-        that no answer means that nothing was touched."""
-        self.gateway = self.holds and not self.over
-        return self.gateway
-
-    def dismissed(self, why: str) -> None:
-        """The old one goes on without this one."""
-        if not self.gateway:
-            self.over, self.why = True, why
-
-    def broken(self, old_lives: bool) -> bool:
-        """The way to the old one has ended with no word; may this one serve? Whoever is dismissed is told or
-        killed, so the old one died. With its whole state in hand this one is all that is left of the gateway:
-        the listener would be closed else. What was at rest is still at rest, so nothing is done twice."""
-        if not self.gateway:
-            self.gateway = self.holds and not self.over and not old_lives
-            self.over = not self.gateway
-            self.why = self.why or ("the old process ended" if not old_lives else "the old process broke off")
-        return self.gateway
+        self.has_state = False
+        self.is_gateway = False
+        self.is_over = False  # it will never be the gateway
+        self.reason = ""  # why it is over, or why it serves without a commit
+
+    def state_restored(self) -> bool:
+        """The whole state is here; returns whether it is of use."""
+        self.has_state = not self.is_over
+        return self.has_state
+
+    def commit_received(self) -> bool:
+        """The sender says that this process is the gateway; returns whether it is.
+
+        It is acknowledged before anything is read or written, so that no acknowledgement means that nothing
+        was touched.
+        """
+        self.is_gateway = self.has_state and not self.is_over
+        return self.is_gateway
+
+    def dismissed(self, reason: str) -> None:
+        """The sender goes on as the gateway."""
+        if not self.is_gateway:
+            self.is_over, self.reason = True, reason
+
+    def channel_broken(self, sender_lives: bool) -> bool:
+        """The channel has ended without a message; returns whether this process is the gateway.
+
+        Whoever is dismissed is notified or killed, so the sender has died. With its whole state this process
+        is all that remains of the gateway, and the listening socket would be closed otherwise. What was at
+        rest is still at rest, so that nothing is done twice.
+        """
+        if not self.is_gateway:
+            self.is_gateway = self.has_state and not self.is_over and not sender_lives
+            self.is_over = not self.is_gateway
+            default = "the old process broke off" if sender_lives else "the old process ended"
+            self.reason = self.reason or default
+        return self.is_gateway
--- a/lilacloft/handover/process.py
+++ b/lilacloft/handover/process.py
@@ -1,5 +1,4 @@
-"""Puts a gateway process together that can be replaced, or that takes over from another; a shell, and no
-more."""
+"""Assembles a gateway process that can be replaced, or that takes over from another."""
 
 from __future__ import annotations
 
@@ -7,93 +6,212 @@
 import signal
 import socket
 from collections.abc import Callable, Mapping
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 from loguru import logger
 
 from lilacloft.errors import NotWantedError, UnusableError
-from lilacloft.handover import messages
-from lilacloft.handover.channel import BrokenError
-from lilacloft.handover.receiver import Taking
-from lilacloft.handover.sender import Offer, listen
+from lilacloft.handover.channel import ChannelError
+from lilacloft.handover.framing import FormatError, to_plain
+from lilacloft.handover.receiver import NO_DESCRIPTOR, HandoverReceiver
+from lilacloft.handover.sender import HandoverSender
+from lilacloft.handover.upgrade_listener import bind_upgrade_socket
 from lilacloft.net.conn import Conn
-from lilacloft.settings import TENTHS
-
-Make = Callable[[dict[str, Any], socket.socket | None, bool], Any]
-
-
-def prepare(
-    config: dict[str, Any],
-    make: Make,
-    handover: str = "",
-    takeover: int = -1,
-    status: int = -1,
-    listener: int = -1,
-    unserved_since: float = 0.0,
-    limits: Mapping[str, float] | None = None,
-    mode: str = "whole",
-    record: Mapping[str, Any] | None = None,
-    store: Mapping[str, Any] | None = None,
-    plan: Mapping[str, Any] | None = None,
-) -> tuple[Any, Callable[[], None]]:
-    """An owner that can be replaced, and what is left to do right before it runs. With `takeover` (a
-    descriptor) everything comes from the process that started this one; with `listener` only the bound
-    socket is given, at which nobody was let in since a time of the steady clock in seconds
-    (`unserved_since`). Raises NotWantedError where the other process goes on as the gateway, OSError where
-    a path cannot be had."""
-    Conn.movable = bool(handover) or takeover >= 0
-    if takeover >= 0:
-        return _follow(Taking(takeover), config, make, handover, (limits, status, mode), record, store, plan)
-    owner = make(config, socket.socket(fileno=listener) if listener >= 0 else None, False)
-    offer = Offer(owner, listen(handover), limits, status, mode) if handover else None
-    recorder = _recorder(owner, config, record)
-    guard = _guard(owner, store)
-    agent = _agent(owner, config, plan)
+from lilacloft.routing.units import TICKS_PER_SECOND
+
+MakeGateway = Callable[[dict[str, Any], socket.socket | None, bool], Any]
+DEFAULT_STORE_TIMEOUT = 0.05  # seconds that an attempt waits for the store
+
+
+@dataclass(frozen=True)
+class ProcessOptions:
+    """What a gateway process is started with besides its configuration.
+
+    From the command line: `handover`, the path of the Unix socket for upgrade requests; `takeover`, `status`
+    and `listener`, descriptors (lilacloft/handover/process_arguments.py); `unserved_since`, in monotonic
+    seconds.
+    From the settings: `limits`, seconds by phase; `mode`, a HandoverMode; `record`, `store` and `plan`, the
+    sections of these names.
+    """
+
+    handover: str = ""
+    takeover: int = NO_DESCRIPTOR
+    status: int = NO_DESCRIPTOR
+    listener: int = NO_DESCRIPTOR
+    unserved_since: float = 0.0
+    limits: Mapping[str, float] | None = None
+    mode: str = "whole"
+    record: Mapping[str, Any] | None = None
+    store: Mapping[str, Any] | None = None
+    plan: Mapping[str, Any] | None = None
+
+
+class PreparedGateway(NamedTuple):
+    """A gateway that is ready to run, and what is left to do right before it does."""
+
+    gateway: Any
+    begin: Callable[[], None]
+
+
+@dataclass(frozen=True)
+class _Assembly:
+    """What the two ways to start a gateway have in common."""
+
+    config: dict[str, Any]
+    options: ProcessOptions
+
+    def guard(self, gateway: Any, **restored: Any) -> Any:
+        """Return the writer of the store, if the settings name a folder for one.
+
+        `restored`: what a process that takes over continues with.
+        """
+        store = self.options.store
+        if not store or "folder" not in store:
+            return None
+        from lilacloft.store.form import StoreError
+        from lilacloft.store.guard import Guard
+
+        timeout = int(store.get("patience", DEFAULT_STORE_TIMEOUT) * TICKS_PER_SECOND)
+        try:
+            return Guard(gateway, store["folder"], timeout, **restored)
+        except StoreError as error:
+            raise UnusableError(str(error)) from error
+
+    def agent(self, gateway: Any) -> Any:
+        """Return what talks to planners, if the settings name some."""
+        plan = self.options.plan
+        if not plan or not plan.get("planners"):
+            return None
+        from lilacloft.plan.agent import Agent
+
+        name = str(self.config.get("name", "gateway"))
+        return Agent(gateway, name, plan["planners"], plan.get("zones", {}).get("leave", "never"))
+
+    def recorder(self, gateway: Any) -> Any:
+        """Return what records events, if the settings name a folder for them."""
+        record = self.options.record
+        if not record or "folder" not in record:
+            return None
+        from lilacloft.record.writer import Recorder
+
+        return Recorder(
+            gateway,
+            record["folder"],
+            str(self.config.get("name", "gateway")),
+            record,
+            record.get("prometheus", ""),
+            record.get("connect", ""),
+        )
+
+    def sender(self, gateway: Any, upgrade_socket: socket.socket) -> HandoverSender:
+        """Return what lets this gateway be replaced."""
+        options = self.options
+        return HandoverSender(gateway, upgrade_socket, options.limits, options.status, options.mode)
+
+
+def prepare(config: dict[str, Any], make_gateway: MakeGateway, options: ProcessOptions) -> PreparedGateway:
+    """Prepare a gateway: one that takes over, if the options name a channel to a sender, else a fresh one.
+
+    `make_gateway`: makes one of a configuration, with a listening socket (None: it binds its own), and says
+    whether it takes over. Raises NotWantedError if the sender goes on as the gateway, OSError if the path for
+    upgrade requests cannot be had, UnusableError if a store cannot be used.
+    """
+    Conn.movable = bool(options.handover) or options.takeover >= 0
+    assembly = _Assembly(config, options)
+    if options.takeover >= 0:
+        return _take_over(HandoverReceiver(options.takeover), make_gateway, assembly)
+    return _start_fresh(make_gateway, assembly)
+
+
+def _start_fresh(make_gateway: MakeGateway, assembly: _Assembly) -> PreparedGateway:
+    """Prepare a gateway without state; a supervisor may have given it the listening socket."""
+    options = assembly.options
+    has_listener = options.listener >= 0
+    listener = socket.socket(fileno=options.listener) if has_listener else None
+    gateway = make_gateway(assembly.config, listener, False)
+    sender = assembly.sender(gateway, bind_upgrade_socket(options.handover)) if options.handover else None
+    recorder = assembly.recorder(gateway)
+    guard = assembly.guard(gateway)
+    agent = assembly.agent(gateway)
 
     def begin() -> None:
-        if listener >= 0 and unserved_since:
-            owner.comes_late(int(unserved_since * TENTHS))
+        if has_listener and options.unserved_since:
+            gateway.comes_late(int(options.unserved_since * TICKS_PER_SECOND))
         if guard:
-            owner.post(guard.start)
+            gateway.post(guard.start)
         if agent:
-            owner.post(agent.start)
+            gateway.post(agent.start)
         if recorder:
-            owner.post(recorder.start)
-        if offer:
-            offer.open()
+            gateway.post(recorder.start)
+        if sender:
+            sender.start()
 
-    return owner, begin
+    return PreparedGateway(gateway, begin)
 
 
-def _guard(owner: Any, store: Mapping[str, Any] | None, **more: Any) -> Any:
-    """What keeps effects over a crash, where the settings name a folder for it."""
-    if not store or "folder" not in store:
-        return None
-    from lilacloft.store.form import StoreError
-    from lilacloft.store.guard import Guard
+def _take_over(receiver: HandoverReceiver, make_gateway: MakeGateway, assembly: _Assembly) -> PreparedGateway:
+    """Prepare a gateway with the state of the process that started this one."""
+    guard = _receive(receiver, make_gateway, assembly)
+    gateway, restorer = receiver.gateway, receiver.restorer
+    sender = assembly.sender(gateway, receiver.upgrade_socket) if assembly.options.handover else None
+    recorder = assembly.recorder(gateway)
+    agent = assembly.agent(gateway)
 
-    try:
-        return Guard(owner, store["folder"], int(store.get("patience", 0.05) * 10_000), **more)
-    except StoreError as wrong:
-        raise UnusableError(str(wrong)) from wrong
+    def begin() -> None:
+        # all else is ready: nothing can fail between the acknowledgement and the first read
+        receiver.receive_commit()
+        if guard:
+            gateway.post(guard.start)
+        restorer.start()
+        logger.bind(requests=len(gateway.calls), connections=len(restorer.connections)).info(
+            "upgrade: this process is the gateway, with {} open reqs and {} connections",
+            len(gateway.calls),
+            len(restorer.connections),
+        )
+        gateway.post(receiver.send_serving)
+        if agent:
+            gateway.post(agent.start)
+        if recorder:
+            gateway.post(recorder.start, "upgrade")
+        if restorer.state.must_reload:
+            os.kill(os.getpid(), signal.SIGHUP)
+        if sender:
+            sender.start()
 
+    return PreparedGateway(gateway, begin)
 
-def _agent(owner: Any, config: dict[str, Any], plan: Mapping[str, Any] | None) -> Any:
-    """What talks to planners, where the settings name some."""
-    if not plan or not plan.get("planners"):
-        return None
-    from lilacloft.plan.agent import Agent
 
-    return Agent(
-        owner,
-        str(config.get("name", "gateway")),
-        plan["planners"],
-        plan.get("zones", {}).get("leave", "never"),
-    )
+def _receive(receiver: HandoverReceiver, make_gateway: MakeGateway, assembly: _Assembly) -> Any:
+    """Receive the state into a gateway; returns the writer of its store, or None.
+
+    Whatever fails, the sender is notified of it, and goes on.
+    """
+    folder = str((assembly.options.store or {}).get("folder", ""))
+    config = assembly.config
+    try:
+        receiver.send_hello([vhost["name"] for vhost in config["settings"]["classes"]], folder)
+        receiver.receive_warm_up()
+        receiver.gateway = make_gateway(config, receiver.listener, True)
+        receiver.receive_object_parts()
+        reader = _store_reader(folder)
+        receiver.send_ready()
+        receiver.receive_state()
+        guard = _restore_guard(receiver, assembly, reader)
+        receiver.send_state_restored()
+    except NotWantedError:
+        raise
+    except (FormatError, ChannelError) as error:
+        receiver.refuse(str(error))
+        raise NotWantedError(str(error)) from error
+    except Exception as error:
+        receiver.refuse(f"{type(error).__name__}: {error}")
+        raise
+    return guard
 
 
-def _reader(folder: str) -> Any:
-    """Most of a store, read while the old process still writes it."""
+def _store_reader(folder: str) -> Any:
+    """Return a reader that reads most of a store while the sender still writes it; None without a store."""
     if not folder or not os.path.isdir(folder):
         return None
     from lilacloft.store.guard import Reader
@@ -101,80 +219,9 @@
     return Reader(folder)
 
 
-def _recorder(owner: Any, config: dict[str, Any], record: Mapping[str, Any] | None) -> Any:
-    """What writes down what happens, where the settings name a folder for it."""
-    if not record or "folder" not in record:
-        return None
-    from lilacloft.record.writer import Recorder
-
-    return Recorder(
-        owner,
-        record["folder"],
-        str(config.get("name", "gateway")),
-        record,
-        record.get("prometheus", ""),
-        record.get("connect", ""),
-    )
-
-
-def _follow(
-    taking: Taking,
-    config: dict[str, Any],
-    make: Make,
-    handover: str,
-    more: tuple[Any, ...],
-    record: Mapping[str, Any] | None,
-    store: Mapping[str, Any] | None,
-    plan: Mapping[str, Any] | None,
-) -> tuple[Any, Callable[[], None]]:
-    folder = str((store or {}).get("folder", ""))
-    try:
-        taking.hello([vhost["name"] for vhost in config["settings"]["classes"]], folder)
-        taking.warm()
-        taking.owner = make(config, taking.listener, True)
-        taking.table()
-        reader = _reader(folder)
-        taking.ready()
-        taking.state()
-        given = taking.told.state.store
-        guard = (
-            _guard(taking.owner, store, reader=reader, given=messages.plain(given), lock=taking.lock)
-            if given
-            else _guard(taking.owner, store)
-        )
-        taking.have()
-    except NotWantedError:
-        raise
-    except (messages.FormError, BrokenError) as wrong:
-        taking.refuse(str(wrong))
-        raise NotWantedError(str(wrong)) from wrong
-    except Exception as wrong:
-        taking.refuse(f"{type(wrong).__name__}: {wrong}")
-        raise
-    owner, told = taking.owner, taking.told
-    offer = Offer(owner, taking.handover, *more) if handover else None
-    recorder = _recorder(owner, config, record)
-    agent = _agent(owner, config, plan)
-
-    def begin() -> None:
-        # all else stands: between the answer to `commit` and the first read nothing is left that could fail
-        taking.commit()
-        if guard:
-            owner.post(guard.start)
-        told.start()
-        logger.bind(requests=len(owner.calls), connections=len(told.conns)).info(
-            "upgrade: this process is the gateway, with {} open reqs and {} connections",
-            len(owner.calls),
-            len(told.conns),
-        )
-        owner.post(taking.serving)
-        if agent:
-            owner.post(agent.start)
-        if recorder:
-            owner.post(recorder.start, "upgrade")
-        if told.state.reload:
-            os.kill(os.getpid(), signal.SIGHUP)
-        if offer:
-            offer.open()
-
-    return owner, begin
+def _restore_guard(receiver: HandoverReceiver, assembly: _Assembly, reader: Any) -> Any:
+    """Return the writer of the store, with the sender's open effects if it had a store."""
+    store = receiver.restorer.state.store
+    if not store:
+        return assembly.guard(receiver.gateway)
+    return assembly.guard(receiver.gateway, reader=reader, given=to_plain(store), lock=receiver.store_lock)
--- a/lilacloft/handover/quiesce.py
+++ b/lilacloft/handover/quiesce.py
@@ -1,187 +1,220 @@
-"""Brings an owner's connections to rest, and lets them go on: the shell's part of a handover in the old
-process.
+"""Brings a gateway's connections to rest, and resumes them: the sender's part on its event loop's thread.
 
-Belongs to the owner's thread. It must never wait for a peer, never leave a connection at rest that stays
-here, and never close one that has gone over: that would end it for the new process as well.
+Nothing here waits for a peer. No connection that stays here is left at rest, and none that was transferred is
+closed: that would end it for the receiver as well.
 """
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
-from lilacloft.handover import messages, state_transfer
+from lilacloft.handover import messages
+from lilacloft.handover.connections import all_connections, is_idle, is_unreadable_client
+from lilacloft.handover.state_export import export_client
 from lilacloft.net.conn import Conn, End, State
 from lilacloft.net.front import Client
-from lilacloft.routing import snapshot
+from lilacloft.routing.model import PartKey
+from lilacloft.routing.snapshot import export_object_parts
 
-LOOK = 0.002  # seconds between two looks at what ends by itself
-SLICE = 2000  # entries of the module's table told in one event: some 10 ms
+RETRY_SECONDS = 0.002  # between two attempts to bring all connections to rest
 
 
-class Rest:
-    """One owner, at rest or not."""
+class IdleClient(NamedTuple):
+    """A client's connection that was brought to rest by itself, and its state."""
 
-    def __init__(self, owner: Any) -> None:
-        self.owner = owner
-        self.held: dict[Conn, bool] = {}  # at rest: is also its writing held?
-        self.doors = False  # are accepting and the change log held?
-        self.arrivals = 0  # of reqs, when the table was told
-        self.moved: list[Conn] = []  # gone over; held for good, unless the new process dies
-        self.touched: list[tuple[str, int]] = []  # places of the table that may change after they were told
+    connection: Client
+    state: messages.ClientConnectionState
 
-    # --- before ---
 
-    def table(self) -> list[tuple[str, int]]:
-        """The places of the module's table, oldest first; what is asked for from now on is told once more."""
-        router = self.owner.router
-        self.arrivals = router.load_reports.request_count
-        self.touched = [(call.key, call.part) for call in self.owner.calls.values()]
+class Quiescer:
+    """One gateway, at rest or not.
+
+    A connection's reading and its writing are brought to rest one after the other: `at_rest` says of each
+    whether its writing is too.
+    """
+
+    def __init__(self, gateway: Any) -> None:
+        self.gateway = gateway
+        self.at_rest: dict[Conn, bool] = {}
+        self.is_accept_held = False  # are accepting connections and discovery at rest?
+        self.requests_before_table = 0  # count of requests when the object parts were listed
+        self.transferred: list[Conn] = []  # stay at rest, unless the receiver dies
+        self.parts_in_use: list[PartKey] = []  # may change after they were exported
+
+    # --- while the gateway serves ---
+
+    def list_object_parts(self) -> list[PartKey]:
+        """Return the keys of all object parts, least recently requested first.
+
+        What changes from now on is in `changed_object_parts`.
+        """
+        router = self.gateway.router
+        self.requests_before_table = router.load_reports.request_count
+        self.parts_in_use = [(call.key, call.part) for call in self.gateway.calls.values()]
         return list(router.freshness.object_parts)
 
-    def slice(self, places: list[tuple[str, int]]) -> list[Any]:
-        """Some entries of it."""
-        return snapshot.export_object_parts(self.owner.router, places)
-
-    def since(self) -> list[tuple[str, int]]:
-        """The places that may have changed since `table`: each req moves its own to the end."""
-        router = self.owner.router
-        count = router.load_reports.request_count - self.arrivals
-        tail = []
-        for place in reversed(router.freshness.object_parts):
-            if len(tail) >= count:
+    def export_object_parts(self, part_keys: list[PartKey]) -> list[dict[str, Any]]:
+        """Return some object parts as plain values."""
+        return export_object_parts(self.gateway.router, part_keys)
+
+    def changed_object_parts(self) -> list[PartKey]:
+        """Return the object parts that may have changed since `list_object_parts`.
+
+        Each request moves its own to the end of the table.
+        """
+        router = self.gateway.router
+        request_count = router.load_reports.request_count - self.requests_before_table
+        recent: list[PartKey] = []
+        for part_key in reversed(router.freshness.object_parts):
+            if len(recent) >= request_count:
                 break
-            tail.append(place)
-        return [*self.touched, *reversed(tail)]
+            recent.append(part_key)
+        return [*self.parts_in_use, *reversed(recent)]
 
     # --- to rest ---
 
-    def bring(self, until: float, wanted: Callable[[], bool]) -> str:
-        """Bring all to rest, with nothing left unheard in the queue. Tells why not, where it takes too
-        long, or is wanted no more, as what is heard may say."""
-        owner = self.owner
-        owner.front.gate.acquire()
-        owner.feed.gate.acquire()
-        self.doors = True
+    def quiesce(self, deadline: float, is_wanted: Callable[[], bool]) -> str:
+        """Bring everything to rest, with no event left in the queue.
+
+        `deadline`: monotonic seconds. `is_wanted`: asked after each event, as one may abort the handover.
+        Returns why it failed, or an empty text.
+        """
+        gateway = self.gateway
+        gateway.front.gate.acquire()
+        gateway.feed.gate.acquire()
+        self.is_accept_held = True
         while True:
-            for conn in (*list(owner.front.clients), *state_transfer.lines(owner)):
-                if conn not in self.held and conn.end is None and conn.state is not State.UNREADABLE:
-                    conn.hold()
-                    self.held[conn] = False
-            for client in [
-                one for one in self.held if isinstance(one, Client) and one.state is State.UNREADABLE
-            ]:
-                self.loosen(client)  # nonsense: what it has open is given up, and its end comes here
-                owner._do(owner.garbled, (client,))
-            self.hear()
-            if not wanted():
+            self._hold_reading()
+            self._end_unreadable_clients()
+            self.process_events()
+            if not is_wanted():
                 return "called off"
-            now = {
-                conn
-                for conn in (*list(owner.front.clients), *state_transfer.lines(owner))
-                if not (isinstance(conn, Client) and conn.state is State.UNREADABLE)
-            }
-            for conn in list(self.held):
-                if conn in now and not self.held[conn]:
-                    conn.still()
-                    self.held[conn] = True
-            # one that ended meanwhile is heard of first: its reader needs its gate for that
-            ended = [conn for conn in now if conn.end is not None]
-            for conn in [*ended, *(conn for conn in self.held if conn not in now)]:
-                self.loosen(conn)
-            if not ended and all(self.held.get(conn) for conn in now) and owner.queue.empty():
+            if self._hold_writing():
                 break
-            if time.monotonic() > until:
+            if time.monotonic() > deadline:
                 return "not all could be brought to rest in time"
-            for conn in self.held:
-                self._unstill(conn)
-            time.sleep(LOOK)
-        owner._tick()
+            for conn in self.at_rest:
+                self._resume_writing(conn)
+            time.sleep(RETRY_SECONDS)
+        gateway._tick()
         return ""
 
-    def hear(self) -> None:
-        """Take in all that has happened."""
-        owner = self.owner
-        owner._tick()
-        while (event := owner._next(0.0)) is not None:
-            owner._tick()
-            owner._do(event[0], event[1:])
-
-    def loosen(self, conn: Conn) -> None:
-        if conn in self.held:
-            conn.free(self.held.pop(conn))
-
-    def _unstill(self, conn: Conn) -> None:
-        if self.held[conn]:
-            self.held[conn] = False
+    def _hold_reading(self) -> None:
+        """Let the readers of all connections wait between two messages."""
+        for conn in all_connections(self.gateway):
+            if conn not in self.at_rest and conn.end is None and conn.state is not State.UNREADABLE:
+                conn.hold()
+                self.at_rest[conn] = False
+
+    def _end_unreadable_clients(self) -> None:
+        """Give up what is open for clients that sent malformed data; their connections end here."""
+        for client in [conn for conn in self.at_rest if is_unreadable_client(conn)]:
+            self.resume_connection(client)
+            self.gateway._do(self.gateway.garbled, (client,))
+
+    def process_events(self) -> None:
+        """Process all events in the queue."""
+        gateway = self.gateway
+        gateway._tick()
+        while (event := gateway._next(0.0)) is not None:
+            gateway._tick()
+            gateway._do(event[0], event[1:])
+
+    def _hold_writing(self) -> bool:
+        """Hold the writing of all connections as well; returns whether everything is at rest."""
+        current = {conn for conn in all_connections(self.gateway) if not is_unreadable_client(conn)}
+        for conn in list(self.at_rest):
+            if conn in current and not self.at_rest[conn]:
+                conn.still()
+                self.at_rest[conn] = True
+        # one that ended meanwhile is resumed, as its reader needs the gate to report the end
+        ended = [conn for conn in current if conn.end is not None]
+        for conn in [*ended, *(conn for conn in self.at_rest if conn not in current)]:
+            self.resume_connection(conn)
+        is_quiet = not ended and all(self.at_rest.get(conn) for conn in current)
+        return is_quiet and self.gateway.queue.empty()
+
+    # --- back to work ---
+
+    def resume_connection(self, conn: Conn) -> None:
+        """Let a connection go on, if it is at rest."""
+        if conn in self.at_rest:
+            conn.free(self.at_rest.pop(conn))
+
+    def _resume_writing(self, conn: Conn) -> None:
+        if self.at_rest[conn]:
+            self.at_rest[conn] = False
             conn.lock.release()
 
-    def release(self, doors: bool = True) -> None:
-        """All that is at rest goes on."""
-        for conn in list(self.held):
-            self.loosen(conn)
-        if doors and self.doors:
-            self.doors = False
-            self.owner.feed.gate.release()
-            self.owner.front.gate.release()
-
-    # --- after ---
-
-    def moves(self, conns: list[Conn]) -> None:
-        """These belong to the new process from here on. They stay at rest here."""
-        owner = self.owner
-        for conn in conns:
-            self.held.pop(conn, None)
+    def resume_all(self, accept: bool = True) -> None:
+        """Let all connections at rest go on; `accept`: accepting connections and discovery too."""
+        for conn in list(self.at_rest):
+            self.resume_connection(conn)
+        if accept and self.is_accept_held:
+            self.is_accept_held = False
+            self.gateway.feed.gate.release()
+            self.gateway.front.gate.release()
+
+    # --- after the transfer ---
+
+    def mark_transferred(self, connections: list[Conn]) -> None:
+        """Give connections to the receiver. They stay at rest here."""
+        gateway = self.gateway
+        for conn in connections:
+            self.at_rest.pop(conn, None)
             if isinstance(conn, Client):
-                owner.front.clients.pop(conn, None)
+                gateway.front.clients.pop(conn, None)
             elif conn in conn.pool.lines:
                 conn.pool.lines.remove(conn)
-        self.moved += conns
-
-    def forgets(self) -> None:
-        """What went over with its reqs is theirs to end."""
-        owner = self.owner
-        gone = set(self.moved)
-        for request, call in list(owner.calls.items()):
-            if call.client in gone:
-                del owner.calls[request]
-                owner.front.names.pop(call.name, None)
-        owner.timers = [entry for entry in owner.timers if entry[2] in (owner.sweep, owner._beat)]
-
-    def back(self, conns: list[Conn]) -> None:
-        """The new process had these and has died: what was open on them is lost, as with any process that
-        dies. The reqs end first, so that none goes out again; then the connections."""
-        owner = self.owner
-        clients = [conn for conn in conns if isinstance(conn, Client)]
-        for conn in conns:
-            if conn in self.held:
-                self._unstill(conn)
-            elif conn in self.moved:
+        self.transferred += connections
+
+    def forget_transferred_requests(self) -> None:
+        """Forget the requests whose clients' connections were transferred, and all timers for them."""
+        gateway = self.gateway
+        transferred = set(self.transferred)
+        for request, call in list(gateway.calls.items()):
+            if call.client in transferred:
+                del gateway.calls[request]
+                gateway.front.names.pop(call.name, None)
+        gateway.timers = [entry for entry in gateway.timers if entry[2] in (gateway.sweep, gateway._beat)]
+
+    def close_lost(self, connections: list[Conn]) -> None:
+        """Close connections that the receiver had when it died.
+
+        What was open on them is lost, as with any process that dies. The requests end first, so that none is
+        sent again; then the connections.
+        """
+        gateway = self.gateway
+        for conn in connections:
+            if conn in self.at_rest:
+                self._resume_writing(conn)
+            elif conn in self.transferred:
                 conn.lock.release()
-        for client in clients:
-            owner._do(owner.hung_up, (client,))
-        for conn in conns:
+        for client in [conn for conn in connections if isinstance(conn, Client)]:
+            gateway._do(gateway.hung_up, (client,))
+        for conn in connections:
             conn.close(End.RESET)
-            if self.held.pop(conn, None) is not None or conn in self.moved:
+            if self.at_rest.pop(conn, None) is not None or conn in self.transferred:
                 conn.gate.release()
-        self.moved = [conn for conn in self.moved if conn not in conns]
+        self.transferred = [conn for conn in self.transferred if conn not in connections]
 
-    def free_later(self) -> list[tuple[Client, messages.Client]]:
-        """Clients' connections that nothing is open on any more, at rest from now on."""
-        out = []
-        for client in list(self.owner.front.clients):
-            if not state_transfer.free(client):
+    def hold_idle_clients(self) -> list[IdleClient]:
+        """Bring to rest the clients' connections on which nothing is open any more, and return them."""
+        found = []
+        for client in list(self.gateway.front.clients):
+            if not is_idle(client):
                 continue
-            was = client in self.held  # no more is read there in any case
-            if not was:
+            was_at_rest = client in self.at_rest  # nothing more is read there in any case
+            if not was_at_rest:
                 client.hold()
             client.still()
-            self.held[client] = True
-            if state_transfer.free(client):
-                out.append((client, state_transfer.client_told(client, 0)))
-            elif was:
-                self._unstill(client)
+            self.at_rest[client] = True
+            if is_idle(client):
+                found.append(IdleClient(client, export_client(client, 0)))
+            elif was_at_rest:
+                self._resume_writing(client)
             else:
-                self.loosen(client)
-        return out
+                self.resume_connection(client)
+        return found
--- a/lilacloft/handover/receiver.py
+++ b/lilacloft/handover/receiver.py
@@ -1,13 +1,14 @@
-"""The new process: takes over from the old one that has started it, over the channel that it was given.
+"""The receiver of a handover: the new process, over the channel from the process that has started it.
 
-Carries out what `phases.Coming` decides. It must never read or write on what it was handed before it has
-answered `commit`, never bind an address, and never stay when it is not the gateway.
+Carries out what `phases.ReceiverStateMachine` decides. Nothing that it was sent is read or written before
+`commit` is acknowledged, no address is bound, and a process that is not the gateway ends.
 """
 
 from __future__ import annotations
 
 import contextlib
 import os
+import signal
 import socket
 import threading
 import time
@@ -15,163 +16,201 @@
 
 from loguru import logger
 
+from lilacloft import __version__
 from lilacloft.errors import NotWantedError
-from lilacloft.handover import messages, state_transfer
-from lilacloft.handover.channel import BrokenError, Channel
-from lilacloft.handover.messages import FormError, Kind
-from lilacloft.handover.phases import Coming
-from lilacloft.handover.sender import hello
-
-PATIENCE = 30.0  # seconds without a word from the old process: its own limits are far below
-DEAD = 0.5  # seconds in which the end of a process that has closed everything is seen
-
-
-class Taking:
-    """One takeover; each step may be where this process dies, so each is a method of its own."""
-
-    def __init__(self, fd: int) -> None:
-        self.channel = Channel(socket.socket(fileno=fd))
-        self.coming = Coming()
-        self.parent = 0
-        self.owner: Any = None
-        self.told: state_transfer.Told | None = None
-        self.listed: list[messages.Listed] = []
+from lilacloft.handover import messages
+from lilacloft.handover.channel import Channel, ChannelError, Frame
+from lilacloft.handover.counters import add_counters
+from lilacloft.handover.framing import STATE_VERSION, FormatError, MessageKind
+from lilacloft.handover.phases import ReceiverStateMachine
+from lilacloft.handover.state_restore import GatewayRestorer
+
+SENDER_TIMEOUT = 30.0  # seconds without a message from the sender, whose own limits are far below
+EXIT_DETECTION_SECONDS = 0.5  # in which the end of a process that has closed everything is seen
+EXIT_POLL_SECONDS = EXIT_DETECTION_SECONDS / 50
+SYNCED_SEND_TIMEOUT = 0.1  # seconds
+NO_DESCRIPTOR = -1
+
+
+def make_hello(vhosts: list[str], store_folder: str = "") -> messages.Hello:
+    """Return the first message of a receiver. `store_folder`: empty if it has no store."""
+    folder = os.path.realpath(store_folder) if store_folder else ""
+    return messages.Hello(__version__, STATE_VERSION, vhosts, folder)
+
+
+class HandoverReceiver:
+    """One takeover. Each step is a method, in the order in which they are called."""
+
+    def __init__(self, descriptor: int) -> None:
+        """`descriptor`: of the channel to the sender."""
+        self.channel = Channel(socket.socket(fileno=descriptor))
+        self.state_machine = ReceiverStateMachine()
+        self.sender_pid = 0
+        self.gateway: Any = None  # set by the caller between `receive_warm_up` and `receive_object_parts`
+        self.restorer: GatewayRestorer | None = None
+        self.backends: list[messages.ListedBackend] = []
         self.listener: socket.socket | None = None
-        self.handover: socket.socket | None = None
-        self.lock = -1  # of the store
-
-    def hello(self, vhosts: list[str], store: str = "") -> None:
-        """Say what this one is."""
-        self.channel.send(Kind.HELLO, hello(vhosts, store))
-
-    def warm(self) -> None:
-        """Take the listeners."""
-        _, payload = self._next(Kind.WARM)
-        warm = messages.read(payload, messages.Warm)
-        if warm.least > messages.VERSION:
-            raise FormError(f"the old process writes form {warm.least}, {messages.VERSION} is read here")
-        self.parent, self.listed = warm.parent, warm.listed
-        self.listener, self.handover = self.channel.sockets(2)
-
-    def table(self) -> None:
-        """Take the list and the module's table into the owner made meanwhile, while the old one serves."""
-        self.told = state_transfer.Told(self.owner)
-        self.told.warm(self.listed, iter(self._part, []))
-
-    def _part(self) -> list[messages.ObjectPart]:
-        _, payload = self._next(Kind.TABLE)
-        return messages.read(payload, list[messages.ObjectPart])
-
-    def ready(self) -> None:
-        """Ready for the rest."""
-        self.channel.send(Kind.READY)
-
-    def state(self) -> None:
-        """Take everything else, and make a whole gateway of it, which does not begin yet."""
-        kind, payload = self._next(Kind.STATE)
-        began = time.monotonic()
-        state = messages.read(payload, messages.State)
-        if state.least > messages.VERSION:
-            raise FormError(f"the state is of form {state.version}, {messages.VERSION} is read here")
-        socks = self.channel.sockets(state.sockets - (state.store is not None))
-        if state.store is not None:  # after all connections
-            self.lock = self.channel.descriptors(1)[0]
-        read = time.monotonic()
-        self.told.make(state, socks.__getitem__)
+        self.upgrade_socket: socket.socket | None = None
+        self.store_lock = NO_DESCRIPTOR
+
+    def send_hello(self, vhosts: list[str], store_folder: str = "") -> None:
+        """Notify the sender of what this process is."""
+        self.channel.send(MessageKind.HELLO, make_hello(vhosts, store_folder))
+
+    def receive_warm_up(self) -> None:
+        """Receive the listening sockets and the endpoint list."""
+        warm_up = self._receive(MessageKind.WARM_UP).decode(messages.WarmUp)
+        if warm_up.oldest_reader > STATE_VERSION:
+            raise FormatError(
+                f"the old process writes form {warm_up.oldest_reader}, {STATE_VERSION} is read here"
+            )
+        self.sender_pid, self.backends = warm_up.sender_pid, warm_up.backends
+        self.listener, self.upgrade_socket = self.channel.take_sockets(2)
+
+    def receive_object_parts(self) -> None:
+        """Restore the endpoint list and the object parts, while the sender still serves."""
+        self.restorer = GatewayRestorer(self.gateway)
+        self.restorer.prepare(self.backends, iter(self._receive_batch, []))
+
+    def _receive_batch(self) -> list[messages.ObjectPartState]:
+        return self._receive(MessageKind.OBJECT_PARTS).decode(list[messages.ObjectPartState])
+
+    def send_ready(self) -> None:
+        """Notify the sender that this process waits for the state."""
+        self.channel.send(MessageKind.READY)
+
+    def receive_state(self) -> None:
+        """Receive the state and restore a whole gateway from it, which does not start yet."""
+        frame = self._receive(MessageKind.STATE)
+        began_at = time.monotonic()
+        state = frame.decode(messages.GatewayState)
+        if state.oldest_reader > STATE_VERSION:
+            raise FormatError(f"the state is of form {state.version}, {STATE_VERSION} is read here")
+        has_store = state.store is not None
+        sockets = self.channel.take_sockets(state.descriptor_count - has_store)
+        if has_store:  # its lock is sent after all connections
+            self.store_lock = self.channel.take_descriptors(1)[0]
+        read_at = time.monotonic()
+        self.restorer.restore(state, sockets.__getitem__)
         logger.debug(
             "upgrade: read in {:.1f} ms, made in {:.1f} ms",
-            1000 * (read - began),
-            1000 * (time.monotonic() - read),
+            1000 * (read_at - began_at),
+            1000 * (time.monotonic() - read_at),
         )
-        self.coming.state()
+        self.state_machine.state_restored()
 
-    def have(self) -> None:
-        """Say that all is here. If the old process has just died, the wait for its word finds that out."""
-        with contextlib.suppress(BrokenError):
-            self.channel.send(Kind.HAVE)
+    def send_state_restored(self) -> None:
+        """Notify the sender that everything is here.
 
-    def commit(self) -> None:
-        """Wait for the word that decides, and answer it."""
+        If the sender has just died, the wait for its commit finds that out.
+        """
+        with contextlib.suppress(ChannelError):
+            self.channel.send(MessageKind.STATE_RESTORED)
+
+    def receive_commit(self) -> None:
+        """Wait for the commit, and acknowledge it; raises NotWantedError if none comes.
+
+        If the sender has died with everything at rest, this process is the gateway without a commit.
+        """
         try:
-            self._next(Kind.COMMIT)
-        except BrokenError as wrong:
-            # the old one has died with everything at rest, or it is we who are not wanted
-            if not self.coming.broken(self._lives()):
-                raise NotWantedError(f"{wrong}; {self.coming.why}") from wrong
-            logger.warning("upgrade: {}: this process goes on", self.coming.why)
+            self._receive(MessageKind.COMMIT)
+        except ChannelError as error:
+            if not self.state_machine.channel_broken(self._sender_lives()):
+                raise NotWantedError(f"{error}; {self.state_machine.reason}") from error
+            logger.warning("upgrade: {}: this process goes on", self.state_machine.reason)
             return
-        if not self.coming.commit():
-            raise NotWantedError(self.coming.why)
+        if not self.state_machine.commit_received():
+            raise NotWantedError(self.state_machine.reason)
         try:
-            self.channel.send(Kind.TAKEN)
-        except BrokenError:
+            self.channel.send(MessageKind.COMMIT_ACKNOWLEDGED)
+        except ChannelError:
             logger.warning("upgrade: the old process has ended just before the answer")
 
-    def serving(self) -> None:
-        """The first turn is over."""
+    def send_serving(self) -> None:
+        """Notify the sender that this process serves, and follow what it still sends."""
         try:
-            self.channel.send(Kind.SERVING)
-        except BrokenError as wrong:
-            logger.warning("upgrade: {}", wrong)
-        threading.Thread(target=self._follow, daemon=True).start()
+            self.channel.send(MessageKind.SERVING)
+        except ChannelError as error:
+            logger.warning("upgrade: {}", error)
+        threading.Thread(target=self._follow_sender, daemon=True).start()
 
-    def refuse(self, why: str) -> None:
-        """Say why this one cannot go on."""
+    def refuse(self, reason: str) -> None:
+        """Notify the sender that this process cannot continue."""
         try:
-            self.channel.send(Kind.REFUSE, messages.Said(why[:4096]))
-        except (BrokenError, FormError):
-            logger.error("upgrade: {}", why)
-
-    def _next(self, kind: Kind) -> tuple[Kind, bytes]:
-        found, payload = self.channel.receive(PATIENCE, (kind, Kind.DISMISS))
-        if found is Kind.DISMISS:
-            why = messages.read(payload, messages.Said).why
-            self.coming.dismissed(why)
-            raise NotWantedError(why)
-        return found, payload
-
-    def _lives(self) -> bool:
-        """Is the old process still there? Its end closes its sockets a moment before it is seen."""
-        until = time.monotonic() + DEAD
-        while os.getppid() == self.parent:
-            if time.monotonic() > until:
+            self.channel.send(MessageKind.REFUSE, messages.Reason(reason[: messages.MAX_REASON_CHARACTERS]))
+        except (ChannelError, FormatError):
+            logger.error("upgrade: {}", reason)
+
+    def _receive(self, kind: MessageKind) -> Frame:
+        """Return the next frame, of a kind; raises NotWantedError if this process is dismissed instead."""
+        frame = self.channel.receive(SENDER_TIMEOUT, (kind, MessageKind.DISMISS))
+        if frame.kind is MessageKind.DISMISS:
+            reason = frame.decode(messages.Reason).reason
+            self.state_machine.dismissed(reason)
+            raise NotWantedError(reason)
+        return frame
+
+    def _sender_lives(self) -> bool:
+        """Return whether the sender runs: its end closes its sockets a moment before it is seen."""
+        deadline = time.monotonic() + EXIT_DETECTION_SECONDS
+        while os.getppid() == self.sender_pid:
+            if time.monotonic() > deadline:
                 return True
-            time.sleep(DEAD / 50)
+            time.sleep(EXIT_POLL_SECONDS)
         return False
 
-    def _follow(self) -> None:
-        """What the old process still sends: connections that have become free, its last counters, and signals
-        that were meant for the gateway."""
-        owner = self.owner
+    # --- after the commit, in a thread of its own ---
+
+    def _follow_sender(self) -> None:
+        """Handle what a sender that drains still sends, until it has ended."""
         try:
             while True:
-                kind, payload = self.channel.receive(
-                    PATIENCE, (Kind.LATER, Kind.LEFT, Kind.RELOAD, Kind.STOP, Kind.KEEP)
+                self._handle(
+                    self.channel.receive(
+                        SENDER_TIMEOUT,
+                        (
+                            MessageKind.IDLE_CLIENT,
+                            MessageKind.DRAINED,
+                            MessageKind.RELOAD,
+                            MessageKind.STOP,
+                            MessageKind.STORE_RECORD,
+                        ),
+                    )
                 )
-                if kind is Kind.LATER:
-                    told = messages.read(payload, messages.Client)
-                    owner.post(self._later, told, self.channel.sockets(1)[0])
-                elif kind is Kind.KEEP:
-                    keep = messages.read(payload, messages.Keep)
-                    if owner.guard:
-                        owner.post(
-                            owner.guard.relayed, keep.ticket, keep.kind, keep.key, keep.value, self._down
-                        )
-                elif kind is Kind.LEFT:
-                    owner.post(state_transfer.add, owner, messages.read(payload, messages.Left).counts)
-                elif kind is Kind.RELOAD:
-                    os.kill(os.getpid(), 1)
-                else:
-                    owner.post(owner.stop)
-        except (BrokenError, FormError, OSError) as wrong:
-            logger.info("upgrade: the old process is done ({})", wrong)
+        except (ChannelError, FormatError, OSError) as error:
+            logger.info("upgrade: the old process is done ({})", error)
         finally:
             self.channel.close()
 
-    def _down(self, ticket: int) -> None:
-        with contextlib.suppress(BrokenError):
-            self.channel.send(Kind.DOWN, ticket, wait=0.1)
-
-    def _later(self, told: messages.Client, sock: socket.socket) -> None:
-        client = self.told.client(told, sock)
-        client.start()
+    def _handle(self, frame: Frame) -> None:
+        """Pass one message of a sender that drains to the event loop."""
+        gateway = self.gateway
+        if frame.kind is MessageKind.IDLE_CLIENT:
+            state = frame.decode(messages.ClientConnectionState)
+            gateway.post(self._start_client, state, self.channel.take_sockets(1)[0])
+        elif frame.kind is MessageKind.STORE_RECORD:
+            record = frame.decode(messages.StoreRecord)
+            if gateway.guard:
+                gateway.post(
+                    gateway.guard.relayed,
+                    record.ticket,
+                    record.kind,
+                    record.key,
+                    record.value,
+                    self._send_synced,
+                )
+        elif frame.kind is MessageKind.DRAINED:
+            gateway.post(add_counters, gateway, frame.decode(messages.FinalCounters).counts)
+        elif frame.kind is MessageKind.RELOAD:
+            os.kill(os.getpid(), signal.SIGHUP)
+        else:
+            gateway.post(gateway.stop)
+
+    def _send_synced(self, ticket: int) -> None:
+        """Notify the sender that its store records up to a ticket are on disk."""
+        with contextlib.suppress(ChannelError):
+            self.channel.send(MessageKind.STORE_RECORDS_SYNCED, ticket, timeout=SYNCED_SEND_TIMEOUT)
+
+    def _start_client(self, state: messages.ClientConnectionState, sock: socket.socket) -> None:
+        """Serve a client's connection that became idle at the sender."""
+        self.restorer.restore_client(state, sock).start()
--- a/lilacloft/handover/request.py
+++ b/lilacloft/handover/request.py
@@ -1,49 +1,84 @@
-"""The upgrade command's side: asks a gateway to be replaced and tells how it went. It never touches a
-gateway."""
+"""The upgrade command's side: requests a gateway's replacement and reports its phases."""
 
 from __future__ import annotations
 
 import socket
 import time
 from collections.abc import Callable
+from typing import NamedTuple
 
-from lilacloft.handover import messages
-from lilacloft.handover.channel import BrokenError, Channel
-from lilacloft.handover.messages import FormError, Kind
+from lilacloft.handover.channel import Channel, ChannelClosedError, ChannelError
+from lilacloft.handover.framing import FormatError, MessageKind
+from lilacloft.handover.messages import PhaseReport, UpgradeRequest
 
-CONNECT = 2.0
+CONNECT_TIMEOUT = 2.0  # seconds
+DEFAULT_TIMEOUT = 120.0  # seconds, for the whole handover
 
 
-def ask(
-    path: str, to: str, mode: str, tell: Callable[[messages.Phase], None], wait: float = 120.0
-) -> tuple[bool, str]:
-    """Replace the gateway that offers a handover at a path; tells each phase as it comes. Returns whether the
-    new process serves and the old one has ended, and else why not."""
+class UpgradeResult(NamedTuple):
+    """Whether the new process serves and the old one has ended; if not, why."""
+
+    succeeded: bool
+    reason: str
+
+
+def request_upgrade(
+    path: str,
+    command: str,
+    mode: str,
+    on_phase: Callable[[PhaseReport], None],
+    timeout: float = DEFAULT_TIMEOUT,
+) -> UpgradeResult:
+    """Replace the gateway that offers a handover at a path, and wait for the end of it.
+
+    `command` starts the new process; empty: the command that started the old one. `mode`: a HandoverMode, or
+    empty for that of the gateway's settings. `on_phase` gets each phase as it begins. `timeout`: seconds.
+    """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    sock.settimeout(CONNECT)
+    sock.settimeout(CONNECT_TIMEOUT)
     try:
         sock.connect(path)
-    except OSError as wrong:
+    except OSError as error:
         sock.close()
-        return False, f"{path}: {wrong.strerror or wrong}"
-    channel, until, last = Channel(sock), time.monotonic() + wait, "nothing"
+        return UpgradeResult(False, f"{path}: {error.strerror or error}")
+    channel = Channel(sock)
     try:
-        channel.send(Kind.ASK, messages.Ask(to, mode))
-        while True:
-            _, payload = channel.receive(max(0.0, until - time.monotonic()), (Kind.PHASE,))
-            phase = messages.read(payload, messages.Phase)
-            tell(phase)
-            last = phase.phase
-            if phase.done and not phase.ok:
-                return False, phase.why or phase.phase
-            if phase.done:
-                break
-        try:
-            channel.receive(max(0.0, until - time.monotonic()))
-        except BrokenError as wrong:
-            return "ended" in str(wrong), "" if "ended" in str(wrong) else "the old process does not end"
-        return False, "the old process goes on talking"
-    except (BrokenError, FormError) as wrong:
-        return False, f"{wrong} after {last}"
+        return _follow(channel, UpgradeRequest(command, mode), on_phase, time.monotonic() + timeout)
     finally:
         channel.close()
+
+
+def _follow(
+    channel: Channel, request: UpgradeRequest, on_phase: Callable[[PhaseReport], None], deadline: float
+) -> UpgradeResult:
+    """Send a request and follow the phases to the last. `deadline`: monotonic seconds."""
+    last_phase = "nothing"
+    try:
+        channel.send(MessageKind.UPGRADE_REQUEST, request)
+        while True:
+            frame = channel.receive(_seconds_until(deadline), (MessageKind.PHASE,))
+            report = frame.decode(PhaseReport)
+            on_phase(report)
+            last_phase = report.phase
+            if report.is_final:
+                break
+        if not report.succeeded:
+            return UpgradeResult(False, report.reason or report.phase)
+        return _wait_for_end(channel, deadline)
+    except (ChannelError, FormatError) as error:
+        return UpgradeResult(False, f"{error} after {last_phase}")
+
+
+def _wait_for_end(channel: Channel, deadline: float) -> UpgradeResult:
+    """Wait until the old process has closed the channel with its end."""
+    try:
+        channel.receive(_seconds_until(deadline))
+    except ChannelClosedError:
+        return UpgradeResult(True, "")
+    except ChannelError:
+        return UpgradeResult(False, "the old process does not end")
+    return UpgradeResult(False, "the old process goes on talking")
+
+
+def _seconds_until(deadline: float) -> float:
+    return max(0.0, deadline - time.monotonic())
--- a/lilacloft/handover/sender.py
+++ b/lilacloft/handover/sender.py
@@ -1,18 +1,16 @@
-"""The old process: offers a handover on a Unix socket, starts the new process, and hands everything over.
+"""The sender of a handover: the process that is replaced starts the new one and hands everything over.
 
-Carries out what `phases.Leaving` decides. Up to `ready` a thread of its own drives it beside the serving;
-from there on the owner's thread does. It must never let a stranger ask, never hold serving up without a
-limit, and never give up the channel to a new process that still runs.
+Carries out what `phases.SenderStateMachine` decides. Until the receiver is ready a thread of its own drives
+the handover while the event loop serves; from there on the event loop's thread does. Serving is never held up
+without a limit, and the channel to a receiver that still runs is never given up.
 """
 
 from __future__ import annotations
 
 import contextlib
 import os
-import queue
 import shlex
 import socket
-import subprocess
 import sys
 import threading
 import time
@@ -21,427 +19,374 @@
 
 from loguru import logger
 
-from lilacloft import __version__
-from lilacloft.handover import messages, phases, state_transfer
-from lilacloft.handover.channel import BrokenError, Channel
-from lilacloft.handover.messages import FormError, Kind
-from lilacloft.handover.process_arguments import command
-from lilacloft.handover.quiesce import SLICE, Rest
+from lilacloft.handover import messages, process_arguments
+from lilacloft.handover.channel import Channel, ChannelError, ChannelTimeoutError, Frame
+from lilacloft.handover.counters import GroupedCounts, counted_since
+from lilacloft.handover.event_loop import run_on_event_loop
+from lilacloft.handover.framing import OLDEST_READER_VERSION, STATE_VERSION, FormatError, MessageKind
+from lilacloft.handover.phase_reporter import PhaseReporter
+from lilacloft.handover.phases import HandoverMode, Phase, SenderStateMachine
+from lilacloft.handover.quiesce import Quiescer
+from lilacloft.handover.receiver_process import HANDOVER_ERRORS, NO_DESCRIPTOR, ReceiverProcess
+from lilacloft.handover.resources import current_usage
+from lilacloft.handover.state_export import export_backends, export_gateway
+from lilacloft.handover.upgrade_listener import UpgradeListener, UpgradeRefusedError
+from lilacloft.net.conn import Conn
 from lilacloft.routing.model import RejectReason
+from lilacloft.routing.units import TICKS_PER_SECOND
 
-ASKERS = 4  # connections to the socket at once; more are closed
-SAYS = 2.0  # seconds in which one that has connected says what it wants
-LOOK = 0.02  # seconds between two looks at what has become free
+DRAIN_POLL_SECONDS = 0.02  # between two checks of what became idle
+STORE_RECORD_TIMEOUT = 0.1  # seconds
+MAX_DRAIN_WAIT = 2.0  # seconds for one message of a receiver that serves
+MAX_RECEIVE_SECONDS = 3600.0
+OBJECT_PARTS_PER_MESSAGE = 2000  # one message is exported in one event: some 10 ms
+INTERNAL_FAULT = "a fault of ours"
 
 
-class RefusedError(Exception):
-    """An upgrade that is not begun; the text says why."""
-
-
-def held(supervised: bool = False) -> dict[str, float]:
-    """What this process has of what is limited; of memory also what its supervisor has."""
-    pages = 0
-    for pid in (os.getpid(), *((os.getppid(),) if supervised else ())):
-        with open(f"/proc/{pid}/statm", encoding="ascii") as file:
-            pages += int(file.read().split()[1])
-    return {"memory_mb": pages * os.sysconf("SC_PAGESIZE") / 1e6, "sockets": len(os.listdir("/proc/self/fd"))}
-
-
-def listen(path: str) -> socket.socket:
-    """The socket on which an upgrade is asked for; a stale one is replaced, one in use is not."""
-    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
-        try:
-            probe.connect(path)
-        except OSError:
-            with contextlib.suppress(FileNotFoundError):
-                os.unlink(path)
-        else:
-            raise OSError(98, "another gateway offers a handover there")
-    sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    mask = os.umask(0o177)  # never open to others, not for a moment
-    try:
-        sock.bind(path)
-    finally:
-        os.umask(mask)
-    sock.listen(ASKERS)
-    return sock
-
-
-class Offer:
-    """One gateway's readiness to be replaced; the Ways of its phases."""
+class HandoverSender:
+    """One gateway that can be replaced; the actions of its `SenderStateMachine`."""
 
     def __init__(
         self,
-        owner: Any,
-        sock: socket.socket,
+        gateway: Any,
+        upgrade_socket: socket.socket,
         limits: Mapping[str, float] | None = None,
-        status: int = -1,
-        mode: str = phases.WHOLE,
+        status: int = NO_DESCRIPTOR,
+        mode: str = HandoverMode.WHOLE,
     ) -> None:
-        self.owner, self.sock, self.status, self.mode = owner, sock, status, mode
-        self.leaving = phases.Leaving(self, limits)
-        self.lock = threading.RLock()  # the thread that drives, and the owner's when it is told to stop
-        self.askers = threading.BoundedSemaphore(ASKERS)
-        self.to: list[str] = []
-        self.process: subprocess.Popen[bytes] | None = None
-        self.channel: Channel | None = None
-        self.control: Channel | None = None
-        self.rest = Rest(owner)
-        self.conns: list[Any] = []
-        self.serves = self.reloaded = False
-        self.failed = ""
-        self.counted: dict[str, dict[str, int]] = {}
-        owner.upgrade = self
-
-    def open(self) -> None:
-        """Take upgrades from now on: this process is the gateway."""
-        self._status()
-        threading.Thread(target=self._accept, daemon=True).start()
-
-    # --- who asks ---
-
-    def _accept(self) -> None:
-        self.sock.settimeout(1.0)
-        while True:
-            try:
-                sock, _ = self.sock.accept()
-                if not self.askers.acquire(blocking=False):
-                    sock.close()
-                    continue
-                threading.Thread(target=self._asked, args=(Channel(sock),), daemon=True).start()
-            except TimeoutError:
-                continue
-            except (OSError, RuntimeError) as wrong:
-                logger.error("handover: {}", wrong)
-                time.sleep(SAYS)
-
-    def _asked(self, control: Channel) -> None:
-        """One that has connected; whatever it is, the gateway goes on."""
-        pid = 0
+        """Let a gateway be replaced, once `start` is called.
+
+        `upgrade_socket`: where requests are accepted. `limits`: seconds by phase. `status`: descriptor of the
+        pipe to a supervisor. `mode`: a HandoverMode, for requests that name none.
+        """
+        self.gateway = gateway
+        self.upgrade_socket = upgrade_socket
+        self.status = status
+        self.default_mode = mode
+        self.state_machine = SenderStateMachine(self, limits)
+        self.listener = UpgradeListener(upgrade_socket, self._upgrade, self._on_fault)
+        self.lock = threading.RLock()  # the driving thread, and the event loop's when it is told to stop
+        self.quiescer = Quiescer(gateway)
+        self.command: list[str] = []  # starts the receiver
+        self.receiver = ReceiverProcess(status)
+        self.reporter = PhaseReporter(gateway)
+        self.connections: list[Conn] = []  # are transferred
+        self.exported_counts: GroupedCounts = {}
+        self.receiver_serves = False
+        self.was_reloaded = False  # SIGHUP came during the handover
+        gateway.upgrade = self
+
+    def start(self) -> None:
+        """This process is the gateway: accept upgrade requests from now on."""
+        self._report_gateway()
+        self.listener.start()
+
+    # --- the driving thread ---
+
+    def _upgrade(self, request: messages.UpgradeRequest, control: Channel) -> None:
+        """Carry out an upgrade request; `control` gets the phases."""
+        self._begin(request, control)
         try:
-            pid, uid = control.peer()
-            if uid not in (0, os.getuid()):
-                raise RefusedError(f"user {uid} may not ask for an upgrade")
-            _, payload = control.receive(SAYS, (Kind.ASK,))
-            ask = messages.read(payload, messages.Ask)
-            self._upgrade(ask, control)
-        except (FormError, BrokenError, OSError) as wrong:
-            logger.warning("handover: process {} is let go: {}", pid, wrong)
-        except RefusedError as wrong:
-            logger.warning("handover: process {} is refused: {}", pid, wrong)
-            with contextlib.suppress(BrokenError):
-                control.send(Kind.PHASE, messages.Phase("refused", str(wrong), done=True))
-        except Exception:
-            logger.exception("handover failed")
-            self.on_owner(self._lost, "a fault of ours")
+            if self.receiver.start_error:
+                raise ChannelError(self.receiver.start_error)
+            self._drive()
+        except HANDOVER_ERRORS as error:
+            self._run_on_event_loop(self._lost, self.receiver.describe_loss(error))
         finally:
-            control.close()
-            self.askers.release()
+            if self.state_machine.phase == Phase.IDLE:
+                self.receiver.close_channel()
 
-    def _upgrade(self, ask: messages.Ask, control: Channel) -> None:
+    def _begin(self, request: messages.UpgradeRequest, control: Channel) -> None:
+        """Start the receiver; raises UpgradeRefusedError if no handover may begin."""
         with self.lock:
-            busy = self.leaving.phase != phases.IDLE
-            if not busy:
-                self.control, self.serves, self.reloaded = control, False, False
-                try:
-                    self.to = shlex.split(ask.to) if ask.to else command(sys.orig_argv)
-                except ValueError as wrong:
-                    raise RefusedError(f"--to {ask.to!r}: {wrong}") from None
-            why = self.leaving.asked(ask.mode or self.mode, held(self.status >= 0), self.owner.allowed)
-        if why:
-            raise RefusedError(why)
+            if self.state_machine.phase == Phase.IDLE:
+                self.reporter.control = control
+                self.receiver_serves = self.was_reloaded = False
+                self.command = self._command_of(request)
+            refusal = self.state_machine.upgrade_requested(
+                request.mode or self.default_mode,
+                current_usage(is_supervised=self.status >= 0),
+                self.gateway.allowed,
+            )
+        if refusal:
+            raise UpgradeRefusedError(refusal)
+
+    @staticmethod
+    def _command_of(request: messages.UpgradeRequest) -> list[str]:
+        """Return the command that starts the receiver."""
+        if not request.command:
+            return process_arguments.original_command(sys.orig_argv)
         try:
-            if self.failed:
-                raise BrokenError(self.failed)
-            self._drive()
-        except (FormError, BrokenError, OSError) as wrong:
-            self.on_owner(self._lost, self._why(wrong))
-        finally:
-            if self.leaving.phase == phases.IDLE:
-                self.channel.close()
+            return shlex.split(request.command)
+        except ValueError as error:
+            raise UpgradeRefusedError(f"--to {request.command!r}: {error}") from None
 
-    def _why(self, wrong: Exception) -> str:
-        """What is known of why the new process is lost."""
-        if self.process is not None and "ended" in str(wrong):
-            with contextlib.suppress(subprocess.TimeoutExpired):
-                return f"the new process ended with code {self.process.wait(LOOK * 10)}"
-        return str(wrong)
+    def _on_fault(self, reason: str) -> None:
+        """Something unexpected failed in the driving thread."""
+        self._run_on_event_loop(self._lost, reason)
 
     def _drive(self) -> None:
-        """From the start of the new process to its end or ours."""
-        kind, payload = self._receive(Kind.HELLO, Kind.REFUSE)
-        if kind is Kind.REFUSE:
-            return self.on_owner(self._lost, messages.read(payload, messages.Said).why)
-        hello = messages.read(payload, messages.Hello)
-        own = [vhost["name"] for vhost in self.owner.vhosts]
-        why = ""
-        if hello.form < messages.VERSION:
-            why = f"form {hello.form} cannot hold open reqs"
-        elif hello.vhosts != own:
-            why = f"vhosts {hello.vhosts} are not {own}"
-        store = self.owner.guard.path if self.owner.guard else ""
-        if store and hello.store != store:  # what was sent there must be known to who goes on
-            raise FormError(f"the new process keeps {hello.store or 'no store'} instead of {store}")
-        if hello.form < messages.LEAST:
-            raise FormError(
-                f"lilacloft {hello.version} reads form {hello.form}, not {messages.LEAST} or later"
-            )
+        """Drive the handover from the start of the receiver to its end or ours."""
+        frame = self._receive(MessageKind.HELLO, MessageKind.REFUSE)
+        if frame.kind is MessageKind.REFUSE:
+            return self._refused(frame)
+        self._check_hello(frame.decode(messages.Hello))
+        self._send_warm_up()
+        frame = self._receive(MessageKind.READY, MessageKind.REFUSE)
+        if frame.kind is MessageKind.REFUSE:
+            return self._refused(frame)
         with self.lock:
-            self.leaving.hello(not why, why)
-        self._warm()
-        kind, payload = self._receive(Kind.READY, Kind.REFUSE)
-        if kind is Kind.REFUSE:
-            return self.on_owner(self._lost, messages.read(payload, messages.Said).why)
-        with self.lock:
-            self.leaving.ready()
-        self.on_owner(self._swap)
-        # from here on the owner's thread acts; this one reads, so that an end is seen at once
-        while self.leaving.phase == phases.LETTING_GO:
-            try:
-                kind, payload = self.channel.receive(
-                    max(LOOK, min(self.leaving.left(), SAYS)), (Kind.SERVING, Kind.DOWN)
-                )
-                if kind is Kind.DOWN:
-                    self.owner.post(self.owner.guard.relay_down, messages.read(payload, int))
-                    continue
-                self.serves = True
-                self.on_owner(self._look, False)
-            except BrokenError as wrong:
-                if "in time" not in str(wrong):
-                    self.on_owner(self._lost, str(wrong))
-            except (FormError, OSError) as wrong:
-                self.on_owner(self._lost, str(wrong))
+            self.state_machine.ready_received()
+        self._run_on_event_loop(self._transfer)
+        # from here on the event loop's thread acts; this one reads, so that an end is seen at once
+        while self.state_machine.phase == Phase.DRAINING:
+            self._follow_receiver()
         return None
 
-    def on_owner(self, what: Callable[..., Any], *told: Any) -> Any:
-        """Have the owner's thread do something, and wait until it has."""
-        box: queue.SimpleQueue[Any] = queue.SimpleQueue()
-
-        def do() -> None:
-            found = None
-            try:
-                found = what(*told)
-            finally:
-                box.put(found)
-
-        self.owner.post(do)
-        while True:
-            try:
-                return box.get(timeout=SAYS)
-            except queue.Empty:
-                if self.owner.gone:
-                    return None
-
-    def _receive(self, *kinds: Kind) -> tuple[Kind, bytes]:
-        assert self.channel is not None
-        return self.channel.receive(min(self.leaving.left(), 3600.0), kinds)
-
-    # --- beside the serving ---
-
-    def _warm(self) -> None:
-        owner, channel = self.owner, self.channel
-        channel.send(
-            Kind.WARM,
-            messages.Warm(
-                os.getpid(),
-                mode=self.leaving.mode,
-                listed=self.on_owner(lambda: list(state_transfer.listed(owner))),
-            ),
-            (owner.front.sock.fileno(), self.sock.fileno()),
+    def _refused(self, frame: Frame) -> None:
+        self._run_on_event_loop(self._lost, frame.decode(messages.Reason).reason)
+
+    def _check_hello(self, hello: messages.Hello) -> None:
+        """Accept a receiver; raises FormatError if it cannot continue with the state at all."""
+        vhosts = [vhost["name"] for vhost in self.gateway.vhosts]
+        reason = ""  # why it cannot continue with open requests
+        if hello.state_version < STATE_VERSION:
+            reason = f"form {hello.state_version} cannot hold open reqs"
+        elif hello.vhosts != vhosts:
+            reason = f"vhosts {hello.vhosts} are not {vhosts}"
+        store = self.gateway.guard.path if self.gateway.guard else ""
+        if store and hello.store_folder != store:  # whoever continues must know what was sent
+            raise FormatError(f"the new process keeps {hello.store_folder or 'no store'} instead of {store}")
+        if hello.state_version < OLDEST_READER_VERSION:
+            raise FormatError(
+                f"lilacloft {hello.version} reads form {hello.state_version}, "
+                f"not {OLDEST_READER_VERSION} or later"
+            )
+        with self.lock:
+            self.state_machine.hello_received(not reason, reason)
+
+    def _send_warm_up(self) -> None:
+        """Send what the receiver can prepare while this process serves."""
+        gateway, receiver = self.gateway, self.receiver
+        backends = self._run_on_event_loop(lambda: list(export_backends(gateway)))
+        receiver.send(
+            MessageKind.WARM_UP,
+            messages.WarmUp(os.getpid(), mode=self.state_machine.mode, backends=backends),
+            (gateway.front.sock.fileno(), self.upgrade_socket.fileno()),
         )
-        places = self.on_owner(self.rest.table)
-        for at in range(0, len(places), SLICE):
-            channel.send(Kind.TABLE, self.on_owner(self.rest.slice, places[at : at + SLICE]))
-        channel.send(Kind.TABLE, [])
-
-    # --- the owner's thread, nothing being served ---
-
-    def _swap(self) -> None:
+        part_keys = self._run_on_event_loop(self.quiescer.list_object_parts)
+        for start in range(0, len(part_keys), OBJECT_PARTS_PER_MESSAGE):
+            batch = part_keys[start : start + OBJECT_PARTS_PER_MESSAGE]
+            exported = self._run_on_event_loop(self.quiescer.export_object_parts, batch)
+            receiver.send(MessageKind.OBJECT_PARTS, exported)
+        receiver.send(MessageKind.OBJECT_PARTS, [])  # ends the table
+
+    def _follow_receiver(self) -> None:
+        """Handle one message of a receiver that is the gateway."""
+        timeout = max(DRAIN_POLL_SECONDS, min(self.state_machine.seconds_left(), MAX_DRAIN_WAIT))
+        try:
+            frame = self.receiver.receive(timeout, (MessageKind.SERVING, MessageKind.STORE_RECORDS_SYNCED))
+            if frame.kind is MessageKind.STORE_RECORDS_SYNCED:
+                self.gateway.post(self.gateway.guard.relay_down, frame.decode(int))
+                return
+            self.receiver_serves = True
+            self._run_on_event_loop(self._check_drained, False)
+        except ChannelTimeoutError:
+            pass
+        except HANDOVER_ERRORS as error:
+            self._run_on_event_loop(self._lost, str(error))
+
+    def _run_on_event_loop(self, function: Callable[..., Any], *arguments: Any) -> Any:
+        return run_on_event_loop(self.gateway, function, *arguments)
+
+    def _receive(self, *kinds: MessageKind) -> Frame:
+        """Return the next frame of the receiver, within the time limit of the phase."""
+        timeout = min(self.state_machine.seconds_left(), MAX_RECEIVE_SECONDS)
+        return self.receiver.receive(timeout, kinds)
+
+    # --- the event loop's thread; nothing is served meanwhile ---
+
+    def _transfer(self) -> None:
+        """Quiesce, send the state, commit, and begin to drain."""
         with self.lock:
-            self.leaving.turn()
-        leaving, channel, rest = self.leaving, self.channel, self.rest
-        if leaving.phase != phases.TAKING:
+            self.state_machine.begin_transfer()
+        if self.state_machine.phase != Phase.TRANSFERRING:
             return
         try:
-            why = rest.bring(time.monotonic() + leaving.left(), lambda: leaving.phase == phases.TAKING)
-            if not why and self.owner.guard:
-                why = self.owner.guard.rest(leaving.left() / 2)
-            if why:
-                return leaving.unheld(why)
-            state, self.conns = state_transfer.tell(self.owner, leaving.mode, rest.since())
-            self.counted, state.reload = state.counts, self.reloaded
-            fds = [conn.sock.fileno() for conn in self.conns]
-            if state.store is not None:
-                fds.append(self.owner.guard.folder.lock)
-            channel.send(Kind.STATE, state, tuple(fds), leaving.left())
-            kind, payload = self._receive(Kind.HAVE, Kind.REFUSE)
-            if kind is Kind.REFUSE:
-                raise FormError(messages.read(payload, messages.Said).why)
-            leaving.have()
-            self._receive(Kind.TAKEN)
-            leaving.taken()
-            if leaving.mode == phases.WHOLE and not self.serves:
-                while self._receive(Kind.SERVING, Kind.DOWN)[0] is Kind.DOWN:
-                    pass  # of records that nobody here waits for any more
-                self.serves = True
-                rest.forgets()
-                rest.release(doors=False)
-        except (FormError, BrokenError, OSError) as wrong:
-            return self._lost(self._why(wrong))
+            failure = self._quiesce()
+            if failure:
+                return self.state_machine.quiesce_failed(failure)
+            self._send_state()
+            self._commit()
+        except HANDOVER_ERRORS as error:
+            return self._lost(self.receiver.describe_loss(error))
         except Exception:
-            self._lost("a fault of ours")
+            self._lost(INTERNAL_FAULT)
             raise
-        return self._look()
-
-    def _look(self, again: bool = True) -> None:
-        """What stays here, until nothing does."""
-        leaving, owner = self.leaving, self.owner
-        if leaving.phase != phases.LETTING_GO:
+        return self._check_drained()
+
+    def _quiesce(self) -> str:
+        """Bring connections and store to rest; returns why that failed, or an empty text."""
+        machine = self.state_machine
+        deadline = time.monotonic() + machine.seconds_left()
+        failure = self.quiescer.quiesce(deadline, lambda: machine.phase == Phase.TRANSFERRING)
+        if not failure and self.gateway.guard:
+            failure = self.gateway.guard.rest(machine.seconds_left() / 2)
+        return failure
+
+    def _send_state(self) -> None:
+        """Send the state with all descriptors."""
+        changed = self.quiescer.changed_object_parts()
+        exported = export_gateway(self.gateway, self.state_machine.mode, changed)
+        state, self.connections = exported.state, exported.connections
+        self.exported_counts, state.must_reload = state.counts, self.was_reloaded
+        descriptors = [conn.sock.fileno() for conn in self.connections]
+        if state.store is not None:
+            descriptors.append(self.gateway.guard.folder.lock)
+        timeout = self.state_machine.seconds_left()
+        self.receiver.send(MessageKind.STATE, state, tuple(descriptors), timeout)
+
+    def _commit(self) -> None:
+        """Commit once the receiver has restored the state, and wait until it serves what was transferred."""
+        machine = self.state_machine
+        frame = self._receive(MessageKind.STATE_RESTORED, MessageKind.REFUSE)
+        if frame.kind is MessageKind.REFUSE:
+            raise FormatError(frame.decode(messages.Reason).reason)
+        machine.state_restored()
+        self._receive(MessageKind.COMMIT_ACKNOWLEDGED)
+        machine.commit_acknowledged()
+        if machine.mode == HandoverMode.WHOLE and not self.receiver_serves:
+            # store records that are reported as synced are of no use here any more
+            while frame.kind is not MessageKind.SERVING:
+                frame = self._receive(MessageKind.SERVING, MessageKind.STORE_RECORDS_SYNCED)
+            self.receiver_serves = True
+            self.quiescer.forget_transferred_requests()
+            self.quiescer.resume_all(accept=False)
+
+    def _check_drained(self, repeat: bool = True) -> None:
+        """Transfer what became idle, and end this process once nothing is open; else check again later."""
+        machine, gateway = self.state_machine, self.gateway
+        if machine.phase != Phase.DRAINING:
             return
         try:
-            for client, told in self.rest.free_later():
-                self.channel.send(Kind.LATER, told, (client.sock.fileno(),))
-                self.rest.moves([client])
-        except (FormError, BrokenError, OSError) as wrong:
-            return self._lost(str(wrong))
-        leaving.remains(self.serves, not (owner.calls or owner.front.clients))
-        if again and leaving.phase == phases.LETTING_GO:
-            owner.at(owner.time + int(LOOK * 10_000), self._look)
-
-    def _lost(self, why: str) -> None:
+            for client in self.quiescer.hold_idle_clients():
+                descriptor = client.connection.sock.fileno()
+                self.receiver.send(MessageKind.IDLE_CLIENT, client.state, (descriptor,))
+                self.quiescer.mark_transferred([client.connection])
+        except HANDOVER_ERRORS as error:
+            return self._lost(str(error))
+        machine.check_drained(self.receiver_serves, not (gateway.calls or gateway.front.clients))
+        if repeat and machine.phase == Phase.DRAINING:
+            gateway.at(gateway.time + int(DRAIN_POLL_SECONDS * TICKS_PER_SECOND), self._check_drained)
+
+    def _lost(self, reason: str) -> None:
         with self.lock:
-            self.leaving.lost(why)
+            self.state_machine.lost(reason)
 
-    # --- signals, in the owner's thread ---
+    # --- signals, in the event loop's thread ---
 
-    def stops(self) -> bool:
-        """SIGTERM; True where the new process is the gateway, and is told."""
+    def forward_stop(self) -> bool:
+        """SIGTERM came; returns whether the receiver is the gateway, and was notified."""
         with self.lock:
-            self.leaving.stop()
-        return self._told(Kind.STOP)
+            self.state_machine.stop_requested()
+        return self._forward(MessageKind.STOP)
+
+    def forward_reload(self) -> bool:
+        """SIGHUP came, and the configuration was read; returns whether the receiver was notified instead.
 
-    def reloads(self) -> bool:
-        """SIGHUP, and the file was read: the same. Before, the new one reads it again once it serves."""
-        self.reloaded = True
-        return self._told(Kind.RELOAD)
+        Before the commit the receiver reads the configuration again once it serves.
+        """
+        self.was_reloaded = True
+        return self._forward(MessageKind.RELOAD)
 
-    def _told(self, kind: Kind) -> bool:
-        if self.leaving.phase not in (phases.LETTING_GO, phases.GONE):
+    def _forward(self, kind: MessageKind) -> bool:
+        if self.state_machine.phase not in (Phase.DRAINING, Phase.DONE):
             return False
-        with contextlib.suppress(BrokenError, FormError):
-            self.channel.send(kind)
+        with contextlib.suppress(ChannelError, FormatError):
+            self.receiver.send(kind)
         return True
 
-    # --- Ways: what the phases call ---
+    # --- SenderActions ---
 
     def now(self) -> float:
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
-    def start(self) -> None:
-        ours, theirs = socket.socketpair()
-        self.channel, self.process, self.failed = Channel(ours), None, ""
-        fds = (theirs.fileno(), *((self.status,) if self.status >= 0 else ()))
-        words = [*self.to, "--takeover", str(theirs.fileno())]
-        if self.status >= 0:
-            words += ["--status", str(self.status)]
+    def start_receiver(self) -> None:
+        """Start the new process."""
+        self.receiver.start(self.command)
+
+    def send_warm_up(self) -> None:
+        """Nothing: the driving thread does it, outside the lock."""
+
+    def transfer_state(self, mode: HandoverMode) -> None:
+        """Nothing: the event loop's thread does it in `_transfer`."""
+
+    def send_commit(self) -> None:
+        """Notify the receiver that it is the gateway."""
+        self.receiver.send(MessageKind.COMMIT)
+
+    def was_acknowledged(self) -> bool:
+        """Return whether a receiver that has ended had acknowledged `commit`."""
+        return self.receiver.has_acknowledged()
+
+    def kill_receiver(self) -> None:
+        """Kill the new process and wait for its end."""
+        self.receiver.kill()
+
+    def dismiss_receiver(self, reason: str) -> None:
+        """Notify the receiver that it is not wanted."""
+        self.receiver.dismiss(reason)
+
+    def resume(self, transferred_is_lost: bool) -> None:
+        """Serve again; if what was transferred is lost with the receiver, without that."""
+        if transferred_is_lost:
+            self.quiescer.close_lost(list(dict.fromkeys([*self.connections, *self.quiescer.transferred])))
+            self.gateway.router.set_standby(False)
+        self.connections = []
+        if self.gateway.guard:
+            self.gateway.guard.go_on(transferred_is_lost)
+        self.quiescer.resume_all()
+        self._report_gateway()
+
+    def drain(self, mode: HandoverMode) -> None:
+        """Give the transferred connections up, and finish what stays here."""
+        self.quiescer.mark_transferred(self.connections)
+        if self.gateway.guard:
+            self.gateway.guard.hand_on(self._send_store_record)
+        if mode == HandoverMode.DRAIN:
+            self.gateway.router.set_standby(True)
+            self.quiescer.resume_all(accept=False)
+
+    def _send_store_record(self, ticket: int, kind: int, key: bytes, value: bytes | None) -> None:
+        """Send a record of a request that is still open here to the receiver, which has the store."""
+        record = messages.StoreRecord(ticket, kind, key, value)
         try:
-            self.process = subprocess.Popen(words, stdin=subprocess.DEVNULL, pass_fds=fds)
-        except (OSError, ValueError) as wrong:
-            self.failed = f"{self.to[0] if self.to else '--to'} cannot be run: {wrong}"
-        finally:
-            theirs.close()
-
-    def report(self, phase: str, why: str, took: float) -> None:
-        pid = self.process.pid if self.process else 0
-        log = logger.bind(phase=phase, why=why, took=round(took, 4), new=pid)
-        text = f"upgrade: {phase.replace('_', ' ')}" + f": {why}" * bool(why)
-        (log.warning if phase == phases.IDLE else log.info)("{}", text)
-        if self.owner.recorder:
-            self.owner.recorder.phase(phase, why)
-        if self.control is not None:
-            done = phase in (phases.IDLE, phases.GONE)
-            with contextlib.suppress(BrokenError, FormError):
-                told = messages.Phase(phase, why[:4096], took, pid, done, phase == phases.GONE)
-                self.control.send(Kind.PHASE, told, wait=LOOK)
-            if done:
-                self.control = None
-
-    def warm(self) -> None:
-        """The thread that drives does it, outside the lock."""
-
-    def take(self, mode: str) -> None:
-        """The owner's thread does it, in `_swap`."""
-
-    def commit(self) -> None:
-        self.channel.send(Kind.COMMIT)
-
-    def go_on(self, emptied: bool) -> None:
-        if emptied:
-            self.rest.back(list(dict.fromkeys([*self.conns, *self.rest.moved])))
-            self.owner.router.set_standby(False)
-        self.conns = []
-        if self.owner.guard:
-            self.owner.guard.go_on(emptied)
-        self.rest.release()
-        self._status()
-
-    def let_go(self, mode: str) -> None:
-        self.rest.moves(self.conns)
-        if self.owner.guard:
-            self.owner.guard.hand_on(self._keep)
-        if mode == phases.DRAIN:
-            self.owner.router.set_standby(True)
-            self.rest.release(doors=False)
-
-    def _keep(self, ticket: int, kind: int, key: bytes, value: bytes | None) -> None:
-        """A record of what is still open here."""
-        try:
-            self.channel.send(Kind.KEEP, messages.Keep(ticket, kind, key, value), wait=0.1)
-        except (BrokenError, FormError) as wrong:  # what waits for it is refused when its time is up
-            logger.warning("upgrade: a record cannot be handed on: {}", wrong)
-
-    def cut(self) -> None:
-        for call in list(self.owner.calls.values()):
-            self.owner.router.reject(call.request, RejectReason.ENDING)
-        for client in list(self.owner.front.clients):
-            client.hold()  # nothing more is read, so what is unread goes over with the connection
-            self.rest.held[client] = False
-
-    def end(self) -> None:
-        left = {
-            part: {name: count - self.counted.get(part, {}).get(name, 0) for name, count in own.items()}
-            for part, own in state_transfer.counts(self.owner).items()
-        }
-        with contextlib.suppress(BrokenError, FormError):
-            self.channel.send(Kind.LEFT, messages.Left(left))
-        self.owner.gone = True
-
-    def kill(self) -> None:
-        if self.process is not None:
-            self.process.kill()
-            self.process.wait()
-
-    def heard(self) -> bool:
-        try:
-            while True:
-                kind, _ = self.channel.receive(LOOK)
-                if kind is Kind.TAKEN:
-                    return True
-        except (BrokenError, FormError, OSError):
-            return False
-
-    def dismiss(self, why: str) -> None:
-        if self.channel is not None:
-            with contextlib.suppress(BrokenError, FormError):
-                self.channel.send(Kind.DISMISS, messages.Said(why[:4096]), wait=LOOK)
-
-    def _status(self) -> None:
-        """Tell a supervisor who the gateway is."""
+            self.receiver.send(MessageKind.STORE_RECORD, record, timeout=STORE_RECORD_TIMEOUT)
+        except (ChannelError, FormatError) as error:  # what waits for it is rejected at its deadline
+            logger.warning("upgrade: a record cannot be handed on: {}", error)
+
+    def reject_open_requests(self) -> None:
+        """Reject what is still open here, and read nothing more from clients."""
+        for call in list(self.gateway.calls.values()):
+            self.gateway.router.reject(call.request, RejectReason.ENDING)
+        for client in list(self.gateway.front.clients):
+            client.hold()  # what is unread goes over with the connection
+            self.quiescer.at_rest[client] = False
+
+    def exit(self) -> None:
+        """Send the last counters, and end this process."""
+        counters = messages.FinalCounters(counted_since(self.gateway, self.exported_counts))
+        with contextlib.suppress(ChannelError, FormatError):
+            self.receiver.send(MessageKind.DRAINED, counters)
+        self.gateway.gone = True
+
+    def report_phase(self, phase: Phase, reason: str, previous_phase_seconds: float) -> None:
+        """Log a phase, record it, and send it to the upgrade command."""
+        self.reporter.report(phase, reason, previous_phase_seconds, self.receiver.pid)
+
+    def _report_gateway(self) -> None:
+        """Report to a supervisor that this process is the gateway."""
         if self.status >= 0:
             with contextlib.suppress(OSError):
                 os.write(self.status, b"gateway %d\n" % os.getpid())
-
-
-def hello(vhosts: list[str], store: str = "") -> messages.Hello:
-    """What a new process says first."""
-    return messages.Hello(__version__, messages.VERSION, vhosts, os.path.realpath(store) if store else "")
--- a/lilacloft/handover/supervisor.py
+++ b/lilacloft/handover/supervisor.py
@@ -1,7 +1,6 @@
-"""The supervisor: one foreground process that holds the listener while the workers under it change.
+"""The supervisor: a foreground process that keeps the listening socket open while its workers change.
 
-Carries out what `watch.Watch` decides. It must never accept a connection, never read a worker's traffic,
-and hold nothing that a worker needs but the listening socket.
+Carries out what `watchdog.WorkerWatchdog` decides. It accepts no connection and reads no traffic.
 """
 
 from __future__ import annotations
@@ -18,103 +17,130 @@
 
 from loguru import logger
 
-from lilacloft.handover.process_arguments import command
-from lilacloft.handover.watchdog import Watch
+from lilacloft.handover import process_arguments
+from lilacloft.handover.watchdog import WorkerWatchdog
 
-SUBREAPER = 36  # prctl(2): workers started by workers come to us when theirs ends
-SIGNALS = {signal.SIGTERM: "TERM", signal.SIGHUP: "HUP", signal.SIGUSR1: "USR1", signal.SIGINT: "TERM"}
-NAMES = {"TERM": signal.SIGTERM, "HUP": signal.SIGHUP, "USR1": signal.SIGUSR1}
+PR_SET_CHILD_SUBREAPER = 36  # prctl(2): processes that workers started become children of the supervisor
+SIGNAL_NAMES = {
+    signal.SIGTERM: "TERM",
+    signal.SIGHUP: "HUP",
+    signal.SIGUSR1: "USR1",
+    signal.SIGINT: "TERM",
+}
+SIGNALS = {"TERM": signal.SIGTERM, "HUP": signal.SIGHUP, "USR1": signal.SIGUSR1}
+PIPE_READ_BYTES = 4096
+MAX_WAIT_SECONDS = 3600.0
+STATUS_GATEWAY = b"gateway"  # first word of a worker's line on the status pipe; the second is its pid
 
 
 class Supervisor:
-    """The Hands of one Watch."""
+    """Runs the workers of one gateway; the actions of a `WorkerWatchdog`."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.sock.bind(address)
-        self.sock.listen(socket.SOMAXCONN)  # those who come between two workers wait
-        self.status, self.tells = os.pipe()
-        self.woken, wakes = os.pipe()
-        os.set_blocking(self.status, False)
-        os.set_blocking(self.woken, False)
-        os.set_blocking(wakes, False)
-        signal.set_wakeup_fd(wakes, warn_on_full_buffer=False)
-        for number in (*SIGNALS, signal.SIGCHLD):
-            signal.signal(number, lambda *_: None)  # heard of by the wake-up descriptor
-        if ctypes.CDLL(None, use_errno=True).prctl(SUBREAPER, 1, 0, 0, 0):
+        """Bind and listen; raises OSError if the address cannot be bound."""
+        self.listener = self._listen(address)
+        self.status_reader, self.status_writer = os.pipe()
+        self.wakeup_reader, wakeup_writer = os.pipe()
+        for descriptor in (self.status_reader, self.wakeup_reader, wakeup_writer):
+            os.set_blocking(descriptor, False)
+        signal.set_wakeup_fd(wakeup_writer, warn_on_full_buffer=False)
+        for number in (*SIGNAL_NAMES, signal.SIGCHLD):
+            signal.signal(number, lambda *_: None)  # the wake-up descriptor tells of it
+        if ctypes.CDLL(None, use_errno=True).prctl(PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0):
             raise OSError(ctypes.get_errno(), "cannot become the parent of its workers' workers")
-        words = command(sys.orig_argv)
-        self.words = [word for word in words if word != "--supervised"]
-        self.code: int | None = None
-        self.held = b""
+        self.worker_command = [
+            argument
+            for argument in process_arguments.original_command(sys.orig_argv)
+            if argument != process_arguments.SUPERVISED
+        ]
+        self.exit_code: int | None = None
+        self.partial_status = b""
         self.workers: list[subprocess.Popen[bytes]] = []
-        self.unserved = time.monotonic()  # since when nobody lets clients in, where nobody does
-        self.watch = Watch(self)
+        self.unserved_since = time.monotonic()  # since when nobody accepts connections, if nobody does
+        self.watchdog = WorkerWatchdog(self)
+
+    @staticmethod
+    def _listen(address: tuple[str, int]) -> socket.socket:
+        listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind(address)
+        listener.listen(socket.SOMAXCONN)  # connections that come between two workers wait
+        return listener
 
     def run(self) -> int:
-        """Until the gateway has ended for good; returns the code."""
-        self.watch.begin()
-        while self.code is None:
-            wait = self.watch.wait()
-            select.select([self.status, self.woken], [], [], min(wait, 3600.0))
+        """Run until the gateway has ended for good; returns the exit code."""
+        self.watchdog.start_first_worker()
+        while self.exit_code is None:
+            wait = min(self.watchdog.seconds_until_start(), MAX_WAIT_SECONDS)
+            select.select([self.status_reader, self.wakeup_reader], [], [], wait)
             signals = b""
             with contextlib.suppress(BlockingIOError):
-                signals = os.read(self.woken, 4096)
-            self._says()  # before who has ended: who lets go ends after its successor has told of itself
+                signals = os.read(self.wakeup_reader, PIPE_READ_BYTES)
+            self._read_status()  # before exits: a worker that is replaced ends after its successor reports
             for number in signals:
-                if number in SIGNALS:
-                    self.watch.asked(SIGNALS[signal.Signals(number)])
-            self._reap()
-            self.watch.tick()
-        return self.code
-
-    def _says(self) -> None:
+                if number in SIGNAL_NAMES:
+                    self.watchdog.signal_received(SIGNAL_NAMES[signal.Signals(number)])
+            self._reap_workers()
+            self.watchdog.start_if_due()
+        return self.exit_code
+
+    def _read_status(self) -> None:
+        """Read which worker is the gateway."""
         with contextlib.suppress(BlockingIOError):
-            self.held += os.read(self.status, 4096)
-        *lines, self.held = self.held.split(b"\n")
+            self.partial_status += os.read(self.status_reader, PIPE_READ_BYTES)
+        *lines, self.partial_status = self.partial_status.split(b"\n")
         for line in lines:
-            word, _, pid = line.partition(b" ")
-            if word == b"gateway" and pid.isdigit():
-                self.watch.says(int(pid))
+            status, _, pid = line.partition(b" ")
+            if status == STATUS_GATEWAY and pid.isdigit():
+                self.watchdog.worker_serving(int(pid))
 
-    def _reap(self) -> None:
-        while self.code is None:
+    def _reap_workers(self) -> None:
+        while self.exit_code is None:
             try:
                 pid, status = os.waitpid(-1, os.WNOHANG)
             except ChildProcessError:
                 return
             if not pid:
                 return
-            self._says()
-            if pid == self.watch.gateway:
-                self.unserved = time.monotonic()
-            self.watch.ended(pid, os.waitstatus_to_exitcode(status))
+            self._read_status()
+            if pid == self.watchdog.gateway:
+                self.unserved_since = time.monotonic()
+            self.watchdog.worker_exited(pid, os.waitstatus_to_exitcode(status))
 
-    # --- Hands ---
+    # --- WatchdogActions ---
 
     def now(self) -> float:
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
-    def start(self) -> int:
-        words = [*self.words, "--status", str(self.tells), "--listener", str(self.sock.fileno())]
-        words += ["--unserved-since", f"{self.unserved:.4f}"]
+    def start_worker(self) -> int:
+        """Start a worker; returns its process id, or 0 if it cannot be started."""
+        listener = self.listener.fileno()
+        command = [
+            *self.worker_command,
+            *(process_arguments.STATUS, str(self.status_writer)),
+            *(process_arguments.LISTENER, str(listener)),
+            *(process_arguments.UNSERVED_SINCE, f"{self.unserved_since:.4f}"),
+        ]
         try:
             worker = subprocess.Popen(
-                words, stdin=subprocess.DEVNULL, pass_fds=(self.tells, self.sock.fileno())
+                command, stdin=subprocess.DEVNULL, pass_fds=(self.status_writer, listener)
             )
-        except OSError as wrong:
-            logger.error("supervisor: {}", wrong)
+        except OSError as error:
+            logger.error("supervisor: {}", error)
             return 0
-        self.workers.append(worker)  # kept, as the library would wait for one that is let go of
+        self.workers.append(worker)  # an unreferenced Popen object would be waited for by the library
         return worker.pid
 
-    def signal(self, pid: int, name: str) -> None:
+    def send_signal(self, pid: int, name: str) -> None:
+        """Send a signal to a worker that may have ended."""
         with contextlib.suppress(ProcessLookupError):
-            os.kill(pid, NAMES[name])
+            os.kill(pid, SIGNALS[name])
 
-    def leave(self, code: int) -> None:
-        self.code = code
+    def exit(self, code: int) -> None:
+        """Let `run` return a code."""
+        self.exit_code = code
 
     def log(self, text: str) -> None:
+        """Log a decision."""
         logger.info("supervisor: {}", text)
--- a/lilacloft/handover/watchdog.py
+++ b/lilacloft/handover/watchdog.py
@@ -1,6 +1,7 @@
-"""Decides what a supervisor does: when a worker is started again, which one gets signals, when it leaves.
+"""Decides what a supervisor does: when a worker is restarted, which one gets signals, when it exits.
 
-Owns the state of one supervisor; does no I/O and knows no clock but its host's. Times are seconds as floats.
+A worker is a gateway process under the supervisor. No I/O, and no clock but the host's. Times are monotonic
+seconds as floats.
 """
 
 from __future__ import annotations
@@ -8,118 +9,132 @@
 import math
 from typing import Protocol
 
-LIVED = 1.0  # seconds of serving after which the next one is started at once
-PAUSE = 0.25  # seconds before it otherwise; doubled with each start in a row that never came to serve
-LONGEST = 8.0
-MOST = 6  # starts in a row that never came to serve; then nothing that the supervisor could do helps
-UNUSABLE = 2  # code of a worker whose configuration cannot be used
+from lilacloft.errors import UNUSABLE
 
+STABLE_AFTER_SECONDS = 1.0  # of serving, after which the next worker is started at once
+INITIAL_BACKOFF_SECONDS = 0.25  # doubled with each start in a row that failed
+MAX_BACKOFF_SECONDS = 8.0
+MAX_FAILED_STARTS = 6  # in a row; with more the supervisor gives up
+EXIT_FAILED = 1
 
-class Hands(Protocol):
-    """How a supervisor acts."""
+
+class WatchdogActions(Protocol):
+    """What a `WorkerWatchdog` does."""
 
     def now(self) -> float:
-        """Tell the time in seconds."""
+        """Return the time in seconds."""
 
-    def start(self) -> int:
-        """Start a worker on the listener; returns its process id, or 0 where it cannot be started."""
+    def start_worker(self) -> int:
+        """Start a worker on the listener; returns its process id, or 0 if it cannot be started."""
 
-    def signal(self, pid: int, name: str) -> None:
-        """Pass a signal on."""
+    def send_signal(self, pid: int, name: str) -> None:
+        """Send a signal to a worker: TERM, HUP or USR1."""
 
-    def leave(self, code: int) -> None:
-        """End, with a code."""
+    def exit(self, code: int) -> None:
+        """End the supervisor with a code."""
 
     def log(self, text: str) -> None:
-        """Say what was decided."""
+        """Log a decision."""
 
 
-class Watch:
-    """One supervisor. A worker that hands over is followed to its successor, which tells of itself."""
+class WorkerWatchdog:
+    """The decisions of one supervisor. A worker that is replaced is followed to its successor."""
 
-    def __init__(self, hands: Hands) -> None:
-        self.hands = hands
-        self.gateway = 0  # the worker that is the gateway
-        self.since = 0.0  # when it became so
-        self.failed = 0  # starts in a row that never came to serve
-        self.serves = False  # does the worker?
-        self.due = math.inf  # when a worker is to be started
-        self.served = False  # has any worker ever been the gateway?
-        self.stopping = self.left = False
-        self.stopped: set[int] = set()  # workers that were told to stop
+    def __init__(self, actions: WatchdogActions) -> None:
+        self.actions = actions
+        self.gateway = 0  # pid of the worker that is the gateway; 0: none is
+        self.gateway_since = 0.0
+        self.failed_starts = 0  # in a row
+        self.is_serving = False  # does the worker serve?
+        self.has_served = False  # has any?
+        self.start_at = math.inf  # when a worker is to be started
+        self.is_stopping = False
+        self.has_exited = False
+        self.stopped_workers: set[int] = set()  # those that got SIGTERM
 
-    def begin(self) -> None:
+    def start_first_worker(self) -> None:
         """Start the first worker."""
-        self._start()
+        self._start_worker()
 
-    def says(self, pid: int) -> None:
-        """A worker tells that it is the gateway now: at its start, by an upgrade, or again after one
-        failed."""
-        if pid != self.gateway or not self.serves:
+    def worker_serving(self, pid: int) -> None:
+        """A worker reports that it is the gateway: at its start, after an upgrade, or after a failed one."""
+        if pid != self.gateway or not self.is_serving:
             after = f" after {self.gateway}" if self.gateway not in (0, pid) else ""
-            self.hands.log(f"worker {pid} is the gateway{after}")
-        self.gateway, self.since = pid, self.hands.now()
-        self.served = self.serves = True
-        self.failed = 0
-        self.due = math.inf
-        if self.stopping:
-            self._stop()
-
-    def ended(self, pid: int, code: int) -> None:
-        """A process has ended, with a code, or minus the signal that ended it. Only the gateway's end counts:
-        others have let go, or never came to be it."""
-        if pid != self.gateway or self.left:
+            self.actions.log(f"worker {pid} is the gateway{after}")
+        self.gateway = pid
+        self.gateway_since = self.actions.now()
+        self.has_served = self.is_serving = True
+        self.failed_starts = 0
+        self.start_at = math.inf
+        if self.is_stopping:
+            self._stop_worker()
+
+    def worker_exited(self, pid: int, code: int) -> None:
+        """A process has ended with a code, or minus the number of the signal that ended it.
+
+        Only the gateway's end matters: others were replaced, or never became the gateway.
+        """
+        if pid != self.gateway or self.has_exited:
             return
         self.gateway = 0
-        now = self.hands.now()
-        if self.stopping or code == 0:
-            return self._leave(max(code, 0) if code >= 0 else 1)
-        if code == UNUSABLE and not self.served:
-            return self._leave(code)
-        self.failed += not self.serves
-        if self.failed > MOST:
-            self.hands.log(f"{MOST} starts in a row came to nothing")
-            return self._leave(1)
-        pause = 0.0 if self.serves and now - self.since >= LIVED else min(LONGEST, PAUSE * 2**self.failed)
-        self.hands.log(f"worker {pid} ended with {code}; the next is started in {pause:g} s")
-        self.due = now + pause
-        return self.tick()
-
-    def asked(self, name: str) -> None:
+        if self.is_stopping or code == 0:
+            return self._exit(code if code >= 0 else EXIT_FAILED)
+        if code == UNUSABLE and not self.has_served:
+            return self._exit(code)
+        self.failed_starts += not self.is_serving
+        if self.failed_starts > MAX_FAILED_STARTS:
+            self.actions.log(f"{MAX_FAILED_STARTS} starts in a row came to nothing")
+            return self._exit(EXIT_FAILED)
+        now = self.actions.now()
+        was_stable = self.is_serving and now - self.gateway_since >= STABLE_AFTER_SECONDS
+        pause = 0.0 if was_stable else self._backoff()
+        self.actions.log(f"worker {pid} ended with {code}; the next is started in {pause:g} s")
+        self.start_at = now + pause
+        return self.start_if_due()
+
+    def signal_received(self, name: str) -> None:
         """The supervisor got a signal: TERM, HUP or USR1."""
         if name == "TERM":
-            self.stopping = True
+            self.is_stopping = True
             if not self.gateway:
-                return self._leave(0)
-            return self._stop()
+                return self._exit(0)
+            return self._stop_worker()
         if self.gateway:
-            self.hands.signal(self.gateway, name)
+            self.actions.send_signal(self.gateway, name)
         return None
 
-    def tick(self) -> None:
-        """Start a worker whose time has come."""
-        if self.hands.now() >= self.due and not self.left:
-            self._start()
-
-    def wait(self) -> float:
-        """Seconds until `tick` has something to do."""
-        return max(0.0, self.due - self.hands.now())
-
-    def _start(self) -> None:
-        self.due, self.since, self.serves = math.inf, self.hands.now(), False
-        self.gateway = self.hands.start()
-        if not self.gateway:
-            self.failed += 1
-            if self.failed > MOST:
-                return self._leave(1)
-            self.due = self.hands.now() + min(LONGEST, PAUSE * 2**self.failed)
-        return None
+    def start_if_due(self) -> None:
+        """Start a worker if it is time to."""
+        if self.actions.now() >= self.start_at and not self.has_exited:
+            self._start_worker()
+
+    def seconds_until_start(self) -> float:
+        """Return the seconds until `start_if_due` has something to do; infinite if it has not."""
+        return max(0.0, self.start_at - self.actions.now())
 
-    def _stop(self) -> None:
-        if self.gateway not in self.stopped:
-            self.stopped.add(self.gateway)
-            self.hands.signal(self.gateway, "TERM")
+    def _backoff(self) -> float:
+        """Return the seconds before the next start after failed ones."""
+        return min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**self.failed_starts)
 
-    def _leave(self, code: int) -> None:
-        self.left, self.due = True, math.inf
-        self.hands.leave(code)
+    def _start_worker(self) -> None:
+        self.start_at = math.inf
+        self.gateway_since = self.actions.now()
+        self.is_serving = False
+        self.gateway = self.actions.start_worker()
+        if self.gateway:
+            return
+        self.failed_starts += 1
+        if self.failed_starts > MAX_FAILED_STARTS:
+            self._exit(EXIT_FAILED)
+        else:
+            self.start_at = self.actions.now() + self._backoff()
+
+    def _stop_worker(self) -> None:
+        if self.gateway not in self.stopped_workers:
+            self.stopped_workers.add(self.gateway)
+            self.actions.send_signal(self.gateway, "TERM")
+
+    def _exit(self, code: int) -> None:
+        self.has_exited = True
+        self.start_at = math.inf
+        self.actions.exit(code)
--- a/lilacloft/net/owner.py
+++ b/lilacloft/net/owner.py
@@ -283,7 +283,9 @@
 
     def stop(self) -> None:
         """SIGTERM: clients still come for a while; what is taken is answered before we may be killed."""
-        if self.phase not in (Phase.STARTING, Phase.SERVING) or (self.upgrade and self.upgrade.stops()):
+        if self.phase not in (Phase.STARTING, Phase.SERVING) or (
+            self.upgrade and self.upgrade.forward_stop()
+        ):
             return
         self._to(Phase.DRAINING)
         logger.info("told to stop: {} reqs are open", len(self.calls))
@@ -298,7 +300,7 @@
 
     def reload(self, config: dict[str, Any]) -> None:
         """The configuration was read again: what may change is taken over whole, or not at all."""
-        if self.upgrade and self.upgrade.reloads():
+        if self.upgrade and self.upgrade.forward_reload():
             return
         try:
             needed.config(config)
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -68,7 +68,7 @@
 
 def serve(path: str | None, **more: Any) -> int:
     """Run one gateway to its end; returns the code. With more than a configuration it can be replaced, or
-    takes over: `lilacloft.handover.process.prepare` says what there is."""
+    takes over: `lilacloft.handover.process.ProcessOptions` says what there is."""
     threading.stack_size(256 * 1024)
     asked: queue.SimpleQueue[bool] = queue.SimpleQueue()  # its put may interrupt itself, as a signal does
     signal.signal(signal.SIGHUP, lambda *_: asked.put(True))
@@ -107,7 +107,7 @@
     from lilacloft.handover import process
 
     try:
-        return process.prepare(read(path), make, **more)
+        return process.prepare(read(path), make, process.ProcessOptions(**more))
     except NotWantedError as wrong:
         logger.error("upgrade: this process ends: {}", wrong)
         return None, None
--- a/rigs/crash.py
+++ b/rigs/crash.py
@@ -19,10 +19,12 @@
 from typing import Any
 
 from lilacloft.__main__ import main
-from lilacloft.handover import messages, sender
-from lilacloft.handover.phases import Coming
-from lilacloft.handover.receiver import Taking
-from lilacloft.handover.state_transfer import Told
+from lilacloft.handover import receiver
+from lilacloft.handover.framing import FormatError
+from lilacloft.handover.messages import GatewayState, Hello
+from lilacloft.handover.phases import ReceiverStateMachine
+from lilacloft.handover.receiver import HandoverReceiver
+from lilacloft.handover.state_restore import GatewayRestorer
 
 STEPS = (
     "exit",
@@ -40,6 +42,14 @@
     "commit",
 )
 CODE = 70
+METHODS = {  # of a HandoverReceiver, by the step that ends with it
+    "hello": "send_hello",
+    "warm": "receive_warm_up",
+    "table": "receive_object_parts",
+    "ready": "send_ready",
+    "state": "receive_state",
+    "have": "send_state_restored",
+}
 
 
 def die(*_: Any, **__: Any) -> None:
@@ -49,13 +59,13 @@
 
 def after(name: str) -> None:
     """Die once a step is done."""
-    step = getattr(Taking, name)
+    step = getattr(HandoverReceiver, METHODS[name])
 
-    def both(self: Taking, *told: Any) -> None:
-        step(self, *told)
+    def both(self: HandoverReceiver, *arguments: Any) -> None:
+        step(self, *arguments)
         die()
 
-    setattr(Taking, name, both)
+    setattr(HandoverReceiver, METHODS[name], both)
 
 
 def arrange(step: str) -> None:
@@ -65,35 +75,34 @@
     elif step == "hang":
         time.sleep(600)
     elif step == "nonsense":
-        Taking.hello = lambda self, *_: self.channel.sock.sendall(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
+        HandoverReceiver.send_hello = lambda self, *_: self.channel.sock.sendall(
+            b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
+        )
     elif step in ("old", "ancient"):
         version = 1 if step == "old" else 0
-        sender.__dict__["hello"] = lambda vhosts, *_: messages.Hello("0.3.0", version, vhosts)
-        from lilacloft.handover import receiver
-
-        receiver.__dict__["hello"] = sender.__dict__["hello"]
+        receiver.__dict__["make_hello"] = lambda vhosts, *_: Hello("0.3.0", version, vhosts)
     elif step == "unreadable":
 
-        def refuse(self: Told, state: messages.State, sock: Any) -> None:
-            raise messages.FormError("a field that cannot be read")
+        def refuse(self: GatewayRestorer, state: GatewayState, socket_at: Any) -> None:
+            raise FormatError("a field that cannot be read")
 
-        Told.make = refuse
+        GatewayRestorer.restore = refuse
     elif step == "stuck":
-        Taking.have = lambda self: time.sleep(600)
+        HandoverReceiver.send_state_restored = lambda self: time.sleep(600)
     elif step == "commit":
-        Coming.commit = die
+        ReceiverStateMachine.commit_received = die
     elif step == "taken":
-        Told.start = die
+        GatewayRestorer.start = die
     elif step in ("orphan", "orphaned"):
-        have = Taking.have
+        send_state_restored = HandoverReceiver.send_state_restored
 
-        def last(self: Taking) -> None:
-            os.kill(self.parent, signal.SIGKILL)
-            while step == "orphaned" and os.getppid() == self.parent:
+        def last(self: HandoverReceiver) -> None:
+            os.kill(self.sender_pid, signal.SIGKILL)
+            while step == "orphaned" and os.getppid() == self.sender_pid:
                 time.sleep(0.001)
-            have(self)
+            send_state_restored(self)
 
-        Taking.have = last
+        HandoverReceiver.send_state_restored = last
     elif step.startswith("kill-"):
         threading.Timer(float(step[5:]) / 1000, die).start()
     elif step != "fine":
--- a/rigs/demo.py
+++ b/rigs/demo.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from lilacloft.handover.request import ask
+from lilacloft.handover.request import request_upgrade
 from rigs.checker import check
 from rigs.load import Load
 from rigs.scene import Scene
@@ -41,7 +41,7 @@
 
     def upgrade() -> None:
         gateway = scene.gateways[0]
-        done, why = ask(gateway.handover, "", "", lambda phase: gateway.pids.append(phase.pid))
+        done, why = request_upgrade(gateway.handover, "", "", lambda phase: gateway.pids.append(phase.pid))
         show(f"gateway n0 upgraded under load{'' if done else ': not done, ' + why}", began)
 
     steps: list[tuple[float, str, Callable[[], None]]] = [
--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -8,8 +8,9 @@
 import threading
 import time
 
-from lilacloft.handover import state_transfer
-from lilacloft.handover.quiesce import Rest
+from lilacloft.handover.quiesce import Quiescer
+from lilacloft.handover.state_export import export_gateway
+from lilacloft.handover.state_restore import GatewayRestorer
 from lilacloft.net.conn import End
 from lilacloft.net.owner import Owner
 from rigs.stands import World
@@ -112,16 +113,18 @@
 def handed_over(world):
     """What the next process makes of a world's gateway at rest, in this process; its owner is not started.
     Connections must be `movable`."""
-    rest = Rest(world.owner)
-    assert world.does(lambda: rest.bring(time.monotonic() + 4, lambda: True)) == ""
-    state, conns = world.does(lambda: state_transfer.tell(world.owner, "whole", []))
+    quiescer = Quiescer(world.owner)
+    assert world.does(lambda: quiescer.quiesce(time.monotonic() + 4, lambda: True)) == ""
+    exported = world.does(lambda: export_gateway(world.owner, "whole", []))
     successor = Owner({**world.config, "listen": "127.0.0.1:0"}, follows=True)
-    told = state_transfer.Told(successor)
-    told.make(state, lambda place: socket.socket(fileno=os.dup(conns[place].sock.fileno())))
+    restorer = GatewayRestorer(successor)
+    restorer.restore(
+        exported.state, lambda index: socket.socket(fileno=os.dup(exported.connections[index].sock.fileno()))
+    )
     try:
-        yield told
+        yield restorer
     finally:
-        world.does(rest.release)
-        for conn in told.conns:
+        world.does(quiescer.resume_all)
+        for conn in restorer.connections:
             conn.close(End.RETIRED)
         successor.front.sock.close()
--- a/rigs/stands.py
+++ b/rigs/stands.py
@@ -18,7 +18,7 @@
 
 from loguru import logger
 
-from lilacloft.handover.request import ask
+from lilacloft.handover.request import request_upgrade
 from lilacloft.net.resp import Buffer, encode, listed
 
 logger.remove()  # threads of earlier tests may log when the test runner's standard error is gone
@@ -407,7 +407,7 @@
         words = [word for word in self.command[self.command.index("serve") :] if word != "--supervised"]
         if to is None:
             to = shlex.join([sys.executable, "-m", "rigs.crash", step, *words])
-        return ask(self.handover, to, mode, tell, 30.0)
+        return request_upgrade(self.handover, to, mode, tell, 30.0)
 
     def close(self):
         for _ in range(2):  # a supervisor may have started one meanwhile
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -19,8 +19,10 @@
 
 from lilacloft import needed
 from lilacloft.config.reader import load
-from lilacloft.handover import messages, state_transfer
-from lilacloft.handover.process_arguments import OWN
+from lilacloft.handover import framing, messages
+from lilacloft.handover.process_arguments import INTERNAL_OPTIONS
+from lilacloft.handover.state_export import export_gateway, store_state
+from lilacloft.handover.state_restore import GatewayRestorer
 from lilacloft.net import feed
 from lilacloft.net.conn import OUTCOMES, End
 from lilacloft.net.owner import Owner
@@ -269,18 +271,18 @@
 # --- handover between processes ---
 
 PAYLOADS: dict[int, Any] = {  # by the number of the kind of frame
-    1: messages.Ask,
-    2: messages.Phase,
+    1: messages.UpgradeRequest,
+    2: messages.PhaseReport,
     3: messages.Hello,
-    4: messages.Warm,
-    5: list[messages.ObjectPart],
+    4: messages.WarmUp,
+    5: list[messages.ObjectPartState],
     7: int,
-    8: messages.State,
-    13: messages.Client,
-    14: messages.Said,
-    17: messages.Said,
-    18: messages.Left,
-    19: messages.Keep,
+    8: messages.GatewayState,
+    13: messages.ClientConnectionState,
+    14: messages.Reason,
+    17: messages.Reason,
+    18: messages.FinalCounters,
+    19: messages.StoreRecord,
     20: int,
 }
 
@@ -289,10 +291,10 @@
     """Frames one after the other: of each the form's version, its kind's number, and its payload's values."""
     out = []
     while data:
-        size = messages.HEAD.size
-        kind, length, crc = messages.head(data[:size])
-        payload = messages.check(data[size : size + length], crc)
-        value = messages.plain(messages.read(payload, PAYLOADS[kind])) if kind in PAYLOADS else payload
+        size = framing.HEADER.size
+        kind, length, crc = framing.decode_header(data[:size])
+        payload = framing.verify_payload(data[size : size + length], crc)
+        value = framing.to_plain(framing.decode(payload, PAYLOADS[kind])) if kind in PAYLOADS else payload
         out.append([data[4], int(kind), lists(value)])
         data = data[size + length :]
     return out
@@ -300,19 +302,19 @@
 
 def handover_kinds() -> list[int]:
     """The numbers of all kinds of frames."""
-    return [int(kind) for kind in messages.Kind]
+    return [int(kind) for kind in framing.MessageKind]
 
 
 def handover_frame(kind: int, value: Any) -> bytes:
     """One frame of plain values; none or empty bytes for one without a payload."""
     if kind not in PAYLOADS:
-        return messages.frame(messages.Kind(kind))
-    return messages.frame(messages.Kind(kind), msgspec.convert(value, PAYLOADS[kind]))
+        return framing.encode_frame(framing.MessageKind(kind))
+    return framing.encode_frame(framing.MessageKind(kind), msgspec.convert(value, PAYLOADS[kind]))
 
 
 def process_options() -> list[str]:
     """The options that one process of a gateway gives another."""
-    return list(OWN)
+    return list(INTERNAL_OPTIONS)
 
 
 class Idle:
@@ -329,35 +331,36 @@
         return lambda *words: None
 
 
-def _taken(state: messages.State, config: Plain) -> tuple[Router, list[Request], dict[str, Backend]]:
+def _taken(state: messages.GatewayState, config: Plain) -> tuple[Router, list[Request], dict[str, Backend]]:
     """A router that goes on with a state's module, as the next process makes it."""
     router = Router(Idle(state.time), settings(needed.told(config)))
-    backends = {one.name: Backend(one.name) for one in state.listed}
+    backends = {one.name: Backend(one.name) for one in state.backends}
     rows = [
-        Endpoint(backends[one.name], one.zone, one.kind, one.cell, one.status, one.size, one.started)
-        for one in state.listed
+        Endpoint(backends[one.name], one.zone, one.kind, one.cell, one.status, one.capacity, one.started)
+        for one in state.backends
     ]
     router.endpoints_changed("cached", rows)
-    return router, snapshot.restore_state(router, messages.plain(state.module), backends), backends
+    return router, snapshot.restore_state(router, framing.to_plain(state.router), backends), backends
 
 
-def _state(data: bytes) -> messages.State:
-    return messages.read(data[messages.HEAD.size :], messages.State)
+def _state(data: bytes) -> messages.GatewayState:
+    return framing.decode(data[framing.HEADER.size :], messages.GatewayState)
 
 
 def state_frame(data: bytes, config: Plain) -> bytes:
     """A frame of a state, read, taken into a router, given again by that and written again."""
     state = _state(data)
     router, requests, _ = _taken(state, config)
-    state.module = snapshot.export_state(router, requests, list(router.freshness.object_parts))  # type: ignore[assignment]
-    return messages.frame(messages.Kind.STATE, state)
+    state.router = snapshot.export_state(router, requests, list(router.freshness.object_parts))  # type: ignore[assignment]
+    return framing.encode_frame(framing.MessageKind.STATE, state)
 
 
 def table_frame(data: bytes, config: Plain) -> bytes:
     """The frame of the table's entries of a state that was taken."""
     router, _, _ = _taken(_state(data), config)
-    return messages.frame(
-        messages.Kind.TABLE, snapshot.export_object_parts(router, list(router.freshness.object_parts))
+    return framing.encode_frame(
+        framing.MessageKind.OBJECT_PARTS,
+        snapshot.export_object_parts(router, list(router.freshness.object_parts)),
     )
 
 
@@ -490,12 +493,9 @@
     """What a handover says of open effects, as the next process has taken it beside a store, and tells it
     again."""
     keeper = Keeper(Idle(now), _recovered(folder, now, purge_done))  # type: ignore[arg-type]
-    keeper.take(messages.plain(msgspec.convert(kept, messages.Kept)))
+    keeper.take(framing.to_plain(msgspec.convert(kept, messages.StoreState)))
     told = keeper.give()
-    chains = [messages.Chain(**chain) for chain in told["chains"]]
-    return lists(
-        messages.plain(messages.Kept(kept["folder"], chains, told["out"], told["budgets"], told["counts"]))
-    )
+    return lists(framing.to_plain(store_state(kept["folder"], told)))
 
 
 def state_through_owner(data: bytes, config: Plain) -> tuple[Plain, bytes]:
@@ -503,16 +503,16 @@
     with the moment of the frame that was taken. The gateway does not run; its sockets lead nowhere."""
     before = _state(data)
     owner = Owner({**config, "listen": "127.0.0.1:0"}, follows=True)
-    told, pairs = state_transfer.Told(owner), [socket.socketpair() for _ in range(before.sockets)]
+    restorer, pairs = GatewayRestorer(owner), [socket.socketpair() for _ in range(before.descriptor_count)]
     try:
-        told.make(before, lambda number: pairs[number][0])
-        after, _ = state_transfer.tell(owner, before.mode, list(owner.router.freshness.object_parts))
+        restorer.restore(before, lambda number: pairs[number][0])
+        after = export_gateway(owner, before.mode, list(owner.router.freshness.object_parts)).state
     finally:
         owner.front.sock.close()
         for one in (one for pair in pairs for one in pair):
             one.close()
-    after.time, after.steady = before.time, before.steady
-    return lists(messages.plain(after)), messages.frame(messages.Kind.STATE, after)
+    after.time, after.monotonic_time = before.time, before.monotonic_time
+    return lists(framing.to_plain(after)), framing.encode_frame(framing.MessageKind.STATE, after)
 
 
 # --- forwarders and planners ---
--- a/rigs/upgrade.py
+++ b/rigs/upgrade.py
@@ -25,8 +25,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lilacloft.handover import messages
-from lilacloft.handover.request import ask
+from lilacloft.handover.messages import PhaseReport
+from lilacloft.handover.request import request_upgrade
 from lilacloft.net.resp import encode
 from rigs.checker import check
 from rigs.crash import STEPS
@@ -128,17 +128,17 @@
         to = "" if step == "fine" else shlex.join([sys.executable, "-m", "rigs.crash", step, *words[3:]])
         if step == "fine":
             to = shlex.join(words)
-        phases: list[messages.Phase] = []
+        phases: list[PhaseReport] = []
         held = Held([self.pid])
         held.start()
 
-        def tell(phase: messages.Phase) -> None:
+        def tell(phase: PhaseReport) -> None:
             phases.append(phase)
             if phase.pid and phase.pid not in held.pids:
                 held.pids.append(phase.pid)
 
         began = time.time()
-        done, why = ask(self.gateway.handover, to, self.given.mode, tell)
+        done, why = request_upgrade(self.gateway.handover, to, self.given.mode, tell)
         ended = time.time()
         held.over = True
         held.join()
@@ -151,7 +151,7 @@
             "why": why,
             "began": began,
             "ended": ended,
-            "phases": [(phase.phase, round(phase.took, 5)) for phase in phases],
+            "phases": [(phase.phase, round(phase.previous_phase_seconds, 5)) for phase in phases],
             "memory_mb": held.memory,
             "sockets": held.sockets,
         }
@@ -312,7 +312,7 @@
                 step = f"kill-{1000 * wait:.1f}" if kind == "new" else "fine"
                 to = shlex.join([sys.executable, "-m", "rigs.crash", step, *self.worker_words()])
                 asking = threading.Thread(
-                    target=ask,
+                    target=request_upgrade,
                     args=(self.gateway.handover, to, self.given.mode, lambda phase: None),
                     daemon=True,
                 )
--- a/tests/test_carried.py
+++ b/tests/test_carried.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from lilacloft.handover import messages
+from lilacloft.handover import framing, messages
 from lilacloft.net.conn import Conn
 from lilacloft.routing import snapshot
 from lilacloft.routing.concurrency import AdaptiveLimit
@@ -25,7 +25,7 @@
 
 def carried(given):
     """An exported state, encoded and decoded as on its way to the next process."""
-    return messages.plain(messages.read(messages._write(given), messages.Module))
+    return framing.to_plain(framing.decode(framing.encode(given), messages.RouterState))
 
 
 def replace(model, open_reqs):
@@ -160,10 +160,10 @@
         "LIMIT": AdaptiveLimit(1.0, 1.0),
     }
     forms = {
-        "BACKEND": messages.Backend,
-        "OBJECT_PART": messages.ObjectPart,
-        "REQUEST": messages.Request,
-        "LIMIT": messages.Limit,
+        "BACKEND": messages.BackendState,
+        "OBJECT_PART": messages.ObjectPartState,
+        "REQUEST": messages.RequestState,
+        "LIMIT": messages.LimitState,
     }
     for kind, record in records.items():
         keys = getattr(snapshot, f"{kind}_KEYS")
@@ -227,23 +227,25 @@
 
 def state(**more):
     model = Model(settings())
-    return messages.State(
-        module=msgspec.convert(copy.deepcopy(export_state(model.router, (), ())), messages.Module),
+    return messages.GatewayState(
+        router=msgspec.convert(copy.deepcopy(export_state(model.router, (), ())), messages.RouterState),
         time=7,
-        last=41,
+        last_event=41,
         **more,
     )
 
 
 def test_a_newer_writers_fields_are_skipped_and_an_older_ones_have_defaults():
-    plain = messages.plain(state())
+    plain = framing.to_plain(state())
     plain["weather"] = {"rain": True}
     plain["module"]["bes"]["c0"]["mood"] = 3
     del plain["checks"], plain["module"]["due"]
-    found = messages.read(messages._write(plain), messages.State)
-    assert (found.last, found.checks, found.module.due) == (41, 0, [])
+    found = framing.decode(framing.encode(plain), messages.GatewayState)
+    assert (found.last_event, found.health_check_count, found.router.deadlines) == (41, 0, [])
     new = Model(settings())
-    restore_state(new.router, messages.plain(found.module), {backend.name: backend for backend in new.caches})
+    restore_state(
+        new.router, framing.to_plain(found.router), {backend.name: backend for backend in new.caches}
+    )
 
 
 @pytest.mark.parametrize(
@@ -256,16 +258,16 @@
     ],
 )
 def test_what_is_no_frame_is_told_apart(spoil, told):
-    data = spoil(messages.frame(messages.Kind.STATE, state()))
-    with pytest.raises(messages.FormError, match=told):
-        _, _, crc = messages.head(data[: messages.HEAD.size])
-        messages.check(data[messages.HEAD.size :], crc)
+    data = spoil(framing.encode_frame(framing.MessageKind.STATE, state()))
+    with pytest.raises(framing.FormatError, match=told):
+        _, _, crc = framing.decode_header(data[: framing.HEADER.size])
+        framing.verify_payload(data[framing.HEADER.size :], crc)
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x81\xa4time\xa1x", b"\x90" * 9999, b"\x81\xa6module\x01"])
 def test_a_record_that_cannot_be_read_is_an_error_of_the_form(data):
-    with pytest.raises(messages.FormError):
-        messages.read(data, messages.State)
+    with pytest.raises(framing.FormatError):
+        framing.decode(data, messages.GatewayState)
 
 
 def test_what_waits_at_a_handover_keeps_the_window_of_its_effect(in_process, late, monkeypatch):
@@ -279,7 +281,9 @@
         call.request.sent_at - 1_000,
         call.request.backend,
     )  # an attempt that may have run
-    with handed_over(world) as told:
-        (sent,) = told.again
+    with handed_over(world) as restorer:
+        (sent,) = restorer.unsent_attempts
         window = world.owner.effects[call.vhost].window
-        assert window and sent.window_over == told.owner.steadily(call.request.first_executed_at + window)
+        assert window and sent.window_over == restorer.gateway.steadily(
+            call.request.first_executed_at + window
+        )
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,7 +11,10 @@
 import msgspec
 import pytest
 
-from lilacloft.handover import messages, state_transfer
+from lilacloft.handover.framing import decode
+from lilacloft.handover.messages import GatewayState
+from lilacloft.handover.state_export import export_gateway
+from lilacloft.handover.state_restore import GatewayRestorer
 from lilacloft.net.feed import Heard
 from lilacloft.net.owner import Owner
 from lilacloft.net.resp import fields
@@ -148,11 +151,11 @@
     told = ("s-00000001", ("127.0.0.1", world.caches[0].port), 0, 0, 0, 1, 5.0, now - 300)
     world.log.add(3, 2, record(1, world.caches[0].port, started=now - 300))
     until(lambda: world.does(lambda: world.owner.backends["s-00000001"].started))
-    state, _ = world.does(lambda: state_transfer.tell(world.owner, "drain", []))
+    state = world.does(lambda: export_gateway(world.owner, "drain", [])).state
     successor = Owner({**world.config, "listen": "127.0.0.1:0"}, follows=True)
     try:
-        state_transfer.Told(successor).make(
-            messages.read(msgspec.msgpack.encode(state), messages.State), [].__getitem__
+        GatewayRestorer(successor).restore(
+            decode(msgspec.msgpack.encode(state), GatewayState), [].__getitem__
         )
         started = successor.backends["s-00000001"].started
         assert started == world.owner.backends["s-00000001"].started
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -272,11 +272,11 @@
     until(lambda: world.held()["out"] == 2)
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"ok"))
     assert stays.answer()[1] == b"200"
-    with handed_over(world) as told:
+    with handed_over(world) as restorer:
         gone(leaves, goes)
-        told.start()
+        restorer.start()
         nothing_comes(world)
-        assert [entry[2] for entry in told.owner.after] == [End.UNWRITTEN]
+        assert [entry[2] for entry in restorer.gateway.after] == [End.UNWRITTEN]
 
 
 def test_how_long_a_client_has_been_gone_is_reckoned_by_the_clock_within_a_long_event(in_process):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,10 +14,9 @@
 
 import pytest
 
-from lilacloft.handover import messages
-from lilacloft.handover.messages import HEAD, Kind
-from lilacloft.handover.process_arguments import command
-from lilacloft.handover.sender import Offer
+from lilacloft.handover.framing import HEADER, MessageKind, encode_frame
+from lilacloft.handover.process_arguments import original_command
+from lilacloft.handover.upgrade_listener import UpgradeListener
 from lilacloft.net.resp import fields, listed
 from rigs.crash import STEPS
 from rigs.scene import booked
@@ -304,10 +303,10 @@
     "bad",
     [
         b"GET / HTTP/1.1\r\n\r\n",
-        HEAD.pack(b"llup", 2, Kind.STATE, 1 << 31, 0),
-        messages.frame(Kind.COMMIT),
-        messages.frame(Kind.ASK, {"to": 7}),
-        messages.frame(Kind.ASK)[:-1],
+        HEADER.pack(b"llup", 2, MessageKind.STATE, 1 << 31, 0),
+        encode_frame(MessageKind.COMMIT),
+        encode_frame(MessageKind.UPGRADE_REQUEST, {"to": 7}),
+        encode_frame(MessageKind.UPGRADE_REQUEST)[:-1],
         b"",
     ],
 )
@@ -344,11 +343,11 @@
         def close(self):
             self.closed = True
 
-    offer, control = Offer.__new__(Offer), Stranger()
-    offer.askers = threading.BoundedSemaphore(1)
-    offer.askers.acquire()
-    offer._asked(control)
-    assert control.closed and control.sent[0].done and "may not ask" in control.sent[0].why
+    listener, control = UpgradeListener.__new__(UpgradeListener), Stranger()
+    listener.slots = threading.BoundedSemaphore(1)
+    listener.slots.acquire()
+    listener._serve(control)
+    assert control.closed and control.sent[0].is_final and "may not ask" in control.sent[0].reason
 
 
 def test_more_askers_than_there_is_room_for_are_let_go(world):
@@ -464,7 +463,16 @@
         "--handover",
         "h",
     ]
-    assert command(words) == ["python", "-m", "lilacloft", "serve", "--config", "c", "--handover", "h"]
+    assert original_command(words) == [
+        "python",
+        "-m",
+        "lilacloft",
+        "serve",
+        "--config",
+        "c",
+        "--handover",
+        "h",
+    ]
 
 
 def test_the_platforms_own_words_import_nothing_of_this(tmp_path):
