--- a/lilacloft/handover/channel.py
+++ b/lilacloft/handover/channel.py
@@ -112,7 +112,7 @@
                 raise ChannelError("the other side does not read")
 
     def receive(self, timeout: float, kinds: tuple[MessageKind, ...] = ()) -> Frame:
-        """Return the next frame within a time in seconds; descriptors before it wait for `take_descriptors`.
+        """Return the next frame within a time in seconds; descriptors before it wait for `pop_descriptors`.
 
         `kinds`: those that are expected; empty: any. Raises ChannelClosedError, ChannelTimeoutError or
         another ChannelError if none comes, and FormatError if it is not as expected.
@@ -132,10 +132,10 @@
     def _read(self, size: int, deadline: float) -> bytes:
         """Return the next bytes, which may have been received before."""
         while len(self._received) < size:
-            seconds_left = deadline - time.monotonic()
-            if seconds_left <= 0:
+            remaining_seconds = deadline - time.monotonic()
+            if remaining_seconds <= 0:
                 raise ChannelTimeoutError("nothing came in time")
-            self.sock.settimeout(seconds_left)
+            self.sock.settimeout(remaining_seconds)
             self._receive_more(size - len(self._received))
         data = bytes(self._received[:size])
         del self._received[:size]
@@ -162,11 +162,11 @@
             raise ChannelClosedError("the other side has ended")
         self._received += data
 
-    def take_sockets(self, count: int) -> list[socket.socket]:
-        """Return the next descriptors that were received as sockets; see `take_descriptors`."""
-        return [socket.socket(fileno=descriptor) for descriptor in self.take_descriptors(count)]
+    def pop_sockets(self, count: int) -> list[socket.socket]:
+        """Return the next descriptors that were received as sockets; see `pop_descriptors`."""
+        return [socket.socket(fileno=descriptor) for descriptor in self.pop_descriptors(count)]
 
-    def take_descriptors(self, count: int) -> list[int]:
+    def pop_descriptors(self, count: int) -> list[int]:
         """Return the next descriptors that were received; raises FormatError if there are fewer."""
         if len(self._descriptors) < count:
             raise FormatError(f"{len(self._descriptors)} descriptors instead of {count}")
--- a/lilacloft/handover/connections.py
+++ b/lilacloft/handover/connections.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING
 
 from lilacloft.net.back import Line
 from lilacloft.net.conn import Conn, State
 from lilacloft.net.front import Client
 
+if TYPE_CHECKING:
+    from lilacloft.net.owner import Owner
+
 
 def is_idle(client: Client) -> bool:
     """Return whether nothing is open, half read or half written on a client's connection."""
@@ -26,7 +29,7 @@
     return not (line.out or line.buffer.partial() or line.waits())
 
 
-def backend_connections(gateway: Any) -> list[Line]:
+def backend_connections(gateway: Owner) -> list[Line]:
     """Return all connections to backends, also to unlisted ones that still answer something."""
     found = dict.fromkeys(line for pool in gateway.back.pools.values() for line in pool.lines)
     for call in gateway.calls.values():
@@ -35,7 +38,7 @@
     return list(found)
 
 
-def all_connections(gateway: Any) -> list[Conn]:
+def all_connections(gateway: Owner) -> list[Conn]:
     """Return all connections of clients and to backends."""
     clients = list(gateway.front.clients)  # a copy at once: other threads add to it
     return [*clients, *backend_connections(gateway)]
--- a/lilacloft/handover/counters.py
+++ b/lilacloft/handover/counters.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
-from typing import Any, TypeAlias
+from typing import TYPE_CHECKING, TypeAlias
+
+if TYPE_CHECKING:
+    from lilacloft.net.owner import Owner
 
 GroupedCounts: TypeAlias = dict[str, dict[str, int]]  # by group, then by name
 DISCOVERY_GROUP = "log"
 
 
-def _groups(gateway: Any) -> GroupedCounts:
+def _groups(gateway: Owner) -> GroupedCounts:
     """Return the gateway's own counters but those of discovery, by group."""
     return {
         "answers": gateway.counts,
@@ -18,14 +21,14 @@
     }
 
 
-def export_counters(gateway: Any) -> GroupedCounts:
+def export_counters(gateway: Owner) -> GroupedCounts:
     """Return all counters by group and name."""
     counts = {group: dict(own) for group, own in _groups(gateway).items()}
     counts[DISCOVERY_GROUP] = {"connects": gateway.feed.connects, "events": gateway.feed.events}
     return counts
 
 
-def add_counters(gateway: Any, exported: GroupedCounts) -> None:
+def add_counters(gateway: Owner, exported: GroupedCounts) -> None:
     """Add what another process has counted; counters that this gateway does not have are passed over."""
     for group, own in _groups(gateway).items():
         for name, count in exported.get(group, {}).items():
@@ -36,7 +39,7 @@
     gateway.feed.events += discovery.get("events", 0)
 
 
-def counted_since(gateway: Any, exported: GroupedCounts) -> GroupedCounts:
+def counted_since(gateway: Owner, exported: GroupedCounts) -> GroupedCounts:
     """Return what a gateway has counted since its counters were exported."""
     return {
         group: {name: count - exported.get(group, {}).get(name, 0) for name, count in counts.items()}
--- a/lilacloft/handover/event_loop.py
+++ b/lilacloft/handover/event_loop.py
@@ -4,17 +4,22 @@
 
 import queue
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any, TypeVar
+
+if TYPE_CHECKING:
+    from lilacloft.net.owner import Owner
+
+Result = TypeVar("Result")
 
 POLL_SECONDS = 2.0  # between two checks whether the event loop still runs
 
 
-def run_on_event_loop(gateway: Any, function: Callable[..., Any], *arguments: Any) -> Any:
+def run_on_event_loop(gateway: Owner, function: Callable[..., Result], *arguments: Any) -> Result | None:
     """Run a function in the thread of a gateway's event loop, and wait until it has.
 
     Returns its result; None if it raises, or if the gateway ends before it runs.
     """
-    results: queue.SimpleQueue[Any] = queue.SimpleQueue()
+    results: queue.SimpleQueue[Result | None] = queue.SimpleQueue()
 
     def run() -> None:
         result = None
--- a/lilacloft/handover/phase_reporter.py
+++ b/lilacloft/handover/phase_reporter.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import contextlib
-from typing import Any
+from typing import TYPE_CHECKING
 
 from loguru import logger
 
@@ -12,13 +12,16 @@
 from lilacloft.handover.messages import MAX_REASON_CHARACTERS, PhaseReport
 from lilacloft.handover.phases import Phase
 
+if TYPE_CHECKING:
+    from lilacloft.net.owner import Owner
+
 SEND_TIMEOUT = 0.02  # seconds, as an upgrade command may not read
 
 
 class PhaseReporter:
     """Reports the phases of one gateway's handovers."""
 
-    def __init__(self, gateway: Any) -> None:
+    def __init__(self, gateway: Owner) -> None:
         self.gateway = gateway
         self.control: Channel | None = None  # to the upgrade command, until its last report
 
--- a/lilacloft/handover/phases.py
+++ b/lilacloft/handover/phases.py
@@ -139,11 +139,11 @@
         self.actions.start_receiver()
         return ""
 
-    def hello_received(self, can_take_requests: bool, reason: str = "") -> None:
+    def hello_received(self, accepts_requests: bool, reason: str = "") -> None:
         """The receiver runs. `reason`: why it cannot continue with open requests, if it cannot."""
         if self.phase != Phase.STARTING:
             return self.lost(f"hello while {self.phase}")
-        self.mode = self.requested_mode if can_take_requests else HandoverMode.DRAIN
+        self.mode = self.requested_mode if accepts_requests else HandoverMode.DRAIN
         downgraded = self.mode != self.requested_mode
         self._enter(Phase.WARMING, f"drain: {reason}" if downgraded else "")
         return self.actions.send_warm_up()
@@ -229,7 +229,7 @@
         if self.phase not in (Phase.IDLE, Phase.DONE) and self.actions.now() >= self.deadline:
             self.lost(f"more than {self.limits[self.phase]:g} s")
 
-    def seconds_left(self) -> float:
+    def remaining_seconds(self) -> float:
         """Return the seconds until the phase's limit; infinite in a phase without one."""
         if self.phase in (Phase.IDLE, Phase.DONE):
             return math.inf
--- a/lilacloft/handover/process.py
+++ b/lilacloft/handover/process.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from loguru import logger
 
@@ -20,7 +20,10 @@
 from lilacloft.net.conn import Conn
 from lilacloft.routing.units import TICKS_PER_SECOND
 
-MakeGateway = Callable[[dict[str, Any], socket.socket | None, bool], Any]
+if TYPE_CHECKING:
+    from lilacloft.net.owner import Owner
+
+MakeGateway = Callable[[dict[str, Any], socket.socket | None, bool], "Owner"]
 DEFAULT_STORE_TIMEOUT = 0.05  # seconds that an attempt waits for the store
 
 
@@ -50,7 +53,7 @@
 class PreparedGateway(NamedTuple):
     """A gateway that is ready to run, and what is left to do right before it does."""
 
-    gateway: Any
+    gateway: Owner
     begin: Callable[[], None]
 
 
@@ -61,7 +64,7 @@
     config: dict[str, Any]
     options: ProcessOptions
 
-    def guard(self, gateway: Any, **restored: Any) -> Any:
+    def guard(self, gateway: Owner, **restored: Any) -> Any:
         """Return the writer of the store, if the settings name a folder for one.
 
         `restored`: what a process that takes over continues with.
@@ -78,7 +81,7 @@
         except StoreError as error:
             raise UnusableError(str(error)) from error
 
-    def agent(self, gateway: Any) -> Any:
+    def agent(self, gateway: Owner) -> Any:
         """Return what talks to planners, if the settings name some."""
         plan = self.options.plan
         if not plan or not plan.get("planners"):
@@ -88,7 +91,7 @@
         name = str(self.config.get("name", "gateway"))
         return Agent(gateway, name, plan["planners"], plan.get("zones", {}).get("leave", "never"))
 
-    def recorder(self, gateway: Any) -> Any:
+    def recorder(self, gateway: Owner) -> Any:
         """Return what records events, if the settings name a folder for them."""
         record = self.options.record
         if not record or "folder" not in record:
@@ -104,8 +107,8 @@
             record.get("connect", ""),
         )
 
-    def sender(self, gateway: Any, upgrade_socket: socket.socket) -> HandoverSender:
-        """Return what lets this gateway be replaced."""
+    def sender(self, gateway: Owner, upgrade_socket: socket.socket) -> HandoverSender:
+        """Return what lets a gateway be replaced."""
         options = self.options
         return HandoverSender(gateway, upgrade_socket, options.limits, options.status, options.mode)
 
@@ -113,18 +116,18 @@
 def prepare(config: dict[str, Any], make_gateway: MakeGateway, options: ProcessOptions) -> PreparedGateway:
     """Prepare a gateway: one that takes over, if the options name a channel to a sender, else a fresh one.
 
-    `make_gateway`: makes one of a configuration, with a listening socket (None: it binds its own), and says
-    whether it takes over. Raises NotWantedError if the sender goes on as the gateway, OSError if the path for
-    upgrade requests cannot be had, UnusableError if a store cannot be used.
+    `make_gateway`: makes one from a configuration, a listening socket (None: it binds its own), and whether
+    it takes over. Raises NotWantedError if the sender goes on as the gateway, OSError if the path for upgrade
+    requests cannot be had, UnusableError if a store cannot be used.
     """
     Conn.movable = bool(options.handover) or options.takeover >= 0
     assembly = _Assembly(config, options)
     if options.takeover >= 0:
-        return _take_over(HandoverReceiver(options.takeover), make_gateway, assembly)
-    return _start_fresh(make_gateway, assembly)
+        return _prepare_takeover(HandoverReceiver(options.takeover), make_gateway, assembly)
+    return _prepare_fresh(make_gateway, assembly)
 
 
-def _start_fresh(make_gateway: MakeGateway, assembly: _Assembly) -> PreparedGateway:
+def _prepare_fresh(make_gateway: MakeGateway, assembly: _Assembly) -> PreparedGateway:
     """Prepare a gateway without state; a supervisor may have given it the listening socket."""
     options = assembly.options
     has_listener = options.listener >= 0
@@ -150,7 +153,9 @@
     return PreparedGateway(gateway, begin)
 
 
-def _take_over(receiver: HandoverReceiver, make_gateway: MakeGateway, assembly: _Assembly) -> PreparedGateway:
+def _prepare_takeover(
+    receiver: HandoverReceiver, make_gateway: MakeGateway, assembly: _Assembly
+) -> PreparedGateway:
     """Prepare a gateway with the state of the process that started this one."""
     guard = _receive(receiver, make_gateway, assembly)
     gateway, restorer = receiver.gateway, receiver.restorer
--- a/lilacloft/handover/quiesce.py
+++ b/lilacloft/handover/quiesce.py
@@ -8,7 +8,7 @@
 
 import time
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from lilacloft.handover import messages
 from lilacloft.handover.connections import all_connections, is_idle, is_unreadable_client
@@ -18,6 +18,9 @@
 from lilacloft.routing.model import PartKey
 from lilacloft.routing.snapshot import export_object_parts
 
+if TYPE_CHECKING:
+    from lilacloft.net.owner import Owner
+
 RETRY_SECONDS = 0.002  # between two attempts to bring all connections to rest
 
 
@@ -31,13 +34,13 @@
 class Quiescer:
     """One gateway, at rest or not.
 
-    A connection's reading and its writing are brought to rest one after the other: `at_rest` says of each
-    whether its writing is too.
+    A connection's reading is brought to rest first, then its writing. `quiesced` has the connections at rest;
+    the value says whether their writing is, too.
     """
 
-    def __init__(self, gateway: Any) -> None:
+    def __init__(self, gateway: Owner) -> None:
         self.gateway = gateway
-        self.at_rest: dict[Conn, bool] = {}
+        self.quiesced: dict[Conn, bool] = {}
         self.is_accept_held = False  # are accepting connections and discovery at rest?
         self.requests_before_table = 0  # count of requests when the object parts were listed
         self.transferred: list[Conn] = []  # stay at rest, unless the receiver dies
@@ -95,7 +98,7 @@
                 break
             if time.monotonic() > deadline:
                 return "not all could be brought to rest in time"
-            for conn in self.at_rest:
+            for conn in self.quiesced:
                 self._resume_writing(conn)
             time.sleep(RETRY_SECONDS)
         gateway._tick()
@@ -104,13 +107,13 @@
     def _hold_reading(self) -> None:
         """Let the readers of all connections wait between two messages."""
         for conn in all_connections(self.gateway):
-            if conn not in self.at_rest and conn.end is None and conn.state is not State.UNREADABLE:
+            if conn not in self.quiesced and conn.end is None and conn.state is not State.UNREADABLE:
                 conn.hold()
-                self.at_rest[conn] = False
+                self.quiesced[conn] = False
 
     def _end_unreadable_clients(self) -> None:
         """Give up what is open for clients that sent malformed data; their connections end here."""
-        for client in [conn for conn in self.at_rest if is_unreadable_client(conn)]:
+        for client in [conn for conn in self.quiesced if is_unreadable_client(conn)]:
             self.resume_connection(client)
             self.gateway._do(self.gateway.garbled, (client,))
 
@@ -125,32 +128,32 @@
     def _hold_writing(self) -> bool:
         """Hold the writing of all connections as well; returns whether everything is at rest."""
         current = {conn for conn in all_connections(self.gateway) if not is_unreadable_client(conn)}
-        for conn in list(self.at_rest):
-            if conn in current and not self.at_rest[conn]:
+        for conn in list(self.quiesced):
+            if conn in current and not self.quiesced[conn]:
                 conn.still()
-                self.at_rest[conn] = True
+                self.quiesced[conn] = True
         # one that ended meanwhile is resumed, as its reader needs the gate to report the end
         ended = [conn for conn in current if conn.end is not None]
-        for conn in [*ended, *(conn for conn in self.at_rest if conn not in current)]:
+        for conn in [*ended, *(conn for conn in self.quiesced if conn not in current)]:
             self.resume_connection(conn)
-        is_quiet = not ended and all(self.at_rest.get(conn) for conn in current)
+        is_quiet = not ended and all(self.quiesced.get(conn) for conn in current)
         return is_quiet and self.gateway.queue.empty()
 
     # --- back to work ---
 
     def resume_connection(self, conn: Conn) -> None:
         """Let a connection go on, if it is at rest."""
-        if conn in self.at_rest:
-            conn.free(self.at_rest.pop(conn))
+        if conn in self.quiesced:
+            conn.free(self.quiesced.pop(conn))
 
     def _resume_writing(self, conn: Conn) -> None:
-        if self.at_rest[conn]:
-            self.at_rest[conn] = False
+        if self.quiesced[conn]:
+            self.quiesced[conn] = False
             conn.lock.release()
 
     def resume_all(self, accept: bool = True) -> None:
         """Let all connections at rest go on; `accept`: accepting connections and discovery too."""
-        for conn in list(self.at_rest):
+        for conn in list(self.quiesced):
             self.resume_connection(conn)
         if accept and self.is_accept_held:
             self.is_accept_held = False
@@ -163,7 +166,7 @@
         """Give connections to the receiver. They stay at rest here."""
         gateway = self.gateway
         for conn in connections:
-            self.at_rest.pop(conn, None)
+            self.quiesced.pop(conn, None)
             if isinstance(conn, Client):
                 gateway.front.clients.pop(conn, None)
             elif conn in conn.pool.lines:
@@ -188,7 +191,7 @@
         """
         gateway = self.gateway
         for conn in connections:
-            if conn in self.at_rest:
+            if conn in self.quiesced:
                 self._resume_writing(conn)
             elif conn in self.transferred:
                 conn.lock.release()
@@ -196,7 +199,7 @@
             gateway._do(gateway.hung_up, (client,))
         for conn in connections:
             conn.close(End.RESET)
-            if self.at_rest.pop(conn, None) is not None or conn in self.transferred:
+            if self.quiesced.pop(conn, None) is not None or conn in self.transferred:
                 conn.gate.release()
         self.transferred = [conn for conn in self.transferred if conn not in connections]
 
@@ -206,14 +209,14 @@
         for client in list(self.gateway.front.clients):
             if not is_idle(client):
                 continue
-            was_at_rest = client in self.at_rest  # nothing more is read there in any case
-            if not was_at_rest:
+            was_quiesced = client in self.quiesced  # nothing more is read there in any case
+            if not was_quiesced:
                 client.hold()
             client.still()
-            self.at_rest[client] = True
+            self.quiesced[client] = True
             if is_idle(client):
                 found.append(IdleClient(client, export_client(client, 0)))
-            elif was_at_rest:
+            elif was_quiesced:
                 self._resume_writing(client)
             else:
                 self.resume_connection(client)
--- a/lilacloft/handover/receiver.py
+++ b/lilacloft/handover/receiver.py
@@ -12,7 +12,7 @@
 import socket
 import threading
 import time
-from typing import Any
+from typing import TYPE_CHECKING
 
 from loguru import logger
 
@@ -25,6 +25,9 @@
 from lilacloft.handover.phases import ReceiverStateMachine
 from lilacloft.handover.state_restore import GatewayRestorer
 
+if TYPE_CHECKING:
+    from lilacloft.net.owner import Owner
+
 SENDER_TIMEOUT = 30.0  # seconds without a message from the sender, whose own limits are far below
 EXIT_DETECTION_SECONDS = 0.5  # in which the end of a process that has closed everything is seen
 EXIT_POLL_SECONDS = EXIT_DETECTION_SECONDS / 50
@@ -46,7 +49,7 @@
         self.channel = Channel(socket.socket(fileno=descriptor))
         self.state_machine = ReceiverStateMachine()
         self.sender_pid = 0
-        self.gateway: Any = None  # set by the caller between `receive_warm_up` and `receive_object_parts`
+        self.gateway: Owner = None  # set by the caller between `receive_warm_up` and `receive_object_parts`
         self.restorer: GatewayRestorer | None = None
         self.backends: list[messages.ListedBackend] = []
         self.listener: socket.socket | None = None
@@ -65,7 +68,7 @@
                 f"the old process writes form {warm_up.oldest_reader}, {STATE_VERSION} is read here"
             )
         self.sender_pid, self.backends = warm_up.sender_pid, warm_up.backends
-        self.listener, self.upgrade_socket = self.channel.take_sockets(2)
+        self.listener, self.upgrade_socket = self.channel.pop_sockets(2)
 
     def receive_object_parts(self) -> None:
         """Restore the endpoint list and the object parts, while the sender still serves."""
@@ -87,9 +90,9 @@
         if state.oldest_reader > STATE_VERSION:
             raise FormatError(f"the state is of form {state.version}, {STATE_VERSION} is read here")
         has_store = state.store is not None
-        sockets = self.channel.take_sockets(state.descriptor_count - has_store)
+        sockets = self.channel.pop_sockets(state.descriptor_count - has_store)
         if has_store:  # its lock is sent after all connections
-            self.store_lock = self.channel.take_descriptors(1)[0]
+            self.store_lock = self.channel.pop_descriptors(1)[0]
         read_at = time.monotonic()
         self.restorer.restore(state, sockets.__getitem__)
         logger.debug(
@@ -187,7 +190,7 @@
         gateway = self.gateway
         if frame.kind is MessageKind.IDLE_CLIENT:
             state = frame.decode(messages.ClientConnectionState)
-            gateway.post(self._start_client, state, self.channel.take_sockets(1)[0])
+            gateway.post(self._start_client, state, self.channel.pop_sockets(1)[0])
         elif frame.kind is MessageKind.STORE_RECORD:
             record = frame.decode(messages.StoreRecord)
             if gateway.guard:
--- a/lilacloft/handover/sender.py
+++ b/lilacloft/handover/sender.py
@@ -15,14 +15,14 @@
 import threading
 import time
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from loguru import logger
 
 from lilacloft.handover import messages, process_arguments
 from lilacloft.handover.channel import Channel, ChannelError, ChannelTimeoutError, Frame
 from lilacloft.handover.counters import GroupedCounts, counted_since
-from lilacloft.handover.event_loop import run_on_event_loop
+from lilacloft.handover.event_loop import Result, run_on_event_loop
 from lilacloft.handover.framing import OLDEST_READER_VERSION, STATE_VERSION, FormatError, MessageKind
 from lilacloft.handover.phase_reporter import PhaseReporter
 from lilacloft.handover.phases import HandoverMode, Phase, SenderStateMachine
@@ -35,6 +35,9 @@
 from lilacloft.routing.model import RejectReason
 from lilacloft.routing.units import TICKS_PER_SECOND
 
+if TYPE_CHECKING:
+    from lilacloft.net.owner import Owner
+
 DRAIN_POLL_SECONDS = 0.02  # between two checks of what became idle
 STORE_RECORD_TIMEOUT = 0.1  # seconds
 MAX_DRAIN_WAIT = 2.0  # seconds for one message of a receiver that serves
@@ -48,7 +51,7 @@
 
     def __init__(
         self,
-        gateway: Any,
+        gateway: Owner,
         upgrade_socket: socket.socket,
         limits: Mapping[str, float] | None = None,
         status: int = NO_DESCRIPTOR,
@@ -183,7 +186,7 @@
 
     def _follow_receiver(self) -> None:
         """Handle one message of a receiver that is the gateway."""
-        timeout = max(DRAIN_POLL_SECONDS, min(self.state_machine.seconds_left(), MAX_DRAIN_WAIT))
+        timeout = max(DRAIN_POLL_SECONDS, min(self.state_machine.remaining_seconds(), MAX_DRAIN_WAIT))
         try:
             frame = self.receiver.receive(timeout, (MessageKind.SERVING, MessageKind.STORE_RECORDS_SYNCED))
             if frame.kind is MessageKind.STORE_RECORDS_SYNCED:
@@ -196,12 +199,12 @@
         except HANDOVER_ERRORS as error:
             self._run_on_event_loop(self._lost, str(error))
 
-    def _run_on_event_loop(self, function: Callable[..., Any], *arguments: Any) -> Any:
+    def _run_on_event_loop(self, function: Callable[..., Result], *arguments: Any) -> Result | None:
         return run_on_event_loop(self.gateway, function, *arguments)
 
     def _receive(self, *kinds: MessageKind) -> Frame:
         """Return the next frame of the receiver, within the time limit of the phase."""
-        timeout = min(self.state_machine.seconds_left(), MAX_RECEIVE_SECONDS)
+        timeout = min(self.state_machine.remaining_seconds(), MAX_RECEIVE_SECONDS)
         return self.receiver.receive(timeout, kinds)
 
     # --- the event loop's thread; nothing is served meanwhile ---
@@ -228,10 +231,10 @@
     def _quiesce(self) -> str:
         """Bring connections and store to rest; returns why that failed, or an empty text."""
         machine = self.state_machine
-        deadline = time.monotonic() + machine.seconds_left()
+        deadline = time.monotonic() + machine.remaining_seconds()
         failure = self.quiescer.quiesce(deadline, lambda: machine.phase == Phase.TRANSFERRING)
         if not failure and self.gateway.guard:
-            failure = self.gateway.guard.rest(machine.seconds_left() / 2)
+            failure = self.gateway.guard.rest(machine.remaining_seconds() / 2)
         return failure
 
     def _send_state(self) -> None:
@@ -243,7 +246,7 @@
         descriptors = [conn.sock.fileno() for conn in self.connections]
         if state.store is not None:
             descriptors.append(self.gateway.guard.folder.lock)
-        timeout = self.state_machine.seconds_left()
+        timeout = self.state_machine.remaining_seconds()
         self.receiver.send(MessageKind.STATE, state, tuple(descriptors), timeout)
 
     def _commit(self) -> None:
@@ -372,7 +375,7 @@
             self.gateway.router.reject(call.request, RejectReason.ENDING)
         for client in list(self.gateway.front.clients):
             client.hold()  # what is unread goes over with the connection
-            self.quiescer.at_rest[client] = False
+            self.quiescer.quiesced[client] = False
 
     def exit(self) -> None:
         """Send the last counters, and end this process."""
--- a/lilacloft/handover/state_export.py
+++ b/lilacloft/handover/state_export.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any, TypeVar
 
 import msgspec
 
@@ -24,6 +24,11 @@
 from lilacloft.routing.snapshot import export_state
 from lilacloft.routing.units import Ticks
 
+if TYPE_CHECKING:
+    from lilacloft.net.owner import Owner
+
+Item = TypeVar("Item")
+
 # What goes over as it is: by field of the message, the attribute of the gateway's own object.
 CLIENT_ATTRIBUTES = {
     "message_count": "said",
@@ -68,7 +73,7 @@
     calls: dict[Call, int]
 
 
-def export_gateway(gateway: Any, mode: str, part_keys: Iterable[PartKey]) -> ExportedGateway:
+def export_gateway(gateway: Owner, mode: str, part_keys: Iterable[PartKey]) -> ExportedGateway:
     """Export a gateway at rest.
 
     `mode`: in WHOLE all that can go over does, in DRAIN the connections on which nothing is open.
@@ -101,7 +106,7 @@
     return ExportedGateway(state, list(selected.descriptors))
 
 
-def export_backends(gateway: Any) -> Iterator[messages.ListedBackend]:
+def export_backends(gateway: Owner) -> Iterator[messages.ListedBackend]:
     """Export the endpoint list, with backends that are not listed any more but have something in flight."""
     for name, backend in gateway.backends.items():
         pool = gateway.back.pools.get(backend)
@@ -125,7 +130,7 @@
     return messages.ClientConnectionState(**_export_connection(client, descriptor), **own)
 
 
-def _select(gateway: Any, is_whole: bool) -> _Selection:
+def _select(gateway: Owner, is_whole: bool) -> _Selection:
     """Select what goes over; unless all of it does, connections on which nothing is open."""
     clients = [
         client
@@ -142,7 +147,7 @@
     return _Selection(descriptors, clients, _indices(lines), _indices(calls))
 
 
-def _indices(items: Iterable[Any]) -> dict[Any, int]:
+def _indices(items: Iterable[Item]) -> dict[Item, int]:
     return {item: index for index, item in enumerate(items)}
 
 
@@ -192,7 +197,7 @@
     pending_ends: dict[Sent, tuple[str, Ticks]]  # name of the end, and when it is reported
 
     @classmethod
-    def of(cls, gateway: Any) -> _AttemptTimers:
+    def of(cls, gateway: Owner) -> _AttemptTimers:
         """Read a gateway's timers."""
         found = cls({}, {})
         for due_at, _, callback, arguments in gateway.timers:
@@ -203,7 +208,7 @@
         return found
 
 
-def _export_attempts(gateway: Any, selected: _Selection) -> Iterator[messages.AttemptState]:
+def _export_attempts(gateway: Owner, selected: _Selection) -> Iterator[messages.AttemptState]:
     """Export attempts of the requests that go over, and health checks on the connections that do."""
     timers = _AttemptTimers.of(gateway)
     held = set(gateway.guard.again) if gateway.guard else ()  # wait for the store, and are sent again
@@ -226,13 +231,13 @@
         )
 
 
-def _export_clock_offset(gateway: Any) -> messages.ClockOffsetState:
+def _export_clock_offset(gateway: Owner) -> messages.ClockOffsetState:
     stamps = gateway.stamps
     starts = {name: (start.stamp, start.meant, start.revisable) for name, start in stamps.starts.items()}
     return messages.ClockOffsetState(stamps.lag, stamps.at, starts)
 
 
-def _export_store(gateway: Any, calls: Iterable[Call]) -> messages.StoreState | None:
+def _export_store(gateway: Owner, calls: Iterable[Call]) -> messages.StoreState | None:
     """Export what the store's writer continues with; None if the gateway has no store."""
     if gateway.guard is None:
         return None
--- a/lilacloft/handover/state_restore.py
+++ b/lilacloft/handover/state_restore.py
@@ -6,8 +6,9 @@
 
 from __future__ import annotations
 
+import socket
 from collections.abc import Callable, Iterable
-from typing import Any
+from typing import TYPE_CHECKING
 
 from lilacloft.handover import messages
 from lilacloft.handover.counters import add_counters
@@ -21,6 +22,9 @@
 from lilacloft.routing.model import Backend, BackendStatus, Request
 from lilacloft.routing.snapshot import restore_object_parts, restore_state
 
+if TYPE_CHECKING:
+    from lilacloft.net.owner import Owner
+
 
 class EndedConnection:
     """Stands for a connection that carried a request and has ended: the next attempt takes another."""
@@ -34,7 +38,7 @@
 class GatewayRestorer:
     """Restores one gateway: first what can be prepared, then the state, then it starts."""
 
-    def __init__(self, gateway: Any) -> None:
+    def __init__(self, gateway: Owner) -> None:
         """`gateway`: made from the configuration, and not running."""
         self.gateway = gateway
         self.state = messages.GatewayState()
@@ -55,7 +59,7 @@
 
     # --- the state ---
 
-    def restore(self, state: messages.GatewayState, socket_at: Callable[[int], Any]) -> None:
+    def restore(self, state: messages.GatewayState, socket_at: Callable[[int], socket.socket]) -> None:
         """Restore everything. `socket_at`: returns the socket of a descriptor's index.
 
         Raises FormatError if the state cannot be restored here.
@@ -92,7 +96,7 @@
         return restore_state(gateway.router, exported, gateway.backends)
 
     def _restore_open(
-        self, state: messages.GatewayState, requests: list[Request], socket_at: Callable[[int], Any]
+        self, state: messages.GatewayState, requests: list[Request], socket_at: Callable[[int], socket.socket]
     ) -> None:
         """Restore the connections, and the requests and attempts that are open on them."""
         clients = {
@@ -142,7 +146,7 @@
 
     # --- connections ---
 
-    def restore_client(self, state: messages.ClientConnectionState, sock: Any) -> Client:
+    def restore_client(self, state: messages.ClientConnectionState, sock: socket.socket) -> Client:
         """Restore a client's connection, which is not started yet."""
         front = self.gateway.front
         client = Client(front, sock)
@@ -152,7 +156,9 @@
         front.clients[client] = None
         return client
 
-    def _restore_backend_connection(self, state: messages.BackendConnectionState, sock: Any) -> Line:
+    def _restore_backend_connection(
+        self, state: messages.BackendConnectionState, sock: socket.socket
+    ) -> Line:
         back, backend = self.gateway.back, self.gateway.backends[state.backend]
         pool = back.pools.get(backend)
         address = (state.host, state.port)
