--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Whole gateway processes that replace each other: what is open, half done, or goes wrong."""
+"""Whole gateway processes that replace each other: with open requests, partial messages and failures."""
 
 import contextlib
 import json
@@ -33,12 +33,12 @@
         yield make
 
 
-def given(ref):
+def booked_answer(ref):
     return encode(ref, b"data", b"remark=TCP_MISS", b"booked")
 
 
-def only(cache, ref, wait=0.2):
-    """Nothing more comes for a req."""
+def assert_nothing_more_sent(cache, ref, wait=0.2):
+    """Assert that no more attempts of a request come."""
     until = time.monotonic() + wait
     while time.monotonic() < until:
         while not cache.seen.empty():
@@ -48,32 +48,32 @@
 
 
 @pytest.mark.parametrize("step", [*STEPS, "old", "fine"])
-def test_a_booking_in_flight_is_sent_once_and_answered_once_wherever_the_new_process_fails(world, step):
+def test_a_request_in_flight_is_sent_once_and_answered_once_wherever_the_receiver_fails(world, step):
     world = world(silent)
     asker = world.asker()
     tag = asker.ask(b"book", body=b"seat", allow=8000)
     _, sock, items = world.caches[0].next()
     limits = {"hang": 1.0}.get(step)
     if limits:  # the answer comes while the new process hangs
-        threading.Timer(limits, lambda: sock.sendall(given(items[1]))).start()
+        threading.Timer(limits, lambda: sock.sendall(booked_answer(items[1]))).start()
     elif step == "old":  # open reqs stay with the old process, which waits for this one
-        threading.Timer(0.6, lambda: sock.sendall(given(items[1]))).start()
+        threading.Timer(0.6, lambda: sock.sendall(booked_answer(items[1]))).start()
     done, why = world.upgrade(step)
     assert done == (step in ("fine", "old")), why
     if step not in ("hang", "old"):
-        sock.sendall(given(items[1]))
+        sock.sendall(booked_answer(items[1]))
     assert asker.answer() == [tag, b"200", b"", b"booked"]
-    only(world.caches[0], items[1])
+    assert_nothing_more_sent(world.caches[0], items[1])
     tag = asker.ask(b"book", body=b"seat")  # on the same connection, whoever has it now
     _, sock, items = world.caches[0].next()
-    sock.sendall(given(items[1]))
+    sock.sendall(booked_answer(items[1]))
     assert asker.answer() == [tag, b"200", b"", b"booked"]
     if not done:
         world.told("upgrade: idle")
         assert world.upgrade()[0]  # and the next attempt goes well
 
 
-def test_an_answer_in_the_very_moment_of_the_commit_is_given_once(world):
+def test_an_answer_that_comes_with_the_commit_is_delivered_once(world):
     world = world(silent)
     asker = world.asker()
     for moment in ("taking", "taking", "committed", "committed", "letting_go", "ready"):
@@ -82,14 +82,14 @@
 
         def answer(phase, moment=moment, sock=sock, items=items):
             if phase.phase == moment:
-                sock.sendall(given(items[1]))
+                sock.sendall(booked_answer(items[1]))
 
         assert world.upgrade(seen=answer) == (True, "")
         assert asker.answer() == [tag, b"200", b"", b"booked"]
-        only(world.caches[0], items[1], 0.05)
+        assert_nothing_more_sent(world.caches[0], items[1], 0.05)
 
 
-def test_one_that_dies_right_after_its_answer_leaves_a_gateway_that_serves_and_sends_nothing_again(world):
+def test_if_the_receiver_dies_after_its_acknowledgement_the_sender_serves_and_sends_nothing_again(world):
     world = world(silent)
     asker = world.asker()
     asker.ask(b"book", body=b"seat")
@@ -97,16 +97,16 @@
     done, why = world.upgrade("taken")
     assert not done and "letting go" in why
     assert asker.answer() is None  # lost with the process that had it, as in any crash
-    only(world.caches[0], items[1])
+    assert_nothing_more_sent(world.caches[0], items[1])
     again = world.asker()
     tag = again.ask(b"book", body=b"seat")
     _, sock, items = world.caches[0].next()
-    sock.sendall(given(items[1]))
+    sock.sendall(booked_answer(items[1]))
     assert again.answer() == [tag, b"200", b"", b"booked"]
 
 
 @pytest.mark.parametrize("step", ["orphan", "orphaned"])
-def test_when_the_old_process_is_killed_in_the_middle_the_new_one_goes_on_with_all_that_is_open(world, step):
+def test_if_the_sender_is_killed_the_receiver_continues_with_all_open_requests(world, step):
     """Before the new one has said that all is there, or by the time it does."""
     world = world(silent)
     asker = world.asker()
@@ -115,9 +115,9 @@
     done, _ = world.upgrade(step)
     assert not done  # nobody is left to tell
     world.told("this process goes on")
-    sock.sendall(given(items[1]))
+    sock.sendall(booked_answer(items[1]))
     assert asker.answer() == [tag, b"200", b"", b"booked"]
-    only(world.caches[0], items[1])
+    assert_nothing_more_sent(world.caches[0], items[1])
     tag = world.asker().ask(b"book", body=b"seat")
     world.caches[0].next()
 
@@ -139,7 +139,7 @@
 
 
 @pytest.mark.parametrize("mode", ["whole", "drain"])
-def test_a_client_with_half_a_req_and_a_cache_with_half_an_answer_notice_nothing(world, mode):
+def test_half_a_request_and_half_an_answer_are_completed_after_the_handover(world, mode):
     world = world(once_silent())
     asker, other = world.asker(), world.asker()
     tag = asker.ask(key=1)
@@ -167,12 +167,12 @@
     _, sock, items = world.caches[0].next()
     while b"profile=book" not in items[2]:
         _, sock, items = world.caches[0].next()
-    sock.sendall(given(items[1]))
+    sock.sendall(booked_answer(items[1]))
     assert other.answer() == [b"5", b"200", b"", b"booked"]
     world.told("upgrade: gone")
 
 
-def test_a_client_that_reads_slowly_gets_the_whole_answer_across_the_change(world):
+def test_a_client_that_reads_slowly_gets_the_complete_answer(world):
     world = world(serves(CLIP))
     asker = world.asker()
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
@@ -182,7 +182,7 @@
     assert sorted(asker.answer()[0] for _ in tags) == sorted(tags)
 
 
-def test_forget_reaches_a_req_whose_owner_has_changed(world):
+def test_a_cancel_reaches_a_request_that_was_transferred(world):
     world = world(silent)
     asker = world.asker()
     tag = asker.ask()
@@ -197,7 +197,7 @@
     assert asker.answer()[:2] == [tag, b"200"]
 
 
-def test_a_purge_told_to_the_old_process_only_holds_in_the_new_one(world):
+def test_a_purge_that_only_the_sender_got_holds_in_the_receiver(world):
     world = world(serves())
     asker = world.asker()
     asker.ask(key=9)
@@ -218,7 +218,7 @@
     assert 0 < int(fields(items[2])["agelim"]) < 5000
 
 
-def test_a_break_of_the_change_log_in_the_middle_loses_no_event(world):
+def test_a_break_of_discovery_during_the_handover_loses_no_event(world):
     world = world(serves(), serves())
 
     def breaks(phase):
@@ -243,7 +243,7 @@
     raise AssertionError("the drain was never heard of")
 
 
-def test_a_second_upgrade_is_refused_and_sigterm_calls_the_first_one_off(world):
+def test_a_second_upgrade_is_refused_and_sigterm_aborts_the_first(world):
     world = world(silent)
     asker = world.asker()
     tag = asker.ask(b"book", body=b"seat")
@@ -257,12 +257,12 @@
     world.process.terminate()
     thread.join(10)
     assert first[0][0] is False and "told to stop" in first[0][1]
-    sock.sendall(given(items[1]))
+    sock.sendall(booked_answer(items[1]))
     assert asker.answer() == [tag, b"200", b"", b"booked"]
     assert world.process.wait(10) == 0
 
 
-def test_sighup_in_the_middle_is_heeded_by_whoever_is_the_gateway(world):
+def test_sighup_during_the_handover_reaches_whichever_process_is_the_gateway(world):
     world = world(serves())
 
     def hup(phase):
@@ -284,7 +284,7 @@
         (f"{sys.executable} -c 'import time; time.sleep(60)'", "more than 3 s|nothing came in time"),
     ],
 )
-def test_a_command_that_does_not_come_to_serve_is_told_and_the_old_one_goes_on(world, to, told):
+def test_a_command_that_does_not_serve_is_reported_and_the_sender_resumes(world, to, told):
     world = world(serves())
     done, why = world.upgrade(to=to)
     assert not done and re.search(told, why), why
@@ -293,7 +293,7 @@
     assert asker.answer()[1] == b"200"
 
 
-def test_no_room_beside_is_refused_before_anything_is_touched(world):
+def test_an_upgrade_without_capacity_is_refused_before_anything_starts(world):
     world = world(serves(), memory_mb=40)
     done, why = world.upgrade()
     assert not done and "no room" in why and len(world.pids) == 1
@@ -310,7 +310,7 @@
         b"",
     ],
 )
-def test_bad_input_on_the_handover_socket_ends_that_connection_alone(world, bad):
+def test_invalid_input_on_the_upgrade_socket_ends_only_that_connection(world, bad):
     world = world(serves())
     mode = os.stat(world.handover).st_mode
     assert stat.S_ISSOCK(mode) and stat.S_IMODE(mode) == 0o600
@@ -327,7 +327,7 @@
     assert world.upgrade() == (True, "")
 
 
-def test_a_strangers_user_is_refused():
+def test_another_user_is_refused():
     class Stranger:
         sent, closed = (), False
 
@@ -350,7 +350,7 @@
     assert control.closed and control.sent[0].is_final and "may not ask" in control.sent[0].reason
 
 
-def test_more_askers_than_there_is_room_for_are_let_go(world):
+def test_connections_above_the_limit_are_closed(world):
     world = world(serves())
     socks = []
     for _ in range(9):
@@ -364,7 +364,7 @@
         sock.close()
 
 
-def test_counters_and_learned_state_go_on_and_the_command_line_tells_it(world):
+def test_counters_and_learned_state_continue_and_the_command_prints_the_phases(world):
     world = world(serves())
     asker = world.asker()
     for key in range(5):
@@ -401,24 +401,24 @@
     assert told.returncode == 1 and "not upgraded" in told.stderr
 
 
-def test_the_clients_that_stay_go_over_one_by_one_as_they_become_free(world):
+def test_clients_that_stay_are_transferred_one_by_one_as_they_become_idle(world):
     world = world(silent)
     askers = [world.asker() for _ in range(3)]
     tags = [asker.ask(b"book", body=b"seat") for asker in askers]
     asked = [world.caches[0].next() for _ in tags]
     for number, (_, sock, items) in enumerate(asked):
-        answer = given(items[1])
+        answer = booked_answer(items[1])
         threading.Timer(0.3 + 0.2 * number, sock.sendall, (answer,)).start()
     assert world.upgrade(mode="drain") == (True, "")
     for asker, tag in zip(askers, tags, strict=True):
         assert asker.answer() == [tag, b"200", b"", b"booked"]
         tag = asker.ask(b"book", body=b"seat")
         _, sock, items = world.caches[0].next()
-        sock.sendall(given(items[1]))
+        sock.sendall(booked_answer(items[1]))
         assert asker.answer() == [tag, b"200", b"", b"booked"]
 
 
-def test_a_supervisor_outlives_its_workers_and_passes_signals_on(world):
+def test_a_supervisor_outlives_its_workers_and_forwards_signals(world):
     world = world(serves(), words=("--supervised",))
     asker = world.asker()
     asker.ask()
@@ -446,7 +446,7 @@
     assert world.process.wait(10) == 0
 
 
-def test_the_words_of_one_start_are_the_words_of_the_next():
+def test_internal_options_are_not_in_the_original_command():
     words = [
         "python",
         "-m",
@@ -475,7 +475,7 @@
     ]
 
 
-def test_the_platforms_own_words_import_nothing_of_this(tmp_path):
+def test_the_platforms_own_command_imports_nothing_of_a_handover(tmp_path):
     """`serve` there has 32 MB at least: it carries no library that it does not use."""
     plain = World(tmp_path, python=("-X", "importtime"))
     try:
--- a/tests/test_state_transfer.py
+++ b/tests/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""The module's state in another process's hands: nothing that it decides may differ for having gone over."""
+"""The state in another process: no decision differs because of a handover, and messages are checked."""
 
 import copy
 import random
@@ -23,21 +23,21 @@
 OUTCOMES = ["done"] * 14 + ["error", "full", "timeout", "unreached", "reset", "miss", "spoilt"] + ["hang"] * 2
 
 
-def carried(given):
+def transmitted(exported):
     """An exported state, encoded and decoded as on its way to the next process."""
-    return framing.to_plain(framing.decode(framing.encode(given), messages.RouterState))
+    return framing.to_plain(framing.decode(framing.encode(exported), messages.RouterState))
 
 
-def replace(model, open_reqs):
-    """Another Router with records of its own goes on; returns the open reqs as it has them."""
+def transfer(model, open_reqs):
+    """Continue in another Router with records of its own; returns the open requests as that has them."""
     old = model.router
-    # one that is listed no more is no part of the gateway's state: what the test remembers of it stays
+    # an unlisted backend is not in the state: the test keeps what it knows of it
     backends = {
         backend.name: backend if not (backend.status or backend.requests) else Backend(backend.name)
         for backend in [*model.caches, *model.parents, model.origin]
     }
     places = list(old.freshness.object_parts)
-    given = carried(export_state(old, open_reqs, places))
+    exported = transmitted(export_state(old, open_reqs, places))
     was = {backend: backends[backend.name] for backend in [*model.caches, *model.parents, model.origin]}
     model.caches = [was[backend] for backend in model.caches]
     model.parents = [was[backend] for backend in model.parents]
@@ -60,7 +60,7 @@
             for backend, (status, started, _) in model.listed.items()
         ],
     )
-    requests = restore_state(model.router, given, backends)
+    requests = restore_state(model.router, exported, backends)
     new = dict(zip(open_reqs, requests, strict=True))
     model.history = {
         new.get(request, request): [
@@ -77,10 +77,10 @@
     return requests
 
 
-def play(seed, over, steps=160):
-    """Generated events; with `over` the state goes over to another Router now and then. Returns all that was
-    decided."""
-    chance, when = random.Random(seed), random.Random(f"over {seed}")
+def play(seed, transfers, steps=160):
+    """Play generated events; with `transfers` the state goes to another Router now and then. Returns all
+    decisions."""
+    chance, transfer_chance = random.Random(seed), random.Random(f"over {seed}")
     model = Model(
         settings(
             KINDS,
@@ -94,8 +94,8 @@
     for _ in range(steps):
         model.run(chance.choice([5, 50, 300, 2000]))
         open_reqs = [request for request in open_reqs if not request.finished or model.out(request)]
-        if when.random() < 0.2 and over:
-            open_reqs = replace(model, open_reqs)
+        if transfer_chance.random() < 0.2 and transfers:
+            open_reqs = transfer(model, open_reqs)
         doing = chance.random()
         if doing < 0.6:
             for _ in range(chance.choice([1, 1, 1, 20])):
@@ -145,14 +145,14 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_gateway_that_goes_over_decides_as_one_that_stays(seed):
+def test_a_router_decides_the_same_after_a_transfer(seed):
     stays, wrong = play(seed, False)
     moves, broken = play(seed, True)
     assert moves == stays
     assert broken == wrong == []
 
 
-def test_every_kept_name_is_a_field_of_its_record_and_of_the_form():
+def test_every_exported_key_is_a_field_of_its_record_and_of_its_message():
     records = {
         "BACKEND": Backend("x"),
         "OBJECT_PART": ObjectPart(),
@@ -176,18 +176,18 @@
     )
 
 
-def test_a_cold_caches_budget_goes_on_where_it_stood():
+def test_a_slow_start_budget_continues_after_a_transfer():
     """Both processes are one gateway to rule 4: what the first has spent the second has not."""
 
-    def spent(over):
+    def spent(transfers):
         model = Model(settings([vhost()], fresh=(SEC,)), caches=1)
         requests = []
         model.list("delta", [(model.caches[0], 1, model.time)])
         model.run(3 * SEC)
         for number in range(30):
             requests.append(model.ask(f"k{number}"))
-        if over:
-            requests = replace(model, [request for request in requests if not request.finished])
+        if transfers:
+            requests = transfer(model, [request for request in requests if not request.finished])
         for number in range(30, 60):
             model.ask(f"k{number}")
         return len([backend for _, _, backend, _ in model.sends if backend is model.caches[0]]), model.wrong
@@ -196,7 +196,7 @@
     assert spent(True)[0] < 60
 
 
-def test_a_gateway_that_has_yielded_leaves_cold_starts_and_renewals_to_the_next():
+def test_a_draining_sender_leaves_slow_starts_and_revalidations_to_the_receiver():
     model = Model(settings([vhost()], fresh=(SEC,)), caches=2)
     model.run(SEC)
     model.router.set_standby(True)
@@ -204,25 +204,25 @@
     assert model.out(request) and not model.history[request][-1][5]["renew"]
     model.list("delta", [(backend, 1, model.time) for backend in model.caches])
     model.run(14 * SEC)
-    over = model.ask("other")
-    assert not {over.backend, over.source} & set(model.caches)  # past the caches, which are cold
+    transfers = model.ask("other")
+    assert not {transfers.backend, transfers.source} & set(model.caches)  # past the caches, which are cold
     model.router.set_standby(False)
     assert model.ask("third").backend in model.caches
 
 
-def test_what_was_learned_of_an_earlier_life_of_a_cache_is_passed_over():
+def test_what_was_learned_of_an_earlier_start_of_a_cache_is_passed_over():
     model = Model(settings())
     model.caches[0].ejected, model.caches[0].consecutive_failures = True, 9
-    given = carried(export_state(model.router, (), ()))
+    exported = transmitted(export_state(model.router, (), ()))
     new = Model(settings())
     new.list("delta", [(new.caches[0], 1, new.time)])
     restore_state(
-        new.router, given, {backend.name: backend for backend in [*new.caches, *new.parents, new.origin]}
+        new.router, exported, {backend.name: backend for backend in [*new.caches, *new.parents, new.origin]}
     )
     assert not new.caches[0].ejected and new.caches[0].consecutive_failures == 0
 
 
-# --- the form ---
+# --- messages ---
 
 
 def state(**more):
@@ -235,7 +235,7 @@
     )
 
 
-def test_a_newer_writers_fields_are_skipped_and_an_older_ones_have_defaults():
+def test_unknown_fields_are_skipped_and_missing_ones_have_defaults():
     plain = framing.to_plain(state())
     plain["weather"] = {"rain": True}
     plain["module"]["bes"]["c0"]["mood"] = 3
@@ -257,7 +257,7 @@
         (lambda data: data[:-1] + bytes([data[-1] ^ 1]), "checksum"),
     ],
 )
-def test_what_is_no_frame_is_told_apart(spoil, told):
+def test_an_invalid_frame_is_refused_with_its_reason(spoil, told):
     data = spoil(framing.encode_frame(framing.MessageKind.STATE, state()))
     with pytest.raises(framing.FormatError, match=told):
         _, _, crc = framing.decode_header(data[: framing.HEADER.size])
@@ -265,12 +265,12 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x81\xa4time\xa1x", b"\x90" * 9999, b"\x81\xa6module\x01"])
-def test_a_record_that_cannot_be_read_is_an_error_of_the_form(data):
+def test_an_invalid_payload_is_a_format_error(data):
     with pytest.raises(framing.FormatError):
         framing.decode(data, messages.GatewayState)
 
 
-def test_what_waits_at_a_handover_keeps_the_window_of_its_effect(in_process, late, monkeypatch):
+def test_an_unsent_attempt_keeps_its_idempotency_window_after_a_handover(in_process, late, monkeypatch):
     """The check of its first byte needs it there as well, beside the module's own bound."""
     monkeypatch.setattr(Conn, "movable", True)
     world = in_process(silent, changes=limits(connectTimeoutNs=10**10))
