--- a/rigs/demo.py
+++ b/rigs/demo.py
@@ -22,7 +22,7 @@
 from rigs.checker import check
 from rigs.load import Load
 from rigs.scene import Scene
-from rigs.upgrade import histogram
+from rigs.upgrade_probes import histogram
 
 
 def show(text: str, began: float) -> None:
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -44,7 +44,7 @@
 from rigs.scene import FAMILY, STATES, VHOSTS, Gateway, Scene, Timers
 from rigs.stands import ENV, Log, framed, record, unused
 from rigs.told import tell
-from rigs.upgrade import histogram
+from rigs.upgrade_probes import histogram
 from rigs.zones import SCRIPTS
 
 KINDS = ("small", "large", "parent", "origin")
--- a/rigs/planes.py
+++ b/rigs/planes.py
@@ -26,7 +26,7 @@
 from rigs.scene import Scene
 from rigs.stands import unused
 from rigs.told import tell
-from rigs.upgrade import histogram
+from rigs.upgrade_probes import histogram
 
 
 class Planners:
--- a/rigs/recording.py
+++ b/rigs/recording.py
@@ -19,7 +19,7 @@
 from rigs.load import Load
 from rigs.scene import Scene
 from rigs.told import tell
-from rigs.upgrade import histogram
+from rigs.upgrade_probes import histogram
 
 TICK = os.sysconf("SC_CLK_TCK")
 
--- a/rigs/store.py
+++ b/rigs/store.py
@@ -31,7 +31,7 @@
 from rigs.load import Load
 from rigs.scene import Scene
 from rigs.told import tell
-from rigs.upgrade import histogram
+from rigs.upgrade_probes import histogram
 
 # --- every cut ---
 
--- a/rigs/upgrade.py
+++ b/rigs/upgrade.py
@@ -1,10 +1,10 @@
 """Upgrades in a row under steady load: `python -m rigs.upgrade --times 100 --rate 200 --seed 1`.
 
-Reads, uniqued writes and bookings go through one gateway while it is replaced again and again, by processes
-that may fail on purpose. The report says what was lost or doubled, by the accounts of clients and
-stand-ins, how long reqs took during upgrades against between them, how long nothing was accepted, and what
-both processes had of memory and descriptors. `--kill` instead ends the process that serves, at random
-points, under a supervisor.
+Reads and writes of all kinds of idempotency go through one gateway while it is replaced again and again, by
+processes that may fail on purpose. The report says what was lost or executed twice, by the records of clients
+and stand-ins; the latency of requests during upgrades and between them; how long connections waited to be
+accepted; and the memory and descriptors of both processes. `--kill` instead kills the process that serves, at
+random points, under a supervisor.
 """
 
 from __future__ import annotations
@@ -13,89 +13,34 @@
 import os
 import shlex
 import signal
-import socket
 import statistics
 import sys
 import tempfile
-import threading
 import time
+from collections import Counter
 from contextlib import suppress
 from pathlib import Path
 from typing import Any
 
-from hdrh.histogram import HdrHistogram
-
 from lilacloft.handover.messages import PhaseReport
 from lilacloft.handover.request import request_upgrade
-from lilacloft.net.resp import encode
 from rigs.checker import check
 from rigs.crash import STEPS
 from rigs.load import Load
 from rigs.scene import Scene
 from rigs.told import tell
+from rigs.upgrade_kills import KillRun
+from rigs.upgrade_probes import AcceptProbe, ResourceSampler, crash_command, histogram, show_progress
 
-LOOK = 0.01  # seconds between two tries to be accepted
-WARM = 2.0  # seconds after a start in which its warmth is measured
+POLL_SECONDS = 0.02
+WARM_UP_SECONDS = 2.0  # after a start, in which the hit share is measured
+STEADY_SECONDS = 3.0  # before the first upgrade, in which it is measured for comparison
+END_TIMEOUT = 10.0  # seconds for a gateway to end
+SUCCEEDING_STEPS = ("fine", "old")  # of rigs.crash: those after which the handover succeeds
 
 
-def histogram(spans: list[float]) -> dict[str, float]:
-    """Of spans in seconds: count, and milliseconds at the usual places."""
-    found = HdrHistogram(1, 60_000_000, 3)
-    for span in spans:
-        found.record_value(max(1, int(span * 1e6)))
-    at = {
-        name: found.get_value_at_percentile(place) / 1000
-        for name, place in (("p50", 50), ("p99", 99), ("p99.9", 99.9))
-    }
-    return {"count": len(spans), **at, "max": max(spans, default=0.0) * 1000}
-
-
-class Door(threading.Thread):
-    """Connects and asks ALIVE again and again: how long is nobody accepted?"""
-
-    def __init__(self, port: int) -> None:
-        super().__init__(daemon=True)
-        self.port, self.over = port, False
-        self.waits: list[tuple[float, float]] = []
-        self.refused = 0
-
-    def run(self) -> None:
-        while not self.over:
-            began = time.time()
-            try:
-                with socket.create_connection(("127.0.0.1", self.port), 5.0) as sock:
-                    sock.sendall(encode(b"ALIVE", b"1", b""))
-                    if sock.recv(100):
-                        self.waits.append((began, time.time() - began))
-                    else:
-                        self.refused += 1
-            except OSError:
-                self.refused += 1
-            time.sleep(LOOK)
-
-
-class Held(threading.Thread):
-    """Looks at what the processes of an upgrade have, while it runs."""
-
-    def __init__(self, pids: list[int]) -> None:
-        super().__init__(daemon=True)
-        self.pids, self.over = pids, False
-        self.memory = self.sockets = 0.0
-
-    def run(self) -> None:
-        while not self.over:
-            memory = sockets = 0.0
-            for pid in list(self.pids):
-                with suppress(OSError, ValueError, IndexError):
-                    pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-                    memory += pages * os.sysconf("SC_PAGESIZE") / 1e6
-                    sockets += len(os.listdir(f"/proc/{pid}/fd"))
-            self.memory, self.sockets = max(self.memory, memory), max(self.sockets, sockets)
-            time.sleep(0.005)
-
-
-def warmth(entries: list[dict[str, Any]], began: float, ended: float) -> dict[str, float]:
-    """Hit share and dispatches a req of the reads that were sent in a time."""
+def cache_use(entries: list[dict[str, Any]], began: float, ended: float) -> dict[str, float]:
+    """Return the hit share, and the attempts for each request, of the reads that were sent in a time."""
     requests = {
         entry["ref"]
         for entry in entries
@@ -110,266 +55,194 @@
     }
 
 
-class Run:
-    """One run of the rig."""
+class UpgradeRun:
+    """A gateway that is replaced again and again."""
 
-    def __init__(self, given: argparse.Namespace, folder: Path) -> None:
-        self.given = given
-        self.scene = Scene(folder, given.seed)
+    def __init__(self, args: argparse.Namespace, folder: Path) -> None:
+        self.args = args
+        self.scene = Scene(folder, args.seed)
         self.gateway = self.scene.gateways[0]
-        self.chance = self.scene.chance("upgrades")
-        self.load = Load(self.scene, given.rate, held=given.held, objects=given.objects)
+        self.random = self.scene.chance("upgrades")
+        self.load = Load(self.scene, args.rate, held=args.held, objects=args.objects)
         self.pid = 0
-        self.rows: list[dict[str, Any]] = []
+        self.rows: list[dict[str, Any]] = []  # one for each upgrade
 
     def upgrade(self, step: str) -> dict[str, Any]:
-        """One upgrade, whose new process fails at a step or does not."""
+        """Upgrade once, to a process that fails at a step or does not."""
         words = self.gateway.words
-        to = "" if step == "fine" else shlex.join([sys.executable, "-m", "rigs.crash", step, *words[3:]])
-        if step == "fine":
-            to = shlex.join(words)
+        command = shlex.join(words) if step == "fine" else crash_command(step, words[3:])
         phases: list[PhaseReport] = []
-        held = Held([self.pid])
-        held.start()
+        sampler = ResourceSampler([self.pid])
+        sampler.start()
 
-        def tell(phase: PhaseReport) -> None:
-            phases.append(phase)
-            if phase.pid and phase.pid not in held.pids:
-                held.pids.append(phase.pid)
+        def on_phase(report: PhaseReport) -> None:
+            phases.append(report)
+            if report.pid and report.pid not in sampler.pids:
+                sampler.pids.append(report.pid)
 
         began = time.time()
-        done, why = request_upgrade(self.gateway.handover, to, self.given.mode, tell)
+        result = request_upgrade(self.gateway.handover, command, self.args.mode, on_phase)
         ended = time.time()
-        held.over = True
-        held.join()
-        if done:
+        sampler.finish()
+        if result.succeeded:
             self.pid = phases[-1].pid
             self.gateway.pids.append(self.pid)
         return {
             "step": step,
-            "done": done,
-            "why": why,
+            "done": result.succeeded,
+            "why": result.reason,
             "began": began,
             "ended": ended,
-            "phases": [(phase.phase, round(phase.previous_phase_seconds, 5)) for phase in phases],
-            "memory_mb": held.memory,
-            "sockets": held.sockets,
+            "phases": [(report.phase, round(report.previous_phase_seconds, 5)) for report in phases],
+            "memory_mb": sampler.memory_mb,
+            "sockets": sampler.sockets,
         }
 
     def run(self) -> dict[str, Any]:
-        """The whole of it; returns the report."""
-        given = self.given
+        """Run all upgrades, and a restart for comparison; returns the report."""
         self.gateway.start("--handover", self.gateway.handover)
         self.pid = self.gateway.process.pid
         self.load.start()
-        time.sleep(3.0)
-        door = Door(self.gateway.port)
-        door.start()
-        steady = time.time()
-        time.sleep(3.0)
-        for number in range(given.times):
-            step = "fine"
-            if given.crash == "random":
-                step = "fine" if self.chance.random() < 0.5 else self.chance.choice(STEPS)
-            elif given.crash != "none":
-                step = given.crash if number % 2 else "fine"
-            row = self.upgrade(step)
-            self.rows.append(row)
-            if sys.stderr.isatty():
-                print(f"\r{number + 1}/{given.times} {step:12}", end="", file=sys.stderr)
-            time.sleep(given.gap or 0.15 + self.chance.random() * 0.3)
-        door.over = True
-        door.join()
+        time.sleep(STEADY_SECONDS)
+        probe = AcceptProbe(self.gateway.port)
+        probe.start()
+        steady_began = time.time()
+        time.sleep(STEADY_SECONDS)
+        for number in range(self.args.times):
+            step = self._choose_step(number)
+            self.rows.append(self.upgrade(step))
+            show_progress(f"{number + 1}/{self.args.times} {step:12}")
+            time.sleep(self.args.gap or 0.15 + self.random.random() * 0.3)
+        probe.finish()
         self.load.stop()
-        cold = self.cold()
+        restarted = self.restart()
         entries = self.scene.account.sorted()
-        return self.report(entries, door, steady, cold)
+        cache_uses = {
+            "steady": self._steady_cache_use(entries, steady_began),
+            "after_upgrades": self._cache_use_after_upgrades(entries),
+            "after_sigterm": cache_use(entries, *restarted),
+        }
+        return self.report(entries, probe, cache_uses)
+
+    def _choose_step(self, number: int) -> str:
+        """Return the step at which the new process of an upgrade fails."""
+        crash = self.args.crash
+        if crash == "random":
+            return "fine" if self.random.random() < 0.5 else self.random.choice(STEPS)
+        return crash if crash != "none" and number % 2 else "fine"
 
-    def cold(self) -> tuple[float, float]:
-        """The way before: SIGTERM and a start from nothing; the load begins again with it."""
+    def restart(self) -> tuple[float, float]:
+        """Replace the gateway without a handover, and send load again; returns the time of that load."""
         os.kill(self.pid, signal.SIGTERM)
-        until = time.monotonic() + 10
-        while time.monotonic() < until and Path(f"/proc/{self.pid}/status").exists():
+        self._wait_for_end()
+        self.gateway.start("--handover", self.gateway.handover)
+        self.pid = self.gateway.process.pid
+        load = Load(self.scene, self.args.rate, seed="again")
+        began = time.time()
+        load.start()
+        time.sleep(WARM_UP_SECONDS)
+        load.stop()
+        return began, began + WARM_UP_SECONDS
+
+    def _wait_for_end(self) -> None:
+        deadline = time.monotonic() + END_TIMEOUT
+        while time.monotonic() < deadline and Path(f"/proc/{self.pid}/status").exists():
             with suppress(ChildProcessError):
                 if os.waitpid(self.pid, os.WNOHANG)[0]:
                     break
             if "zombie" in Path(f"/proc/{self.pid}/status").read_text():
                 break
-            time.sleep(0.02)
-        self.gateway.start("--handover", self.gateway.handover)
-        self.pid = self.gateway.process.pid
-        again = Load(self.scene, self.given.rate, seed="again")
-        began = time.time()
-        again.start()
-        time.sleep(WARM)
-        again.stop()
-        return began, began + WARM
-
-    def steady(self, entries: list[dict[str, Any]], began: float) -> dict[str, float]:
-        """Of the spans between upgrades that the first seconds after one are over in; else of the start."""
-        if self.given.gap <= WARM:
-            return warmth(entries, began, began + 3.0)
-        found = [warmth(entries, row["ended"] + WARM, row["ended"] + self.given.gap) for row in self.rows]
-        return {name: statistics.mean(one[name] for one in found) for name in found[0]}
+            time.sleep(POLL_SECONDS)
+
+    def _steady_cache_use(self, entries: list[dict[str, Any]], began: float) -> dict[str, float]:
+        """Return the cache use between upgrades; where they follow too closely, before the first."""
+        if self.args.gap <= WARM_UP_SECONDS:
+            return cache_use(entries, began, began + STEADY_SECONDS)
+        return mean_values(
+            [
+                cache_use(entries, row["ended"] + WARM_UP_SECONDS, row["ended"] + self.args.gap)
+                for row in self.rows
+            ]
+        )
+
+    def _cache_use_after_upgrades(self, entries: list[dict[str, Any]]) -> dict[str, float]:
+        return mean_values(
+            [
+                cache_use(entries, row["ended"], row["ended"] + WARM_UP_SECONDS)
+                for row in self.rows
+                if row["step"] == "fine" and row["done"]
+            ]
+        )
 
     def report(
-        self, entries: list[dict[str, Any]], door: Door, steady: float, cold: tuple[float, float]
+        self, entries: list[dict[str, Any]], probe: AcceptProbe, cache_uses: dict[str, dict[str, float]]
     ) -> dict[str, Any]:
+        """Return the report of all upgrades."""
         breaches = check(entries, self.scene.limits())
-        windows = [(row["began"], row["ended"]) for row in self.rows]
-
-        def within(at: float, took: float) -> bool:
-            return any(at < ended and at + took > began for began, ended in windows)
-
-        during = [took for at, took, _, _ in self.load.times if within(at, took)]
-        between = [took for at, took, _, _ in self.load.times if not within(at, took)]
-        fine = [row for row in self.rows if row["step"] == "fine"]
-        failed = [row for row in self.rows if row["step"] != "fine"]
-        after = [warmth(entries, row["ended"], row["ended"] + WARM) for row in fine if row["done"]]
-        pauses = {
-            name: sum(took for phase, took in row["phases"] if phase in ("committed", "letting_go"))
-            for name, row in enumerate(fine)
-        }
-        spans = [row["ended"] - row["began"] for row in fine]
         return {
             "rig": "upgrade",
-            "seed": self.given.seed,
-            "rate": self.given.rate,
-            "mode": self.given.mode,
-            "crash": self.given.crash,
-            "upgrades": len(self.rows),
-            "fine": len(fine),
-            "fine_done": sum(row["done"] for row in fine),
-            "failed": len(failed),
-            "fallbacks": sum(not row["done"] for row in failed),
-            "unexpected": [row for row in self.rows if row["done"] != (row["step"] in ("fine", "old"))],
+            "seed": self.args.seed,
+            "rate": self.args.rate,
+            "mode": self.args.mode,
+            "crash": self.args.crash,
+            **self._report_outcomes(),
             "counts": self.load.counts,
             "sent_again": self.load.again,
             "breaches": [str(breach) for breach in breaches],
             "lost": sum(breach.text.endswith(("unanswered", "never answered")) for breach in breaches),
             "doubled": sum(breach.rule == 2 for breach in breaches),
             "effects": sum(entry["what"] == "effect" for entry in entries),
-            "latency_ms": {"during": histogram(during), "between": histogram(between)},
-            "nothing_served_ms": histogram(list(pauses.values())),
-            "upgrade_s": {"median": statistics.median(spans), "max": max(spans)} if spans else {},
-            "accept_ms": histogram([took for _, took in door.waits]),
-            "not_accepted": door.refused,
-            "warmth": {
-                "steady": self.steady(entries, steady),
-                "after_upgrades": {name: statistics.mean(one[name] for one in after) for name in after[0]}
-                if after
-                else {},
-                "after_sigterm": warmth(entries, *cold),
-            },
-            "by_step": {
-                step: sum(row["step"] == step for row in self.rows)
-                for step in sorted({row["step"] for row in self.rows})
-            },
+            **self._report_durations(),
+            "accept_ms": histogram([seconds for _, seconds in probe.waits]),
+            "not_accepted": probe.refused,
+            "warmth": cache_uses,
+            "by_step": dict(sorted(Counter(row["step"] for row in self.rows).items())),
             "memory_mb": max((row["memory_mb"] for row in self.rows), default=0.0),
             "sockets": max((row["sockets"] for row in self.rows), default=0.0),
         }
 
+    def _report_outcomes(self) -> dict[str, Any]:
+        """Return how many upgrades succeeded, and which ended otherwise than they should."""
+        fine = [row for row in self.rows if row["step"] == "fine"]
+        failed = [row for row in self.rows if row["step"] != "fine"]
+        return {
+            "upgrades": len(self.rows),
+            "fine": len(fine),
+            "fine_done": sum(row["done"] for row in fine),
+            "failed": len(failed),
+            "fallbacks": sum(not row["done"] for row in failed),
+            "unexpected": [row for row in self.rows if row["done"] != (row["step"] in SUCCEEDING_STEPS)],
+        }
 
-class Kills:
-    """A supervised worker is killed at random points: between upgrades, and in the middle of them."""
+    def _report_durations(self) -> dict[str, Any]:
+        """Return the latency during and between upgrades, and how long those took."""
+        fine = [row for row in self.rows if row["step"] == "fine"]
+        windows = [(row["began"], row["ended"]) for row in self.rows]
 
-    def __init__(self, given: argparse.Namespace, folder: Path) -> None:
-        self.given = given
-        self.scene = Scene(folder, given.seed)
-        self.gateway = self.scene.gateways[0]
-        self.chance = self.scene.chance("kills")
-        self.load = Load(self.scene, given.rate)
-
-    def worker(self) -> int:
-        """The worker that is the gateway, by the supervisor's log."""
-        lines = [
-            line
-            for line in self.gateway.log.read_text().split("\n")
-            if "supervisor: worker" in line and "is the gateway" in line
-        ]
-        return int(lines[-1].split("worker ")[1].split()[0])
+        def is_during(at: float, seconds: float) -> bool:
+            return any(at < ended and at + seconds > began for began, ended in windows)
 
-    def run(self) -> dict[str, Any]:
-        words = ["--handover", self.gateway.handover, "--supervised"]
-        if self.given.store:  # then bookings too are sent again, over the door that stays open
-            words += self.gateway.settings('(store (folder "store"))')
-            self.load.bold = True
-        self.gateway.start(*words)
-        supervisor = self.gateway.process
-        self.load.start()
-        self.gateway.wait("is the gateway")
-        time.sleep(1.0)
-        kinds = dict.fromkeys(("between", "old", "new"), 0)
-        backs: list[float] = []
-        killed_at: list[float] = []
-        for number in range(self.given.times):
-            kind = self.chance.choice(list(kinds))
-            kinds[kind] += 1
-            pid = self.worker()
-            self.gateway.pids.append(pid)
-            wait = self.chance.random() * 0.25
-            if kind != "between":
-                step = f"kill-{1000 * wait:.1f}" if kind == "new" else "fine"
-                to = shlex.join([sys.executable, "-m", "rigs.crash", step, *self.worker_words()])
-                asking = threading.Thread(
-                    target=request_upgrade,
-                    args=(self.gateway.handover, to, self.given.mode, lambda phase: None),
-                    daemon=True,
-                )
-                asking.start()
-            time.sleep(wait)
-            if self.given.store and self.chance.random() < 0.5:
-                self.scene.log.purge(f"{self.chance.randrange(40):016x}")
-                time.sleep(0.02 * self.chance.random())
-            killed_at.append(time.time())
-            if kind != "new":
-                with suppress(ProcessLookupError):
-                    os.kill(pid, signal.SIGKILL)
-            if kind != "between":
-                asking.join(20)
-            began = time.monotonic()
-            while not self.gateway.alive():
-                if time.monotonic() - began > 20:
-                    raise RuntimeError(f"nobody serves after kill {number + 1} ({kind})")
-                time.sleep(0.01)
-            backs.append(time.monotonic() - began)
-            if sys.stderr.isatty():
-                print(f"\r{number + 1}/{self.given.times} {kind:8}", end="", file=sys.stderr)
-            time.sleep(0.05 + self.chance.random() * 0.4)
-        self.load.stop()
-        ok = supervisor.poll() is None
-        supervisor.send_signal(signal.SIGTERM)
-        code = supervisor.wait(15)
-        entries = self.scene.account.sorted()
-        limits = self.scene.limits()
-        limits.attempts = True
-        breaches = check(entries, limits)
-        cut = [breach for breach in breaches if "its connection ended" in breach.text]
-        others = [breach for breach in breaches if breach not in cut]
+        during = [seconds for at, seconds, _, _ in self.load.times if is_during(at, seconds)]
+        between = [seconds for at, seconds, _, _ in self.load.times if not is_during(at, seconds)]
+        unserved = [
+            sum(seconds for phase, seconds in row["phases"] if phase in ("committed", "letting_go"))
+            for row in fine
+        ]
+        spans = [row["ended"] - row["began"] for row in fine]
         return {
-            "rig": "upgrade",
-            "seed": self.given.seed,
-            "rate": self.given.rate,
-            "kills": self.given.times,
-            "kinds": kinds,
-            "supervisor_lived": ok,
-            "code": code,
-            "counts": self.load.counts,
-            "cut_off": len(cut),
-            "doubled": sum(breach.rule == 2 for breach in others),
-            "sent_again": self.load.again,
-            "store": self.given.store,
-            "forgotten_purges": sum(breach.rule == 5 for breach in others),
-            "faults": self.gateway.log.read_text().count("Traceback"),
-            "breaches": [str(breach) for breach in others],
-            "back_ms": histogram(backs),
+            "latency_ms": {"during": histogram(during), "between": histogram(between)},
+            "nothing_served_ms": histogram(unserved),
+            "upgrade_s": {"median": statistics.median(spans), "max": max(spans)} if spans else {},
         }
 
-    def worker_words(self) -> list[str]:
-        return [word for word in self.gateway.words[3:] if word != "--supervised"]
 
+def mean_values(rows: list[dict[str, float]]) -> dict[str, float]:
+    """Return the mean of each value over all rows; empty if there are none."""
+    return {name: statistics.mean(row[name] for row in rows) for name in rows[0]} if rows else {}
 
-def main(words: list[str] | None = None) -> int:
+
+def argument_parser() -> argparse.ArgumentParser:
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog="python -m rigs.upgrade", description=__doc__)
     parser.add_argument("--times", type=int, default=100)
     parser.add_argument("--rate", type=float, default=200.0, help="reqs a second")
@@ -383,21 +256,26 @@
     parser.add_argument("--store", action="store_true", help="one that has a store; bookings are sent again")
     parser.add_argument("--json", metavar="FILE")
     parser.add_argument("--account", metavar="FILE", help="keep what all parties saw")
-    given = parser.parse_args(words)
+    return parser
+
+
+def main(words: list[str] | None = None) -> int:
+    """Run by the command line; returns 0 if nothing was wrong, else 1."""
+    args = argument_parser().parse_args(words)
     with tempfile.TemporaryDirectory(prefix="upgrade") as folder:
-        run = (Kills if given.kill else Run)(given, Path(folder))
+        run = (KillRun if args.kill else UpgradeRun)(args, Path(folder))
         try:
             report = run.run()
         finally:
-            if given.account:
-                run.scene.account.save(given.account)
+            if args.account:
+                run.scene.account.save(args.account)
             log = run.gateway.log.read_text() if run.gateway.log.exists() else ""
             run.scene.close()
     faults = [line for line in log.split("\n") if "Traceback" in line or "failed in" in line]
     report["faults"] = faults
-    tell(report, given.json)
-    good = not (report["breaches"] or faults or report.get("unexpected"))
-    return 0 if good else 1
+    tell(report, args.json)
+    is_good = not (report["breaches"] or faults or report.get("unexpected"))
+    return 0 if is_good else 1
 
 
 if __name__ == "__main__":
