--- a/lilacloft/handover/event_loop.py
+++ b/lilacloft/handover/event_loop.py
@@ -22,6 +22,7 @@
     results: queue.SimpleQueue[Result | None] = queue.SimpleQueue()
 
     def run() -> None:
+        """Run the function, and release the waiting thread whatever happens."""
         result = None
         try:
             result = function(*arguments)
--- a/lilacloft/handover/process.py
+++ b/lilacloft/handover/process.py
@@ -139,6 +139,7 @@
     agent = assembly.agent(gateway)
 
     def begin() -> None:
+        """Serve from here on."""
         if has_listener and options.unserved_since:
             gateway.comes_late(int(options.unserved_since * TICKS_PER_SECOND))
         if guard:
@@ -164,6 +165,7 @@
     agent = assembly.agent(gateway)
 
     def begin() -> None:
+        """Take over, or raise NotWantedError if the sender goes on."""
         # all else is ready: nothing can fail between the acknowledgement and the first read
         receiver.receive_commit()
         if guard:
--- a/lilacloft/handover/receiver.py
+++ b/lilacloft/handover/receiver.py
@@ -49,7 +49,7 @@
         self.channel = Channel(socket.socket(fileno=descriptor))
         self.state_machine = ReceiverStateMachine()
         self.sender_pid = 0
-        self.gateway: Owner = None  # set by the caller between `receive_warm_up` and `receive_object_parts`
+        self.gateway: Owner | None = None  # set by the caller before `receive_object_parts`
         self.restorer: GatewayRestorer | None = None
         self.backends: list[messages.ListedBackend] = []
         self.listener: socket.socket | None = None
--- a/lilacloft/handover/sender.py
+++ b/lilacloft/handover/sender.py
@@ -42,7 +42,7 @@
 STORE_RECORD_TIMEOUT = 0.1  # seconds
 MAX_DRAIN_WAIT = 2.0  # seconds for one message of a receiver that serves
 MAX_RECEIVE_SECONDS = 3600.0
-OBJECT_PARTS_PER_MESSAGE = 2000  # one message is exported in one event: some 10 ms
+OBJECT_PARTS_PER_MESSAGE = 2000  # exported in one event, between which the event loop serves
 INTERNAL_FAULT = "a fault of ours"
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -123,9 +123,10 @@
 
 
 def once_silent():
-    """Takes the first read, which the test answers by halves. A half that stands still for longer than the
-    gateway bears, as on a machine that is slow at starting processes, is asked for again: CI failed twice
-    where that was answered by nobody."""
+    """Takes the first read, whose answer the test sends by halves, and answers further ones at once.
+
+    Where the second half comes later than the gateway waits, as on a slow machine, it retries elsewhere.
+    """
     reads = []
 
     def says(stand, sock, items):
