--- a/lilacloft/gateway/context.py
+++ b/lilacloft/gateway/context.py
@@ -45,7 +45,7 @@
         self.trace = Trace()
         self.open_requests: dict[Request, Call] = {}  # also finished ones whose attempt is still out
         self.backends: dict[str, Backend] = {}  # by name
-        self.guard: Any = None  # lilacloft.store.guard.Guard: keeps effects over a crash, if anything does
+        self.guard: Any = None  # lilacloft.store.gateway_store.GatewayStore, if effects outlive a crash
         self.recorder: Any = None  # lilacloft.record.writer.Recorder, if there are records
         self.agent: Any = None  # lilacloft.plan.agent.Agent, if there are planners
-        self.upgrade: Any = None  # lilacloft.upgrade.offer.Offer, if this process may be replaced
+        self.upgrade: Any = None  # lilacloft.handover.sender.HandoverSender, if this process may be replaced
--- a/lilacloft/gateway/lifecycle.py
+++ b/lilacloft/gateway/lifecycle.py
@@ -50,7 +50,9 @@
     def stop(self) -> None:
         """Start the graceful shutdown: SIGTERM came."""
         gateway = self.gateway
-        if self.phase not in (Phase.STARTING, Phase.SERVING) or (gateway.upgrade and gateway.upgrade.stops()):
+        if self.phase not in (Phase.STARTING, Phase.SERVING) or (
+            gateway.upgrade and gateway.upgrade.forward_stop()
+        ):
             return
         self.enter(Phase.DRAINING)
         logger.info("told to stop: {} reqs are open", len(gateway.open_requests))
--- a/lilacloft/gateway/reload.py
+++ b/lilacloft/gateway/reload.py
@@ -15,7 +15,7 @@
 def reload(gateway: GatewayContext, config: dict[str, Any]) -> None:
     """Apply a configuration that was read again, as far as it may change; all of that, or nothing where it
     cannot be used. SIGHUP came."""
-    if gateway.upgrade and gateway.upgrade.reloads():
+    if gateway.upgrade and gateway.upgrade.forward_reload():
         return
     try:
         needed.config(config)
--- /dev/null
+++ b/lilacloft/handover/sender.py
@@ -0,0 +1,395 @@
+"""The sender of a handover: the process that is replaced starts the new one and hands everything over.
+
+Carries out what `phases.SenderStateMachine` decides. Until the receiver is ready a thread of its own drives
+the handover while the event loop serves; from there on the event loop's thread does. Serving is never held up
+without a limit, and the channel to a receiver that still runs is never given up.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import shlex
+import socket
+import sys
+import threading
+import time
+from collections.abc import Callable, Mapping
+from typing import TYPE_CHECKING, Any
+
+from loguru import logger
+
+from lilacloft.handover import messages, process_arguments
+from lilacloft.handover.channel import Channel, ChannelError, ChannelTimeoutError, Frame
+from lilacloft.handover.counters import GroupedCounts, counted_since
+from lilacloft.handover.event_loop import Result, run_on_event_loop
+from lilacloft.handover.framing import OLDEST_READER_VERSION, STATE_VERSION, FormatError, MessageKind
+from lilacloft.handover.phase_reporter import PhaseReporter
+from lilacloft.handover.phases import HandoverMode, Phase, SenderStateMachine
+from lilacloft.handover.quiesce import Quiescer
+from lilacloft.handover.receiver_process import HANDOVER_ERRORS, NO_DESCRIPTOR, ReceiverProcess
+from lilacloft.handover.resources import current_usage
+from lilacloft.handover.state_export import export_backends, export_gateway
+from lilacloft.handover.upgrade_listener import UpgradeListener, UpgradeRefusedError
+from lilacloft.net.conn import Conn
+from lilacloft.routing.model import RejectReason
+from lilacloft.routing.units import TICKS_PER_SECOND
+
+if TYPE_CHECKING:
+    from lilacloft.gateway.gateway import Gateway
+
+DRAIN_POLL_SECONDS = 0.02  # between two checks of what became idle
+STORE_RECORD_TIMEOUT = 0.1  # seconds
+MAX_DRAIN_WAIT = 2.0  # seconds for one message of a receiver that serves
+MAX_RECEIVE_SECONDS = 3600.0
+OBJECT_PARTS_PER_MESSAGE = 2000  # exported in one event, between which the event loop serves
+INTERNAL_FAULT = "a fault of ours"
+
+
+class HandoverSender:
+    """One gateway that can be replaced; the actions of its `SenderStateMachine`."""
+
+    def __init__(
+        self,
+        gateway: Gateway,
+        upgrade_socket: socket.socket,
+        limits: Mapping[str, float] | None = None,
+        status: int = NO_DESCRIPTOR,
+        mode: str = HandoverMode.WHOLE,
+    ) -> None:
+        """Let a gateway be replaced, once `start` is called.
+
+        `upgrade_socket`: where requests are accepted. `limits`: seconds by phase. `status`: descriptor of the
+        pipe to a supervisor. `mode`: a HandoverMode, for requests that name none.
+        """
+        self.gateway = gateway
+        self.upgrade_socket = upgrade_socket
+        self.status = status
+        self.default_mode = mode
+        self.state_machine = SenderStateMachine(self, limits)
+        self.listener = UpgradeListener(upgrade_socket, self._upgrade, self._on_fault)
+        self.lock = threading.RLock()  # the driving thread, and the event loop's when it is told to stop
+        self.quiescer = Quiescer(gateway)
+        self.command: list[str] = []  # starts the receiver
+        self.receiver = ReceiverProcess(status)
+        self.reporter = PhaseReporter(gateway)
+        self.connections: list[Conn] = []  # are transferred
+        self.exported_counts: GroupedCounts = {}
+        self.receiver_serves = False
+        self.was_reloaded = False  # SIGHUP came during the handover
+        gateway.upgrade = self
+
+    def start(self) -> None:
+        """This process is the gateway: accept upgrade requests from now on."""
+        self._report_gateway()
+        self.listener.start()
+
+    # --- the driving thread ---
+
+    def _upgrade(self, request: messages.UpgradeRequest, control: Channel) -> None:
+        """Carry out an upgrade request; `control` gets the phases."""
+        self._begin(request, control)
+        try:
+            if self.receiver.start_error:
+                raise ChannelError(self.receiver.start_error)
+            self._drive()
+        except HANDOVER_ERRORS as error:
+            self._run_on_event_loop(self._lost, self.receiver.describe_loss(error))
+        finally:
+            if self.state_machine.phase == Phase.IDLE:
+                self.receiver.close_channel()
+
+    def _begin(self, request: messages.UpgradeRequest, control: Channel) -> None:
+        """Start the receiver; raises UpgradeRefusedError if no handover may begin."""
+        with self.lock:
+            if self.state_machine.phase == Phase.IDLE:
+                self.reporter.control = control
+                self.receiver_serves = self.was_reloaded = False
+                self.command = self._command_of(request)
+            refusal = self.state_machine.upgrade_requested(
+                request.mode or self.default_mode,
+                current_usage(is_supervised=self.status >= 0),
+                self.gateway.limits,
+            )
+        if refusal:
+            raise UpgradeRefusedError(refusal)
+
+    @staticmethod
+    def _command_of(request: messages.UpgradeRequest) -> list[str]:
+        """Return the command that starts the receiver."""
+        if not request.command:
+            return process_arguments.original_command(sys.orig_argv)
+        try:
+            return shlex.split(request.command)
+        except ValueError as error:
+            raise UpgradeRefusedError(f"--to {request.command!r}: {error}") from None
+
+    def _on_fault(self, reason: str) -> None:
+        """Something unexpected failed in the driving thread."""
+        self._run_on_event_loop(self._lost, reason)
+
+    def _drive(self) -> None:
+        """Drive the handover from the start of the receiver to its end or ours."""
+        frame = self._receive(MessageKind.HELLO, MessageKind.REFUSE)
+        if frame.kind is MessageKind.REFUSE:
+            return self._refused(frame)
+        self._check_hello(frame.decode(messages.Hello))
+        self._send_warm_up()
+        frame = self._receive(MessageKind.READY, MessageKind.REFUSE)
+        if frame.kind is MessageKind.REFUSE:
+            return self._refused(frame)
+        with self.lock:
+            self.state_machine.ready_received()
+        self._run_on_event_loop(self._transfer)
+        # from here on the event loop's thread acts; this one reads, so that an end is seen at once
+        while self.state_machine.phase == Phase.DRAINING:
+            self._follow_receiver()
+        return None
+
+    def _refused(self, frame: Frame) -> None:
+        self._run_on_event_loop(self._lost, frame.decode(messages.Reason).reason)
+
+    def _check_hello(self, hello: messages.Hello) -> None:
+        """Accept a receiver; raises FormatError if it cannot continue with the state at all."""
+        vhosts = [vhost["name"] for vhost in self.gateway.vhosts]
+        reason = ""  # why it cannot continue with open requests
+        if hello.state_version < STATE_VERSION:
+            reason = f"form {hello.state_version} cannot hold open reqs"
+        elif hello.vhosts != vhosts:
+            reason = f"vhosts {hello.vhosts} are not {vhosts}"
+        store = self.gateway.guard.path if self.gateway.guard else ""
+        if store and hello.store_folder != store:  # whoever continues must know what was sent
+            raise FormatError(f"the new process keeps {hello.store_folder or 'no store'} instead of {store}")
+        if hello.state_version < OLDEST_READER_VERSION:
+            raise FormatError(
+                f"lilacloft {hello.version} reads form {hello.state_version}, "
+                f"not {OLDEST_READER_VERSION} or later"
+            )
+        with self.lock:
+            self.state_machine.hello_received(not reason, reason)
+
+    def _send_warm_up(self) -> None:
+        """Send what the receiver can prepare while this process serves."""
+        gateway, receiver = self.gateway, self.receiver
+        backends = self._run_on_event_loop(lambda: list(export_backends(gateway)))
+        receiver.send(
+            MessageKind.WARM_UP,
+            messages.WarmUp(os.getpid(), mode=self.state_machine.mode, backends=backends),
+            (gateway.front.sock.fileno(), self.upgrade_socket.fileno()),
+        )
+        part_keys = self._run_on_event_loop(self.quiescer.list_object_parts)
+        for start in range(0, len(part_keys), OBJECT_PARTS_PER_MESSAGE):
+            batch = part_keys[start : start + OBJECT_PARTS_PER_MESSAGE]
+            exported = self._run_on_event_loop(self.quiescer.export_object_parts, batch)
+            receiver.send(MessageKind.OBJECT_PARTS, exported)
+        receiver.send(MessageKind.OBJECT_PARTS, [])  # ends the table
+
+    def _follow_receiver(self) -> None:
+        """Handle one message of a receiver that is the gateway."""
+        timeout = max(DRAIN_POLL_SECONDS, min(self.state_machine.remaining_seconds(), MAX_DRAIN_WAIT))
+        try:
+            frame = self.receiver.receive(timeout, (MessageKind.SERVING, MessageKind.STORE_RECORDS_SYNCED))
+            if frame.kind is MessageKind.STORE_RECORDS_SYNCED:
+                self.gateway.post(self.gateway.guard.relayed_records_durable, frame.decode(int))
+                return
+            self.receiver_serves = True
+            self._run_on_event_loop(self._check_drained, False)
+        except ChannelTimeoutError:
+            pass
+        except HANDOVER_ERRORS as error:
+            self._run_on_event_loop(self._lost, str(error))
+
+    def _run_on_event_loop(self, function: Callable[..., Result], *arguments: Any) -> Result | None:
+        return run_on_event_loop(self.gateway, function, *arguments)
+
+    def _receive(self, *kinds: MessageKind) -> Frame:
+        """Return the next frame of the receiver, within the time limit of the phase."""
+        timeout = min(self.state_machine.remaining_seconds(), MAX_RECEIVE_SECONDS)
+        return self.receiver.receive(timeout, kinds)
+
+    # --- the event loop's thread; nothing is served meanwhile ---
+
+    def _transfer(self) -> None:
+        """Quiesce, send the state, commit, and begin to drain."""
+        with self.lock:
+            self.state_machine.begin_transfer()
+        if self.state_machine.phase != Phase.TRANSFERRING:
+            return
+        try:
+            failure = self._quiesce()
+            if failure:
+                return self.state_machine.quiesce_failed(failure)
+            self._send_state()
+            self._commit()
+        except HANDOVER_ERRORS as error:
+            return self._lost(self.receiver.describe_loss(error))
+        except Exception:
+            self._lost(INTERNAL_FAULT)
+            raise
+        return self._check_drained()
+
+    def _quiesce(self) -> str:
+        """Bring connections and store to rest; returns why that failed, or an empty text."""
+        machine = self.state_machine
+        deadline = time.monotonic() + machine.remaining_seconds()
+        failure = self.quiescer.quiesce(deadline, lambda: machine.phase == Phase.TRANSFERRING)
+        if not failure and self.gateway.guard:
+            failure = self.gateway.guard.quiesce(machine.remaining_seconds() / 2)
+        return failure
+
+    def _send_state(self) -> None:
+        """Send the state with all descriptors."""
+        changed = self.quiescer.changed_object_parts()
+        exported = export_gateway(self.gateway, self.state_machine.mode, changed)
+        state, self.connections = exported.state, exported.connections
+        self.exported_counts, state.must_reload = state.counts, self.was_reloaded
+        descriptors = [conn.sock.fileno() for conn in self.connections]
+        if state.store is not None:
+            descriptors.append(self.gateway.guard.directory.lock_fd)
+        timeout = self.state_machine.remaining_seconds()
+        self.receiver.send(MessageKind.STATE, state, tuple(descriptors), timeout)
+
+    def _commit(self) -> None:
+        """Commit once the receiver has restored the state, and wait until it serves what was transferred."""
+        machine = self.state_machine
+        frame = self._receive(MessageKind.STATE_RESTORED, MessageKind.REFUSE)
+        if frame.kind is MessageKind.REFUSE:
+            raise FormatError(frame.decode(messages.Reason).reason)
+        machine.state_restored()
+        self._receive(MessageKind.COMMIT_ACKNOWLEDGED)
+        machine.commit_acknowledged()
+        if machine.mode == HandoverMode.WHOLE and not self.receiver_serves:
+            # store records that are reported as synced are of no use here any more
+            while frame.kind is not MessageKind.SERVING:
+                frame = self._receive(MessageKind.SERVING, MessageKind.STORE_RECORDS_SYNCED)
+            self.receiver_serves = True
+            self.quiescer.forget_transferred_requests()
+            self.quiescer.resume_all(accept=False)
+
+    def _check_drained(self, repeat: bool = True) -> None:
+        """Transfer what became idle, and end this process once nothing is open; else check again later."""
+        machine, gateway = self.state_machine, self.gateway
+        if machine.phase != Phase.DRAINING:
+            return
+        try:
+            for client in self.quiescer.hold_idle_clients():
+                descriptor = client.connection.sock.fileno()
+                self.receiver.send(MessageKind.IDLE_CLIENT, client.state, (descriptor,))
+                self.quiescer.mark_transferred([client.connection])
+        except HANDOVER_ERRORS as error:
+            return self._lost(str(error))
+        machine.check_drained(self.receiver_serves, not (gateway.open_requests or gateway.front.clients))
+        if repeat and machine.phase == Phase.DRAINING:
+            gateway.call_at(gateway.time + int(DRAIN_POLL_SECONDS * TICKS_PER_SECOND), self._check_drained)
+
+    def _lost(self, reason: str) -> None:
+        with self.lock:
+            self.state_machine.lost(reason)
+
+    # --- signals, in the event loop's thread ---
+
+    def forward_stop(self) -> bool:
+        """SIGTERM came; returns whether the receiver is the gateway, and was notified."""
+        with self.lock:
+            self.state_machine.stop_requested()
+        return self._forward(MessageKind.STOP)
+
+    def forward_reload(self) -> bool:
+        """SIGHUP came, and the configuration was read; returns whether the receiver was notified instead.
+
+        Before the commit the receiver reads the configuration again once it serves.
+        """
+        self.was_reloaded = True
+        return self._forward(MessageKind.RELOAD)
+
+    def _forward(self, kind: MessageKind) -> bool:
+        if self.state_machine.phase not in (Phase.DRAINING, Phase.DONE):
+            return False
+        with contextlib.suppress(ChannelError, FormatError):
+            self.receiver.send(kind)
+        return True
+
+    # --- SenderActions ---
+
+    def now(self) -> float:
+        """Return the monotonic time in seconds."""
+        return time.monotonic()
+
+    def start_receiver(self) -> None:
+        """Start the new process."""
+        self.receiver.start(self.command)
+
+    def send_warm_up(self) -> None:
+        """Nothing: the driving thread does it, outside the lock."""
+
+    def transfer_state(self, mode: HandoverMode) -> None:
+        """Nothing: the event loop's thread does it in `_transfer`."""
+
+    def send_commit(self) -> None:
+        """Notify the receiver that it is the gateway."""
+        self.receiver.send(MessageKind.COMMIT)
+
+    def was_acknowledged(self) -> bool:
+        """Return whether a receiver that has ended had acknowledged `commit`."""
+        return self.receiver.has_acknowledged()
+
+    def kill_receiver(self) -> None:
+        """Kill the new process and wait for its end."""
+        self.receiver.kill()
+
+    def dismiss_receiver(self, reason: str) -> None:
+        """Notify the receiver that it is not wanted."""
+        self.receiver.dismiss(reason)
+
+    def resume(self, transferred_is_lost: bool) -> None:
+        """Serve again; if what was transferred is lost with the receiver, without that."""
+        if transferred_is_lost:
+            self.quiescer.close_lost(list(dict.fromkeys([*self.connections, *self.quiescer.transferred])))
+            self.gateway.router.set_standby(False)
+        self.connections = []
+        if self.gateway.guard:
+            self.gateway.guard.resume(transferred_is_lost)
+        self.quiescer.resume_all()
+        self._report_gateway()
+
+    def drain(self, mode: HandoverMode) -> None:
+        """Give the transferred connections up, and finish what stays here."""
+        self.quiescer.mark_transferred(self.connections)
+        if self.gateway.guard:
+            self.gateway.guard.delegate_writes(self._send_store_record)
+        if mode == HandoverMode.DRAIN:
+            self.gateway.router.set_standby(True)
+            self.quiescer.resume_all(accept=False)
+
+    def _send_store_record(self, ticket: int, kind: int, key: bytes, value: bytes | None) -> None:
+        """Send a record of a request that is still open here to the receiver, which has the store."""
+        record = messages.StoreRecord(ticket, kind, key, value)
+        try:
+            self.receiver.send(MessageKind.STORE_RECORD, record, timeout=STORE_RECORD_TIMEOUT)
+        except (ChannelError, FormatError) as error:  # what waits for it is rejected at its deadline
+            logger.warning("upgrade: a record cannot be handed on: {}", error)
+
+    def reject_open_requests(self) -> None:
+        """Reject what is still open here, and read nothing more from clients."""
+        for call in list(self.gateway.open_requests.values()):
+            self.gateway.router.reject(call.request, RejectReason.ENDING)
+        for client in list(self.gateway.front.clients):
+            client.hold()  # what is unread goes over with the connection
+            self.quiescer.quiesced[client] = False
+
+    def exit(self) -> None:
+        """Send the last counters, and end this process."""
+        counters = messages.FinalCounters(counted_since(self.gateway, self.exported_counts))
+        with contextlib.suppress(ChannelError, FormatError):
+            self.receiver.send(MessageKind.DRAINED, counters)
+        self.gateway.end()
+
+    def report_phase(self, phase: Phase, reason: str, previous_phase_seconds: float) -> None:
+        """Log a phase, record it, and send it to the upgrade command."""
+        self.reporter.report(phase, reason, previous_phase_seconds, self.receiver.pid)
+
+    def _report_gateway(self) -> None:
+        """Report to a supervisor that this process is the gateway."""
+        if self.status >= 0:
+            with contextlib.suppress(OSError):
+                os.write(self.status, b"gateway %d\n" % os.getpid())
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -76,7 +76,7 @@
 
 def serve(path: str | None, **options: Any) -> int:
     """Run one gateway to its end; returns the exit code. With options, those of
-    `lilacloft.upgrade.process.prepare`, it can be replaced or takes over from another process."""
+    `lilacloft.handover.process.ProcessOptions`, it can be replaced or takes over from another process."""
     threading.stack_size(THREAD_STACK_BYTES)
     reloads: queue.SimpleQueue[bool] = queue.SimpleQueue()  # its put may interrupt itself, as a signal does
     signal.signal(signal.SIGHUP, lambda *_: reloads.put(True))
@@ -120,10 +120,10 @@
 def prepare(path: str | None, **options: Any) -> tuple[Gateway | None, Callable[[], None] | None]:
     """Return a gateway that can be replaced, and what to call right before it runs; None where it was to take
     over and is not wanted."""
-    from lilacloft.upgrade import process
+    from lilacloft.handover import process
 
     try:
-        return process.prepare(read_config(path), make_gateway, **options)
+        return process.prepare(read_config(path), make_gateway, process.ProcessOptions(**options))
     except NotWantedError as wrong:
         logger.error("upgrade: this process ends: {}", wrong)
         return None, None
--- a/lilacloft/store/background_records.py
+++ b/lilacloft/store/background_records.py
@@ -54,7 +54,7 @@
             self.gate.work_sent(backend.name, backend.started, backend.recent_work, slow_start)
 
     def _write_learned_state(self) -> None:
-        exported = snapshot.give(self.gateway.router, (), ())
+        exported = snapshot.export_state(self.gateway.router, (), ())
         parts = learned_state.split_parts(exported, [vhost["name"] for vhost in self.gateway.vhosts])
         for key, part in self.change_filter.changes(self.gateway.time, parts).items():
             value = None if part is None else learned_state.pack_part(part)
--- a/lilacloft/store/crash_recovery.py
+++ b/lilacloft/store/crash_recovery.py
@@ -49,7 +49,7 @@
     vhosts = [vhost["name"] for vhost in gateway.vhosts]
     initial_link_limit = gateway.router.link_limit.limit
     state = learned_state.aged_state(parts, gateway.time, vhosts, initial_limits, initial_link_limit)
-    snapshot.take(gateway.router, state, gateway.backends)
+    snapshot.restore_state(gateway.router, state, gateway.backends)
 
 
 def _restore_purges(gateway: Any, recovered: RecoveredState) -> None:
--- a/lilacloft/store/learned_state.py
+++ b/lilacloft/store/learned_state.py
@@ -103,7 +103,7 @@
 
 
 def aged_backend(stored: Mapping[str, Any], initial_limit: float | None, now: Ticks, age: Ticks) -> Part:
-    """Return what still holds of one backend, as `snapshot.take` reads it.
+    """Return what still holds of one backend, as `snapshot.restore_state` reads it.
 
     `initial_limit` is None if the backend has no concurrency limit.
     """
@@ -134,7 +134,7 @@
     initial_limits: Mapping[str, float],
     initial_link_limit: float,
 ) -> dict[str, Any]:
-    """Return all stored parts, weighted by their ages, as `snapshot.take` reads them.
+    """Return all stored parts, weighted by their ages, as `snapshot.restore_state` reads them.
 
     `initial_limits` has the limits of all listed backends at a start, by name. A part that was stored in the
     future tells that the clock was set back. As its age is unknown, it counts as a day old.
--- a/rigs/store_kill.py
+++ b/rigs/store_kill.py
@@ -11,7 +11,7 @@
 from rigs.checker import check
 from rigs.load import Load
 from rigs.scene import Scene
-from rigs.upgrade import histogram
+from rigs.upgrade_probes import histogram
 
 STORE_SETTINGS = '(store (folder "store"))'
 PURGE_SHARE = 0.5  # of the kills, before which an object is purged
--- a/rigs/store_speed.py
+++ b/rigs/store_speed.py
@@ -17,7 +17,7 @@
 from lilacloft.store.framing import Record
 from lilacloft.store.group_commit import GroupCommitter
 from lilacloft.store.log import Store
-from rigs.upgrade import histogram
+from rigs.upgrade_probes import histogram
 
 RECORD_BYTES = 200
 RECOVERY_RECORD_BYTES = 1000
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -43,7 +43,7 @@
 
 def stored_parts(model):
     """Return its parts as they are read from a store, all stored now."""
-    data = msgspec.msgpack.encode(split_parts(snapshot.give(model.router, (), ()), ["v"]))
+    data = msgspec.msgpack.encode(split_parts(snapshot.export_state(model.router, (), ()), ["v"]))
     return {
         key: AgedPart(model.time, part)
         for key, part in msgspec.msgpack.decode(data, type=dict[bytes, dict]).items()
@@ -60,7 +60,7 @@
         for name, backend in backends.items()
         if backend.concurrency_limit
     }
-    snapshot.take(
+    snapshot.restore_state(
         new.router,
         aged_state(stored_parts(model), new.time, ["v"], starts, new.router.link_limit.limit),
         backends,
