--- a/tests/test_zones_world.py
+++ b/tests/test_zones_world.py
@@ -169,6 +169,6 @@
     """Found in reading: the origin, which is of no location, had been divided as others' caches are."""
     router = WatchedPlanes(world(*SIZES, span=1.0), 1, leave="across").gateways[0].router
     own, far, origin = router.pools.caches[0], router.pools.caches_by_zone[2][0], router.pools.origins[0]
-    assert (router.zone_gateways, router.gateways) == (3, 12)
+    assert (router.settings.zone_gateways, router.settings.gateways) == (3, 12)
     assert router.slow_start.capacity_share(own) == pytest.approx(4 * router.slow_start.capacity_share(far))
     assert router.slow_start.capacity_share(origin) == pytest.approx(router.slow_start.capacity_share(own))
