--- a/lilacloft/emulator/planes.py
+++ b/lilacloft/emulator/planes.py
@@ -18,12 +18,12 @@
 from lilacloft.emulator.fleet import START, Fleet
 from lilacloft.emulator.gateway import Gateway, Policy
 from lilacloft.emulator.worlds import World
+from lilacloft.failover.local_failover import Keeper
+from lilacloft.failover.recovery_ramp import Warming
 from lilacloft.plan.follow import EVERY, Follower
 from lilacloft.plan.planner import Listed, Planner, Site
 from lilacloft.plan.watch import Watch
 from lilacloft.plan.words import Reply, Summary, Word
-from lilacloft.zones.keep import Keeper
-from lilacloft.zones.pace import Warming
 
 KINDS = {CACHE: "cache", PARENT: "parent", ORIGIN: "origin"}
 TICK = 2_500
--- a/lilacloft/zones/course.py
+++ b/lilacloft/failover/failover_state.py
@@ -24,9 +24,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from lilacloft.zones import pace
-from lilacloft.zones.evidence import Finding
-from lilacloft.zones.slices import SLICES
+from lilacloft.failover import recovery_ramp
+from lilacloft.failover.fault_detection import Finding
+from lilacloft.failover.hash_slices import SLICES
 
 SURE = 2  # looks in a row
 OUT = 0.5  # part of the traffic that may be away at once
@@ -105,7 +105,9 @@
 
     def __init__(self, now: int) -> None:
         self.began = now
-        self.warming: Mapping[int, pace.Warming] = {}  # how locations' bes grow warm, where it is told
+        self.warming: Mapping[
+            int, recovery_ramp.Warming
+        ] = {}  # how locations' bes grow warm, where it is told
         self.courses: dict[int, Course] = {}
         self.tallies: dict[tuple[str, int, int], Tally] = {}  # by forwarder, its life, location
 
@@ -157,7 +159,7 @@
         self,
         findings: Mapping[int, Finding],
         traffic: Mapping[int, float],
-        bears: Mapping[int, pace.Bears],
+        bears: Mapping[int, recovery_ramp.Bears],
         now: int,
     ) -> None:
         """Decide anew. `traffic`: reqs a second of each location's own forwarders (a hub has
@@ -168,7 +170,7 @@
         for zone, finding in sorted(findings.items()):
             course = self.courses.setdefault(zone, Course())
             course.sure = course.sure + 1 if finding.fails else 0
-            reach = bears.get(zone) or pace.Bears(0.0, 1.0)
+            reach = bears.get(zone) or recovery_ramp.Bears(0.0, 1.0)
             if course.state == IN:
                 self._in(course, zone, finding, traffic, total, now)
             elif course.state == LEFT:
@@ -217,7 +219,7 @@
         """How long its trials must be answered."""
         return PROOF * 3**course.fails
 
-    def _left(self, course: Course, zone: int, reach: pace.Bears, now: int) -> None:
+    def _left(self, course: Course, zone: int, reach: recovery_ramp.Bears, now: int) -> None:
         seen, course.seen = course.seen, Tally()
         if seen.failed or seen.late > seen.well:
             course.well = 0
@@ -232,14 +234,16 @@
                 f"its trials answered for {self.proof(course) / 10_000:g} s and {WELLS} of them, "
                 f"{course.well} so far"
             )
-        elif not pace.most(reach, self._warming(zone)):
+        elif not recovery_ramp.most(reach, self._warming(zone)):
             course.waits = "none of its bes is ready"
         else:
             course.state, course.since, course.steps = BACK, now, now
             course.step = course.back = 1
             self._say(course, now, f"{course.well} trials answered in a row")
 
-    def _back(self, course: Course, zone: int, finding: Finding, reach: pace.Bears, now: int) -> None:
+    def _back(
+        self, course: Course, zone: int, finding: Finding, reach: recovery_ramp.Bears, now: int
+    ) -> None:
         seen = course.seen
         ended = seen.ended()
         if course.sure >= SURE or (ended >= FEWEST and seen.failed > BAD * ended):
@@ -247,7 +251,7 @@
             what = str(finding) if course.sure >= SURE else f"{seen.failed} of {ended} answers at home failed"
             self._leave(course, f"its return failed: {what}", now)
             return
-        room = pace.most(reach, self._warming(zone))
+        room = recovery_ramp.most(reach, self._warming(zone))
         if course.back > max(1, room):  # some of its bes are gone again
             course.back, course.step, course.steps, course.seen = max(1, room), 1, now, Tally()
             self._say(course, now, "its bes bear no more")
@@ -265,7 +269,7 @@
             course.steps = now
             return
         hits = seen.hits / max(1, seen.well + seen.late)
-        more = min(pace.step(reach, hits, course.step), room - course.back)
+        more = min(recovery_ramp.step(reach, hits, course.step), room - course.back)
         if more <= 0 and room < SLICES:
             course.waits = "its bes bear no more yet"
         elif more <= 0:
@@ -282,8 +286,8 @@
         course.why, course.waits = why, ""
         course.log = [*course.log[-31:], (now, f"{course.state}, {course.back} of {SLICES} slices: {why}")]
 
-    def _warming(self, zone: int) -> pace.Warming:
-        return self.warming.get(zone) or pace.Warming()
+    def _warming(self, zone: int) -> recovery_ramp.Warming:
+        return self.warming.get(zone) or recovery_ramp.Warming()
 
     # --- what is decided ---
 
--- a/lilacloft/zones/keep.py
+++ b/lilacloft/failover/local_failover.py
@@ -19,9 +19,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from lilacloft.zones import course
-from lilacloft.zones.course import BAD, FEWEST, LATE, MANY, PROOF, TURN, WELLS, Tally, Told
-from lilacloft.zones.slices import PAST, SLICES, away, target
+from lilacloft.failover import failover_state
+from lilacloft.failover.failover_state import BAD, FEWEST, LATE, MANY, PROOF, TURN, WELLS, Tally, Told
+from lilacloft.failover.hash_slices import PAST, SLICES, away, target
 
 GAP = 1_000  # between two trials at least, where the last one was answered
 
@@ -165,7 +165,7 @@
             if (
                 own.well < WELLS
                 or own.proved - own.proven < PROOF * 3**own.fails
-                or now - own.raised < course.LEAST << own.fails
+                or now - own.raised < failover_state.LEAST << own.fails
             ):
                 return
         elif now - own.raised < 10_000 / self.rate:
--- a/lilacloft/zones/pace.py
+++ b/lilacloft/failover/recovery_ramp.py
@@ -20,7 +20,7 @@
 import math
 from dataclasses import dataclass
 
-from lilacloft.zones.slices import SLICES
+from lilacloft.failover.hash_slices import SLICES
 
 WARM = 0.7  # part of answers from copies, from which on a location counts as warm
 GROWS = 4  # 1, 4, 16, 43: all are back in four steps at the least
--- a/lilacloft/plan/agent.py
+++ b/lilacloft/plan/agent.py
@@ -10,13 +10,13 @@
 
 from loguru import logger
 
+from lilacloft.failover.hash_slices import SLICES
+from lilacloft.failover.local_failover import Keeper
 from lilacloft.plan import form
 from lilacloft.plan.follow import EVERY, Follower
 from lilacloft.plan.watch import Watch
 from lilacloft.plan.wire import Dial, Peer
 from lilacloft.routing.host import Endpoint, ListMode
-from lilacloft.zones.keep import Keeper
-from lilacloft.zones.slices import SLICES
 
 
 class Agent:
--- a/lilacloft/plan/follow.py
+++ b/lilacloft/plan/follow.py
@@ -15,11 +15,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
+from lilacloft.failover.local_failover import Keeper, Left
 from lilacloft.plan.order import Holder, Name
 from lilacloft.plan.shares import LEAST, Grant, Purse
 from lilacloft.plan.sights import Sight
 from lilacloft.plan.words import Ask, Given, Plan, Reply, Summary, applied
-from lilacloft.zones.keep import Keeper, Left
 
 EVERY = 2_500  # between two summaries to one planner
 WINDOW = 10_000  # that a sight tells of: this window and the last one
--- a/lilacloft/plan/form.py
+++ b/lilacloft/plan/form.py
@@ -15,10 +15,10 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 from google.protobuf.message import DecodeError
 
+from lilacloft.failover.failover_state import Tally, Told
 from lilacloft.plan.order import Name
 from lilacloft.plan.sights import Sight
 from lilacloft.plan.words import NUMBERED, PARTS, Ask, Delta, Given, Plan, Reply, Summary, Word
-from lilacloft.zones.course import Tally, Told
 
 VERSION = 1
 LEAST = 1
--- a/lilacloft/plan/planner.py
+++ b/lilacloft/plan/planner.py
@@ -13,15 +13,15 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
+from lilacloft.failover import fault_detection, recovery_ramp
+from lilacloft.failover.failover_state import Decider, Told
+from lilacloft.failover.hash_slices import PAST, SLICES
 from lilacloft.members.table import ALIVE, FORWARDER, PLANNER, Change, Table
 from lilacloft.plan import place as places
 from lilacloft.plan.order import Issuer, Name
 from lilacloft.plan.shares import LEAST, Grant, Purse, divide
 from lilacloft.plan.sights import HOLD, Judge, trials
 from lilacloft.plan.words import PARTS, Ask, Delta, Given, Plan, Reply, Summary, Word, delta
-from lilacloft.zones import evidence, pace
-from lilacloft.zones.course import Decider, Told
-from lilacloft.zones.slices import PAST, SLICES
 
 SPAN = 30_000  # for which a plan holds: some ten summaries, so that a lost one matters little
 LENDS = 50_000  # for which a part of a cold budget is lent at most
@@ -58,8 +58,8 @@
     zones: bool = False  # whole locations may be left
     across: bool = False  # and others' caches asked in their place
     sizes: bool = False  # the list tells bes' sizes
-    caches: pace.Warming = field(default_factory=pace.Warming)
-    hubs: pace.Warming = field(default_factory=pace.Warming)  # how parents grow warm
+    caches: recovery_ramp.Warming = field(default_factory=recovery_ramp.Warming)
+    hubs: recovery_ramp.Warming = field(default_factory=recovery_ramp.Warming)  # how parents grow warm
 
 
 @dataclass
@@ -106,7 +106,7 @@
         self.placed: dict[places.Place, float] = {}
         self.asked = 0
         self.zones: Decider | None = None
-        self.bears: dict[int, pace.Bears] = {}  # of locations with caches, as of the last look
+        self.bears: dict[int, recovery_ramp.Bears] = {}  # of locations with caches, as of the last look
         self.counts = dict.fromkeys(("summaries", "stale", "plans", "lent", "borrowed", "greedy"), 0)
 
     # --- what is heard ---
@@ -374,7 +374,7 @@
         self.zones.warming = {
             zone: self.site.hubs if place.parents else self.site.caches for zone, place in places.items()
         }
-        view = evidence.View(places, self._looks(now), frozenset(fresh), frozenset(self.judge.astray))
+        view = fault_detection.View(places, self._looks(now), frozenset(fresh), frozenset(self.judge.astray))
         asked: dict[int, Asked] = {zone: Asked() for zone in places}
         for known in self.known.values():
             asked.setdefault(known.summary.zone, Asked()).add(known.summary)
@@ -388,10 +388,12 @@
             zone: self._bears(zone, place, asked[zone], fills, parents) for zone, place in places.items()
         }
         self.bears = {zone: one for zone, one in bears.items() if not places[zone].parents}
-        self.zones.look(evidence.judge(view), {zone: asked[zone].requests for zone in places}, bears, now)
+        self.zones.look(
+            fault_detection.judge(view), {zone: asked[zone].requests for zone in places}, bears, now
+        )
         return None
 
-    def _places(self) -> dict[int, evidence.Place]:
+    def _places(self) -> dict[int, fault_detection.Place]:
         """All locations, with their bes that are ready and their forwarders as the members have them."""
         caches: dict[int, list[str]] = {}
         parents: dict[int, list[str]] = {}
@@ -404,32 +406,32 @@
         for name in self.table.alive(FORWARDER):
             who.setdefault(self.table.members[name].zone, []).append(name)
         out = {
-            zone: evidence.Place(tuple(sorted(names)), tuple(who.get(zone, ())))
+            zone: fault_detection.Place(tuple(sorted(names)), tuple(who.get(zone, ())))
             for zone, names in caches.items()
         }
         out.update(
             {
-                zone: evidence.Place(tuple(sorted(names)), (), True)
+                zone: fault_detection.Place(tuple(sorted(names)), (), True)
                 for zone, names in parents.items()
                 if zone not in out
             }
         )
         return out
 
-    def _looks(self, now: int) -> dict[str, dict[str, evidence.Look]]:
-        out: dict[str, dict[str, evidence.Look]] = {}
+    def _looks(self, now: int) -> dict[str, dict[str, fault_detection.Look]]:
+        out: dict[str, dict[str, fault_detection.Look]] = {}
         for backend, sights in self.judge.sights.items():
             for name, (at, sight) in sights.items():
                 if now - at <= LATELY:
                     answers = 0 < sight.quiet <= LATELY - (now - at)
-                    out.setdefault(name, {})[backend] = evidence.Look(
+                    out.setdefault(name, {})[backend] = fault_detection.Look(
                         sight.streak, answers, sight.unfilled, sight.filled
                     )
         return out
 
     def _bears(
-        self, zone: int, place: evidence.Place, asked: Asked, fills: float, parents: float
-    ) -> pace.Bears:
+        self, zone: int, place: fault_detection.Place, asked: Asked, fills: float, parents: float
+    ) -> recovery_ramp.Bears:
         """What a location bears now, and what there is to fill it: `fills` of all locations together, of what
         all parents can send."""
         link = self.site.links.get(zone, float("inf"))
@@ -439,9 +441,11 @@
             size = self.site.parents / self.site.pace
         sizes = tuple((row.size if self.site.sizes else size, row.age) for row in rows)
         if place.parents:  # what its parents are asked for is the fills; they fill from the origin
-            return pace.Bears(fills, self.site.pace, sizes, self.site.origin)
+            return recovery_ramp.Bears(fills, self.site.pace, sizes, self.site.origin)
         spare = max(0.0, min(link, parents - (fills - asked.fills)))
-        return pace.Bears(asked.kbytes, self.site.pace, sizes, spare, max(0.0, asked.fills - asked.past))
+        return recovery_ramp.Bears(
+            asked.kbytes, self.site.pace, sizes, spare, max(0.0, asked.fills - asked.past)
+        )
 
     def _told(self, who: Mapping[int, list[str]], now: int) -> dict[int, Told]:
         if self.zones is None:
@@ -464,7 +468,7 @@
                 spare[zone] = max(0.0, able * self.site.pace - bears[zone].demand) / max(1, len(away))
         out = {}
         for zone in away:
-            fresh = pace.spread(spare, bears[zone].demand, PAST)
+            fresh = recovery_ramp.spread(spare, bears[zone].demand, PAST)
             before = self.plan.zones[zone].to if zone in self.plan.zones else ()
             # what little changes would move objects for nothing; whoever has gone out of use takes nothing
             near = dict(before).keys() == dict(fresh).keys() and all(
--- a/lilacloft/plan/serve.py
+++ b/lilacloft/plan/serve.py
@@ -12,13 +12,13 @@
 
 from lilacloft import needed
 from lilacloft.config.addresses import address
+from lilacloft.failover.recovery_ramp import Warming
 from lilacloft.net.feed import Feed, known
 from lilacloft.plan import form
 from lilacloft.plan.planner import Listed, Planner, Site
 from lilacloft.plan.wire import Dial, Door, Peer
 from lilacloft.plan.words import PARTS, delta
 from lilacloft.settings import settings
-from lilacloft.zones.pace import Warming
 
 TICK = 0.25
 NS = 100_000
--- a/lilacloft/plan/words.py
+++ b/lilacloft/plan/words.py
@@ -5,9 +5,9 @@
 
 from dataclasses import dataclass, field
 
+from lilacloft.failover.failover_state import Tally, Told
 from lilacloft.plan.order import Name
 from lilacloft.plan.sights import Sight
-from lilacloft.zones.course import Tally, Told
 
 
 @dataclass(frozen=True)
--- a/rigs/zones.py
+++ b/rigs/failover.py
@@ -1,4 +1,4 @@
-"""A location lost and back, in virtual time: `python -m rigs.zones silent-cold --seeds 8 [--json FILE]`.
+"""A location lost and back, in virtual time: `python -m rigs.failover silent-cold --seeds 8 [--json FILE]`.
 
 The same world, clients and faults by seed under several ways of deciding: `alone` (each gateway by itself),
 `planes` (planners, locations not left: our earlier version), `leaves` (locations are left, past their caches,
@@ -25,7 +25,7 @@
 from lilacloft.emulator.planes import Planes, Trouble, troubles
 from lilacloft.emulator.policies import POLICIES
 from lilacloft.emulator.worlds import READS, SECOND, World
-from lilacloft.zones.course import LEFT
+from lilacloft.failover.failover_state import LEFT
 
 WAYS = ("alone", "planes", "leaves", "across", "oracle")
 
@@ -301,7 +301,7 @@
 
 
 def main(words: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="python -m rigs.zones", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m rigs.failover", description=__doc__)
     parser.add_argument("scripts", nargs="+", choices=[*SCRIPTS, "all", "observers"])
     parser.add_argument("--seeds", type=int, default=4)
     parser.add_argument("--caches", type=int, default=200)
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -3,7 +3,7 @@
 
 Real gateways and planners, stand-in boxes in processes of their own (one for each location, hub and the
 origin), and a relay on every link: gateway to box, to change log and to planner, planner to planner, cache to
-source; each direction by itself. The script is one of `rigs.zones`, in the emulator's fault language, or
+source; each direction by itself. The script is one of `rigs.failover`, in the emulator's fault language, or
 drawn from the seed: the same script runs in virtual time and here. Judged by the accounts of clients, boxes
 and change log; every run ends with what the planners decided, and when.
 
@@ -40,12 +40,12 @@
 from lilacloft.emulator.worlds import SECOND, World
 from rigs.account import Account
 from rigs.checker import Breach, check
+from rigs.failover import SCRIPTS
 from rigs.load import Load
 from rigs.scene import FAMILY, STATES, VHOSTS, Gateway, Scene, Timers
 from rigs.stands import ENV, Log, framed, record, unused
 from rigs.told import tell
 from rigs.upgrade import histogram
-from rigs.zones import SCRIPTS
 
 KINDS = ("small", "large", "parent", "origin")
 ORIGIN = "s-00000fff"
@@ -685,7 +685,7 @@
     leaves: bool = True,
     caches: int = 4,
 ) -> dict[str, Any]:
-    """One run: a script of `rigs.zones`, or `drawn`."""
+    """One run: a script of `rigs.failover`, or `drawn`."""
     with tempfile.TemporaryDirectory(prefix="fleet") as name:
         fleet = Fleet(Path(name), seed, gateways, planners, caches=caches, leaves=leaves)
         sizes = {"zone": 4, "hub": 2, "cache": 4 * caches, "parent": 4, "gateway": gateways, "object": 40}
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -19,6 +19,7 @@
 
 from lilacloft import needed
 from lilacloft.config.reader import load
+from lilacloft.failover.failover_state import Tally, Told
 from lilacloft.net import feed
 from lilacloft.net.conn import OUTCOMES, End
 from lilacloft.net.owner import Owner
@@ -47,7 +48,6 @@
 from lilacloft.store.log import Store
 from lilacloft.upgrade import carry, form
 from lilacloft.upgrade.words import OWN
-from lilacloft.zones.course import Tally, Told
 
 Plain = dict[str, Any]
 
--- a/tests/test_zones.py
+++ b/tests/test_failover.py
@@ -4,9 +4,21 @@
 
 import pytest
 
-from lilacloft.zones import course, keep, pace, slices
-from lilacloft.zones.course import BACK, IN, LEAST, LEFT, OUT, PROOF, STEP, WELLS, Decider, Tally, Told
-from lilacloft.zones.evidence import (
+from lilacloft.failover import failover_state, hash_slices, local_failover, recovery_ramp
+from lilacloft.failover.failover_state import (
+    BACK,
+    IN,
+    LEAST,
+    LEFT,
+    OUT,
+    PROOF,
+    STEP,
+    WELLS,
+    Decider,
+    Tally,
+    Told,
+)
+from lilacloft.failover.fault_detection import (
     CACHES,
     FEW,
     HUB,
@@ -20,9 +32,9 @@
     View,
     judge,
 )
-from lilacloft.zones.keep import Keeper
-from lilacloft.zones.pace import Bears, Warming, least, most, step
-from lilacloft.zones.slices import SLICES, away, ranks, slice_of
+from lilacloft.failover.hash_slices import SLICES, away, ranks, slice_of
+from lilacloft.failover.local_failover import Keeper
+from lilacloft.failover.recovery_ramp import Bears, Warming, least, most, step
 
 SECOND = 10_000
 GOOD, BAD, QUIET = Look(answers=True), Look(streak=2), Look()
@@ -426,9 +438,9 @@
                 away_now += traffic[zone]
             if one.state == LEFT and state != LEFT:
                 assert findings[zone].fails or state == BACK
-                again = state == BACK or (zone in left_at and now - one.calm < course.CALM)
+                again = state == BACK or (zone in left_at and now - one.calm < failover_state.CALM)
                 left_at[zone], wells[zone] = now, 0
-                assert one.back == 0 and one.fails == min(course.MANY, fails + again)
+                assert one.back == 0 and one.fails == min(failover_state.MANY, fails + again)
             if state == LEFT and one.state == BACK:
                 assert now - left_at[zone] >= LEAST << fails
                 assert wells[zone] >= WELLS and proved[zone] - proven[zone] >= PROOF * 3**fails
@@ -498,7 +510,12 @@
     decider = Decider(0)
     decider.take_up({0: (0, 0)}, 0)
     who = {0: ("a", "b", "c")}
-    assert [decider.told(who, turn * course.TURN)[0].trial for turn in range(4)] == ["a", "b", "c", "a"]
+    assert [decider.told(who, turn * failover_state.TURN)[0].trial for turn in range(4)] == [
+        "a",
+        "b",
+        "c",
+        "a",
+    ]
 
 
 # --- a forwarder ---
@@ -591,19 +608,19 @@
 
 
 def test_trials_are_one_at_a_time_and_only_of_what_may_be_repeated():
-    left = keep.Left(0, 0, True)
+    left = local_failover.Left(0, 0, True)
     assert left.is_away("a 0", False, 10)
     assert not left.is_away("a 0", True, 10) and left.is_away("b 0", True, 11)
-    assert not left.is_away("b 0", True, 10 + course.TURN)
+    assert not left.is_away("b 0", True, 10 + failover_state.TURN)
     keeper = Keeper("f0", 1, 150_000)
     mine = keeper.look({0: Told(0, trial="f0")}, 0)[0]
     assert not mine.is_away("a 0", True, 0) and mine.is_away("a 0", True, 500)
     keeper.ended(0, "well", True, 600, 600)
-    assert mine.is_away("a 0", True, 600) and not mine.is_away("a 0", True, 600 + keep.GAP)
+    assert mine.is_away("a 0", True, 600) and not mine.is_away("a 0", True, 600 + local_failover.GAP)
 
 
 def test_what_of_a_location_is_back_is_asked_for_at_home():
-    left = keep.Left(3, 20)
+    left = local_failover.Left(3, 20)
     homes = [
         place for place in (f"o{number} 0" for number in range(1000)) if not left.is_away(place, True, 0)
     ]
@@ -611,13 +628,16 @@
 
 
 def test_what_is_away_is_spread_by_what_others_have_to_spare_and_moves_as_little_as_it_must():
-    even = pace.spread({0: 50.0, 2: 50.0}, 40.0, slices.PAST)
+    even = recovery_ramp.spread({0: 50.0, 2: 50.0}, 40.0, hash_slices.PAST)
     assert even == ((0, 0.5), (2, 0.5))
-    short = pace.spread({0: 10.0, 2: 0.0}, 40.0, slices.PAST)
-    assert short == ((0, 0.2), (slices.PAST, 0.8)) and pace.spread({0: 0.0}, 40.0, slices.PAST) == ()
+    short = recovery_ramp.spread({0: 10.0, 2: 0.0}, 40.0, hash_slices.PAST)
+    assert (
+        short == ((0, 0.2), (hash_slices.PAST, 0.8))
+        and recovery_ramp.spread({0: 0.0}, 40.0, hash_slices.PAST) == ()
+    )
     places = [f"o{number} 0" for number in range(4000)]
-    before = {place: slices.target(place, ((0, 0.5), (2, 0.5))) for place in places}
-    after = {place: slices.target(place, ((0, 0.5), (2, 0.5), (3, 0.25))) for place in places}
+    before = {place: hash_slices.target(place, ((0, 0.5), (2, 0.5))) for place in places}
+    after = {place: hash_slices.target(place, ((0, 0.5), (2, 0.5), (3, 0.25))) for place in places}
     assert 1800 < sum(zone == 0 for zone in before.values()) < 2200
     moved = [place for place in places if before[place] != after[place]]
     assert all(after[place] == 3 for place in moved) and 700 < len(moved) < 900
--- a/tests/test_zones_world.py
+++ b/tests/test_failover_world.py
@@ -1,4 +1,4 @@
-"""Locations left and returned to in virtual time: worlds with planners, by the scripts of `rigs.zones`."""
+"""Locations left and returned to in virtual time: worlds with planners, by the scripts of `rigs.failover`."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from lilacloft.emulator.fleet import START
 from lilacloft.emulator.planes import Trouble
 from lilacloft.emulator.worlds import SECOND
-from lilacloft.zones.slices import SLICES
-from rigs.zones import SCRIPTS, WatchedPlanes, one, world
+from lilacloft.failover.hash_slices import SLICES
+from rigs.failover import SCRIPTS, WatchedPlanes, one, world
 
 SIZES = (24, 12, 110.0, 4)  # caches, gateways, reqs a second, locations
 
@@ -169,6 +169,6 @@
     """Found in reading: the origin, which is of no location, had been divided as others' caches are."""
     router = WatchedPlanes(world(*SIZES, span=1.0), 1, leave="across").gateways[0].router
     own, far, origin = router.pools.caches[0], router.pools.caches_by_zone[2][0], router.pools.origins[0]
-    assert (router.zone_gateways, router.gateways) == (3, 12)
+    assert (router.settings.zone_gateways, router.settings.gateways) == (3, 12)
     assert router.slow_start.capacity_share(own) == pytest.approx(4 * router.slow_start.capacity_share(far))
     assert router.slow_start.capacity_share(origin) == pytest.approx(router.slow_start.capacity_share(own))
--- a/tests/test_planes.py
+++ b/tests/test_planes.py
@@ -234,7 +234,7 @@
 
 
 def test_what_is_told_of_locations_reads_the_same_and_an_older_reader_skips_it():
-    from lilacloft.zones.course import Tally, Told
+    from lilacloft.failover.failover_state import Tally, Told
 
     summary = Summary(
         "f1",
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -391,10 +391,10 @@
 def test_what_becomes_of_locations_is_written_once_each_time_it_changes():
     from types import SimpleNamespace
 
+    from lilacloft.failover.failover_state import Told
     from lilacloft.plan.agent import Agent
     from lilacloft.plan.order import Name
     from lilacloft.record.writer import Recorder
-    from lilacloft.zones.course import Told
 
     written = []
     recorder = SimpleNamespace(note=written.append)
