--- a/lilacloft/emulator/planes.py
+++ b/lilacloft/emulator/planes.py
@@ -18,8 +18,8 @@
 from lilacloft.emulator.fleet import START, Fleet
 from lilacloft.emulator.gateway import Gateway, Policy
 from lilacloft.emulator.worlds import World
-from lilacloft.failover.local_failover import Keeper
-from lilacloft.failover.recovery_ramp import Warming
+from lilacloft.failover.local_failover import LocalFailover
+from lilacloft.failover.recovery_ramp import SlowStartProfile
 from lilacloft.plan.follow import EVERY, Follower
 from lilacloft.plan.planner import Listed, Planner, Site
 from lilacloft.plan.watch import Watch
@@ -53,7 +53,7 @@
         restarted = self.life > 1
         names = [f"p{number}" for number in range(self.fleet.planners_count)]
         leaves = self.fleet.leave != "never"
-        keeper = Keeper(self.name, world.gateways, world.cold_cache[1]) if leaves else None
+        keeper = LocalFailover(self.name, world.gateways, world.cold_cache[1]) if leaves else None
         self.follower = Follower(
             self.name,
             self.life,
@@ -216,8 +216,8 @@
             leave != "never",
             leave == "across",
             False,
-            Warming(*world.cold_cache),
-            Warming(*world.cold_parent),
+            SlowStartProfile(*world.cold_cache),
+            SlowStartProfile(*world.cold_parent),
         )
         self.planners = [Plane(self, number) for number in range(planners)]
         for trouble in troubles:
--- a/lilacloft/failover/__init__.py
+++ b/lilacloft/failover/__init__.py
@@ -1,11 +1,12 @@
-"""Leaving a location that fails, as a fleet, and returning at a pace that its caches bear.
+"""Failover of whole locations, decided for the fleet, and their recovery slice by slice.
 
-A location is what the list calls a zone: one with caches, or a hub with parents. Who fails is told from many
-forwarders' sights (`evidence`); when one is left, and how far it is back, is decided in one place for all
-(`course`) at a pace reckoned from what its caches bear and what there is to fill them (`pace`); each
-forwarder keeps to it, and goes on alone by stated rules where nobody decides (`keep`). It goes by slices of
-objects in hash order (`slices`), so that each object still has one cache and one parent.
+A location is a zone of the endpoint list: one with caches, or a hub with parents. Faults are detected from
+the observations of many gateways (`fault_detection`). One planner decides for all gateways when a location
+is left and how much of it has returned (`failover_control`), at a rate that its caches and their sources
+can serve (`recovery_ramp`). Each gateway follows those decisions, and goes on by itself without a plan
+(`local_failover`). Locations return by hash slices of objects (`hash_slices`), so that each object has one
+cache and one parent at any time.
 
-It must never send a req, widen a cold budget, or let a drain, a purge or an effect pass by the decision
-module's gate. No I/O, no clock.
+Nothing here sends a request, raises a slow-start budget, or passes by the gate of the decisions on
+draining, purges and effects. No I/O and no clock: all times are given.
 """
--- a/lilacloft/failover/hash_slices.py
+++ b/lilacloft/failover/hash_slices.py
@@ -1,47 +1,37 @@
-"""Decides which slice an object is of, and in which order a location's slices return: the same everywhere.
+"""The hash slices of objects, and the order in which a location's slices return: the same at every gateway.
 
-Slices are even parts of all objects by hash. Each location has an order of its own, so that two that return
-together do not ask for the same objects first. No I/O.
+Slices are even shares of all objects by hash. Each location has an order of its own, so that two locations
+that return together do not receive the same objects first.
 """
 
 from __future__ import annotations
 
-import math
 import zlib
 from functools import cache
 
-PAST = -1 << 16  # the place of what goes past the caches, among locations
-SLICES = 64  # one is 1.6% of the objects: a step that a location bears even cold, where it bears a tenth
+SLICE_COUNT = 64  # a slice has 1.6% of the objects: a cold location serves it even at a tenth of its capacity
 
 
-def slice_of(place: str) -> int:
-    """The slice of a part of an object, named as the module ranks it: `KEY PART`."""
-    return zlib.crc32(f"slice {place}".encode()) % SLICES
+def slice_index(placement_key: str) -> int:
+    """Return the slice of an object part. `placement_key`: `KEY PART`, as in rendezvous hashing."""
+    return zlib.crc32(f"slice {placement_key}".encode()) % SLICE_COUNT
 
 
 @cache
-def ranks(zone: int) -> tuple[int, ...]:
-    """By slice, its place in the order in which a location's slices return."""
-    order = sorted(range(SLICES), key=lambda one: (zlib.crc32(f"zone {zone} slice {one}".encode()), one))
-    out = [0] * SLICES
-    for place, one in enumerate(order):
-        out[one] = place
-    return tuple(out)
-
-
-def away(place: str, zone: int, back: int) -> bool:
-    """Is an object away from a location of which so many slices are back?"""
-    return back < SLICES and ranks(zone)[slice_of(place)] >= back
-
-
-def target(place: str, weights: tuple[tuple[int, float], ...]) -> int:
-    """The location, or PAST, that an object which is away goes to: by hash with weights (rendezvous), the
-    same at every gateway; a weight that changes moves only what it has to."""
-    best, chosen = math.inf, PAST
-    for zone, weight in weights:
-        if weight > 0:
-            drawn = (zlib.crc32(f"{place} to {zone}".encode()) + 1) / (2**32 + 1)
-            score = -math.log(drawn) / weight
-            if score < best:
-                best, chosen = score, zone
-    return chosen
+def return_positions(zone: int) -> tuple[int, ...]:
+    """Return by slice its position in the order in which a location's slices return."""
+    order = sorted(
+        range(SLICE_COUNT), key=lambda index: (zlib.crc32(f"zone {zone} slice {index}".encode()), index)
+    )
+    positions = [0] * SLICE_COUNT
+    for position, index in enumerate(order):
+        positions[index] = position
+    return tuple(positions)
+
+
+def is_away(placement_key: str, zone: int, returned_slices: int) -> bool:
+    """Return whether an object part is not served by a location of which so many slices have returned."""
+    return (
+        returned_slices < SLICE_COUNT
+        and return_positions(zone)[slice_index(placement_key)] >= returned_slices
+    )
--- a/lilacloft/failover/local_failover.py
+++ b/lilacloft/failover/local_failover.py
@@ -1,16 +1,15 @@
-"""Decides what one forwarder does of what is decided of locations, and how it goes on where nobody decides.
-
-While a plan holds, its word is kept: less at home at once, more only as fast as the plan's own pace says, so
-that a plan that jumps (another planner's, an old one, one that comes late or twice) moves nobody in a jump.
-
-Without one, a location that is away stays away until this forwarder has seen for itself that it answers: it
-tries it in its own turns (one of N, as there are N forwarders, so that about one at a time tries), and is
-back slice by slice, in the order that all have, at no more than `SLICES` in the span in which a be grows
-warm. As all go the same way no faster than that, all together ask a location of age a for no more than a
-slice and the part a / warm of its demand, which is below what its bes can do then wherever they bear their
-demand warm. A failure takes all back, and the next proof is three times as long.
-
-No I/O; times of its own steady clock, in tenths of a millisecond.
+"""One gateway's side of failover: it follows the plan, and goes on by itself without one.
+
+While a plan is in force, slices leave at once as it says, and return only as fast as its own rate, so that
+a plan that jumps (another planner's, an old one, one that comes late or twice) moves no gateway in a jump.
+
+Without one, a location that is away stays away until this gateway has seen for itself that it answers. It
+sends canaries in its own turns (one of N for N gateways, so about one at a time sends them), and returns
+slice by slice, in the order that all share, at no more than all slices within a backend's slow start. As
+all gateways return no faster than that, together they ask a location of age a for no more than one slice
+and the share a / duration of its demand, which is below what its backends can serve then, wherever they
+serve their demand warm. A failure takes all slices back, and canaries then have to be answered for three
+times as long.
 """
 
 from __future__ import annotations
@@ -19,158 +18,211 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from lilacloft.failover import failover_state
-from lilacloft.failover.failover_state import BAD, FEWEST, LATE, MANY, PROOF, TURN, WELLS, Tally, Told
-from lilacloft.failover.hash_slices import PAST, SLICES, away, target
-
-GAP = 1_000  # between two trials at least, where the last one was answered
+from lilacloft.failover import hash_slices
+from lilacloft.failover.failover_state import (
+    CANARY_TURN,
+    HALT_LATE_SHARE,
+    MAX_FAILED_RETURNS,
+    MAX_FAILED_SHARE,
+    MIN_ANSWERS,
+    CanaryRecord,
+    FailoverDirective,
+    FailoverStatus,
+    min_outage,
+)
+from lilacloft.failover.hash_slices import SLICE_COUNT
+from lilacloft.failover.outcome_counts import AnswerQuality, OutcomeCounts
+from lilacloft.failover.substitutes import BYPASS_ZONE, ZoneWeight, substitute_zone
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
+
+MIN_CANARY_INTERVAL: Ticks = 1_000  # after a canary that has ended
+MIN_RATE = 0.01  # slices a second
 
 
 @dataclass
-class Left:
-    """What the decision module asks of one location; it holds no time of its own."""
+class SliceFailover:
+    """What the gateway's decisions ask of one location (`fleet_plan.LocationFailover`)."""
 
     zone: int
-    back: int = 0
-    tries: bool = False  # this forwarder may try it now
-    next: int = 0  # when the next trial may go, in the module's time
-    to: tuple[tuple[int, float], ...] = ()
-
-    def is_away(self, place: str, harmless: bool, now: int) -> bool:
-        """Is an object not to be asked for there? A trial is: one at a time, of a req whose repeat harms
-        nobody."""
-        if not away(place, self.zone, self.back):
+    returned_slices: int = 0
+    sends_canaries: bool = False  # this gateway, now
+    next_canary_at: Ticks = 0  # in the time of the decisions
+    substitutes: tuple[ZoneWeight, ...] = ()
+
+    def is_away(self, placement_key: str, is_safe: bool, now: Ticks) -> bool:
+        """Return whether the location is not used for an object part. Where it would not be, a canary may
+        pass: one at a time, of a request that is safe to repeat."""
+        if not hash_slices.is_away(placement_key, self.zone, self.returned_slices):
             return False
-        if self.tries and harmless and now >= self.next:
-            self.next = now + TURN
+        if self.sends_canaries and is_safe and now >= self.next_canary_at:
+            self.next_canary_at = now + CANARY_TURN
             return False
         return True
 
-    def substitute(self, place: str) -> int:
-        """The location that takes an object which is away; PAST: none, it goes past the caches."""
-        return target(place, self.to) if self.to else PAST
+    def substitute(self, placement_key: str) -> int:
+        """Return the location that serves an object part instead; `BYPASS_ZONE`: it bypasses the caches."""
+        return substitute_zone(placement_key, self.substitutes) if self.substitutes else BYPASS_ZONE
 
     @property
     def canaries_only(self) -> bool:
-        """Do only trials go there?"""
-        return self.back == 0
+        """Whether only canaries go to the location."""
+        return self.returned_slices == 0
 
 
 @dataclass
-class Own:
-    """One location as this forwarder has it."""
-
-    left: Left
-    rate: float = 4.0
-    fails: int = 0
-    raised: int = 0  # when more went home last, or could have
-    credit: float = 0.0  # slices that its pace has earned
-    well: int = 0  # answers in a row, as it goes on alone
-    proven: int = 0
-    proved: int = 0
-    seen: Tally = field(default_factory=Tally)  # since the last step alone
-    alone: bool = False
-
-
-class Keeper:
-    """One forwarder's."""
-
-    def __init__(self, name: str, forwarders: int, warm: int) -> None:
-        """`forwarders`: of its location; `warm`: the span in which a be grows warm."""
-        self.name, self.many, self.rate = name, max(1, forwarders), SLICES * 10_000 / max(1, warm)
-        self.slot = zlib.crc32(name.encode()) % self.many
-        self.own: dict[int, Own] = {}
-        self.tallies: dict[int, Tally] = {}
-        self.kept = 0  # jumps that were not made
-
-    # --- what is seen ---
-
-    def ended(self, zone: int, how: str, hit: bool, now: int, time: int) -> None:
-        """A dispatch at a location's be is over: well, late or failed. `time`: the module's."""
-        one = Tally(*(int(how == word) for word in ("well", "late", "failed")), int(hit and how != "failed"))
-        self.tallies[zone] = self.tallies.get(zone, Tally()).plus(one)
-        own = self.own.get(zone)
-        if own is None:
+class LocationState:
+    """One location as this gateway has it."""
+
+    failover: SliceFailover
+    slices_per_second: float = 4.0
+    failed_returns: int = 0
+    raised_at: Ticks = 0  # when more slices returned last, or could have
+    credit: float = 0.0  # slices that may return by the rate
+    canaries: CanaryRecord = field(default_factory=CanaryRecord)  # without a plan
+    outcomes: OutcomeCounts = field(default_factory=OutcomeCounts)  # since the last step without a plan
+    without_plan: bool = False
+
+    def fail_return(self, now: Ticks) -> None:
+        """Take all slices back."""
+        self.failover.returned_slices = 0
+        self.canaries.reset()
+        self.outcomes, self.raised_at = OutcomeCounts(), now
+        self.failed_returns = min(MAX_FAILED_RETURNS, self.failed_returns + 1)
+
+    def return_fails(self) -> bool:
+        """Return whether the slices that have returned fail."""
+        failed, total = self.outcomes.failed, self.outcomes.total
+        is_conclusive = total >= MIN_ANSWERS or total == failed
+        return self.failover.returned_slices > 0 and is_conclusive and failed > MAX_FAILED_SHARE * total
+
+    def may_begin_return(self, now: Ticks) -> bool:
+        """Return whether the first slice may return."""
+        return self.canaries.suffices(self.failed_returns) and now - self.raised_at >= min_outage(
+            self.failed_returns
+        )
+
+
+class LocalFailover:
+    """The failovers of all locations, as one gateway follows or decides them."""
+
+    def __init__(self, name: str, gateways: int, slow_start: Ticks) -> None:
+        """`gateways`: how many its location has; `slow_start`: how long a backend takes to warm up."""
+        self.name = name
+        self.gateways = max(1, gateways)
+        self.slices_per_second = SLICE_COUNT * TICKS_PER_SECOND / max(1, slow_start)
+        self.canary_slot = zlib.crc32(name.encode()) % self.gateways
+        self.states: dict[int, LocationState] = {}
+        self.counts: dict[int, OutcomeCounts] = {}  # by location, since the process started
+        self.limited_returns = 0  # how often the rate held slices back that a plan returned
+
+    # --- observations ---
+
+    def attempt_ended(
+        self, zone: int, quality: AnswerQuality, is_hit: bool, now: Ticks, routing_now: Ticks
+    ) -> None:
+        """Count an attempt at a location's backend. `routing_now`: the same moment in the time of the
+        decisions."""
+        outcome = OutcomeCounts.of(quality, is_hit)
+        self.counts[zone] = self.counts.get(zone, OutcomeCounts()).plus(outcome)
+        state = self.states.get(zone)
+        if state is None:
             return
-        own.seen = own.seen.plus(one)
-        own.left.next = min(own.left.next, time + GAP)
-        if how == "failed":
-            own.well = 0
+        state.outcomes = state.outcomes.plus(outcome)
+        state.failover.next_canary_at = min(state.failover.next_canary_at, routing_now + MIN_CANARY_INTERVAL)
+        if quality == "failed":
+            state.canaries.reset()
         else:
-            own.proven = own.proven if own.well else now
-            own.well += 1
-            own.proved = now
-
-    def holds(self) -> dict[int, tuple[int, int]]:
-        """What it keeps to, for whoever decides next: by location, slices at home and returns that failed."""
-        return {zone: (own.left.back, own.fails) for zone, own in sorted(self.own.items())}
-
-    # --- what holds ---
-
-    def look(self, told: Mapping[int, Told] | None, now: int) -> dict[int, Left]:
-        """What holds now; `told` is what the plan says, none where no plan holds."""
-        for zone, one in sorted((told or {}).items()):
-            if zone not in self.own and one.back < SLICES:
-                self.own[zone] = Own(Left(zone), raised=now)
-        for zone, own in sorted(self.own.items()):
-            if told is None:
-                self._alone(own, now)
+            state.canaries.add(1, now)
+
+    def statuses(self) -> dict[int, FailoverStatus]:
+        """Return what this gateway follows by location, for whichever planner decides next."""
+        return {
+            zone: FailoverStatus(state.failover.returned_slices, state.failed_returns)
+            for zone, state in sorted(self.states.items())
+        }
+
+    # --- decisions ---
+
+    def update(
+        self, directives: Mapping[int, FailoverDirective] | None, now: Ticks
+    ) -> dict[int, SliceFailover]:
+        """Return the failovers in force now, by location. `directives`: the plan's; None: without a plan."""
+        for zone, directive in sorted((directives or {}).items()):
+            if zone not in self.states and directive.returned_slices < SLICE_COUNT:
+                self.states[zone] = LocationState(SliceFailover(zone), raised_at=now)
+        for zone, state in sorted(self.states.items()):
+            if directives is None:
+                self._decide(state, now)
             else:
-                own.alone = False
-                self._follow(own, told.get(zone), now)
-        for zone in [zone for zone, own in self.own.items() if own.left.back >= SLICES and not own.fails]:
-            del self.own[zone]
-        return {zone: own.left for zone, own in self.own.items() if own.left.back < SLICES}
-
-    def _follow(self, own: Own, told: Told | None, now: int) -> None:
-        left = own.left
-        if told is None:
-            goal, left.tries = SLICES, False
+                state.without_plan = False
+                self._follow(state, directives.get(zone), now)
+        self._drop_finished()
+        return {
+            zone: state.failover
+            for zone, state in self.states.items()
+            if state.failover.returned_slices < SLICE_COUNT
+        }
+
+    def _drop_finished(self) -> None:
+        for zone in [
+            zone
+            for zone, state in self.states.items()
+            if state.failover.returned_slices >= SLICE_COUNT and not state.failed_returns
+        ]:
+            del self.states[zone]
+
+    def _follow(self, state: LocationState, directive: FailoverDirective | None, now: Ticks) -> None:
+        """Follow a plan; None: it does not name the location, which is in use."""
+        failover = state.failover
+        if directive is None:
+            goal, failover.sends_canaries = SLICE_COUNT, False
         else:
-            goal, own.rate, own.fails = told.back, max(0.01, told.rate), told.fails
-            left.tries, left.to = told.trial == self.name, told.to
-        if goal <= left.back:
-            left.back, own.credit, own.raised = goal, 0.0, now
-            if told is None:
-                own.fails = 0
+            goal, state.failed_returns = directive.returned_slices, directive.failed_returns
+            state.slices_per_second = max(MIN_RATE, directive.slices_per_second)
+            failover.sends_canaries = directive.canary_gateway == self.name
+            failover.substitutes = directive.substitutes
+        if goal > failover.returned_slices:
+            self._return_at_rate(state, goal, now)
             return
-        # no more than what half a second earns at once: who was not asked for long makes no jump either
-        earned = own.rate * max(0, now - own.raised) / 10_000
-        own.credit = min(own.credit + earned, max(1.0, own.rate / 2))
-        own.raised = now
-        more = min(int(own.credit), goal - left.back)
-        self.kept += more < goal - left.back
-        left.back += more
-        own.credit -= more
-
-    def _alone(self, own: Own, now: int) -> None:
-        left = own.left
-        if not own.alone:
-            own.alone, own.well, own.seen, own.raised = True, 0, Tally(), now
-            left.to = ()  # nobody knows any more who bears it
-        if left.back >= SLICES:
-            own.fails = 0
+        failover.returned_slices, state.credit, state.raised_at = goal, 0.0, now
+        if directive is None:
+            state.failed_returns = 0
+
+    def _return_at_rate(self, state: LocationState, goal: int, now: Ticks) -> None:
+        """Return slices toward a goal, no more at once than the rate gives in half a second: a gateway that
+        was idle for long makes no jump either."""
+        rate = state.slices_per_second
+        earned = rate * max(0, now - state.raised_at) / TICKS_PER_SECOND
+        state.credit = min(state.credit + earned, max(1.0, rate / 2))
+        state.raised_at = now
+        missing = goal - state.failover.returned_slices
+        step = min(int(state.credit), missing)
+        self.limited_returns += step < missing
+        state.failover.returned_slices += step
+        state.credit -= step
+
+    def _decide(self, state: LocationState, now: Ticks) -> None:
+        """Go on without a plan."""
+        failover = state.failover
+        if not state.without_plan:
+            state.without_plan, state.outcomes, state.raised_at = True, OutcomeCounts(), now
+            state.canaries.reset()
+            failover.substitutes = ()  # nobody knows any more what they can serve
+        if failover.returned_slices >= SLICE_COUNT:
+            state.failed_returns = 0
             return
-        seen = own.seen
-        if (
-            left.back
-            and (seen.ended() >= FEWEST or seen.ended() == seen.failed)
-            and seen.failed > BAD * seen.ended()
-        ):
-            left.back, own.well, own.seen, own.raised = 0, 0, Tally(), now
-            own.fails = min(MANY, own.fails + 1)
+        if state.return_fails():
+            state.fail_return(now)
             return
-        left.tries = left.back == 0 and (now // TURN) % self.many == self.slot
-        if left.back == 0:
-            if (
-                own.well < WELLS
-                or own.proved - own.proven < PROOF * 3**own.fails
-                or now - own.raised < failover_state.LEAST << own.fails
-            ):
+        is_away = failover.returned_slices == 0
+        failover.sends_canaries = is_away and (now // CANARY_TURN) % self.gateways == self.canary_slot
+        if is_away:
+            if not state.may_begin_return(now):
                 return
-        elif now - own.raised < 10_000 / self.rate:
+        elif now - state.raised_at < TICKS_PER_SECOND / self.slices_per_second:
             return
-        elif seen.late > LATE * seen.ended():
-            own.seen, own.raised = Tally(), now
+        elif state.outcomes.late > HALT_LATE_SHARE * state.outcomes.total:
+            state.outcomes, state.raised_at = OutcomeCounts(), now
             return
-        left.back, own.raised, own.seen = left.back + 1, now, Tally()
+        failover.returned_slices += 1
+        state.raised_at, state.outcomes = now, OutcomeCounts()
--- a/lilacloft/plan/agent.py
+++ b/lilacloft/plan/agent.py
@@ -10,8 +10,8 @@
 
 from loguru import logger
 
-from lilacloft.failover.hash_slices import SLICES
-from lilacloft.failover.local_failover import Keeper
+from lilacloft.failover.hash_slices import SLICE_COUNT
+from lilacloft.failover.local_failover import LocalFailover
 from lilacloft.plan import form
 from lilacloft.plan.follow import EVERY, Follower
 from lilacloft.plan.watch import Watch
@@ -28,7 +28,7 @@
         """`leave`: whole locations may be left, `past` their caches or `across`, to others'."""
         self.owner = owner
         router = owner.router
-        keeper = Keeper(name, router.settings.zone_gateways, router.settings.cache_slow_start.duration)
+        keeper = LocalFailover(name, router.settings.zone_gateways, router.settings.cache_slow_start.duration)
         follower = Follower(
             name,
             max(1, time.time_ns() // 1_000_000),
@@ -126,24 +126,24 @@
     def _note(self) -> None:
         """What has become of locations goes to the log and the records."""
         keeper, holds = self.follower.keeper, self.held.planner != ""
-        now = keeper.holds() if keeper else {}
+        now = keeper.statuses() if keeper else {}
         for zone in sorted(now.keys() | self.away.keys()):
-            back, fails = now.get(zone, (SLICES, 0))
-            was = self.away.get(zone, SLICES)
+            back, fails = now.get(zone, (SLICE_COUNT, 0))
+            was = self.away.get(zone, SLICE_COUNT)
             if back == was:
                 continue
             names, told = self.owner.config["zones"], self.follower.plan.zones.get(zone) if holds else None
-            name, why = names[zone] if 0 <= zone < len(names) else str(zone), told.why if told else ""
-            if back == 0 or back == SLICES or was == 0:
+            name, why = names[zone] if 0 <= zone < len(names) else str(zone), told.reason if told else ""
+            if back == 0 or back == SLICE_COUNT or was == 0:
                 logger.info(
                     "location {}: {} of {} slices at home{}",
                     name,
                     back,
-                    SLICES,
+                    SLICE_COUNT,
                     f" ({why})" if why else "" if holds else " (without a plan)",
                 )
             if self.owner.recorder:
-                self.owner.recorder.away(name, back, SLICES, fails, why, not holds)
+                self.owner.recorder.away(name, back, SLICE_COUNT, fails, why, not holds)
         self.away = {zone: back for zone, (back, _) in now.items()}
 
     # --- connections ---
--- a/lilacloft/plan/follow.py
+++ b/lilacloft/plan/follow.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lilacloft.failover.local_failover import Keeper, Left
+from lilacloft.failover.local_failover import LocalFailover, SliceFailover
 from lilacloft.plan.order import Holder, Name
 from lilacloft.plan.shares import LEAST, Grant, Purse
 from lilacloft.plan.sights import Sight
@@ -56,7 +56,7 @@
     link: float = 0.0  # of likely fills; 0: none
     shares: Mapping[str, float] = field(default_factory=dict)  # of cold budgets, over one's own part alone
     turn: tuple[int, int] = (0, 1)  # at renewals: which of how many
-    left: Mapping[int, Left] = field(default_factory=dict)  # locations that are not all in use
+    left: Mapping[int, SliceFailover] = field(default_factory=dict)  # locations that are not all in use
 
 
 class Follower:
@@ -72,7 +72,7 @@
         own: float,
         now: int,
         restarted: bool = False,
-        keeper: Keeper | None = None,
+        keeper: LocalFailover | None = None,
     ) -> None:
         """`own`: its part of each cold budget when alone. `restarted`: another process had its name, and may
         have lent parts: those are its own again only once they are surely back."""
@@ -202,8 +202,8 @@
             False,
             self.asked_kb,
             self.past,
-            dict(self.keeper.tallies) if self.keeper else {},
-            self.keeper.holds() if self.keeper else {},
+            dict(self.keeper.counts) if self.keeper else {},
+            self.keeper.statuses() if self.keeper else {},
         )
 
     def _asks(self, planner: str, now: int) -> Iterable[Ask]:
@@ -288,7 +288,7 @@
             else {}
         )
         holds = self.holder.holds(now)
-        left = self.keeper.look(self.plan.zones if holds else None, now) if self.keeper else {}
+        left = self.keeper.update(self.plan.zones if holds else None, now) if self.keeper else {}
         if not holds:
             return Effect(shares=shares, left=left)
         plan = self.plan
--- a/lilacloft/plan/form.py
+++ b/lilacloft/plan/form.py
@@ -15,7 +15,9 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 from google.protobuf.message import DecodeError
 
-from lilacloft.failover.failover_state import Tally, Told
+from lilacloft.failover.failover_state import FailoverDirective, FailoverStatus
+from lilacloft.failover.outcome_counts import OutcomeCounts
+from lilacloft.failover.substitutes import ZoneWeight
 from lilacloft.plan.order import Name
 from lilacloft.plan.sights import Sight
 from lilacloft.plan.words import NUMBERED, PARTS, Ask, Delta, Given, Plan, Reply, Summary, Word
@@ -197,7 +199,9 @@
     _givens(into.given, told.given)
     _name(into.holds, told.holds)
     for zone, tally in told.tallies.items():
-        into.tallies.add(zone=zone, well=tally.well, late=tally.late, failed=tally.failed, hits=tally.hits)
+        into.tallies.add(
+            zone=zone, well=tally.on_time, late=tally.late, failed=tally.failed, hits=tally.cache_hits
+        )
     for zone, (back, fails) in told.left.items():
         into.left.add(zone=zone, back=back, fails=fails)
     return frame(out)
@@ -235,8 +239,8 @@
         told.leaves,
         told.asked,
         told.past,
-        {one.zone: Tally(one.well, one.late, one.failed, one.hits) for one in told.tallies},
-        {one.zone: (one.back, one.fails) for one in told.left},
+        {one.zone: OutcomeCounts(one.well, one.late, one.failed, one.hits) for one in told.tallies},
+        {one.zone: FailoverStatus(one.back, one.fails) for one in told.left},
     )
 
 
@@ -249,9 +253,14 @@
         into.renews.add(zone=zone, names=names)
     for zone, one in plan.zones.items():
         made = into.zones.add(
-            zone=zone, back=one.back, fails=one.fails, rate=one.rate, trial=one.trial, why=one.why
+            zone=zone,
+            back=one.returned_slices,
+            fails=one.failed_returns,
+            rate=one.slices_per_second,
+            trial=one.canary_gateway,
+            why=one.reason,
         )
-        for other, part in one.to:
+        for other, part in one.substitutes:
             made.to.add(zone=other, part=part)
 
 
@@ -266,13 +275,13 @@
         {one.key: one.value for one in told.parts},
         {one.zone: tuple(one.names) for one in told.renews},
         {
-            one.zone: Told(
+            one.zone: FailoverDirective(
                 one.back,
                 one.fails,
                 one.rate,
                 one.trial,
                 one.why,
-                tuple((part.zone, part.part) for part in one.to),
+                tuple(ZoneWeight(part.zone, part.part) for part in one.to),
             )
             for one in told.zones
         },
--- a/lilacloft/plan/planner.py
+++ b/lilacloft/plan/planner.py
@@ -13,9 +13,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from lilacloft.failover import fault_detection, recovery_ramp
-from lilacloft.failover.failover_state import Decider, Told
-from lilacloft.failover.hash_slices import PAST, SLICES
+from lilacloft.failover import fault_detection, substitutes
+from lilacloft.failover.failover_control import FailoverController
+from lilacloft.failover.failover_state import FailoverDirective, FailoverStatus
+from lilacloft.failover.hash_slices import SLICE_COUNT
+from lilacloft.failover.recovery_ramp import LocationCapacity, ReadyBackend, SlowStartProfile
 from lilacloft.members.table import ALIVE, FORWARDER, PLANNER, Change, Table
 from lilacloft.plan import place as places
 from lilacloft.plan.order import Issuer, Name
@@ -58,8 +60,8 @@
     zones: bool = False  # whole locations may be left
     across: bool = False  # and others' caches asked in their place
     sizes: bool = False  # the list tells bes' sizes
-    caches: recovery_ramp.Warming = field(default_factory=recovery_ramp.Warming)
-    hubs: recovery_ramp.Warming = field(default_factory=recovery_ramp.Warming)  # how parents grow warm
+    caches: SlowStartProfile = field(default_factory=SlowStartProfile)
+    hubs: SlowStartProfile = field(default_factory=SlowStartProfile)  # how parents grow warm
 
 
 @dataclass
@@ -105,8 +107,8 @@
         self.made: dict[tuple[int, Name], tuple[Plan | None, Delta | None]] = {}  # answers, by location
         self.placed: dict[places.Place, float] = {}
         self.asked = 0
-        self.zones: Decider | None = None
-        self.bears: dict[int, recovery_ramp.Bears] = {}  # of locations with caches, as of the last look
+        self.zones: FailoverController | None = None
+        self.bears: dict[int, LocationCapacity] = {}  # of locations with caches, as of the last look
         self.counts = dict.fromkeys(("summaries", "stale", "plans", "lent", "borrowed", "greedy"), 0)
 
     # --- what is heard ---
@@ -172,7 +174,7 @@
         asks = tuple(self._wants(known, now))
         if self.zones:
             for zone, tally in told.tallies.items():
-                self.zones.tally(told.name, told.incarnation, zone, tally)
+                self.zones.record_counts(told.name, told.incarnation, zone, tally)
         whole = told.number > 0 and before is told  # it is new here: what it told others is not known
         reply = Reply(self.name, self.table.incarnation, told.number, asks=asks, given=gives, whole=whole)
         if not self.issuer.issues:
@@ -225,7 +227,7 @@
             if change.member.role == FORWARDER:
                 self.judge.gone(name)
                 if self.zones:
-                    self.zones.gone(name)
+                    self.zones.forget_gateway(name)
                 known = self.known.get(name)
                 if (
                     known
@@ -361,20 +363,22 @@
     def _zones(self, now: int) -> None:
         """Decide of whole locations, or follow what others have decided."""
         if self.zones is None:
-            self.zones = Decider(now)
+            self.zones = FailoverController(now)
         fresh = {name: known for name, known in sorted(self.known.items()) if now - known.at <= LATELY}
-        if not self.issuer.issues or self.zones.listens(now):
-            held: dict[int, tuple[int, int]] = {}
+        if not self.issuer.issues or self.zones.is_listening(now):
+            held: dict[int, FailoverStatus] = {}
             for known in fresh.values():
                 for zone, (back, fails) in known.summary.left.items():
-                    before = held.get(zone, (back, fails))
-                    held[zone] = min(back, before[0]), max(fails, before[1])
-            return self.zones.take_up(held, now)
+                    before = held.get(zone, FailoverStatus(back, fails))
+                    held[zone] = FailoverStatus(min(back, before[0]), max(fails, before[1]))
+            return self.zones.adopt(held, now)
         places = self._places()
-        self.zones.warming = {
-            zone: self.site.hubs if place.parents else self.site.caches for zone, place in places.items()
+        self.zones.slow_starts = {
+            zone: self.site.hubs if place.is_hub else self.site.caches for zone, place in places.items()
         }
-        view = fault_detection.View(places, self._looks(now), frozenset(fresh), frozenset(self.judge.astray))
+        view = fault_detection.FleetView(
+            places, self._looks(now), frozenset(fresh), frozenset(self.judge.astray)
+        )
         asked: dict[int, Asked] = {zone: Asked() for zone in places}
         for known in self.known.values():
             asked.setdefault(known.summary.zone, Asked()).add(known.summary)
@@ -387,13 +391,13 @@
         bears = {
             zone: self._bears(zone, place, asked[zone], fills, parents) for zone, place in places.items()
         }
-        self.bears = {zone: one for zone, one in bears.items() if not places[zone].parents}
-        self.zones.look(
-            fault_detection.judge(view), {zone: asked[zone].requests for zone in places}, bears, now
+        self.bears = {zone: one for zone, one in bears.items() if not places[zone].is_hub}
+        self.zones.update(
+            fault_detection.detect_faults(view), {zone: asked[zone].requests for zone in places}, bears, now
         )
         return None
 
-    def _places(self) -> dict[int, fault_detection.Place]:
+    def _places(self) -> dict[int, fault_detection.Location]:
         """All locations, with their bes that are ready and their forwarders as the members have them."""
         caches: dict[int, list[str]] = {}
         parents: dict[int, list[str]] = {}
@@ -406,70 +410,70 @@
         for name in self.table.alive(FORWARDER):
             who.setdefault(self.table.members[name].zone, []).append(name)
         out = {
-            zone: fault_detection.Place(tuple(sorted(names)), tuple(who.get(zone, ())))
+            zone: fault_detection.Location(tuple(sorted(names)), tuple(who.get(zone, ())))
             for zone, names in caches.items()
         }
         out.update(
             {
-                zone: fault_detection.Place(tuple(sorted(names)), (), True)
+                zone: fault_detection.Location(tuple(sorted(names)), (), True)
                 for zone, names in parents.items()
                 if zone not in out
             }
         )
         return out
 
-    def _looks(self, now: int) -> dict[str, dict[str, fault_detection.Look]]:
-        out: dict[str, dict[str, fault_detection.Look]] = {}
+    def _looks(self, now: int) -> dict[str, dict[str, fault_detection.BackendObservation]]:
+        out: dict[str, dict[str, fault_detection.BackendObservation]] = {}
         for backend, sights in self.judge.sights.items():
             for name, (at, sight) in sights.items():
                 if now - at <= LATELY:
                     answers = 0 < sight.quiet <= LATELY - (now - at)
-                    out.setdefault(name, {})[backend] = fault_detection.Look(
+                    out.setdefault(name, {})[backend] = fault_detection.BackendObservation(
                         sight.streak, answers, sight.unfilled, sight.filled
                     )
         return out
 
     def _bears(
-        self, zone: int, place: fault_detection.Place, asked: Asked, fills: float, parents: float
-    ) -> recovery_ramp.Bears:
+        self, zone: int, place: fault_detection.Location, asked: Asked, fills: float, parents: float
+    ) -> LocationCapacity:
         """What a location bears now, and what there is to fill it: `fills` of all locations together, of what
         all parents can send."""
         link = self.site.links.get(zone, float("inf"))
         rows = [self.backends[backend] for backend in place.backends]
         size = 2 * link / self.site.pace / max(1, len(rows))  # as the module has it where sizes are not told
-        if place.parents:
+        if place.is_hub:
             size = self.site.parents / self.site.pace
-        sizes = tuple((row.size if self.site.sizes else size, row.age) for row in rows)
-        if place.parents:  # what its parents are asked for is the fills; they fill from the origin
-            return recovery_ramp.Bears(fills, self.site.pace, sizes, self.site.origin)
+        sizes = tuple(ReadyBackend(row.size if self.site.sizes else size, row.age) for row in rows)
+        if place.is_hub:  # what its parents are asked for is the fills; they fill from the origin
+            return LocationCapacity(fills, self.site.pace, sizes, self.site.origin)
         spare = max(0.0, min(link, parents - (fills - asked.fills)))
-        return recovery_ramp.Bears(
+        return LocationCapacity(
             asked.kbytes, self.site.pace, sizes, spare, max(0.0, asked.fills - asked.past)
         )
 
-    def _told(self, who: Mapping[int, list[str]], now: int) -> dict[int, Told]:
+    def _told(self, who: Mapping[int, list[str]], now: int) -> dict[int, FailoverDirective]:
         if self.zones is None:
             return {}
         everybody = tuple(sorted(name for names in who.values() for name in names))
         hubs = dict.fromkeys(self._hubs(), everybody)
         to = self._across(now) if self.site.across else {}
-        return self.zones.told({**hubs, **{zone: tuple(names) for zone, names in who.items()}}, now, to)
+        return self.zones.directives({**hubs, **{zone: tuple(names) for zone, names in who.items()}}, now, to)
 
-    def _across(self, now: int) -> dict[int, tuple[tuple[int, float], ...]]:
+    def _across(self, now: int) -> dict[int, tuple[substitutes.ZoneWeight, ...]]:
         """Which locations take what is away from which, by what those that are all in use have to spare."""
         if self.zones is None:
             return {}
-        courses, bears = self.zones.courses, self.bears
-        away = [zone for zone in bears if zone in courses and courses[zone].back < SLICES]
+        courses, bears = self.zones.states, self.bears
+        away = [zone for zone in bears if zone in courses and courses[zone].returned_slices < SLICE_COUNT]
         spare = {}
         for zone in bears:
             if zone not in away:
-                able = sum(size for size, age in bears[zone].sizes if age >= self.site.caches.warm)
+                able = sum(size for size, age in bears[zone].backends if age >= self.site.caches.duration)
                 spare[zone] = max(0.0, able * self.site.pace - bears[zone].demand) / max(1, len(away))
         out = {}
         for zone in away:
-            fresh = recovery_ramp.spread(spare, bears[zone].demand, PAST)
-            before = self.plan.zones[zone].to if zone in self.plan.zones else ()
+            fresh = substitutes.share_out(spare, bears[zone].demand)
+            before = self.plan.zones[zone].substitutes if zone in self.plan.zones else ()
             # what little changes would move objects for nothing; whoever has gone out of use takes nothing
             near = dict(before).keys() == dict(fresh).keys() and all(
                 abs(dict(before)[one] - weight) <= NOISE for one, weight in fresh
--- a/lilacloft/plan/serve.py
+++ b/lilacloft/plan/serve.py
@@ -12,7 +12,7 @@
 
 from lilacloft import needed
 from lilacloft.config.addresses import address
-from lilacloft.failover.recovery_ramp import Warming
+from lilacloft.failover.recovery_ramp import SlowStartProfile
 from lilacloft.net.feed import Feed, known
 from lilacloft.plan import form
 from lilacloft.plan.planner import Listed, Planner, Site
@@ -52,8 +52,10 @@
             zones=leave != "never",
             across=leave == "across",
             sizes=found.get("weight_source", "silent") != "silent",
-            caches=Warming(rules["start_capacity"], rules["cold"], rules["tip_multiple"]),
-            hubs=Warming(family["parent_floor"], family["parent_warms_in"], family["parent_breaks_at"]),
+            caches=SlowStartProfile(rules["start_capacity"], rules["cold"], rules["tip_multiple"]),
+            hubs=SlowStartProfile(
+                family["parent_floor"], family["parent_warms_in"], family["parent_breaks_at"]
+            ),
         )
         self.store = self._open(folder)
         epoch, life = self._begin()
--- a/lilacloft/plan/watch.py
+++ b/lilacloft/plan/watch.py
@@ -60,7 +60,7 @@
         if keeper and outcome == "cancelled" and took > mine.latency_objective(work):
             how = "failed"  # of a trial that was called back: it was given more than its time
         if how and keeper and not self.router.pools.is_origin(backend):
-            keeper.ended(
+            keeper.attempt_ended(
                 backend.zone,
                 how,
                 outcome == "done" and note not in FILLED,
--- a/lilacloft/plan/words.py
+++ b/lilacloft/plan/words.py
@@ -5,7 +5,8 @@
 
 from dataclasses import dataclass, field
 
-from lilacloft.failover.failover_state import Tally, Told
+from lilacloft.failover.failover_state import FailoverDirective, FailoverStatus
+from lilacloft.failover.outcome_counts import OutcomeCounts
 from lilacloft.plan.order import Name
 from lilacloft.plan.sights import Sight
 
@@ -51,8 +52,8 @@
     leaves: bool = False
     asked: float = 0.0  # KB a second that its reqs ask for
     past: float = 0.0  # of `fills`, what goes past the caches
-    tallies: dict[int, Tally] = field(default_factory=dict)  # by location, since its process began
-    left: dict[int, tuple[int, int]] = field(default_factory=dict)  # what it keeps to, of those not in use
+    tallies: dict[int, OutcomeCounts] = field(default_factory=dict)  # by location, since its process began
+    left: dict[int, FailoverStatus] = field(default_factory=dict)  # what it keeps to, of those not in use
 
 
 @dataclass(frozen=True)
@@ -67,7 +68,7 @@
     links: dict[int, float] = field(default_factory=dict)  # fills at once, by location, of all together
     parts: dict[str, float] = field(default_factory=dict)  # a forwarder's part of its location's
     renews: dict[int, tuple[str, ...]] = field(default_factory=dict)  # forwarders in the order of their turns
-    zones: dict[int, Told] = field(default_factory=dict)  # locations that are not all in use
+    zones: dict[int, FailoverDirective] = field(default_factory=dict)  # locations that are not all in use
 
 
 @dataclass(frozen=True)
--- a/rigs/failover.py
+++ b/rigs/failover.py
@@ -25,7 +25,7 @@
 from lilacloft.emulator.planes import Planes, Trouble, troubles
 from lilacloft.emulator.policies import POLICIES
 from lilacloft.emulator.worlds import READS, SECOND, World
-from lilacloft.failover.failover_state import LEFT
+from lilacloft.failover.failover_state import FailoverPhase
 
 WAYS = ("alone", "planes", "leaves", "across", "oracle")
 
@@ -204,13 +204,13 @@
     if way in ("leaves", "across"):
         for plane in fleet.planners:
             zones = plane.core.zones
-            for zone, course in (zones.courses if zones else {}).items():
-                mine = [(at - plane.now() + fleet.events.now - START, text) for at, text in course.log]
+            for zone, state in (zones.states if zones else {}).items():
+                mine = [(at - plane.now() + fleet.events.now - START, text) for at, text in state.history]
                 out["left"] += [f"{plane.name} {zone} at {at / SECOND:.2f} s: {text}" for at, text in mine]
         # who followed another has the same changes once more
         out["changes"] = max(
             sum(
-                text.startswith(LEFT)
+                text.startswith(FailoverPhase.FAILED_OVER)
                 for text in (
                     line.partition(": ")[2] for line in out["left"] if line.startswith(f"{plane.name} ")
                 )
@@ -248,8 +248,8 @@
         f"{plane.name} {zone}: {text}"
         for plane in fleet.planners
         if plane.core.zones
-        for zone, course in plane.core.zones.courses.items()
-        for _, text in course.log
+        for zone, state in plane.core.zones.states.items()
+        for _, text in state.history
     ]
     return [*said, *(str(one) for one in result.breaches)]
 
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -19,7 +19,9 @@
 
 from lilacloft import needed
 from lilacloft.config.reader import load
-from lilacloft.failover.failover_state import Tally, Told
+from lilacloft.failover.failover_state import FailoverDirective, FailoverStatus
+from lilacloft.failover.outcome_counts import OutcomeCounts
+from lilacloft.failover.substitutes import ZoneWeight
 from lilacloft.net import feed
 from lilacloft.net.conn import OUTCOMES, End
 from lilacloft.net.owner import Owner
@@ -628,7 +630,7 @@
         "asked": told.asked,
         "past": told.past,
         "tallies": {
-            zone: {"well": one.well, "late": one.late, "failed": one.failed, "hits": one.hits}
+            zone: {"well": one.on_time, "late": one.late, "failed": one.failed, "hits": one.cache_hits}
             for zone, one in told.tallies.items()
         },
         "left": lists(told.left),
@@ -656,28 +658,28 @@
             asked=plain["asked"],
             past=plain["past"],
             tallies={
-                zone: Tally(one["well"], one["late"], one["failed"], one["hits"])
+                zone: OutcomeCounts(one["well"], one["late"], one["failed"], one["hits"])
                 for zone, one in plain["tallies"].items()
             },
-            left={zone: (back, fails) for zone, (back, fails) in plain["left"].items()},
+            left={zone: FailoverStatus(back, fails) for zone, (back, fails) in plain["left"].items()},
         )
     )
 
 
-def _zone_values(told: Told) -> Plain:
+def _zone_values(told: FailoverDirective) -> Plain:
     return {
-        "back": told.back,
-        "fails": told.fails,
-        "rate": told.rate,
-        "trial": told.trial,
-        "why": told.why,
-        "to": lists(told.to),
+        "back": told.returned_slices,
+        "fails": told.failed_returns,
+        "rate": told.slices_per_second,
+        "trial": told.canary_gateway,
+        "why": told.reason,
+        "to": lists(told.substitutes),
     }
 
 
-def _zone(plain: Plain) -> Told:
-    to = tuple((zone, part) for zone, part in plain["to"])
-    return Told(plain["back"], plain["fails"], plain["rate"], plain["trial"], plain["why"], to)
+def _zone(plain: Plain) -> FailoverDirective:
+    to = tuple(ZoneWeight(zone, part) for zone, part in plain["to"])
+    return FailoverDirective(plain["back"], plain["fails"], plain["rate"], plain["trial"], plain["why"], to)
 
 
 def _plan_values(plan: words.Plan) -> Plain:
--- a/tests/test_failover_world.py
+++ b/tests/test_failover_world.py
@@ -6,7 +6,7 @@
 from lilacloft.emulator.fleet import START
 from lilacloft.emulator.planes import Trouble
 from lilacloft.emulator.worlds import SECOND
-from lilacloft.failover.hash_slices import SLICES
+from lilacloft.failover.hash_slices import SLICE_COUNT
 from rigs.failover import SCRIPTS, WatchedPlanes, one, world
 
 SIZES = (24, 12, 110.0, 4)  # caches, gateways, reqs a second, locations
@@ -24,7 +24,7 @@
     assert row["broken"] == 0, row["breaches"]
     assert row["elsewhere"] is not None and row["elsewhere"] <= 3.0 and row["changes"] <= 2
     planner = "p1" if script == "issuer-back" else "p0"
-    assert any(f"{SLICES} of {SLICES}" in text for text in said(row, 1, planner))
+    assert any(f"{SLICE_COUNT} of {SLICE_COUNT}" in text for text in said(row, 1, planner))
     assert not said(row, 0) and not said(row, 2) and not said(row, 3)
 
 
@@ -61,9 +61,9 @@
 def backs(fleet):
     """Slices at home of location 1, by forwarder of it that has not all."""
     return [
-        gateway.follower.keeper.own[1].left.back
+        gateway.follower.keeper.states[1].failover.returned_slices
         for gateway in fleet.gateways
-        if gateway.zone == 1 and 1 in gateway.follower.keeper.own
+        if gateway.zone == 1 and 1 in gateway.follower.keeper.states
     ]
 
 
@@ -102,7 +102,7 @@
     path = []
 
     def look():
-        path.append(min(backs(fleet), default=SLICES))
+        path.append(min(backs(fleet), default=SLICE_COUNT))
         fleet.events.at(fleet.events.now + 2_500, 9, look)
 
     fleet.events.at(START + 5 * SECOND, 9, look)
@@ -122,7 +122,7 @@
     fleet = WatchedPlanes(world(*SIZES, span=14.0), 2, faults, leave="past")
     fleet.watch()
     assert not fleet.run().breaches
-    assert all(not course.log for plane in fleet.planners for course in plane.core.zones.courses.values())
+    assert all(not state.history for plane in fleet.planners for state in plane.core.zones.states.values())
 
 
 def test_the_same_seed_is_the_same_run():
--- a/tests/test_planes.py
+++ b/tests/test_planes.py
@@ -234,7 +234,8 @@
 
 
 def test_what_is_told_of_locations_reads_the_same_and_an_older_reader_skips_it():
-    from lilacloft.failover.failover_state import Tally, Told
+    from lilacloft.failover.failover_state import FailoverDirective, FailoverStatus
+    from lilacloft.failover.outcome_counts import OutcomeCounts
 
     summary = Summary(
         "f1",
@@ -244,12 +245,16 @@
         sights={"b": Sight(1, 2, 3, 4, True, 1.5, 5, 60, 7, 8)},
         asked=12.5,
         past=3.25,
-        tallies={2: Tally(5, 4, 3, 2), -1: Tally(1)},
-        left={2: (40, 3), -1: (0, 0)},
+        tallies={2: OutcomeCounts(5, 4, 3, 2), -1: OutcomeCounts(1)},
+        left={2: FailoverStatus(40, 3), -1: FailoverStatus(0, 0)},
     )
     assert form.summarized(body(form.summary(summary)).summary) == summary
-    one = Plan(Name(1, 2, "p"), 3, zones={0: Told(0, 1, 4.25, "f1", "its caches fail"), -2: Told(63)})
-    two = Plan(Name(1, 3, "p"), 3, zones={-2: Told(64, 2)})
+    one = Plan(
+        Name(1, 2, "p"),
+        3,
+        zones={0: FailoverDirective(0, 1, 4.25, "f1", "its caches fail"), -2: FailoverDirective(63)},
+    )
+    two = Plan(Name(1, 3, "p"), 3, zones={-2: FailoverDirective(64, 2)})
     for reply in (Reply("p0", 1, 2, 30_000, one), Reply("p0", 1, 2, 30_000, None, delta(one, two))):
         assert form.replied(body(form.reply(reply)).reply) == reply
     assert applied(one, delta(one, two)) == two
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -391,7 +391,7 @@
 def test_what_becomes_of_locations_is_written_once_each_time_it_changes():
     from types import SimpleNamespace
 
-    from lilacloft.failover.failover_state import Told
+    from lilacloft.failover.failover_state import FailoverDirective
     from lilacloft.plan.agent import Agent
     from lilacloft.plan.order import Name
     from lilacloft.record.writer import Recorder
@@ -403,8 +403,8 @@
     agent = Agent.__new__(Agent)
     agent.owner = SimpleNamespace(recorder=recorder, config={"zones": ["here", "there"]})
     agent.follower = SimpleNamespace(
-        keeper=SimpleNamespace(holds=lambda: next(holds)),
-        plan=SimpleNamespace(zones={1: Told(0, why="its caches fail")}),
+        keeper=SimpleNamespace(statuses=lambda: next(holds)),
+        plan=SimpleNamespace(zones={1: FailoverDirective(0, reason="its caches fail")}),
     )
     agent.away = {}
     for planner in ("p1", "p1", "", "p1", "p1"):
