--- a/lilacloft/net/conn.py
+++ b/lilacloft/net/conn.py
@@ -20,7 +20,7 @@
 
 from loguru import logger
 
-from lilacloft.net import transient
+from lilacloft.net import socket_errors
 from lilacloft.net.resp import FROM_CACHE, LARGEST, MIDDLE, Buffer, GarbledError
 from lilacloft.net.tcp_info import bytes_received, since_last_data
 
@@ -41,7 +41,7 @@
     try:
         found = watch.poll(milliseconds)
     except OSError as wrong:
-        if not transient.passes(wrong):
+        if not socket_errors.passes(wrong):
             raise
         return unknown
     return found[0][1] if found else 0
@@ -49,7 +49,7 @@
 
 def broken(error: OSError) -> End:
     """The end of a connection on which a call has failed for good."""
-    return End.RESET if transient.ended_by_peer(error) else End.BROKEN
+    return End.RESET if socket_errors.ended_by_peer(error) else End.BROKEN
 
 
 class State(Enum):
@@ -210,7 +210,7 @@
         except BlockingIOError:
             return rest
         except OSError as wrong:
-            if transient.passes(wrong):
+            if socket_errors.passes(wrong):
                 return rest
             self._finish(broken(wrong))
             return rest[:0]
@@ -283,7 +283,7 @@
                     self._flush()
                     stuck = self.written == before
                 if stuck:  # the socket would take it, and the system lacks something just now
-                    time.sleep(transient.PAUSE)
+                    time.sleep(socket_errors.PAUSE)
             except Exception:
                 logger.exception("a connection's writing thread failed")
                 self.close(End.FAULT)
@@ -400,7 +400,7 @@
         except ConnectionRefusedError:
             return self.close(End.REFUSED)
         except OSError as wrong:
-            return self.close(End.NO_LINE if transient.own_fault(wrong) else End.UNMADE)
+            return self.close(End.NO_LINE if socket_errors.own_fault(wrong) else End.UNMADE)
         self.sock.settimeout(None)
         with self.lock:
             self._to(State.OPEN)
@@ -412,13 +412,13 @@
         """Connect within the time that there is; what fails for a moment on this machine is tried again."""
         begun = time.monotonic()
         while True:
-            self.sock.settimeout(max(transient.PAUSE, begun + self.patience - time.monotonic()))
+            self.sock.settimeout(max(socket_errors.PAUSE, begun + self.patience - time.monotonic()))
             try:
                 return self.sock.connect(self.address)
             except OSError as wrong:
-                if time.monotonic() >= begun + CONNECT_AGAIN or not transient.connect_passes(wrong):
+                if time.monotonic() >= begun + CONNECT_AGAIN or not socket_errors.connect_passes(wrong):
                     raise
-            time.sleep(transient.PAUSE)
+            time.sleep(socket_errors.PAUSE)
 
     def _plain(self) -> None:
         for _ in range(OPTION_TRIES):  # a socket that has broken says so when it is read
@@ -473,9 +473,9 @@
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except OSError as wrong:
-            if not transient.passes(wrong):
+            if not socket_errors.passes(wrong):
                 raise
-            time.sleep(transient.PAUSE)
+            time.sleep(socket_errors.PAUSE)
             return False
         return True
 
@@ -489,9 +489,9 @@
         try:
             count = self.buffer.fill(self.sock)
         except OSError as wrong:
-            if self.end is not None or not transient.passes(wrong):
+            if self.end is not None or not socket_errors.passes(wrong):
                 raise
-            time.sleep(transient.PAUSE)
+            time.sleep(socket_errors.PAUSE)
             return True
         if not count:
             return False
--- a/lilacloft/net/front.py
+++ b/lilacloft/net/front.py
@@ -18,7 +18,7 @@
 
 from loguru import logger
 
-from lilacloft.net import transient
+from lilacloft.net import socket_errors
 from lilacloft.net.conn import PARTING, Conn, End, State, polled
 from lilacloft.net.resp import FROM_CLIENT, LARGEST, SMALL, GarbledError, encode, fields, listed
 from lilacloft.net.tcp_info import since_last_data, since_opened
@@ -296,7 +296,7 @@
         self.counts = dict.fromkeys(names.split(), 0)
         self.closes: Counter[str] = Counter()  # connections, by how they ended
         self.gate = threading.Lock()  # held while one is accepted, and by who wants none to be
-        self.sock = sock or transient.retried(lambda: socket.socket(socket.AF_INET, socket.SOCK_STREAM))
+        self.sock = sock or socket_errors.retried(lambda: socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         if sock is None:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.sock.bind(address)
@@ -328,10 +328,10 @@
         if not self.counts["not_taken"]:
             logger.error("accept: {}", wrong)
         self.counts["not_taken"] += 1
-        if transient.only_this_client(wrong):
-            time.sleep(transient.PAUSE)
+        if socket_errors.only_this_client(wrong):
+            time.sleep(socket_errors.PAUSE)
             return
-        if transient.descriptors_are_short(wrong):
+        if socket_errors.descriptors_are_short(wrong):
             self._make_room()
         time.sleep(LOOK)
 
--- a/lilacloft/net/owner.py
+++ b/lilacloft/net/owner.py
@@ -21,12 +21,12 @@
 from lilacloft import needed
 from lilacloft.invariants import Effect, History, Invariants, Promise
 from lilacloft.net.back import Back, Sent
-from lilacloft.net.budgets import budgets, descriptor_limit
 from lilacloft.net.conn import OUTCOMES, Conn, End
-from lilacloft.net.feed import Entry, Event, Feed, Heard, known
+from lilacloft.net.discovery_watch import Entry, Event, Feed, Heard, known
 from lilacloft.net.front import Call, Client, Front
+from lilacloft.net.request_trace import Trace
+from lilacloft.net.resource_limits import budgets, descriptor_limit
 from lilacloft.net.resp import encode, listed
-from lilacloft.net.trace import Trace
 from lilacloft.routing.host import AttemptResult, Dispatch, Endpoint, HealthChange, Timer
 from lilacloft.routing.model import Backend, RejectReason, Request
 from lilacloft.routing.router import Router
--- a/lilacloft/plan/serve.py
+++ b/lilacloft/plan/serve.py
@@ -13,7 +13,7 @@
 from lilacloft import needed
 from lilacloft.config.addresses import address
 from lilacloft.failover.recovery_ramp import SlowStartProfile
-from lilacloft.net.feed import Feed, known
+from lilacloft.net.discovery_watch import Feed, known
 from lilacloft.plan import form
 from lilacloft.plan.planner import Listed, Planner, Site
 from lilacloft.plan.wire import Dial, Door, Peer
--- a/lilacloft/plan/wire.py
+++ b/lilacloft/plan/wire.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from lilacloft.net.feed import exactly
+from lilacloft.net.discovery_watch import exactly
 from lilacloft.plan import form
 from lilacloft.plan.form import HEAD, WireError
 
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from lilacloft.errors import NOT_WANTED, NotWantedError, UnusableError
-from lilacloft.net import transient
+from lilacloft.net import socket_errors
 from lilacloft.settings import WORDS
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
     if not path:
         raise UnusableError("no configuration: name one with --config or in EDGE_CONFIG")
     try:
-        with transient.retried(lambda: open(path, encoding="utf-8")) as file:
+        with socket_errors.retried(lambda: open(path, encoding="utf-8")) as file:
             config = json.load(file)
     except (OSError, ValueError, RecursionError) as wrong:
         raise UnusableError(f"{path} cannot be read: {wrong}") from wrong
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from lilacloft.net.feed import Heard
+from lilacloft.net.discovery_watch import Heard
 from lilacloft.net.owner import Owner
 from lilacloft.net.resp import fields
 from lilacloft.upgrade import carry, form
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -13,8 +13,8 @@
 import pytest
 
 from lilacloft.net.back import Back, Line, Sent
-from lilacloft.net.budgets import RESERVED, budgets
 from lilacloft.net.conn import End
+from lilacloft.net.resource_limits import RESERVED, budgets
 from lilacloft.routing.model import Backend
 from lilacloft.settings import settings
 from rigs.inprocess import waits_for
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -18,12 +18,12 @@
 import pytest
 
 from lilacloft.net import conn as conns
-from lilacloft.net import feed as feeds
+from lilacloft.net import discovery_watch
 from lilacloft.net import front as fronts
 from lilacloft.net import owner as owners
 from lilacloft.net.back import Back, Line, Sent
 from lilacloft.net.conn import Conn, End, State
-from lilacloft.net.feed import Feed
+from lilacloft.net.discovery_watch import Feed
 from lilacloft.net.front import Client, Front
 from lilacloft.net.owner import Owner, Phase
 from lilacloft.net.resp import encode
@@ -577,7 +577,7 @@
 
 def test_a_watch_that_drips_is_as_silent_as_one_that_says_nothing(monkeypatch):
     """Half a frame whose bytes trickle in is no beat: it is followed anew, from the last event held."""
-    monkeypatch.setattr(feeds, "SILENCE", 0.3)
+    monkeypatch.setattr(discovery_watch, "SILENCE", 0.3)
     server, over = socket.create_server(("127.0.0.1", 0)), threading.Event()
     told = queue.SimpleQueue()
     feed = Feed(server.getsockname(), 4, lambda event, number: told.put(number), "n7")
