--- a/lilacloft/net/owner.py
+++ b/lilacloft/net/owner.py
@@ -22,7 +22,8 @@
 from lilacloft.invariants import Effect, History, Invariants, Promise
 from lilacloft.net.back import Back, Sent
 from lilacloft.net.conn import OUTCOMES, Conn, End
-from lilacloft.net.discovery_watch import Entry, Event, Feed, Heard, known
+from lilacloft.net.discovery_events import DiscoveryEvent, EndpointEntry, events_of_config
+from lilacloft.net.discovery_watch import DiscoveryWatch, WatchStatus
 from lilacloft.net.front import Call, Client, Front
 from lilacloft.net.request_trace import Trace
 from lilacloft.net.resource_limits import budgets, descriptor_limit
@@ -114,7 +115,9 @@
         self.allowed = config["limits"]
         self.given = {name: config[name] for name in ("listen", "settings")}  # what a reload cannot change
         self.known = last = config["known"]["seq"]
-        events = list(known(config["known"]["results"], self.config["zones"], self.config["kinds"]))
+        events = list(
+            events_of_config(config["known"]["results"], self.config["zones"], self.config["kinds"])
+        )
         descriptors = descriptor_limit()
         if descriptors < self.allowed["sockets"]:
             logger.warning(
@@ -134,13 +137,13 @@
         self.front = Front(
             self.post, self, address(self.listen), self.vhosts, self.budgets.clients, self.largest(), sock
         )
-        self.feed = Feed(address(config["changelog"]), last, self._heard, config.get("name", ""))
+        self.feed = DiscoveryWatch(address(config["changelog"]), last, self._heard, config.get("name", ""))
         self._tick()
         self.router = Router(self, self.config)
         if not follows:
             self._configured([event for _, event in events])
 
-    def _configured(self, events: list[Event]) -> None:
+    def _configured(self, events: list[DiscoveryEvent]) -> None:
         """What the configuration has of the change log: purges first, as they tell how its clock stands."""
         listed = [entry for what, told in events if what != "purge" for entry in told]
         self.stamps.configured(self.time, (started * 10 for *_, started in listed))
@@ -563,17 +566,17 @@
 
     # --- what the change log brings ---
 
-    def _heard(self, event: Event, number: int) -> None:
+    def _heard(self, event: DiscoveryEvent, number: int) -> None:
         """In the change log's thread. What the configuration's list had in it already is told again only to a
         gateway whose store may lack a purge: an older list must not stand for a moment."""
         if event[0] == "purge" or number > self.known:
-            self.post(self.told, event, None, self.feed.heard)
+            self.post(self.told, event, None, self.feed.status)
         if self.guard:
             self.post(self.guard.heard, event, number)
         if self.recorder:
             self.post(self.recorder.heard, event, number, time.monotonic_ns() // NS)
 
-    def told(self, event: Event, mode: str | None = None, heard: Heard | None = None) -> None:
+    def told(self, event: DiscoveryEvent, mode: str | None = None, heard: WatchStatus | None = None) -> None:
         """A list, changes of it, or a purge. `heard`: how the log was heard from before; none where a
         configuration or a store tells of it."""
         what, told = event
@@ -590,7 +593,7 @@
         )
         return None
 
-    def listed(self, mode: str, rows: list[Entry]) -> None:
+    def listed(self, mode: str, rows: list[EndpointEntry]) -> None:
         """A list, or changes of it, with starts in the gateway's own time."""
         entries, places = [], []
         for name, place, zone, kind, cell, status, size, started in rows:
--- a/lilacloft/plan/serve.py
+++ b/lilacloft/plan/serve.py
@@ -13,7 +13,8 @@
 from lilacloft import needed
 from lilacloft.config.addresses import address
 from lilacloft.failover.recovery_ramp import SlowStartProfile
-from lilacloft.net.discovery_watch import Feed, known
+from lilacloft.net.discovery_events import events_of_config
+from lilacloft.net.discovery_watch import DiscoveryWatch
 from lilacloft.plan import form
 from lilacloft.plan.planner import Listed, Planner, Site
 from lilacloft.plan.wire import Dial, Door, Peer
@@ -64,9 +65,9 @@
         self.queue: queue.SimpleQueue[tuple[Any, ...]] = queue.SimpleQueue()
         self.backends: dict[str, tuple[Any, ...]] = {}
         self.number = config["known"]["seq"]
-        for number, event in known(config["known"]["results"], found["zones"], found["kinds"]):
+        for number, event in events_of_config(config["known"]["results"], found["zones"], found["kinds"]):
             self._told(event, number)
-        self.feed = Feed(
+        self.feed = DiscoveryWatch(
             address(config["changelog"]),
             self.number,
             lambda event, number: self.queue.put((self._told, event, number)),
--- a/lilacloft/plan/wire.py
+++ b/lilacloft/plan/wire.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from lilacloft.net.discovery_watch import exactly
+from lilacloft.net.exact_reads import read_exactly
 from lilacloft.plan import form
 from lilacloft.plan.form import HEAD, WireError
 
@@ -83,8 +83,8 @@
         try:
             with self.sock.makefile("rb") as stream:
                 while True:
-                    length = form.head(exactly(stream, HEAD.size))
-                    message = form.read(exactly(stream, length))
+                    length = form.head(read_exactly(stream, HEAD.size))
+                    message = form.read(read_exactly(stream, length))
                     self.read += HEAD.size + length
                     if self.known is None:
                         if not message.HasField("hello"):
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -22,7 +22,7 @@
 from lilacloft.failover.failover_state import FailoverDirective, FailoverStatus
 from lilacloft.failover.outcome_counts import OutcomeCounts
 from lilacloft.failover.substitutes import ZoneWeight
-from lilacloft.net import discovery_watch
+from lilacloft.net import discovery_events
 from lilacloft.net.conn import OUTCOMES, End
 from lilacloft.net.owner import Owner
 from lilacloft.plan import form as plan_form
@@ -861,12 +861,12 @@
     """The events of the change log that a platform's configuration holds: number, what, and its rows."""
     config = json.loads(path.read_text())
     zones, names = config["settings"]["zones"], config["settings"]["kinds"]
-    return lists(list(discovery_watch.known(config["known"]["results"], zones, names)))
+    return lists(list(discovery_events.events_of_config(config["known"]["results"], zones, names)))
 
 
 def log_event(number: int, kind: int, payload: bytes) -> list[Any]:
     """One event of the change log, from its frame: what, and its rows."""
-    return lists(discovery_watch.frame(number, kind, payload))
+    return lists(discovery_events.decode_event(number, kind, payload))
 
 
 def operators_values(path: Path) -> Plain:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from lilacloft.net.discovery_watch import Heard
+from lilacloft.net.discovery_watch import WatchStatus
 from lilacloft.net.owner import Owner
 from lilacloft.net.resp import fields
 from lilacloft.upgrade import carry, form
@@ -113,7 +113,7 @@
     now = int(time.time() * 1000)
     world.log.add(2, 3, struct.pack(">QQ", 4, now))
     world.log.add(2, 0)  # nothing new: all that it held back is told
-    until(lambda: world.owner.feed.heard.current)
+    until(lambda: world.owner.feed.status.current)
     purged = time.monotonic()
     world.log.add(3, 3, struct.pack(">QQ", 5, int(time.time() * 1000) - int(back * 1000)))
     until(lambda: world.owner.feed.last == 3)
@@ -154,7 +154,7 @@
         carry.Told(successor).make(form.read(msgspec.msgpack.encode(state), form.State), [].__getitem__)
         started = successor.backends["s-00000001"].started
         assert started == world.owner.backends["s-00000001"].started
-        successor.told(("delta", [told]), None, Heard(successor.steady, current=False))
+        successor.told(("delta", [told]), None, WatchStatus(successor.steady, current=False))
         assert successor.backends["s-00000001"].started == started
     finally:
         successor.front.sock.close()
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -23,7 +23,7 @@
 from lilacloft.net import owner as owners
 from lilacloft.net.back import Back, Line, Sent
 from lilacloft.net.conn import Conn, End, State
-from lilacloft.net.discovery_watch import Feed
+from lilacloft.net.discovery_watch import DiscoveryWatch
 from lilacloft.net.front import Client, Front
 from lilacloft.net.owner import Owner, Phase
 from lilacloft.net.resp import encode
@@ -577,10 +577,10 @@
 
 def test_a_watch_that_drips_is_as_silent_as_one_that_says_nothing(monkeypatch):
     """Half a frame whose bytes trickle in is no beat: it is followed anew, from the last event held."""
-    monkeypatch.setattr(discovery_watch, "SILENCE", 0.3)
+    monkeypatch.setattr(discovery_watch, "MAX_SILENCE", 0.3)
     server, over = socket.create_server(("127.0.0.1", 0)), threading.Event()
     told = queue.SimpleQueue()
-    feed = Feed(server.getsockname(), 4, lambda event, number: told.put(number), "n7")
+    feed = DiscoveryWatch(server.getsockname(), 4, lambda event, number: told.put(number), "n7")
     feed.start()
     sock, _ = server.accept()
     assert sock.recv(8, socket.MSG_WAITALL) == struct.pack(">Q", 4)
@@ -608,9 +608,13 @@
 
 
 def test_gateways_that_all_see_silence_do_not_all_come_back_at_once():
-    spans = {Feed(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._drawn() for number in range(200)}
+    spans = {
+        DiscoveryWatch(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._jitter() for number in range(200)
+    }
     assert len(spans) == 200 and min(spans) < 0.05 and max(spans) > 0.95
-    drawn = [Feed(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._drawn() for number in range(10)]
+    drawn = [
+        DiscoveryWatch(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._jitter() for number in range(10)
+    ]
     assert max(drawn) - min(drawn) > 0.5, "also of ten whose names differ in one figure: it had been 0.04"
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from lilacloft.net import back, discovery_watch
+from lilacloft.net import back, discovery_events, discovery_watch
 from lilacloft.net.conn import OUTCOMES, Conn, End
 from lilacloft.net.resp import FROM_CACHE, FROM_CLIENT, LARGEST, Buffer, GarbledError, encode, fields, listed
 from lilacloft.routing.model import Backend
@@ -131,17 +131,18 @@
         (3, 4, struct.pack(">HQ", 17, purged)),
     ]
     config = settings(ENV)
-    assert list(discovery_watch.known(lists, config["zones"], config["kinds"])) == [
-        (number, discovery_watch.frame(number, kind, payload)) for number, kind, payload in frames
+    assert list(discovery_events.events_of_config(lists, config["zones"], config["kinds"])) == [
+        (number, discovery_events.decode_event(number, kind, payload)) for number, kind, payload in frames
     ]
-    assert discovery_watch.frame(4, 0, b"") is None
+    assert discovery_events.decode_event(4, 0, b"") is None
     for kind, payload in ((0, b"x"), (1, b"x" * 26), (3, b"x"), (5, b""), (2, record(7, 1, state=3))):
         with pytest.raises(GarbledError):
-            discovery_watch.frame(4, kind, payload)
+            discovery_events.decode_event(4, kind, payload)
 
 
 def test_the_change_log_is_followed_from_the_last_event_held_whatever_comes(monkeypatch):
-    monkeypatch.setattr(discovery_watch, "BEAT", 0.1)
+    monkeypatch.setattr(discovery_watch, "MIN_BACKOFF", 0.1 / 32)
+    monkeypatch.setattr(discovery_watch, "MAX_BACKOFF", 0.1 / 2)
     got, since = queue.SimpleQueue(), queue.SimpleQueue()
     purge = struct.pack(">HQ", 17, 1)
     scripts = iter(
@@ -163,7 +164,7 @@
 
     with socket.create_server(("127.0.0.1", 0)) as server:
         threading.Thread(target=serve, args=(server,), daemon=True).start()
-        discovery_watch.Feed(server.getsockname(), 4, got.put).start()
+        discovery_watch.DiscoveryWatch(server.getsockname(), 4, got.put).start()
         assert [got.get(timeout=5), got.get(timeout=5)] == [("purge", ("", 17, 1))] * 2
         assert [since.get(timeout=5) for _ in range(5)] == [4, 5, 5, 5, 5]
         assert got.empty()
@@ -173,7 +174,7 @@
     """An old one stays open and tells nothing more; so may one that hangs."""
     first, second = Log(), Log([(5, 4, struct.pack(">HQ", 17, 1))])
     got = queue.SimpleQueue()
-    follows = discovery_watch.Feed(("127.0.0.1", first.port), 4, got.put)
+    follows = discovery_watch.DiscoveryWatch(("127.0.0.1", first.port), 4, got.put)
     follows.start()
     assert first.since.get(timeout=5) == 4
     begun = time.monotonic()
