--- a/lilacloft/load/driver.py
+++ b/lilacloft/load/driver.py
@@ -14,7 +14,7 @@
 
 from lilacloft.emulator.worlds import SECOND, World
 from lilacloft.load.schedule import Due, Tally, name
-from lilacloft.net.resp import Buffer, GarbledError, encode, listed
+from lilacloft.net.resp import GarbledError, MessageBuffer, encode, encode_fields
 
 WORDS = {b"200": "done", b"503": "denied"}
 OPEN = 24  # reqs on one connection before another is made; the protocol allows 32
@@ -50,14 +50,16 @@
         }
         if vhost.effect == "uniqued":
             told["replay"] = name(ask.effect) * 2
-        data = encode(b"EXEC", tag, vhost.name.encode(), listed(told.items()), b"x" * 90 if write else b"")
+        data = encode(
+            b"EXEC", tag, vhost.name.encode(), encode_fields(told.items()), b"x" * 90 if write else b""
+        )
         self.sock.sendall(data)
 
     def _read(self) -> None:
-        buffer = Buffer()
+        buffer = MessageBuffer()
         with contextlib.suppress(OSError, GarbledError):
-            while buffer.fill(self.sock):
-                while (items := buffer.take()) is not None:
+            while buffer.read_from(self.sock):
+                while (items := buffer.next_message()) is not None:
                     due = self.open.pop(items[0], None)
                     if due is not None:
                         self.load.heard(due, WORDS.get(items[1], "aborted"))
--- a/lilacloft/net/back.py
+++ b/lilacloft/net/back.py
@@ -16,7 +16,7 @@
 
 from lilacloft.invariants import Begun, Invariants
 from lilacloft.net.conn import Conn, End
-from lilacloft.net.resp import Buffer, GarbledError, encode, fields, listed
+from lilacloft.net.resp import GarbledError, MessageBuffer, encode, encode_fields, parse_fields
 from lilacloft.routing.model import Backend
 from lilacloft.routing.retries import last_send_time
 from lilacloft.settings import NS, TENTHS
@@ -58,12 +58,12 @@
 def with_limit(dispatch: bytes, milliseconds: int) -> bytes:
     """An encoded dispatch whose time limit (`max`) is no more than so many milliseconds; never longer than
     the one given."""
-    buffer = Buffer()
-    buffer.feed(dispatch)
-    verb, name, told, body = buffer.take() or []
-    pairs = fields(told)
+    buffer = MessageBuffer()
+    buffer.append(dispatch)
+    verb, name, told, body = buffer.next_message() or []
+    pairs = parse_fields(told)
     pairs["max"] = str(min(int(pairs["max"]), milliseconds))
-    return encode(verb, name, listed(pairs.items()), body)
+    return encode(verb, name, encode_fields(pairs.items()), body)
 
 
 class Sent:
@@ -370,7 +370,7 @@
         """Read one answer; the connection's thread calls this."""
         if not 2 <= len(items) <= 4 or (items[1] not in WORDS and items[1] not in HEALTH):
             raise GarbledError("no answer")
-        told = fields(items[2]) if len(items) > 2 else {}
+        told = parse_fields(items[2]) if len(items) > 2 else {}
         note = told.get("remark", "")
         if note not in NOTES:
             raise GarbledError("an unknown note")
@@ -426,7 +426,7 @@
         for sent in out.values():
             written = line.went(sent.place) and not sent.lapsed
             end = line.end or End.FAULT
-            if end in (End.CLOSED, End.RESET) and line.buffer.partial():
+            if end in (End.CLOSED, End.RESET) and line.buffer.has_partial():
                 end = End.GARBLED  # cut off within an answer, and nothing more of it will come
             if not written and end not in (End.REFUSED, End.UNMADE):
                 end = End.UNWRITTEN
@@ -443,7 +443,7 @@
             for line in pool.lines:
                 if line.waits():
                     line.write_on()
-                if line.buffer.partial() and line.came < still:
+                if line.buffer.has_partial() and line.came < still:
                     line.close(End.GARBLED)
                 if not line.out and now - line.used >= self.idle:
                     line.close(End.RETIRED)
--- a/lilacloft/net/conn.py
+++ b/lilacloft/net/conn.py
@@ -21,7 +21,13 @@
 from loguru import logger
 
 from lilacloft.net import socket_errors
-from lilacloft.net.resp import FROM_CACHE, LARGEST, MIDDLE, Buffer, GarbledError
+from lilacloft.net.resp import (
+    BACKEND_BUFFER,
+    BACKEND_MESSAGE_SIZES,
+    MAX_PART_SIZE,
+    GarbledError,
+    MessageBuffer,
+)
 from lilacloft.net.tcp_info import bytes_received, since_last_data
 
 CONNECT_AGAIN = 0.05  # seconds in which a connect that fails on this machine is tried again
@@ -129,8 +135,8 @@
 
     Where a process may hand its connections to another (`movable`, for all of them), a reader waits without
     taking anything, and reads and passes on only under its gate. Whoever holds gate and lock (`hold`) has the
-    connection at rest: what the kernel has of it is unread, and what is here is told by `Buffer.held` and the
-    backlog."""
+    connection at rest: what the kernel has of it is unread, and what is here is in `MessageBuffer.unread` and
+    the backlog."""
 
     movable = False
 
@@ -141,14 +147,14 @@
         sock: socket.socket | None = None,
         address: tuple[str, int] = ("", 0),
         patience: float = 0.0,
-        sizes: tuple[int, ...] = FROM_CACHE,
-        small: int = MIDDLE,
+        sizes: tuple[int, ...] = BACKEND_MESSAGE_SIZES,
+        small: int = BACKEND_BUFFER,
     ) -> None:
         self.takes, self.gone = takes, gone  # both are called by the reading thread
         self.sock = sock or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.address, self.patience = address, patience
         self.state = State.CONNECTING if sock is None else State.OPEN
-        self.buffer = Buffer(sizes, small)
+        self.buffer = MessageBuffer(sizes, small)
         self.lock = threading.Lock()
         self.backlog: deque[Waiting] = deque()
         self.queued = self.written = 0  # bytes, since the start; what was withdrawn is in both
@@ -424,7 +430,7 @@
         for _ in range(OPTION_TRIES):  # a socket that has broken says so when it is read
             with contextlib.suppress(OSError):
                 self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, LARGEST)
+                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_PART_SIZE)
                 return
 
     def _run(self) -> None:
@@ -481,13 +487,13 @@
 
     def passes_on(self) -> None:
         """The message in hand is passed on; what lies behind it is not."""
-        self.passed_on = self.received - self.buffer.behind()
+        self.passed_on = self.received - self.buffer.unread_size()
 
     def _read_once(self) -> bool:
         """Read once, and pass on each message that is whole then. False at the end of the stream."""
-        fresh = not self.buffer.partial()
+        fresh = not self.buffer.has_partial()
         try:
-            count = self.buffer.fill(self.sock)
+            count = self.buffer.read_from(self.sock)
         except OSError as wrong:
             if self.end is not None or not socket_errors.passes(wrong):
                 raise
@@ -500,7 +506,7 @@
         if self.end is not None:
             return True  # it crossed our close
         try:
-            while (items := self.buffer.take()) is not None:
+            while (items := self.buffer.next_message()) is not None:
                 fresh = True
                 self.takes(self, items)
         except GarbledError:
--- a/lilacloft/net/front.py
+++ b/lilacloft/net/front.py
@@ -20,7 +20,15 @@
 
 from lilacloft.net import socket_errors
 from lilacloft.net.conn import PARTING, Conn, End, State, polled
-from lilacloft.net.resp import FROM_CLIENT, LARGEST, SMALL, GarbledError, encode, fields, listed
+from lilacloft.net.resp import (
+    CLIENT_MESSAGE_SIZES,
+    MAX_PART_SIZE,
+    SMALL_BUFFER,
+    GarbledError,
+    encode,
+    encode_fields,
+    parse_fields,
+)
 from lilacloft.net.tcp_info import since_last_data, since_opened
 from lilacloft.settings import NS, TENTHS
 
@@ -41,7 +49,7 @@
     """A client's connection."""
 
     def __init__(self, front: Front, sock: socket.socket) -> None:
-        super().__init__(front.takes, front.gone, sock, sizes=FROM_CLIENT, small=SMALL)
+        super().__init__(front.takes, front.gone, sock, sizes=CLIENT_MESSAGE_SIZES, small=SMALL_BUFFER)
         self.front = front
         self.said = self.offences = 0  # whole messages so far, and those of no use since the last req
         self.taken = self.settled = 0  # reqs so far, by the reader; those with no more owed, by the owner
@@ -60,7 +68,7 @@
     def rest(self) -> None:
         """Stop reading while the other side does not read either, and look whether it has gone meanwhile."""
         told = False
-        while self.held_back(LARGEST, LOOK):
+        while self.held_back(MAX_PART_SIZE, LOOK):
             self.departed()
             if self.input_ended is not None and not told:
                 told = True  # what waits is given up at once, not when all before its end has been read
@@ -117,7 +125,7 @@
         if stood is None:
             return last
         now = time.monotonic_ns() // NS
-        if not (self.buffer.partial() or polled(self.sock, select.POLLIN)):
+        if not (self.buffer.has_partial() or polled(self.sock, select.POLLIN)):
             self.emptied = now
             return last
         since = self.opened if self.opened > stood - NOTICED else stood
@@ -160,7 +168,7 @@
         with self.lock:
             owed = self.open or self.taken > self.settled or self.waits() or self.unread()
             if not halfway:
-                owed = owed or self.buffer.partial()
+                owed = owed or self.buffer.has_partial()
             if self.state is not State.OPEN or owed:
                 return False
             self._finish(End.RETIRED, how)
@@ -467,7 +475,7 @@
         if len(client.open) >= STREAMS:
             raise OverflowError("more than a connection may carry")
         vhost = self.vhosts[items[2]]
-        call = Call(client, tag, vhost, fields(items[3]), items[4] if len(items) > 4 else b"", at)
+        call = Call(client, tag, vhost, parse_fields(items[3]), items[4] if len(items) > 4 else b"", at)
         if vhost in self.keyed and call.replay is None:
             raise ValueError("no idempotency key")
         if not call.kbytes <= self.largest:
@@ -497,7 +505,7 @@
         the protocol owes such (this is called every so many seconds), or is idle longer than clients are."""
         now = time.monotonic()
         for client in list(self.clients):
-            halfway = not client.said or client.buffer.partial()
+            halfway = not client.said or client.buffer.has_partial()
             still = now - (client.begun if halfway else client.used)
             if (
                 client.end is None
@@ -550,6 +558,6 @@
     ) -> None:
         """Write an answer, or what ALIVE is told."""
         if told or body:
-            client.send(encode(tag, word, listed(told) if told else b"", body))
+            client.send(encode(tag, word, encode_fields(told) if told else b"", body))
         else:
             client.send(encode(tag, word))
--- a/lilacloft/net/owner.py
+++ b/lilacloft/net/owner.py
@@ -27,7 +27,7 @@
 from lilacloft.net.front import Call, Client, Front
 from lilacloft.net.request_trace import Trace
 from lilacloft.net.resource_limits import budgets, descriptor_limit
-from lilacloft.net.resp import encode, listed
+from lilacloft.net.resp import encode, encode_fields
 from lilacloft.routing.host import AttemptResult, Dispatch, Endpoint, HealthChange, Timer
 from lilacloft.routing.model import Backend, RejectReason, Request
 from lilacloft.routing.router import Router
@@ -649,7 +649,7 @@
         call, history = self.calls[request], self.calls[request].history
         if not self.invariants.sends(history, backend, source or backend, request.transfer_time, self.time):
             return self.report_refused(call, backend)
-        told = listed(
+        told = encode_fields(
             (
                 ("profile", self.vhosts[request.vhost]["name"]),
                 ("thing", request.key),
--- a/lilacloft/net/resp.py
+++ b/lilacloft/net/resp.py
@@ -1,7 +1,8 @@
-"""Owns the bytes on a connection: the single read buffer with its parser, the encoder, and field lists.
+"""The messages on a connection, arrays of bulk strings in the Redis protocol (RESP): parser, encoder, and the
+lists of fields within them.
 
-It must never allocate by a length that a peer claims, never raise anything but GarbledError for what comes
-in, and never know what a message means.
+The parser allocates by what has come in, never by a length that a peer claims. Whatever comes in, it raises
+nothing but GarbledError.
 """
 
 from __future__ import annotations
@@ -9,69 +10,83 @@
 import socket
 from collections.abc import Iterable
 
-LARGEST = 240_000  # bytes in the largest part of an object, as the protocol fixes them
-LARGEST_WRITE = 48_000  # bytes in the largest body that a client sends
-LARGEST_LIST = 1024  # and in the longest list of fields; those the protocol names are 200 at most
-# bytes that each element may have: verb, tag, vhost, fields, body; and name, word, fields, body
-FROM_CLIENT = (8, 20, 64, LARGEST_LIST, LARGEST_WRITE)
-FROM_CACHE = (20, 16, 4 * LARGEST_LIST, LARGEST)
-LINE = 16  # the longest length line, its end included
-SMALL = 4096  # what a buffer holds at first, and again once it is empty
-MIDDLE = 8 * SMALL  # the same towards caches: most answers come in one read, as each is a thread's waking
+MAX_PART_SIZE = 240_000  # bytes of the largest part of an object
+MAX_WRITE_SIZE = 48_000  # bytes of the largest body that a client sends
+MAX_FIELDS_SIZE = 1024  # bytes of the longest list of fields; those that the protocol names have 200 at most
+# bytes that each element may have: verb, tag, vhost, fields, body
+CLIENT_MESSAGE_SIZES = (8, 20, 64, MAX_FIELDS_SIZE, MAX_WRITE_SIZE)
+# name, word, fields, body
+BACKEND_MESSAGE_SIZES = (20, 16, 4 * MAX_FIELDS_SIZE, MAX_PART_SIZE)
+MAX_LENGTH_LINE = 16  # bytes, the line's end included
+LINE_END = b"\r\n"
+LINE_END_SIZE = len(LINE_END)
+SMALL_BUFFER = 4096  # bytes that a buffer has at first, and again once it is empty
+BACKEND_BUFFER = 8 * SMALL_BUFFER  # the same towards backends: most answers come in one read
+UNKNOWN = -1  # a count or a length whose line has not come yet
 
 
 class GarbledError(Exception):
     """What came in cannot be read; the text says why."""
 
 
-class Buffer:
-    """The one read buffer of a connection. It grows with what has come in, never with what is claimed, and is
-    compacted in place; a message is parsed as far as it is there, and nothing of it is looked at twice. Each
-    element has a limit by its place, so that what is no message is found out by its first lines."""
-
-    def __init__(self, sizes: tuple[int, ...] = FROM_CACHE, small: int = SMALL) -> None:
-        self.sizes, self.small = sizes, small
-        self.data = bytearray(small)
-        self.start = self.end = self.at = 0  # the message in hand, what has come in, what is parsed of it
-        self.left = -1  # elements still to come; -1 before the head
-        self.length = -1  # of the element in hand; -1 before its line
-        self.spans: list[tuple[int, int]] = []  # the elements so far, counted from start
-
-    def room(self) -> memoryview:
-        """Where more may be read to; never empty."""
+class MessageBuffer:
+    """The read buffer of a connection, and the parser of the messages in it.
+
+    It grows with what has come in and is compacted in place. A message is parsed as far as it is there, and
+    no byte of it is looked at twice. Each element has a limit by its position, so that what is no message is
+    found out by its first lines.
+    """
+
+    def __init__(
+        self, element_sizes: tuple[int, ...] = BACKEND_MESSAGE_SIZES, initial_size: int = SMALL_BUFFER
+    ) -> None:
+        """`element_sizes`: the bytes that each element of a message may have, in order; `initial_size`: the
+        bytes of an empty buffer."""
+        self.element_sizes, self.initial_size = element_sizes, initial_size
+        self.data = bytearray(initial_size)
+        self.start = 0  # of the current message
+        self.parsed = 0  # end of what is parsed of it
+        self.end = 0  # of what has come in
+        self.missing_elements = UNKNOWN
+        self.element_length = UNKNOWN
+        self.spans: list[tuple[int, int]] = []  # of the elements so far: begin and end, from `start`
+
+    def writable(self) -> memoryview:
+        """Return where more may be read to; never empty. The caller releases it."""
         if self.start == self.end:
-            self._shift()
-            if len(self.data) > self.small:
-                self.data = bytearray(self.small)
+            self._compact()
+            if len(self.data) > self.initial_size:
+                self.data = bytearray(self.initial_size)
         if self.end == len(self.data):
             if self.start:
-                self._shift()
+                self._compact()
             else:
-                self.data.extend(bytes(min(len(self.data), 2 * LARGEST)))
+                self.data.extend(bytes(min(len(self.data), 2 * MAX_PART_SIZE)))
         return memoryview(self.data)[self.end :]
 
-    def held(self) -> bytes:
-        """What has come in of the message in hand."""
+    def unread(self) -> bytes:
+        """Return what has come in of the current message."""
         return bytes(self.data[self.start : self.end])
 
-    def partial(self) -> bool:
-        """Is a message in hand, but not whole?"""
+    def has_partial(self) -> bool:
+        """Return whether a message has come in part."""
         return self.end > self.start
 
-    def behind(self) -> int:
-        """Bytes that lie behind the messages taken so far."""
+    def unread_size(self) -> int:
+        """Return how many bytes lie behind the messages that were returned."""
         return self.end - self.start
 
-    def _shift(self) -> None:
-        """Move what is held to the front."""
+    def _compact(self) -> None:
+        """Move what was not returned to the front."""
         if self.start:
-            held = self.end - self.start
-            self.data[:held] = self.data[self.start : self.end]
-            self.at, self.end, self.start = self.at - self.start, held, 0
-
-    def fill(self, sock: socket.socket) -> int:
-        """Read once; 0 is the end of the stream."""
-        view = self.room()
+            size = self.end - self.start
+            self.data[:size] = self.data[self.start : self.end]
+            self.parsed, self.end, self.start = self.parsed - self.start, size, 0
+
+    def read_from(self, sock: socket.socket) -> int:
+        """Read once from a socket; return how many bytes came, 0 at the end of the stream. Raises OSError as
+        the system call does."""
+        view = self.writable()
         try:
             count = sock.recv_into(view)
         finally:
@@ -79,85 +94,93 @@
         self.end += count
         return count
 
-    def feed(self, data: bytes) -> None:
-        """Take in bytes that were read elsewhere."""
+    def append(self, data: bytes) -> None:
+        """Add bytes that were read elsewhere."""
         while data:
-            view = self.room()
+            view = self.writable()
             count = min(len(view), len(data))
             view[:count] = data[:count]
             view.release()
             self.end += count
             data = data[count:]
 
-    def _line(self, mark: bytes, most: int) -> int | None:
-        """The number of a length line, if the whole line is there."""
-        if self.at < self.end and self.data[self.at] != mark[0]:
+    def _parse_length(self, mark: bytes, limit: int) -> int | None:
+        """Read a line of a mark and a length, at most `limit`; None where the line has not come whole."""
+        if self.parsed < self.end and self.data[self.parsed] != mark[0]:
             raise GarbledError(f"{mark.decode()} expected")
-        stop = self.data.find(b"\r\n", self.at, min(self.end, self.at + LINE))
+        stop = self.data.find(LINE_END, self.parsed, min(self.end, self.parsed + MAX_LENGTH_LINE))
         if stop < 0:
-            if self.end - self.at >= LINE:
+            if self.end - self.parsed >= MAX_LENGTH_LINE:
                 raise GarbledError("a length without end")
             return None
-        digits = bytes(self.data[self.at + 1 : stop])
-        if not digits.isdigit() or int(digits) > most:
+        digits = bytes(self.data[self.parsed + 1 : stop])
+        if not digits.isdigit() or int(digits) > limit:
             raise GarbledError("a length that cannot be")
-        self.at = stop + 2
+        self.parsed = stop + LINE_END_SIZE
         return int(digits)
 
-    def take(self) -> list[bytes] | None:
-        """The next whole message: an array of bulk strings. None until it is there."""
-        if self.left < 0:
-            count = self._line(b"*", len(self.sizes))
+    def next_message(self) -> list[bytes] | None:
+        """Return the elements of the next message; None until it has come whole. Raises GarbledError."""
+        if self.missing_elements < 0:
+            count = self._parse_length(b"*", len(self.element_sizes))
             if count is None:
                 return None
             if not count:
                 raise GarbledError("an empty array")
-            self.left = count
-        while self.left:
-            if self.length < 0:
-                length = self._line(b"$", self.sizes[len(self.spans)])
-                if length is None:
-                    return None
-                self.length = length
-            stop = self.at + self.length
-            if self.end < stop + 2:
+            self.missing_elements = count
+        while self.missing_elements:
+            if not self._parse_element():
                 return None
-            if self.data[stop : stop + 2] != b"\r\n":
-                raise GarbledError("an element without end")
-            self.spans.append((self.at - self.start, stop - self.start))
-            self.at, self.length, self.left = stop + 2, -1, self.left - 1
         with memoryview(self.data) as view:
-            items = [bytes(view[self.start + begin : self.start + stop]) for begin, stop in self.spans]
+            elements = [bytes(view[self.start + begin : self.start + stop]) for begin, stop in self.spans]
         self.spans.clear()
-        self.start, self.left = self.at, -1
-        return items
-
-
-def encode(*items: bytes) -> bytes:
-    """An array of bulk strings."""
-    out = [b"*%d\r\n" % len(items)]
-    for item in items:
-        out += (b"$%d\r\n" % len(item), item, b"\r\n")
-    return b"".join(out)
-
-
-def fields(data: bytes) -> dict[str, str]:
-    """Read `name=value,name=value`, or `-` or nothing for none."""
+        self.start, self.missing_elements = self.parsed, UNKNOWN
+        return elements
+
+    def _parse_element(self) -> bool:
+        """Read the next element of the current message; return whether it has come whole."""
+        if self.element_length < 0:
+            length = self._parse_length(b"$", self.element_sizes[len(self.spans)])
+            if length is None:
+                return False
+            self.element_length = length
+        stop = self.parsed + self.element_length
+        if self.end < stop + LINE_END_SIZE:
+            return False
+        if self.data[stop : stop + LINE_END_SIZE] != LINE_END:
+            raise GarbledError("an element without end")
+        self.spans.append((self.parsed - self.start, stop - self.start))
+        self.parsed = stop + LINE_END_SIZE
+        self.element_length = UNKNOWN
+        self.missing_elements -= 1
+        return True
+
+
+def encode(*elements: bytes) -> bytes:
+    """Return a message of some elements."""
+    pieces = [b"*%d\r\n" % len(elements)]
+    for element in elements:
+        pieces += (b"$%d\r\n" % len(element), element, LINE_END)
+    return b"".join(pieces)
+
+
+def parse_fields(data: bytes) -> dict[str, str]:
+    """Read `name=value,name=value`; `-` and nothing stand for no fields. Raises GarbledError."""
     if data in (b"", b"-"):
         return {}
-    out = {}
+    values: dict[str, str] = {}
     try:
         text = data.decode("ascii")
     except UnicodeDecodeError:
         raise GarbledError("fields that are no text") from None
     for pair in text.split(","):
         name, equals, value = pair.partition("=")
-        if not equals or not name or name in out:
+        if not equals or not name or name in values:
             raise GarbledError("fields that cannot be read")
-        out[name] = value
-    return out
+        values[name] = value
+    return values
 
 
-def listed(pairs: Iterable[tuple[str, object]]) -> bytes:
-    """Write fields; those that are None are left out."""
-    return ",".join(f"{name}={value}" for name, value in pairs if value is not None).encode() or b"-"
+def encode_fields(fields: Iterable[tuple[str, object]]) -> bytes:
+    """Write fields as `parse_fields` reads them; those that are None are left out."""
+    return ",".join(f"{name}={value}" for name, value in fields if value is not None).encode() or b"-"
--- a/lilacloft/upgrade/carry.py
+++ b/lilacloft/upgrade/carry.py
@@ -50,7 +50,7 @@
     """Is nothing open, half read or half written there? Then it can go over by itself."""
     return not (
         client.open
-        or client.buffer.partial()
+        or client.buffer.has_partial()
         or client.waits()
         or client.state is not State.OPEN
         or client.taken > client.settled
@@ -68,7 +68,7 @@
 def stream(conn: Conn, sock: int) -> dict[str, Any]:
     return {
         "sock": sock,
-        "held": conn.buffer.held(),
+        "held": conn.buffer.unread(),
         "backlog": [(waiting.place, bytes(waiting.rest)) for waiting in conn.backlog],
         "queued": conn.queued,
         "written": conn.written,
@@ -96,7 +96,7 @@
         line
         for line in lines(owner)
         if line.state is not State.CONNECTING
-        and (whole or not (line.out or line.buffer.partial() or line.waits()))
+        and (whole or not (line.out or line.buffer.has_partial() or line.waits()))
     ]
     conns: list[Conn] = [*clients, *carried]
     number = {conn: place for place, conn in enumerate(conns)}
@@ -325,7 +325,7 @@
         return client
 
     def _stream(self, conn: Conn, told: form.Stream) -> None:
-        conn.buffer.feed(told.held)
+        conn.buffer.append(told.held)
         conn.backlog.extend(Waiting(at, memoryview(rest), begun=True) for at, rest in told.backlog)
         conn.queued, conn.written, conn.came, conn.begun = told.queued, told.written, told.came, told.begun
         conn.received = conn.passed_on = told.passed_on if told.passed_on >= 0 else bytes_received(conn.sock)
--- a/rigs/boxes.py
+++ b/rigs/boxes.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from lilacloft.net.resp import Buffer, encode, listed
+from lilacloft.net.resp import MessageBuffer, encode, encode_fields
 from rigs.scene import EFFECTS, FILL, HIT, WRITE, Box, Scene, Timers, body, whole
 
 PATIENCE = 2.0  # for a source
@@ -152,10 +152,10 @@
             return None
         with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port), PATIENCE) as sock:
             sock.settimeout(PATIENCE)
-            sock.sendall(encode(b"do", ref, listed(told.items())))
-            buffer = Buffer()
-            while buffer.fill(sock):
-                items = buffer.take()
+            sock.sendall(encode(b"do", ref, encode_fields(told.items())))
+            buffer = MessageBuffer()
+            while buffer.read_from(sock):
+                items = buffer.next_message()
                 if items is not None:
                     return items[3] if items[1] == b"data" else None
         return None
--- a/rigs/bridge.py
+++ b/rigs/bridge.py
@@ -31,7 +31,7 @@
 from lilacloft.emulator.worlds import SECOND, WORLDS, World
 from lilacloft.load.driver import Load, quantiles, report
 from lilacloft.load.schedule import name, schedule
-from lilacloft.net.resp import encode, fields
+from lilacloft.net.resp import encode, parse_fields
 from lilacloft.record.summary import NOTES
 from rigs.stands import ENV, Log, Stand, unused
 
@@ -159,7 +159,7 @@
                 dispatch.over = True
                 self.events.at(self.events.now + self.hop(self.remote, box), NET, box.undo, dispatch)
         elif verb == b"do":
-            told = fields(items[2])
+            told = parse_fields(items[2])
             key = self.keys.get(told["thing"], told["thing"])
             place = next(at for at, one in enumerate(self.world.vhosts) if one.name == told["profile"])
             vhost, part, now = self.world.vhosts[place], int(told["nth"]), self.events.now
--- a/rigs/load.py
+++ b/rigs/load.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lilacloft.net.resp import Buffer, encode, listed
+from lilacloft.net.resp import MessageBuffer, encode, encode_fields
 from rigs.scene import EFFECTS, Scene, whole
 
 CROSSES = 0.05  # seconds before a close within which a req may be sent again on a new connection
@@ -102,10 +102,10 @@
             self.sock.shutdown(socket.SHUT_RDWR)
 
     def _read(self) -> None:
-        buffer = Buffer()
+        buffer = MessageBuffer()
         with contextlib.suppress(OSError):
-            while buffer.fill(self.sock):
-                while (items := buffer.take()) is not None:
+            while buffer.read_from(self.sock):
+                while (items := buffer.next_message()) is not None:
                     self._answer(items)
         ended = time.time()
         with self.lock:
@@ -253,7 +253,7 @@
         if vhost == "pay":
             told["replay"] = f"{self.chance.getrandbits(128):032x}"
         load = b"" if vhost == "clip" else b"x" * 99
-        data = encode(b"EXEC", b"TAG", vhost.encode(), listed(told.items()), load)
+        data = encode(b"EXEC", b"TAG", vhost.encode(), encode_fields(told.items()), load)
         return Asked(ref, vhost, key, part, 0.0, data, allow=allow / 1000)
 
     def link(self, asked: Asked, fresh: bool = False, pause: float = 0.0, forget: bool = False) -> None:
--- a/rigs/restarts.py
+++ b/rigs/restarts.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from lilacloft.net.resp import Buffer, encode, listed
+from lilacloft.net.resp import MessageBuffer, encode, encode_fields
 from rigs.load import Load
 from rigs.scene import Gateway, Scene
 from rigs.stands import Stand
@@ -73,9 +73,9 @@
         with contextlib.suppress(OSError), knock(port, began) as sock:
             sock.settimeout(GIVEN_UP)
             sock.sendall(message)
-            buffer = Buffer()
-            while buffer.fill(sock):
-                items = buffer.take()
+            buffer = MessageBuffer()
+            while buffer.read_from(sock):
+                items = buffer.next_message()
                 if items and items[1] in words:
                     return time.monotonic() - began
     raise TimeoutError(f"port {port}: no answer in {GIVEN_UP} s")
@@ -94,7 +94,7 @@
         "batch": 7,
         "room": 400.0,
     }
-    request = encode(b"EXEC", b"1", b"clip", listed(told.items()), b"")
+    request = encode(b"EXEC", b"1", b"clip", encode_fields(told.items()), b"")
     return Start(checked, asked(gateway.port, began, request, (b"200", b"503")))
 
 
--- a/rigs/rude.py
+++ b/rigs/rude.py
@@ -14,7 +14,7 @@
 import time
 from collections.abc import Callable
 
-from lilacloft.net.resp import encode, listed
+from lilacloft.net.resp import encode, encode_fields
 
 RESET = struct.pack("ii", 1, 0)
 
@@ -64,7 +64,7 @@
             "batch": 7,
             "room": 40.0,
         }
-        return encode(b"EXEC", b"%d" % tag, b"clip", listed(told.items()), b"")
+        return encode(b"EXEC", b"%d" % tag, b"clip", encode_fields(told.items()), b"")
 
     def _half_sent(self, sock: socket.socket) -> None:
         data = self._request(1)
--- a/rigs/scene.py
+++ b/rigs/scene.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 from typing import Any
 
-from lilacloft.net.resp import encode, fields
+from lilacloft.net.resp import encode, parse_fields
 from rigs.account import Account
 from rigs.checker import Limits
 from rigs.stands import ENV, Log, Replaced, Stand, processes, record, unused
@@ -158,7 +158,7 @@
                 report = b"report=inflight:%d;util:%.2f" % (len(self.open), busy)
                 sock.sendall(encode(items[1], b"well", report))
         elif verb == b"do":
-            self._do(sock, number, items[1], fields(items[2]))
+            self._do(sock, number, items[1], parse_fields(items[2]))
 
     def _taken(
         self, number: int, ref: bytes, told: dict[str, str], of_gateway: bool = True
--- a/rigs/stands.py
+++ b/rigs/stands.py
@@ -18,7 +18,7 @@
 
 from loguru import logger
 
-from lilacloft.net.resp import Buffer, encode, listed
+from lilacloft.net.resp import MessageBuffer, encode, encode_fields
 from lilacloft.upgrade.ask import ask
 
 logger.remove()  # threads of earlier tests may log when the test runner's standard error is gone
@@ -90,7 +90,7 @@
 
 
 class Stand:
-    """A party on a listening socket: each connection has a Buffer, and what comes in goes to `says`."""
+    """A party on a listening socket: each connection has a buffer, and what comes in goes to `says`."""
 
     def __init__(self, says=None, port=0):
         self.says = says or (lambda stand, sock, items: None)
@@ -110,10 +110,10 @@
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def _serve(self, sock):
-        buffer = Buffer()
+        buffer = MessageBuffer()
         with contextlib.suppress(OSError):
-            while buffer.fill(sock):
-                while items := buffer.take():
+            while buffer.read_from(sock):
+                while items := buffer.next_message():
                     self.seen.put((time.monotonic(), sock, items))
                     self.says(self, sock, items)
         self.closed(sock)
@@ -227,14 +227,14 @@
 
     def __init__(self, port, allow=1500):
         self.sock = socket.create_connection(("127.0.0.1", port), 5)
-        self.buffer, self.tag, self.allow = Buffer(), 0, allow
+        self.buffer, self.tag, self.allow = MessageBuffer(), 0, allow
 
     def ask(self, vhost=b"clip", key=1, body=b"", **more):
         self.tag += 1
         ref = f"{zlib.crc32(b'%d %d' % (id(self), self.tag)):016x}"
         told = {"ref": ref, "allow": self.allow, "lookup": f"{key:016x}", "nth": 0, "batch": 7, "room": 400.0}
         told.update(more)
-        self.send(b"EXEC", b"%d" % self.tag, vhost, listed(told.items()), body)
+        self.send(b"EXEC", b"%d" % self.tag, vhost, encode_fields(told.items()), body)
         return b"%d" % self.tag
 
     def send(self, *items):
@@ -243,9 +243,9 @@
     def answer(self):
         """The next answer; None once the connection has ended."""
         while True:
-            if items := self.buffer.take():
+            if items := self.buffer.next_message():
                 return items
-            if not self.buffer.fill(self.sock):
+            if not self.buffer.read_from(self.sock):
                 return None
 
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -13,7 +13,7 @@
 
 from lilacloft.net.discovery_watch import WatchStatus
 from lilacloft.net.owner import Owner
-from lilacloft.net.resp import fields
+from lilacloft.net.resp import parse_fields
 from lilacloft.upgrade import carry, form
 from rigs.inprocess import forgets, until
 from rigs.scene import booked
@@ -108,7 +108,7 @@
     world = in_process(silent)
     asker = world.asker()
     asker.ask(key=5)
-    assert int(fields(world.caches[0].next()[2][2])["agelim"]) == 10_000
+    assert int(parse_fields(world.caches[0].next()[2][2])["agelim"]) == 10_000
     forgets(asker)
     now = int(time.time() * 1000)
     world.log.add(2, 3, struct.pack(">QQ", 4, now))
@@ -118,7 +118,7 @@
     world.log.add(3, 3, struct.pack(">QQ", 5, int(time.time() * 1000) - int(back * 1000)))
     until(lambda: world.owner.feed.last == 3)
     asker.ask(key=5)
-    told = int(fields(world.caches[0].next()[2][2])["agelim"]) / 1000
+    told = int(parse_fields(world.caches[0].next()[2][2])["agelim"]) / 1000
     assert told <= time.monotonic() - purged
     forgets(asker)
     world.rests()
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lilacloft.net.conn import Conn, End, State
-from lilacloft.net.resp import LARGEST, encode
+from lilacloft.net.resp import MAX_PART_SIZE, encode
 from lilacloft.routing import retries
 from lilacloft.settings import TENTHS
 from lilacloft.store.guard import Guard
@@ -191,7 +191,7 @@
     for number in range(8):
         asker.ask(key=100 + number, allow=3000)
     client, stopped = the_client(world), threading.Event()
-    until(lambda: client.settled == 8 and client.waits() > LARGEST)
+    until(lambda: client.settled == 8 and client.waits() > MAX_PART_SIZE)
     held_back = client.held_back
 
     def seen(most, span):
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -209,7 +209,7 @@
     client = next(iter(world.owner.front.clients))
     until(lambda: client.settled == 8)
     asker.sock.sendall(b"*5\r\n$4\r\nEX")
-    until(lambda: client.buffer.partial())
+    until(lambda: client.buffer.has_partial())
     assert client.waits() > 0
     client.begun -= 60  # seconds ago
     world.does(world.owner.sweep)
@@ -367,7 +367,7 @@
     asker = world.asker()
     told = encode(b"EXEC", b"1", b"clip", ASKED % (7, 7), b"")
     asker.sock.sendall(told[:30])
-    until(lambda: any(client.buffer.partial() for client in world.owner.front.clients))
+    until(lambda: any(client.buffer.has_partial() for client in world.owner.front.clients))
     world.owner.post(world.owner.stop)
     until(lambda: world.owner.phase is Phase.DRAINING)
     asker.sock.sendall(told[30:])
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -17,7 +17,7 @@
 from lilacloft.net.conn import End
 from lilacloft.net.front import STREAMS, Client, Front
 from lilacloft.net.owner import Owner
-from lilacloft.net.resp import Buffer, fields
+from lilacloft.net.resp import MessageBuffer, parse_fields
 from lilacloft.routing.model import Backend, Request
 from lilacloft.settings import settings
 from rigs.stands import ENV, Asker, Log, Stand, World, encode, made, record, serves
@@ -42,7 +42,7 @@
     tag = asker.ask(key=0xABC, nth=3, batch=17, got="4be0c1927d55a6f3")
     assert asker.answer() == [tag, b"200", b"", bytes(range(256)) * 900]
     _, _, items = world.caches[0].next()
-    told = fields(items[2])
+    told = parse_fields(items[2])
     assert len(items[1]) == 16 and items[3] == b"" and 0 < int(told.pop("max")) <= 1500
     assert told == {
         "profile": "clip",
@@ -74,7 +74,7 @@
     tag = asker.ask(b"pay", body=b"\r\n\0,=" * 9000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     _, _, items = world.caches[0].next()
-    told = fields(items[2])
+    told = parse_fields(items[2])
     assert items[3] == b"\r\n\0,=" * 9000 and told["replay"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
     assert told["next"] == "s-00000003" and "admit" not in told
 
@@ -240,9 +240,9 @@
             front.takes(client, [b"EXEC", b"9999", b"clip", told % (9999, 9999), b""])
             front.takes(client, [b"FORGET", b"%d" % (tag - STREAMS + 1)])
     assert posted.count("arrived") == 4 * STREAMS - 1 and len(client.open) == STREAMS - 1
-    buffer, words = Buffer(), set()
-    buffer.fill(there)
-    while items := buffer.take():
+    buffer, words = MessageBuffer(), set()
+    buffer.read_from(there)
+    while items := buffer.next_message():
         words.add(tuple(items))
     assert words == {(b"9999", b"503")}
     here.close()
@@ -272,7 +272,7 @@
 
 def test_a_name_that_is_open_is_refused_and_what_no_cache_knows_blames_none(world):
     def says(stand, sock, items):
-        if items[0] == b"do" and fields(items[2])["thing"] == f"{7:016x}":
+        if items[0] == b"do" and parse_fields(items[2])["thing"] == f"{7:016x}":
             sock.sendall(encode(items[1], b"failed", b"-"))
 
     world = world(says, says)
@@ -457,7 +457,7 @@
         pass
     asker.ask(key=0xABC)
     assert asker.answer()[3] == b"new"
-    told = fields(new.next()[2][2])
+    told = parse_fields(new.next()[2][2])
     assert 1 <= int(told["agelim"]) <= int(time.time() * 1000) - now
     with pytest.raises(AssertionError):
         assert not new.seen.empty()
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from lilacloft.net.resp import fields
+from lilacloft.net.resp import parse_fields
 from rigs.scene import booked
 from rigs.stands import encode, processes, record, serves, silent
 
@@ -91,7 +91,7 @@
     asker = world.asker()
     asker.ask(key=9)
     assert asker.answer()[1] == b"200"
-    assert 0 < int(fields(world.caches[0].next()[2][2])["agelim"]) < 5000
+    assert 0 < int(parse_fields(world.caches[0].next()[2][2])["agelim"]) < 5000
     assert "1 purges" in world.told("store:", 2)
 
 
@@ -113,7 +113,7 @@
     for key in range(9, 17):
         asker.ask(key=key)
         assert asker.answer()[1] == b"200"
-    assert 0 < int(fields(world.caches[1].next()[2][2])["agelim"]) < 5000
+    assert 0 < int(parse_fields(world.caches[1].next()[2][2])["agelim"]) < 5000
     assert world.caches[0].seen.empty()  # the list stays as the configuration has it
 
 
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -12,13 +12,13 @@
 from lilacloft.net.conn import End, polled
 from lilacloft.net.front import Front
 from lilacloft.net.owner import Phase
-from lilacloft.net.resp import FROM_CLIENT, Buffer, encode, listed
+from lilacloft.net.resp import CLIENT_MESSAGE_SIZES, MessageBuffer, encode, encode_fields
 from lilacloft.settings import NS
 from rigs.inprocess import forgets, limits, until, waits_for
 from rigs.stands import serves, silent
 
 TOLD = {"ref": "9b1f03aa5c7e2d41", "allow": 1500, "lookup": f"{7:016x}", "nth": 0, "batch": 7, "room": 400.0}
-REQUEST = encode(b"EXEC", b"99", b"clip", listed(TOLD.items()), b"")
+REQUEST = encode(b"EXEC", b"99", b"clip", encode_fields(TOLD.items()), b"")
 
 
 class HeldReaders:
@@ -28,12 +28,14 @@
     def __init__(self, monkeypatch, when):
         self.go, self.at, self.when = threading.Event(), threading.Event(), when
         self.go.set()
-        fill, takes = Buffer.fill, Front.takes
-        of_client = FROM_CLIENT[-1]
+        read_from, takes = MessageBuffer.read_from, Front.takes
+        of_client = CLIENT_MESSAGE_SIZES[-1]
         monkeypatch.setattr(
-            Buffer,
-            "fill",
-            lambda buffer, sock: fill(buffer, _Held(sock, self) if buffer.sizes[-1] == of_client else sock),
+            MessageBuffer,
+            "read_from",
+            lambda buffer, sock: read_from(
+                buffer, _Held(sock, self) if buffer.element_sizes[-1] == of_client else sock
+            ),
         )
 
         def held_takes(front, *told):
@@ -88,7 +90,7 @@
     asker = world.asker()
     begins(asker)
     client = only_client(world)
-    until(lambda: asker.tag or client.buffer.partial())
+    until(lambda: asker.tag or client.buffer.has_partial())
     reader.at.clear()
     reader.hold()
     asker.sock.sendall(rest)
@@ -140,7 +142,7 @@
     asker = world.asker()
     asker.sock.sendall(REQUEST[:40])
     client = only_client(world)
-    until(client.buffer.partial)
+    until(client.buffer.has_partial)
 
     def closes():
         client.begun -= 10
@@ -193,7 +195,7 @@
         world = in_process(serves())
         asker = world.asker()
         asker.sock.sendall(REQUEST[:40])
-        until(only_client(world).buffer.partial)
+        until(only_client(world).buffer.has_partial)
         world.does(world.owner.stop)
         until(lambda world=world: world.owner.phase is Phase.PARTING)
         reader.at.clear()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,7 +12,16 @@
 
 from lilacloft.net import back, discovery_events, discovery_watch
 from lilacloft.net.conn import OUTCOMES, Conn, End
-from lilacloft.net.resp import FROM_CACHE, FROM_CLIENT, LARGEST, Buffer, GarbledError, encode, fields, listed
+from lilacloft.net.resp import (
+    BACKEND_MESSAGE_SIZES,
+    CLIENT_MESSAGE_SIZES,
+    MAX_PART_SIZE,
+    GarbledError,
+    MessageBuffer,
+    encode,
+    encode_fields,
+    parse_fields,
+)
 from lilacloft.routing.model import Backend
 from lilacloft.settings import settings
 from rigs.stands import ENV, Log, Stand, framed, record
@@ -27,7 +36,7 @@
 
 def taken(buffer):
     out = []
-    while (items := buffer.take()) is not None:
+    while (items := buffer.next_message()) is not None:
         out.append(items)
     return out
 
@@ -38,15 +47,15 @@
     sent = messages(chance, 3 if cut == "bytes" else 25)
     if cut == "bytes":
         sent = [[item[:50] for item in items] for items in sent]
-    data, buffer, got = b"".join(encode(*items) for items in sent), Buffer((70_000,) * 5), []
+    data, buffer, got = b"".join(encode(*items) for items in sent), MessageBuffer((70_000,) * 5), []
     while data:
         size = {"whole": len(data), "bytes": 1}.get(cut) or chance.choice([1, 3, 100, 9000])
-        buffer.feed(data[:size])
+        buffer.append(data[:size])
         data = data[size:]
         got += taken(buffer)
     assert got == sent
-    buffer.room().release()
-    assert len(buffer.data) == buffer.small, "an empty buffer is small again"
+    buffer.writable().release()
+    assert len(buffer.data) == buffer.initial_size, "an empty buffer is small again"
 
 
 @pytest.mark.parametrize(
@@ -67,45 +76,45 @@
     ],
 )
 def test_what_cannot_be_framed_is_told(data):
-    buffer = Buffer((LARGEST,) * 8)
+    buffer = MessageBuffer((MAX_PART_SIZE,) * 8)
     with pytest.raises(GarbledError):
-        buffer.feed(data)
-        buffer.take()
+        buffer.append(data)
+        buffer.next_message()
 
 
 def test_each_element_has_its_own_limit():
     """Else hundreds of clients could each make a buffer grow to megabytes before they are turned away."""
-    for sizes in (FROM_CLIENT, FROM_CACHE):
+    for sizes in (CLIENT_MESSAGE_SIZES, BACKEND_MESSAGE_SIZES):
         longest = [b"x" * size for size in sizes]
-        buffer = Buffer(sizes)
-        buffer.feed(encode(*longest))
-        assert buffer.take() == longest
+        buffer = MessageBuffer(sizes)
+        buffer.append(encode(*longest))
+        assert buffer.next_message() == longest
         for place, size in enumerate(sizes):
-            buffer = Buffer(sizes)
+            buffer = MessageBuffer(sizes)
             with pytest.raises(GarbledError):
-                buffer.feed(encode(*longest[:place]).replace(b"*%d" % place, b"*%d" % len(sizes), 1))
-                buffer.feed(b"$%d\r\n" % (size + 1))
-                buffer.take()
+                buffer.append(encode(*longest[:place]).replace(b"*%d" % place, b"*%d" % len(sizes), 1))
+                buffer.append(b"$%d\r\n" % (size + 1))
+                buffer.next_message()
         with pytest.raises(GarbledError):
-            buffer = Buffer(sizes)
-            buffer.feed(encode(*longest, b"more"))
-            buffer.take()
+            buffer = MessageBuffer(sizes)
+            buffer.append(encode(*longest, b"more"))
+            buffer.next_message()
 
 
 def test_a_claimed_length_allocates_nothing():
-    buffer = Buffer((LARGEST,))
-    buffer.feed(b"*1\r\n$%d\r\nabc" % LARGEST)
-    assert buffer.take() is None
-    assert len(buffer.data) == buffer.small
+    buffer = MessageBuffer((MAX_PART_SIZE,))
+    buffer.append(b"*1\r\n$%d\r\nabc" % MAX_PART_SIZE)
+    assert buffer.next_message() is None
+    assert len(buffer.data) == buffer.initial_size
 
 
 def test_fields_are_read_and_written():
     told = {"ref": "9b", "room": "412.5"}
-    assert fields(listed([*told.items(), ("got", None)])) == told
-    assert fields(b"-") == fields(b"") == {} and listed([]) == b"-"
+    assert parse_fields(encode_fields([*told.items(), ("got", None)])) == told
+    assert parse_fields(b"-") == parse_fields(b"") == {} and encode_fields([]) == b"-"
     for data in (b"a", b"=1", b"a=1,,b=2", b"a=1,a=2", b"a=\xff"):
         with pytest.raises(GarbledError):
-            fields(data)
+            parse_fields(data)
 
 
 def test_frames_and_the_known_list_tell_the_same():
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -8,7 +8,7 @@
 import time
 
 from lilacloft.net.front import Front
-from lilacloft.net.resp import fields
+from lilacloft.net.resp import parse_fields
 from lilacloft.settings import NS
 from rigs.inprocess import forgets, limits, until
 from rigs.stands import serves, silent
@@ -20,7 +20,7 @@
 def told_over(items, asked):
     """Seconds by which the limit that a dispatch tells exceeds what its client has left, now."""
     left = asked + ALLOW / 1000 - time.monotonic()
-    return int(fields(items[2])["max"]) / 1000 - left
+    return int(parse_fields(items[2])["max"]) / 1000 - left
 
 
 def assert_in_time(items, asked):
@@ -218,7 +218,7 @@
     asker = world.asker()
     until(lambda: world.owner.front.clients)
     (client,) = world.owner.front.clients
-    client.buffer.feed(b"*")  # more has come behind what was read
+    client.buffer.append(b"*")  # more has come behind what was read
     stood = time.monotonic_ns() // NS - 2_000
     monkeypatch.setattr(world.owner, "stood_still", lambda: stood)
     monkeypatch.setattr(client, "last_byte", lambda: stood + 1_900)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from lilacloft.net.resp import fields, listed
+from lilacloft.net.resp import encode_fields, parse_fields
 from lilacloft.upgrade import form
 from lilacloft.upgrade.form import HEAD, Kind
 from lilacloft.upgrade.offer import Offer
@@ -148,7 +148,7 @@
     good = encode(items[1], b"data", b"remark=TCP_HIT", CLIP)
     sock.sendall(good[:70_000])
     told = {"ref": f"{77:016x}", "allow": 2000, "lookup": f"{2:016x}", "nth": 0, "batch": 7, "room": 400.0}
-    half = encode(b"EXEC", b"5", b"book", listed(told.items()), b"seat" * 50)
+    half = encode(b"EXEC", b"5", b"book", encode_fields(told.items()), b"seat" * 50)
     other.sock.sendall(half[:60])
 
     def rest():
@@ -216,7 +216,7 @@
     asker.ask(key=9)
     assert asker.answer()[1] == b"200"
     _, _, items = world.caches[0].next()
-    assert 0 < int(fields(items[2])["agelim"]) < 5000
+    assert 0 < int(parse_fields(items[2])["agelim"]) < 5000
 
 
 def test_a_break_of_the_change_log_in_the_middle_loses_no_event(world):
