--- a/lilacloft/net/conn.py
+++ b/lilacloft/net/conn.py
@@ -47,7 +47,7 @@
     try:
         found = watch.poll(milliseconds)
     except OSError as wrong:
-        if not socket_errors.passes(wrong):
+        if not socket_errors.is_transient(wrong):
             raise
         return unknown
     return found[0][1] if found else 0
@@ -55,7 +55,7 @@
 
 def broken(error: OSError) -> End:
     """The end of a connection on which a call has failed for good."""
-    return End.RESET if socket_errors.ended_by_peer(error) else End.BROKEN
+    return End.RESET if socket_errors.is_ended_by_peer(error) else End.BROKEN
 
 
 class State(Enum):
@@ -216,7 +216,7 @@
         except BlockingIOError:
             return rest
         except OSError as wrong:
-            if socket_errors.passes(wrong):
+            if socket_errors.is_transient(wrong):
                 return rest
             self._finish(broken(wrong))
             return rest[:0]
@@ -289,7 +289,7 @@
                     self._flush()
                     stuck = self.written == before
                 if stuck:  # the socket would take it, and the system lacks something just now
-                    time.sleep(socket_errors.PAUSE)
+                    time.sleep(socket_errors.RETRY_INTERVAL)
             except Exception:
                 logger.exception("a connection's writing thread failed")
                 self.close(End.FAULT)
@@ -406,7 +406,7 @@
         except ConnectionRefusedError:
             return self.close(End.REFUSED)
         except OSError as wrong:
-            return self.close(End.NO_LINE if socket_errors.own_fault(wrong) else End.UNMADE)
+            return self.close(End.NO_LINE if socket_errors.is_local_fault(wrong) else End.UNMADE)
         self.sock.settimeout(None)
         with self.lock:
             self._to(State.OPEN)
@@ -418,13 +418,13 @@
         """Connect within the time that there is; what fails for a moment on this machine is tried again."""
         begun = time.monotonic()
         while True:
-            self.sock.settimeout(max(socket_errors.PAUSE, begun + self.patience - time.monotonic()))
+            self.sock.settimeout(max(socket_errors.RETRY_INTERVAL, begun + self.patience - time.monotonic()))
             try:
                 return self.sock.connect(self.address)
             except OSError as wrong:
-                if time.monotonic() >= begun + CONNECT_AGAIN or not socket_errors.connect_passes(wrong):
+                if time.monotonic() >= begun + CONNECT_AGAIN or not socket_errors.is_transient_connect(wrong):
                     raise
-            time.sleep(socket_errors.PAUSE)
+            time.sleep(socket_errors.RETRY_INTERVAL)
 
     def _plain(self) -> None:
         for _ in range(OPTION_TRIES):  # a socket that has broken says so when it is read
@@ -479,9 +479,9 @@
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except OSError as wrong:
-            if not socket_errors.passes(wrong):
+            if not socket_errors.is_transient(wrong):
                 raise
-            time.sleep(socket_errors.PAUSE)
+            time.sleep(socket_errors.RETRY_INTERVAL)
             return False
         return True
 
@@ -495,9 +495,9 @@
         try:
             count = self.buffer.read_from(self.sock)
         except OSError as wrong:
-            if self.end is not None or not socket_errors.passes(wrong):
+            if self.end is not None or not socket_errors.is_transient(wrong):
                 raise
-            time.sleep(socket_errors.PAUSE)
+            time.sleep(socket_errors.RETRY_INTERVAL)
             return True
         if not count:
             return False
--- a/lilacloft/net/front.py
+++ b/lilacloft/net/front.py
@@ -304,7 +304,9 @@
         self.counts = dict.fromkeys(names.split(), 0)
         self.closes: Counter[str] = Counter()  # connections, by how they ended
         self.gate = threading.Lock()  # held while one is accepted, and by who wants none to be
-        self.sock = sock or socket_errors.retried(lambda: socket.socket(socket.AF_INET, socket.SOCK_STREAM))
+        self.sock = sock or socket_errors.retry_transient(
+            lambda: socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        )
         if sock is None:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.sock.bind(address)
@@ -336,10 +338,10 @@
         if not self.counts["not_taken"]:
             logger.error("accept: {}", wrong)
         self.counts["not_taken"] += 1
-        if socket_errors.only_this_client(wrong):
-            time.sleep(socket_errors.PAUSE)
+        if socket_errors.concerns_one_client(wrong):
+            time.sleep(socket_errors.RETRY_INTERVAL)
             return
-        if socket_errors.descriptors_are_short(wrong):
+        if socket_errors.is_out_of_descriptors(wrong):
             self._make_room()
         time.sleep(LOOK)
 
--- a/lilacloft/net/request_trace.py
+++ b/lilacloft/net/request_trace.py
@@ -1,6 +1,6 @@
-"""Owns a bounded memory of what has lately become of requests, by their ids, for whoever looks into one.
+"""A bounded trace of what has lately become of requests, by their ids, for whoever looks into one.
 
-It costs one append a step and is written nowhere unless it is asked for. It must never decide or grow.
+It costs one append a step, and is written nowhere unless it is asked for.
 """
 
 from __future__ import annotations
@@ -8,30 +8,33 @@
 from collections import deque
 from typing import NamedTuple
 
-STEPS = 4096  # some hundred bytes each
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
+
+MAX_STEPS = 4096  # some hundred bytes each
 
 
 class Step(NamedTuple):
     """One change of a request's state."""
 
-    at: int  # tenths of a millisecond by the steady clock
+    at: Ticks  # of the monotonic clock
     name: str  # the request's id
     what: str  # arrived, sent, ended, answered, refused, left
     detail: str = ""
 
     def __str__(self) -> str:
-        return f"{self.at / 10_000:.4f} {self.what} {self.detail}".rstrip()
+        return f"{self.at / TICKS_PER_SECOND:.4f} {self.what} {self.detail}".rstrip()
 
 
 class Trace:
-    """The last steps of all requests. Any thread may add."""
+    """The last steps of all requests. Any thread may add one."""
 
-    def __init__(self, steps: int = STEPS) -> None:
-        self.steps: deque[Step] = deque(maxlen=steps)
+    def __init__(self, max_steps: int = MAX_STEPS) -> None:
+        self.steps: deque[Step] = deque(maxlen=max_steps)
 
-    def add(self, at: int, name: str, what: str, detail: str = "") -> None:
+    def add(self, at: Ticks, name: str, what: str, detail: str = "") -> None:
+        """Add a step; the oldest one is dropped where there are too many."""
         self.steps.append(Step(at, name, what, detail))
 
     def trail(self, name: str) -> list[Step]:
-        """What is remembered of one request, oldest first."""
+        """Return the steps of one request, oldest first."""
         return [step for step in list(self.steps) if step.name == name]
--- a/lilacloft/net/resource_limits.py
+++ b/lilacloft/net/resource_limits.py
@@ -1,28 +1,30 @@
-"""What a gateway may hold at once, of its memory and its descriptors, for clients and for caches.
+"""How a gateway shares out its memory and its descriptors between clients and backends.
 
-Arithmetic over the limits of the configuration and of the system. It must never open or close anything.
+Arithmetic over the limits of the configuration and of the system; nothing is opened or closed here.
 """
 
 from __future__ import annotations
 
 import resource
 import sys
+from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-RESERVED = 10  # descriptors: standard streams, listening socket, change log, a file that is read, one coming
+RESERVED = 10  # descriptors: standard streams, listening socket, change log, a file, one being accepted
 
 
 class Budgets(NamedTuple):
-    """The most that may be held of each."""
+    """The most that may be in use of each."""
 
-    unwritten: int  # bytes that wait for clients to read
-    clients: int  # connections of clients, closing ones among them
+    unwritten: int  # bytes buffered for clients that do not read
+    clients: int  # connections of clients, those that close included
     caches: int  # connections to caches, parents and the origin
 
 
-def budgets(limits: dict[str, Any], descriptors: int) -> Budgets:
-    """Of the configuration's `limits`, and of the system's limit on descriptors where that is lower. Clients
-    hold a third of the descriptors at most, by the protocol, and what closes counts for a while."""
+def budgets(limits: Mapping[str, Any], descriptors: int) -> Budgets:
+    """Return the budgets for the configuration's `limits`, and for the system's limit on descriptors where that
+    is lower. By the protocol clients have a third of the descriptors at most; connections that close count
+    for a while."""
     sockets = min(int(limits["sockets"]), descriptors)
     free = max(2, sockets - RESERVED)
     return Budgets(
@@ -33,6 +35,6 @@
 
 
 def descriptor_limit() -> int:
-    """How many descriptors the system lets this process have."""
+    """Return how many descriptors the system lets this process have."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return sys.maxsize if soft == resource.RLIM_INFINITY else soft
--- a/lilacloft/net/socket_errors.py
+++ b/lilacloft/net/socket_errors.py
@@ -1,7 +1,7 @@
-"""Decides which failures of system calls pass by themselves, and which say that the way to a peer broke.
+"""Which failures of system calls are transient, and which say that a peer has ended the connection.
 
-Errors are those that the Linux manual pages document for each call. Whoever calls waits `PAUSE` between two
-tries, and knows for how long; `retried` does so for what a start needs.
+Errors are those that the Linux manual pages document for each call. A caller waits `RETRY_INTERVAL` between
+two attempts and bounds their total time itself; `retry_transient` does so for what a start needs.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from typing import TypeVar
 
 Result = TypeVar("Result")
-START_AGAIN = 5.0  # seconds in which what a start needs is asked for again: it is to serve in ten
-PAUSE = 0.002  # seconds between two tries of a call that fails for a moment
-# the machine is short of something just now, or a signal came: the connection itself is as it was
-_PASSING = frozenset((errno.EINTR, errno.ENOMEM, errno.ENOBUFS))
+START_RETRY_TIME = 5.0  # seconds for which a call is repeated at a start, which is to be ready within ten
+RETRY_INTERVAL = 0.002  # seconds between two attempts of a call that fails for a moment
+# the machine is short of something, or a signal came: the connection itself is as it was
+_TRANSIENT = frozenset((errno.EINTR, errno.ENOMEM, errno.ENOBUFS))
 # of a new connection: also what is short of descriptors, ports and routes
-_PASSING_CONNECT = _PASSING | {
+_TRANSIENT_CONNECT = _TRANSIENT | {
     errno.EAGAIN,
     errno.EADDRNOTAVAIL,
     errno.ENETUNREACH,
     errno.ENFILE,
     errno.EMFILE,
 }
-# of a connection that waits at our door, or has gone from there; the next one may be whole
-_NEXT_CLIENT = frozenset(
+# of accept, about one connection that waited to be accepted; the next one may be sound
+_ONE_CLIENT = frozenset(
     (
         errno.EINTR,
         errno.ECONNABORTED,
@@ -41,47 +41,48 @@
         errno.EPERM,
     )
 )
-# the other side itself has ended the connection: nothing that was open there goes on
-_BY_PEER = frozenset((errno.ECONNRESET, errno.EPIPE, errno.ECONNREFUSED))
+# the peer itself has ended the connection: no request on it goes on there
+_ENDED_BY_PEER = frozenset((errno.ECONNRESET, errno.EPIPE, errno.ECONNREFUSED))
 
 
-def passes(error: OSError) -> bool:
-    """May the same read or write succeed a moment later?"""
-    return error.errno in _PASSING
+def is_transient(error: OSError) -> bool:
+    """Return whether the same read or write may succeed a moment later."""
+    return error.errno in _TRANSIENT
 
 
-def connect_passes(error: OSError) -> bool:
-    """May a connect succeed a moment later, its failure being this machine's own?"""
-    return error.errno in _PASSING_CONNECT
+def is_transient_connect(error: OSError) -> bool:
+    """Return whether a connect may succeed a moment later, as this machine caused its failure."""
+    return error.errno in _TRANSIENT_CONNECT
 
 
-def own_fault(error: OSError) -> bool:
-    """Does a connect that failed for good say nothing of the other side? Where there is no route it may."""
-    return connect_passes(error) and error.errno != errno.ENETUNREACH
+def is_local_fault(error: OSError) -> bool:
+    """Return whether a connect that failed for good says nothing of the peer. A missing route may."""
+    return is_transient_connect(error) and error.errno != errno.ENETUNREACH
 
 
-def only_this_client(error: OSError) -> bool:
-    """Does a failure of accept concern one client alone, that has gone?"""
-    return error.errno in _NEXT_CLIENT
+def concerns_one_client(error: OSError) -> bool:
+    """Return whether a failure of accept concerns one client alone, which has disconnected."""
+    return error.errno in _ONE_CLIENT
 
 
-def descriptors_are_short(error: OSError) -> bool:
-    """Has this process no descriptor left?"""
+def is_out_of_descriptors(error: OSError) -> bool:
+    """Return whether this process has no descriptor left."""
     return error.errno == errno.EMFILE
 
 
-def ended_by_peer(error: OSError) -> bool:
-    """Does an error on a connection say that the other side has ended it? Else it may not know yet."""
-    return error.errno in _BY_PEER
+def is_ended_by_peer(error: OSError) -> bool:
+    """Return whether an error says that the peer has ended the connection; otherwise it may not know yet."""
+    return error.errno in _ENDED_BY_PEER
 
 
-def retried(call: Callable[[], Result], seconds: float = START_AGAIN) -> Result:
-    """The result of a call that needs descriptors or memory, tried for a while where those are short."""
-    until = time.monotonic() + seconds
+def retry_transient(call: Callable[[], Result], seconds: float = START_RETRY_TIME) -> Result:
+    """Return the result of a call that needs descriptors or memory, repeated for a while where those are
+    short. Raises the OSError of the last attempt."""
+    deadline = time.monotonic() + seconds
     while True:
         try:
             return call()
-        except OSError as wrong:
-            if not connect_passes(wrong) or time.monotonic() >= until:
+        except OSError as error:
+            if not is_transient_connect(error) or time.monotonic() >= deadline:
                 raise
-        time.sleep(PAUSE)
+        time.sleep(RETRY_INTERVAL)
--- a/lilacloft/net/tcp_info.py
+++ b/lilacloft/net/tcp_info.py
@@ -1,6 +1,6 @@
-"""Owns what the kernel tells of a connection beside its bytes: fields of `struct tcp_info` (tcp(7)).
+"""What the kernel knows of a TCP connection: fields of `struct tcp_info` (tcp(7)).
 
-It reads and never changes anything, and a kernel that does not tell is no error.
+Reads only. A kernel that does not provide a field is no error: the field is 0.
 """
 
 from __future__ import annotations
@@ -8,34 +8,34 @@
 import socket
 import struct
 
-SIZE = 136  # bytes of the structure that kernels since Linux 4.6 fill
-MILLISECONDS = 1000.0  # in a second
+TCP_INFO_SIZE = 136  # bytes of the structure that kernels since Linux 4.6 fill
+MILLISECONDS_PER_SECOND = 1000.0
 LAST_DATA_SENT = struct.Struct("@44xI")  # `tcpi_last_data_sent`, in milliseconds
 LAST_DATA_RECEIVED = struct.Struct("@52xI")  # `tcpi_last_data_recv`, in milliseconds
 BYTES_RECEIVED = struct.Struct("@128xQ")  # `tcpi_bytes_received`
 
 
 def _field(sock: socket.socket, field: struct.Struct) -> int:
-    """One field; 0 where the kernel does not tell."""
+    """Return one field; 0 where the kernel does not provide it."""
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, SIZE)
-        found: int = field.unpack_from(told)[0]
+        data = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
+        value: int = field.unpack_from(data)[0]
     except (OSError, struct.error):
         return 0
-    return found
+    return value
 
 
 def since_last_data(sock: socket.socket) -> float:
-    """Seconds since the last byte came in; 0.0 where the kernel does not tell."""
-    return _field(sock, LAST_DATA_RECEIVED) / MILLISECONDS
+    """Return the seconds since the last byte came in; 0.0: unknown."""
+    return _field(sock, LAST_DATA_RECEIVED) / MILLISECONDS_PER_SECOND
 
 
 def since_opened(sock: socket.socket) -> float:
-    """Seconds since an accepted connection came up, if nothing was sent on it yet: Linux counts its last
-    sending from then (`tcp_create_openreq_child`). 0.0 where the kernel does not tell."""
-    return _field(sock, LAST_DATA_SENT) / MILLISECONDS
+    """Return the seconds since an accepted connection was established, if nothing was sent on it yet: Linux
+    counts its last sending from then (`tcp_create_openreq_child`). 0.0: unknown."""
+    return _field(sock, LAST_DATA_SENT) / MILLISECONDS_PER_SECOND
 
 
 def bytes_received(sock: socket.socket) -> int:
-    """Bytes that have come in since the connection's start, read or not; 0 where the kernel does not tell."""
+    """Return the bytes that came in since the connection's start, read or not; 0: unknown."""
     return _field(sock, BYTES_RECEIVED)
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -33,7 +33,7 @@
     if not path:
         raise UnusableError("no configuration: name one with --config or in EDGE_CONFIG")
     try:
-        with socket_errors.retried(lambda: open(path, encoding="utf-8")) as file:
+        with socket_errors.retry_transient(lambda: open(path, encoding="utf-8")) as file:
             config = json.load(file)
     except (OSError, ValueError, RecursionError) as wrong:
         raise UnusableError(f"{path} cannot be read: {wrong}") from wrong
