--- a/lilacloft/net/resource_limits.py
+++ b/lilacloft/net/resource_limits.py
@@ -22,7 +22,7 @@
 
 
 def budgets(limits: Mapping[str, Any], descriptors: int) -> Budgets:
-    """Return the budgets for the configuration's `limits`, and for the system's limit on descriptors where that
+    """Return the budgets for the configuration's `limits`, and the system's limit on descriptors where that
     is lower. By the protocol clients have a third of the descriptors at most; connections that close count
     for a while."""
     sockets = min(int(limits["sockets"]), descriptors)
