--- a/lilacloft/gateway/configuration.py
+++ b/lilacloft/gateway/configuration.py
@@ -12,8 +12,8 @@
 from loguru import logger
 
 from lilacloft import needed
-from lilacloft.net.budgets import Budgets, budgets, descriptor_limit
-from lilacloft.net.feed import Event, known
+from lilacloft.net.discovery_events import DiscoveryEvent, events_of_config
+from lilacloft.net.resource_limits import Budgets, budgets, descriptor_limit
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 from lilacloft.settings import settings
 
@@ -71,10 +71,10 @@
     )
 
 
-def read_initial_events(config: dict[str, Any], names: dict[str, Any]) -> list[Event]:
+def read_initial_events(config: dict[str, Any], names: dict[str, Any]) -> list[DiscoveryEvent]:
     """Return the events of the change log that a configuration has; `names`: its settings."""
     results = config["known"]["results"]
-    return [event for _, event in known(results, names["zones"], names["kinds"])]
+    return [event for _, event in events_of_config(results, names["zones"], names["kinds"])]
 
 
 def read_budgets(limits: dict[str, Any]) -> Budgets:
--- a/lilacloft/gateway/context.py
+++ b/lilacloft/gateway/context.py
@@ -11,10 +11,10 @@
 from lilacloft.gateway.event_loop import EventLoop
 from lilacloft.invariants import Invariants
 from lilacloft.net.back import Back
-from lilacloft.net.budgets import Budgets
-from lilacloft.net.feed import Feed
+from lilacloft.net.discovery_watch import DiscoveryWatch
 from lilacloft.net.front import Call, Front
-from lilacloft.net.trace import Trace
+from lilacloft.net.request_trace import Trace
+from lilacloft.net.resource_limits import Budgets
 from lilacloft.routing.model import Backend, Request
 from lilacloft.routing.router import Router
 from lilacloft.routing.units import Ticks
@@ -25,7 +25,7 @@
 
     front: Front  # the clients' connections
     back: Back  # the connections to caches, parents and the origin
-    feed: Feed  # the change log
+    feed: DiscoveryWatch  # the change log
     router: Router  # the decisions
     invariants: Invariants
     budgets: Budgets
--- a/lilacloft/gateway/discovery.py
+++ b/lilacloft/gateway/discovery.py
@@ -9,7 +9,8 @@
 from lilacloft.gateway.clock import TICKS_PER_MILLISECOND, monotonic_ticks
 from lilacloft.gateway.configuration import parse_address
 from lilacloft.gateway.context import GatewayContext
-from lilacloft.net.feed import Entry, Event, Feed, Heard
+from lilacloft.net.discovery_events import DiscoveryEvent, EndpointEntry
+from lilacloft.net.discovery_watch import DiscoveryWatch, WatchStatus
 from lilacloft.routing.host import Endpoint, ListMode
 from lilacloft.routing.model import Backend
 from lilacloft.stamps import Hearing, Stamps
@@ -26,14 +27,14 @@
         self.gateway = gateway
         self.stamps = Stamps()
         self.last_applied_event = configuration.last_applied_event
-        gateway.feed = Feed(
+        gateway.feed = DiscoveryWatch(
             parse_address(configuration.changelog),
             self.last_applied_event,
             self._event_received,
             configuration.name,
         )
 
-    def apply_configured_events(self, events: list[Event]) -> None:
+    def apply_configured_events(self, events: list[DiscoveryEvent]) -> None:
         """Apply the events that the configuration has: purges first, as they tell the state of the change
         log's clock."""
         entries = [entry for kind, content in events if kind != PURGE for entry in content]
@@ -42,18 +43,20 @@
         for event in sorted(events, key=lambda event: event[0] != PURGE):
             self.apply_event(event, ListMode.CACHED if event[0] == ListMode.FULL else None)
 
-    def _event_received(self, event: Event, number: int) -> None:
+    def _event_received(self, event: DiscoveryEvent, number: int) -> None:
         """Post an event; in the change log's thread. What the configuration's list had in it already is
         applied again only where the store may lack a purge: an older list must not hold for a moment."""
         gateway = self.gateway
         if event[0] == PURGE or number > self.last_applied_event:
-            gateway.loop.post(self.apply_event, event, None, gateway.feed.heard)
+            gateway.loop.post(self.apply_event, event, None, gateway.feed.status)
         if gateway.guard:
             gateway.loop.post(gateway.guard.event_received, event, number)
         if gateway.recorder:
             gateway.loop.post(gateway.recorder.heard, event, number, monotonic_ticks())
 
-    def apply_event(self, event: Event, mode: str | None = None, feed_state: Heard | None = None) -> None:
+    def apply_event(
+        self, event: DiscoveryEvent, mode: str | None = None, feed_state: WatchStatus | None = None
+    ) -> None:
         """Apply an endpoint list, changes of it, or a purge. `mode`: a `ListMode` other than the event's own
         kind; `feed_state`: how the change log was followed before, None where a configuration or a store has
         the event."""
@@ -82,7 +85,7 @@
         gateway.router.object_purged(key, group, now - self.stamps.purge(now, stamp, hearing))
         self._correct_start_times()
 
-    def apply_endpoints(self, mode: str, rows: list[Entry]) -> None:
+    def apply_endpoints(self, mode: str, rows: list[EndpointEntry]) -> None:
         """Apply an endpoint list, or changes of it, with starts in the gateway's own time."""
         gateway = self.gateway
         endpoints, addresses = [], []
--- a/lilacloft/gateway/reload.py
+++ b/lilacloft/gateway/reload.py
@@ -9,7 +9,7 @@
 from lilacloft import needed
 from lilacloft.gateway.configuration import parse_address
 from lilacloft.gateway.context import GatewayContext
-from lilacloft.net.budgets import budgets, descriptor_limit
+from lilacloft.net.resource_limits import budgets, descriptor_limit
 
 
 def reload(gateway: GatewayContext, config: dict[str, Any]) -> None:
--- a/lilacloft/gateway/wire_messages.py
+++ b/lilacloft/gateway/wire_messages.py
@@ -4,7 +4,7 @@
 
 from lilacloft.gateway.clock import TICKS_PER_MILLISECOND
 from lilacloft.net.front import Call
-from lilacloft.net.resp import encode, listed
+from lilacloft.net.resp import encode, encode_fields
 from lilacloft.routing.host import Dispatch
 from lilacloft.routing.model import Backend
 
@@ -27,7 +27,7 @@
         ("ways", _fill_flags(dispatch)),
         ("cached", call.got),
     )
-    return encode(DISPATCH, call.name.encode(), listed(fields), call.body)
+    return encode(DISPATCH, call.name.encode(), encode_fields(fields), call.body)
 
 
 def attempt_milliseconds(dispatch: Dispatch) -> int:
--- a/lilacloft/handover/connections.py
+++ b/lilacloft/handover/connections.py
@@ -16,7 +16,7 @@
     """Return whether nothing is open, half read or half written on a client's connection."""
     return not (
         client.open
-        or client.buffer.partial()
+        or client.buffer.has_partial()
         or client.waits()
         or client.state is not State.OPEN
         or client.taken > client.settled
@@ -26,7 +26,7 @@
 
 def carries_nothing(line: Line) -> bool:
     """Return whether nothing is in flight, half read or half written on a connection to a backend."""
-    return not (line.out or line.buffer.partial() or line.waits())
+    return not (line.out or line.buffer.has_partial() or line.waits())
 
 
 def backend_connections(gateway: Gateway) -> list[Line]:
--- a/lilacloft/handover/state_export.py
+++ b/lilacloft/handover/state_export.py
@@ -157,7 +157,7 @@
     """Return the fields of a ConnectionState."""
     return {
         "descriptor": descriptor,
-        "partial_message": conn.buffer.held(),
+        "partial_message": conn.buffer.unread(),
         "unsent": [(waiting.place, bytes(waiting.rest)) for waiting in conn.backlog],
         "queued_bytes": conn.queued,
         "written_bytes": conn.written,
--- a/lilacloft/handover/state_restore.py
+++ b/lilacloft/handover/state_restore.py
@@ -174,7 +174,7 @@
 
     def _restore_connection(self, conn: Conn, state: messages.ConnectionState) -> None:
         """Restore what clients' connections and those to backends have in common."""
-        conn.buffer.feed(state.partial_message)
+        conn.buffer.append(state.partial_message)
         conn.backlog.extend(Waiting(end, memoryview(rest), begun=True) for end, rest in state.unsent)
         conn.queued = state.queued_bytes
         conn.written = state.written_bytes
--- a/lilacloft/net/conn.py
+++ b/lilacloft/net/conn.py
@@ -20,8 +20,14 @@
 
 from loguru import logger
 
-from lilacloft.net import transient
-from lilacloft.net.resp import FROM_CACHE, LARGEST, MIDDLE, Buffer, GarbledError
+from lilacloft.net import socket_errors
+from lilacloft.net.resp import (
+    BACKEND_BUFFER,
+    BACKEND_MESSAGE_SIZES,
+    MAX_PART_SIZE,
+    GarbledError,
+    MessageBuffer,
+)
 from lilacloft.net.tcp_info import bytes_received, since_last_data
 
 CONNECT_AGAIN = 0.05  # seconds in which a connect that fails on this machine is tried again
@@ -41,7 +47,7 @@
     try:
         found = watch.poll(milliseconds)
     except OSError as wrong:
-        if not transient.passes(wrong):
+        if not socket_errors.is_transient(wrong):
             raise
         return unknown
     return found[0][1] if found else 0
@@ -49,7 +55,7 @@
 
 def broken(error: OSError) -> End:
     """The end of a connection on which a call has failed for good."""
-    return End.RESET if transient.ended_by_peer(error) else End.BROKEN
+    return End.RESET if socket_errors.is_ended_by_peer(error) else End.BROKEN
 
 
 class State(Enum):
@@ -129,8 +135,8 @@
 
     Where a process may hand its connections to another (`movable`, for all of them), a reader waits without
     taking anything, and reads and passes on only under its gate. Whoever holds gate and lock (`hold`) has the
-    connection at rest: what the kernel has of it is unread, and what is here is told by `Buffer.held` and the
-    backlog."""
+    connection at rest: what the kernel has of it is unread, and what is here is in `MessageBuffer.unread` and
+    the backlog."""
 
     movable = False
 
@@ -141,14 +147,14 @@
         sock: socket.socket | None = None,
         address: tuple[str, int] = ("", 0),
         patience: float = 0.0,
-        sizes: tuple[int, ...] = FROM_CACHE,
-        small: int = MIDDLE,
+        sizes: tuple[int, ...] = BACKEND_MESSAGE_SIZES,
+        small: int = BACKEND_BUFFER,
     ) -> None:
         self.takes, self.gone = takes, gone  # both are called by the reading thread
         self.sock = sock or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.address, self.patience = address, patience
         self.state = State.CONNECTING if sock is None else State.OPEN
-        self.buffer = Buffer(sizes, small)
+        self.buffer = MessageBuffer(sizes, small)
         self.lock = threading.Lock()
         self.backlog: deque[Waiting] = deque()
         self.queued = self.written = 0  # bytes, since the start; what was withdrawn is in both
@@ -210,7 +216,7 @@
         except BlockingIOError:
             return rest
         except OSError as wrong:
-            if transient.passes(wrong):
+            if socket_errors.is_transient(wrong):
                 return rest
             self._finish(broken(wrong))
             return rest[:0]
@@ -283,7 +289,7 @@
                     self._flush()
                     stuck = self.written == before
                 if stuck:  # the socket would take it, and the system lacks something just now
-                    time.sleep(transient.PAUSE)
+                    time.sleep(socket_errors.RETRY_INTERVAL)
             except Exception:
                 logger.exception("a connection's writing thread failed")
                 self.close(End.FAULT)
@@ -400,7 +406,7 @@
         except ConnectionRefusedError:
             return self.close(End.REFUSED)
         except OSError as wrong:
-            return self.close(End.NO_LINE if transient.own_fault(wrong) else End.UNMADE)
+            return self.close(End.NO_LINE if socket_errors.is_local_fault(wrong) else End.UNMADE)
         self.sock.settimeout(None)
         with self.lock:
             self._to(State.OPEN)
@@ -412,19 +418,19 @@
         """Connect within the time that there is; what fails for a moment on this machine is tried again."""
         begun = time.monotonic()
         while True:
-            self.sock.settimeout(max(transient.PAUSE, begun + self.patience - time.monotonic()))
+            self.sock.settimeout(max(socket_errors.RETRY_INTERVAL, begun + self.patience - time.monotonic()))
             try:
                 return self.sock.connect(self.address)
             except OSError as wrong:
-                if time.monotonic() >= begun + CONNECT_AGAIN or not transient.connect_passes(wrong):
+                if time.monotonic() >= begun + CONNECT_AGAIN or not socket_errors.is_transient_connect(wrong):
                     raise
-            time.sleep(transient.PAUSE)
+            time.sleep(socket_errors.RETRY_INTERVAL)
 
     def _plain(self) -> None:
         for _ in range(OPTION_TRIES):  # a socket that has broken says so when it is read
             with contextlib.suppress(OSError):
                 self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, LARGEST)
+                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_PART_SIZE)
                 return
 
     def _run(self) -> None:
@@ -473,25 +479,25 @@
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except OSError as wrong:
-            if not transient.passes(wrong):
+            if not socket_errors.is_transient(wrong):
                 raise
-            time.sleep(transient.PAUSE)
+            time.sleep(socket_errors.RETRY_INTERVAL)
             return False
         return True
 
     def passes_on(self) -> None:
         """The message in hand is passed on; what lies behind it is not."""
-        self.passed_on = self.received - self.buffer.behind()
+        self.passed_on = self.received - self.buffer.unread_size()
 
     def _read_once(self) -> bool:
         """Read once, and pass on each message that is whole then. False at the end of the stream."""
-        fresh = not self.buffer.partial()
+        fresh = not self.buffer.has_partial()
         try:
-            count = self.buffer.fill(self.sock)
+            count = self.buffer.read_from(self.sock)
         except OSError as wrong:
-            if self.end is not None or not transient.passes(wrong):
+            if self.end is not None or not socket_errors.is_transient(wrong):
                 raise
-            time.sleep(transient.PAUSE)
+            time.sleep(socket_errors.RETRY_INTERVAL)
             return True
         if not count:
             return False
@@ -500,7 +506,7 @@
         if self.end is not None:
             return True  # it crossed our close
         try:
-            while (items := self.buffer.take()) is not None:
+            while (items := self.buffer.next_message()) is not None:
                 fresh = True
                 self.takes(self, items)
         except GarbledError:
--- a/lilacloft/plan/serve.py
+++ b/lilacloft/plan/serve.py
@@ -12,13 +12,14 @@
 
 from lilacloft import needed
 from lilacloft.config.addresses import address
-from lilacloft.net.feed import Feed, known
+from lilacloft.failover.recovery_ramp import SlowStartProfile
+from lilacloft.net.discovery_events import events_of_config
+from lilacloft.net.discovery_watch import DiscoveryWatch
 from lilacloft.plan import form
 from lilacloft.plan.planner import Listed, Planner, Site
 from lilacloft.plan.wire import Dial, Door, Peer
 from lilacloft.plan.words import PARTS, delta
 from lilacloft.settings import settings
-from lilacloft.zones.pace import Warming
 
 TICK = 0.25
 NS = 100_000
@@ -52,8 +53,10 @@
             zones=leave != "never",
             across=leave == "across",
             sizes=found.get("weight_source", "silent") != "silent",
-            caches=Warming(rules["start_capacity"], rules["cold"], rules["tip_multiple"]),
-            hubs=Warming(family["parent_floor"], family["parent_warms_in"], family["parent_breaks_at"]),
+            caches=SlowStartProfile(rules["start_capacity"], rules["cold"], rules["tip_multiple"]),
+            hubs=SlowStartProfile(
+                family["parent_floor"], family["parent_warms_in"], family["parent_breaks_at"]
+            ),
         )
         self.store = self._open(folder)
         epoch, life = self._begin()
@@ -62,9 +65,9 @@
         self.queue: queue.SimpleQueue[tuple[Any, ...]] = queue.SimpleQueue()
         self.backends: dict[str, tuple[Any, ...]] = {}
         self.number = config["known"]["seq"]
-        for number, event in known(config["known"]["results"], found["zones"], found["kinds"]):
+        for number, event in events_of_config(config["known"]["results"], found["zones"], found["kinds"]):
             self._told(event, number)
-        self.feed = Feed(
+        self.feed = DiscoveryWatch(
             address(config["changelog"]),
             self.number,
             lambda event, number: self.queue.put((self._told, event, number)),
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -19,12 +19,15 @@
 
 from lilacloft import needed
 from lilacloft.config.reader import load
+from lilacloft.failover.failover_state import FailoverDirective, FailoverStatus
+from lilacloft.failover.outcome_counts import OutcomeCounts
+from lilacloft.failover.substitutes import ZoneWeight
 from lilacloft.gateway.gateway import Gateway
 from lilacloft.handover import framing, messages
 from lilacloft.handover.process_arguments import INTERNAL_OPTIONS
 from lilacloft.handover.state_export import export_gateway, store_state
 from lilacloft.handover.state_restore import GatewayRestorer
-from lilacloft.net import feed
+from lilacloft.net import discovery_events
 from lilacloft.net.conn import OUTCOMES, End
 from lilacloft.plan import form as plan_form
 from lilacloft.plan import words
@@ -51,7 +54,6 @@
 from lilacloft.store.log import Store
 from lilacloft.store.record_types import RecordKind
 from lilacloft.store.recovered_state import RecoveredState, recover_state
-from lilacloft.zones.course import Tally, Told
 
 Plain = dict[str, Any]
 
@@ -641,7 +643,7 @@
         "asked": told.asked,
         "past": told.past,
         "tallies": {
-            zone: {"well": one.well, "late": one.late, "failed": one.failed, "hits": one.hits}
+            zone: {"well": one.on_time, "late": one.late, "failed": one.failed, "hits": one.cache_hits}
             for zone, one in told.tallies.items()
         },
         "left": lists(told.left),
@@ -669,28 +671,28 @@
             asked=plain["asked"],
             past=plain["past"],
             tallies={
-                zone: Tally(one["well"], one["late"], one["failed"], one["hits"])
+                zone: OutcomeCounts(one["well"], one["late"], one["failed"], one["hits"])
                 for zone, one in plain["tallies"].items()
             },
-            left={zone: (back, fails) for zone, (back, fails) in plain["left"].items()},
+            left={zone: FailoverStatus(back, fails) for zone, (back, fails) in plain["left"].items()},
         )
     )
 
 
-def _zone_values(told: Told) -> Plain:
+def _zone_values(told: FailoverDirective) -> Plain:
     return {
-        "back": told.back,
-        "fails": told.fails,
-        "rate": told.rate,
-        "trial": told.trial,
-        "why": told.why,
-        "to": lists(told.to),
+        "back": told.returned_slices,
+        "fails": told.failed_returns,
+        "rate": told.slices_per_second,
+        "trial": told.canary_gateway,
+        "why": told.reason,
+        "to": lists(told.substitutes),
     }
 
 
-def _zone(plain: Plain) -> Told:
-    to = tuple((zone, part) for zone, part in plain["to"])
-    return Told(plain["back"], plain["fails"], plain["rate"], plain["trial"], plain["why"], to)
+def _zone(plain: Plain) -> FailoverDirective:
+    to = tuple(ZoneWeight(zone, part) for zone, part in plain["to"])
+    return FailoverDirective(plain["back"], plain["fails"], plain["rate"], plain["trial"], plain["why"], to)
 
 
 def _plan_values(plan: words.Plan) -> Plain:
@@ -872,12 +874,12 @@
     """The events of the change log that a platform's configuration holds: number, what, and its rows."""
     config = json.loads(path.read_text())
     zones, names = config["settings"]["zones"], config["settings"]["kinds"]
-    return lists(list(feed.known(config["known"]["results"], zones, names)))
+    return lists(list(discovery_events.events_of_config(config["known"]["results"], zones, names)))
 
 
 def log_event(number: int, kind: int, payload: bytes) -> list[Any]:
     """One event of the change log, from its frame: what, and its rows."""
-    return lists(feed.frame(number, kind, payload))
+    return lists(discovery_events.decode_event(number, kind, payload))
 
 
 def operators_values(path: Path) -> Plain:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -16,8 +16,8 @@
 from lilacloft.handover.messages import GatewayState
 from lilacloft.handover.state_export import export_gateway
 from lilacloft.handover.state_restore import GatewayRestorer
-from lilacloft.net.feed import Heard
-from lilacloft.net.resp import fields
+from lilacloft.net.discovery_watch import WatchStatus
+from lilacloft.net.resp import parse_fields
 from rigs.inprocess import forgets, until
 from rigs.scene import booked
 from rigs.stands import World, record, serves, silent
@@ -111,17 +111,17 @@
     world = in_process(silent)
     asker = world.asker()
     asker.ask(key=5)
-    assert int(fields(world.caches[0].next()[2][2])["agelim"]) == 10_000
+    assert int(parse_fields(world.caches[0].next()[2][2])["agelim"]) == 10_000
     forgets(asker)
     now = int(time.time() * 1000)
     world.log.add(2, 3, struct.pack(">QQ", 4, now))
     world.log.add(2, 0)  # nothing new: all that it held back is told
-    until(lambda: world.owner.feed.heard.current)
+    until(lambda: world.owner.feed.status.current)
     purged = time.monotonic()
     world.log.add(3, 3, struct.pack(">QQ", 5, int(time.time() * 1000) - int(back * 1000)))
     until(lambda: world.owner.feed.last == 3)
     asker.ask(key=5)
-    told = int(fields(world.caches[0].next()[2][2])["agelim"]) / 1000
+    told = int(parse_fields(world.caches[0].next()[2][2])["agelim"]) / 1000
     assert told <= time.monotonic() - purged
     forgets(asker)
     world.rests()
@@ -159,7 +159,7 @@
         )
         started = successor.backends["s-00000001"].started
         assert started == world.owner.backends["s-00000001"].started
-        successor.apply_event(("delta", [told]), None, Heard(successor.monotonic_time, current=False))
+        successor.apply_event(("delta", [told]), None, WatchStatus(successor.monotonic_time, current=False))
         assert successor.backends["s-00000001"].started == started
     finally:
         successor.front.sock.close()
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -21,11 +21,11 @@
 from lilacloft.gateway.gateway import Gateway
 from lilacloft.gateway.lifecycle import Phase
 from lilacloft.net import conn as conns
-from lilacloft.net import feed as feeds
+from lilacloft.net import discovery_watch
 from lilacloft.net import front as fronts
 from lilacloft.net.back import Back, Line, Sent
 from lilacloft.net.conn import Conn, End, State
-from lilacloft.net.feed import Feed
+from lilacloft.net.discovery_watch import DiscoveryWatch
 from lilacloft.net.front import Client, Front
 from lilacloft.net.resp import encode
 from lilacloft.routing.model import Backend
@@ -213,7 +213,7 @@
     client = next(iter(world.owner.front.clients))
     until(lambda: client.settled == 8)
     asker.sock.sendall(b"*5\r\n$4\r\nEX")
-    until(lambda: client.buffer.partial())
+    until(lambda: client.buffer.has_partial())
     assert client.waits() > 0
     client.begun -= 60  # seconds ago
     world.does(world.owner.run_maintenance)
@@ -371,7 +371,7 @@
     asker = world.asker()
     told = encode(b"EXEC", b"1", b"clip", ASKED % (7, 7), b"")
     asker.sock.sendall(told[:30])
-    until(lambda: any(client.buffer.partial() for client in world.owner.front.clients))
+    until(lambda: any(client.buffer.has_partial() for client in world.owner.front.clients))
     world.owner.post(world.owner.stop)
     until(lambda: world.owner.lifecycle.phase is Phase.DRAINING)
     asker.sock.sendall(told[30:])
@@ -581,10 +581,10 @@
 
 def test_a_watch_that_drips_is_as_silent_as_one_that_says_nothing(monkeypatch):
     """Half a frame whose bytes trickle in is no beat: it is followed anew, from the last event held."""
-    monkeypatch.setattr(feeds, "SILENCE", 0.3)
+    monkeypatch.setattr(discovery_watch, "MAX_SILENCE", 0.3)
     server, over = socket.create_server(("127.0.0.1", 0)), threading.Event()
     told = queue.SimpleQueue()
-    feed = Feed(server.getsockname(), 4, lambda event, number: told.put(number), "n7")
+    feed = DiscoveryWatch(server.getsockname(), 4, lambda event, number: told.put(number), "n7")
     feed.start()
     sock, _ = server.accept()
     assert sock.recv(8, socket.MSG_WAITALL) == struct.pack(">Q", 4)
@@ -612,9 +612,13 @@
 
 
 def test_gateways_that_all_see_silence_do_not_all_come_back_at_once():
-    spans = {Feed(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._drawn() for number in range(200)}
+    spans = {
+        DiscoveryWatch(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._jitter() for number in range(200)
+    }
     assert len(spans) == 200 and min(spans) < 0.05 and max(spans) > 0.95
-    drawn = [Feed(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._drawn() for number in range(10)]
+    drawn = [
+        DiscoveryWatch(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._jitter() for number in range(10)
+    ]
     assert max(drawn) - min(drawn) > 0.5, "also of ten whose names differ in one figure: it had been 0.04"
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,7 +17,7 @@
 from lilacloft.handover.framing import HEADER, MessageKind, encode_frame
 from lilacloft.handover.process_arguments import original_command
 from lilacloft.handover.upgrade_listener import UpgradeListener
-from lilacloft.net.resp import fields, listed
+from lilacloft.net.resp import encode_fields, parse_fields
 from rigs.crash import STEPS
 from rigs.scene import booked
 from rigs.stands import World, encode, record, serves, silent
@@ -148,7 +148,7 @@
     good = encode(items[1], b"data", b"remark=TCP_HIT", CLIP)
     sock.sendall(good[:70_000])
     told = {"ref": f"{77:016x}", "allow": 2000, "lookup": f"{2:016x}", "nth": 0, "batch": 7, "room": 400.0}
-    half = encode(b"EXEC", b"5", b"book", listed(told.items()), b"seat" * 50)
+    half = encode(b"EXEC", b"5", b"book", encode_fields(told.items()), b"seat" * 50)
     other.sock.sendall(half[:60])
 
     def rest():
@@ -216,7 +216,7 @@
     asker.ask(key=9)
     assert asker.answer()[1] == b"200"
     _, _, items = world.caches[0].next()
-    assert 0 < int(fields(items[2])["agelim"]) < 5000
+    assert 0 < int(parse_fields(items[2])["agelim"]) < 5000
 
 
 def test_a_break_of_discovery_during_the_handover_loses_no_event(world):
