--- a/rigs/failover.py
+++ b/rigs/failover.py
@@ -14,7 +14,7 @@
 import statistics
 import sys
 from concurrent.futures import ProcessPoolExecutor
-from dataclasses import dataclass, replace
+from dataclasses import astuple, dataclass, replace
 from pathlib import Path
 from typing import Any
 
@@ -94,20 +94,29 @@
 }
 
 
-def world(
-    caches: int = 200, gateways: int = 50, rate: float = 600.0, zones: int = 4, span: float = 30.0
-) -> World:
-    """A large site: locations of one size, parents in two hubs that can bear a lost location."""
+@dataclass(frozen=True)
+class WorldSize:
+    """How large a world is."""
+
+    caches: int = 200
+    gateways: int = 50
+    rate: float = 600.0  # requests a second
+    zones: int = 4
+
+
+def build_world(size: WorldSize, span: float = 30.0) -> World:
+    """A large site: locations of one size, parents in two hubs that can serve for a lost location. `span`: in
+    seconds."""
     return World(
         "site",
-        zones=zones,
-        caches=caches // zones,
-        gateways=max(1, gateways // zones),
+        zones=size.zones,
+        caches=size.caches // size.zones,
+        gateways=max(1, size.gateways // size.zones),
         parents=8,
         hubs=2,
         cells=4,
         span=int(span * SECOND),
-        habits=replace(READS, rate=rate, objects=10 * caches, drift=0.2),
+        habits=replace(READS, rate=size.rate, objects=10 * size.caches, drift=0.2),
     )
 
 
@@ -122,6 +131,13 @@
         self.asked_in: dict[tuple[int, int], int] = {}  # and reqs of its gateways
         self.took_in: dict[int, list[int]] = {}  # what was done, by location: how long it took
 
+    def served_share(self, begin: float, end: float) -> float:
+        """The served share of what was asked for, by value, between two times in seconds."""
+        seconds = range(int(begin), int(end))
+        could = sum(self.could_at.get(at, 0.0) for at in seconds)
+        earned = sum(self.earned_at.get(at, 0.0) for at in seconds)
+        return earned / could if could else 1.0
+
     def _comes_in(self) -> None:
         before = self.could
         super()._comes_in()
@@ -153,76 +169,90 @@
     """Two levels."""
 
 
-def one(script: str, way: str, seed: int, sizes: tuple[int, int, float, int]) -> dict[str, Any]:
-    """One run."""
-    told = SCRIPTS[script]
-    place = replace(world(*sizes, span=told.span), parent_size=told.parent)
-    faults: list[Fault] = parse(told.faults)
-    if script == "drawn":
-        faults = language.draw(Chance(seed).stream("faults"), place.sizes(), 8 * SECOND, 4)
-    if way in ("alone", "oracle"):
-        fleet: Any = WatchedFleet(place, seed, faults, POLICIES["module" if way == "alone" else "oracle"])
-    else:
-        fleet = WatchedPlanes(
-            place,
-            seed,
-            faults,
-            troubles=told.troubles,
-            leave={"planes": "never", "leaves": "past"}.get(way, way),
-        )
+def run_world(script_name: str, way: str, seed: int, size: WorldSize) -> dict[str, Any]:
+    """Run one world under one way of deciding; return its row of the report."""
+    script = SCRIPTS[script_name]
+    world = replace(build_world(size, script.span), parent_size=script.parent)
+    faults: list[Fault] = parse(script.faults)
+    if script_name == "drawn":
+        faults = language.draw(Chance(seed).stream("faults"), world.sizes(), 8 * SECOND, 4)
+    fleet = _fleet(world, way, seed, faults, script.troubles)
     fleet.watch()
     result = fleet.run()
-
-    def worth(begin: float, end: float) -> float:
-        could = sum(fleet.could_at.get(at, 0.0) for at in range(int(begin), int(end)))
-        earned = sum(fleet.earned_at.get(at, 0.0) for at in range(int(begin), int(end)))
-        return earned / could if could else 1.0
-
-    out = {
-        "script": script,
+    row = {
+        "script": script_name,
         "way": way,
         "seed": seed,
         "worth": result.worth,
         "p99": result.p99,
-        "trouble": worth(told.begin, told.end),
-        "after": worth(told.end, told.end + 20),
+        "trouble": fleet.served_share(script.begin, script.end),
+        "after": fleet.served_share(script.end, script.end + 20),
         "fell": result.fell,
         "denied": result.denied,
-        "breaches": [str(one) for one in result.breaches[:5]],
+        "breaches": [str(breach) for breach in result.breaches[:5]],
         "broken": len(result.breaches),
         "elsewhere": None,
         "into": 0,
         "left": [],
         "changes": 0,
     }
-    struck = {int(fault.which) for fault in faults if fault.whom == "zone"}
-    others = sorted(took for zone, all_ in fleet.took_in.items() if zone not in struck for took in all_)
-    out["others_p99"] = others[len(others) * 99 // 100] / 10 if others else 0.0
+    row["others_p99"] = _p99_elsewhere(fleet, faults)
     lost = [fault for fault in faults if fault.whom == "zone" and fault.kind in ("silent", "mute", "deaf")]
     if lost:
-        out["elsewhere"], out["into"] = gone(fleet, lost[0])
+        row["elsewhere"], row["into"] = time_to_failover(fleet, lost[0])
     if way in ("leaves", "across"):
-        for plane in fleet.planners:
-            zones = plane.core.zones
-            for zone, state in (zones.states if zones else {}).items():
-                mine = [(at - plane.now() + fleet.events.now - START, text) for at, text in state.history]
-                out["left"] += [f"{plane.name} {zone} at {at / SECOND:.2f} s: {text}" for at, text in mine]
-        # who followed another has the same changes once more
-        out["changes"] = max(
-            sum(
-                text.startswith(FailoverPhase.FAILED_OVER)
-                for text in (
-                    line.partition(": ")[2] for line in out["left"] if line.startswith(f"{plane.name} ")
-                )
-            )
-            for plane in fleet.planners
+        row["left"] = _history(fleet)
+        row["changes"] = _count_failovers(fleet, row["left"])
+    return row
+
+
+def _fleet(
+    world: World, way: str, seed: int, faults: list[Fault], planner_troubles: tuple[Trouble, ...]
+) -> Any:
+    """The fleet that decides in a given way."""
+    if way in ("alone", "oracle"):
+        return WatchedFleet(world, seed, faults, POLICIES["module" if way == "alone" else "oracle"])
+    leave = {"planes": "never", "leaves": "past"}.get(way, way)
+    return WatchedPlanes(world, seed, faults, troubles=planner_troubles, leave=leave)
+
+
+def _p99_elsewhere(fleet: Any, faults: list[Fault]) -> float:
+    """The 99th percentile of the answer times in the locations without a fault, in milliseconds."""
+    struck = {int(fault.which) for fault in faults if fault.whom == "zone"}
+    times = sorted(
+        duration for zone, all_ in fleet.took_in.items() if zone not in struck for duration in all_
+    )
+    return times[len(times) * 99 // 100] / 10 if times else 0.0
+
+
+def _history(fleet: Any) -> list[str]:
+    """What the planners decided of locations, with its times in the fleet's time."""
+    lines = []
+    for plane in fleet.planners:
+        zones = plane.core.zones
+        for zone, state in (zones.states if zones else {}).items():
+            offset = fleet.events.now - START - plane.now()
+            lines += [
+                f"{plane.name} {zone} at {(at + offset) / SECOND:.2f} s: {text}" for at, text in state.history
+            ]
+    return lines
+
+
+def _count_failovers(fleet: Any, history: list[str]) -> int:
+    """How often a location was left. A planner that followed another has the same changes once more."""
+    return max(
+        sum(
+            line.startswith(f"{plane.name} ")
+            and line.partition(": ")[2].startswith(FailoverPhase.FAILED_OVER)
+            for line in history
         )
-    return out
+        for plane in fleet.planners
+    )
 
 
-def gone(fleet: Any, fault: Fault) -> tuple[float | None, int]:
-    """From a location's loss on: after how many seconds nine tenths of its reqs went elsewhere at once (for
-    half a second), and how many dispatches were sent into it while it was lost."""
+def time_to_failover(fleet: Any, fault: Fault) -> tuple[float | None, int]:
+    """From a location's loss on: the seconds until nine tenths of its requests went elsewhere at once (for
+    half a second), None: never; and how many attempts were sent into it while it was lost."""
     zone, begin, end = int(fault.which), fault.at // 1000, fault.end // 1000
     into = sum(fleet.sent_to.get((at, zone), 0) for at in range(begin, end))
     for at in range(begin, end - 5):
@@ -236,71 +266,77 @@
 HURT = {"lossy": 2, "deaf": 2, "mute": 2, "lag": 1, "break": 1, "clock": 1, "restart": 2, "stop": 2}
 
 
-def hurt(seed: int) -> list[str]:
+OBSERVERS_SIZE = WorldSize(24, 12, 110.0, 4)
+
+
+def run_with_hurt_observers(seed: int) -> list[str]:
     """A small world in which only observers are hurt: gateways by drawn faults, planners by drawn troubles.
     Returns what was decided of any location, and any rule that was broken."""
-    place = world(24, 12, 110.0, 4, span=8.0)
+    world = build_world(OBSERVERS_SIZE, span=8.0)
     stream = Chance(seed).stream("hurt")
-    drawn = language.draw(stream, {"gateway": 12}, 6 * SECOND, 4, dict(HURT))
-    fleet = Planes(place, seed, drawn, troubles=troubles(stream, 3, 6 * SECOND, 2), leave="past")
+    faults = language.draw(stream, {"gateway": 12}, 6 * SECOND, 4, dict(HURT))
+    fleet = Planes(world, seed, faults, troubles=troubles(stream, 3, 6 * SECOND, 2), leave="past")
     result = fleet.run()
-    said = [
+    decided = [
         f"{plane.name} {zone}: {text}"
         for plane in fleet.planners
         if plane.core.zones
         for zone, state in plane.core.zones.states.items()
         for _, text in state.history
     ]
-    return [*said, *(str(one) for one in result.breaches)]
+    return [*decided, *(str(breach) for breach in result.breaches)]
 
 
-def observers(seeds: int, processes: int) -> dict[str, Any]:
-    """So many of them."""
+def run_observers(seeds: int, processes: int) -> dict[str, Any]:
+    """Worlds with hurt observers, by seed from 1 on; the report counts those with any decision or breach."""
     with ProcessPoolExecutor(processes) as pool:
-        told = list(pool.map(hurt, range(1, seeds + 1), chunksize=8))
-    wrong = {seed: lines for seed, lines in enumerate(told, 1) if lines}
+        results = list(pool.map(run_with_hurt_observers, range(1, seeds + 1), chunksize=8))
+    wrong = {seed: lines for seed, lines in enumerate(results, 1) if lines}
     return {"seeds": seeds, "wrong": len(wrong), "first": dict(list(wrong.items())[:5])}
 
 
-def mean(rows: list[dict[str, Any]], what: str) -> float:
-    values = [row[what] for row in rows if row[what] is not None]
+MEANS = ("worth", "trouble", "after", "p99", "others_p99", "into", "fell", "denied", "changes")
+
+
+def _mean(rows: list[dict[str, Any]], column: str) -> float:
+    values = [row[column] for row in rows if row[column] is not None]
     return statistics.fmean(values) if values else float("nan")
 
 
-def run(
-    script: str, seeds: int, sizes: tuple[int, int, float, int], ways: tuple[str, ...], processes: int
+def _summary(rows: list[dict[str, Any]]) -> dict[str, Any]:
+    """The means of the rows of one way of deciding."""
+    times = sorted(row["elsewhere"] for row in rows if row["elsewhere"] is not None)
+    return {
+        **{column: round(_mean(rows, column), 4) for column in MEANS},
+        "elsewhere": [times[len(times) // 2], times[-1]] if times else None,
+        "never": sum(row["elsewhere"] is None for row in rows),
+        "broken": sum(row["broken"] for row in rows),
+    }
+
+
+def run_script(
+    script: str, seeds: int, size: WorldSize, ways: tuple[str, ...], processes: int
 ) -> dict[str, Any]:
-    """All seeds of one script."""
+    """Run all seeds of one script in all ways."""
     with ProcessPoolExecutor(processes) as pool:
-        jobs = [pool.submit(one, script, way, seed, sizes) for seed in range(1, seeds + 1) for way in ways]
+        jobs = [
+            pool.submit(run_world, script, way, seed, size) for seed in range(1, seeds + 1) for way in ways
+        ]
         rows = [job.result() for job in jobs]
-    summary = {}
-    for way in ways:
-        mine = [row for row in rows if row["way"] == way]
-        away = sorted(row["elsewhere"] for row in mine if row["elsewhere"] is not None)
-        summary[way] = {
-            **{
-                what: round(mean(mine, what), 4)
-                for what in (
-                    "worth",
-                    "trouble",
-                    "after",
-                    "p99",
-                    "others_p99",
-                    "into",
-                    "fell",
-                    "denied",
-                    "changes",
-                )
-            },
-            "elsewhere": [away[len(away) // 2], away[-1]] if away else None,
-            "never": sum(row["elsewhere"] is None for row in mine),
-            "broken": sum(row["broken"] for row in mine),
-        }
-    return {"script": script, "seeds": seeds, "sizes": sizes, "summary": summary, "rows": rows}
-
-
-def main(words: list[str] | None = None) -> int:
+    summary = {way: _summary([row for row in rows if row["way"] == way]) for way in ways}
+    return {"script": script, "seeds": seeds, "sizes": astuple(size), "summary": summary, "rows": rows}
+
+
+def _print_report(report: dict[str, Any]) -> None:
+    print(report["script"])
+    for way, summary in report["summary"].items():
+        print(f"  {way:8}", " ".join(f"{name}={value}" for name, value in summary.items()), flush=True)
+    for row in report["rows"]:
+        for text in row["breaches"]:
+            print(f"  {row['way']} seed {row['seed']}: {text}")
+
+
+def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="python -m rigs.failover", description=__doc__)
     parser.add_argument("scripts", nargs="+", choices=[*SCRIPTS, "all", "observers"])
     parser.add_argument("--seeds", type=int, default=4)
@@ -311,25 +347,24 @@
     parser.add_argument("--ways", default=",".join(WAYS))
     parser.add_argument("--processes", type=int, default=8)
     parser.add_argument("--json", metavar="FILE")
-    given = parser.parse_args(words)
-    sizes = (given.caches, given.gateways, given.rate, given.zones)
-    if "observers" in given.scripts:
-        told = observers(given.seeds, given.processes)
-        print(json.dumps(told, indent=1))
-        return 1 if told["wrong"] else 0
-    out = []
-    for script in SCRIPTS if "all" in given.scripts else given.scripts:
-        report = run(script, given.seeds, sizes, tuple(given.ways.split(",")), given.processes)
-        out.append(report)
-        print(script)
-        for way, told in report["summary"].items():
-            print(f"  {way:8}", " ".join(f"{what}={value}" for what, value in told.items()), flush=True)
-        for row in report["rows"]:
-            for text in row["breaches"]:
-                print(f"  {row['way']} seed {row['seed']}: {text}")
-    if given.json:
-        Path(given.json).write_text(json.dumps(out, indent=1) + "\n")
-    return 1 if any(row["broken"] for report in out for row in report["rows"]) else 0
+    return parser
+
+
+def main(argv: list[str] | None = None) -> int:
+    """Run the scripts of a command line; 1 where any rule was broken."""
+    args = _parser().parse_args(argv)
+    size = WorldSize(args.caches, args.gateways, args.rate, args.zones)
+    if "observers" in args.scripts:
+        findings = run_observers(args.seeds, args.processes)
+        print(json.dumps(findings, indent=1))
+        return 1 if findings["wrong"] else 0
+    reports = []
+    for script in SCRIPTS if "all" in args.scripts else args.scripts:
+        reports.append(run_script(script, args.seeds, size, tuple(args.ways.split(",")), args.processes))
+        _print_report(reports[-1])
+    if args.json:
+        Path(args.json).write_text(json.dumps(reports, indent=1) + "\n")
+    return 1 if any(row["broken"] for report in reports for row in report["rows"]) else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -276,18 +276,18 @@
 
 @pytest.mark.parametrize("seed", range(150))
 def test_findings_agree_with_the_plain_rules(seed):
-    chance = random.Random(seed)
-    zones, caches, forwarders = chance.randint(2, 5), chance.randint(1, 24), chance.randint(1, 6)
-    dead = {zone for zone in range(zones) if chance.random() < 0.35}
-    lie = 0.3 * chance.random()
+    rng = random.Random(seed)
+    zones, caches, forwarders = rng.randint(2, 5), rng.randint(1, 24), rng.randint(1, 6)
+    dead = {zone for zone in range(zones) if rng.random() < 0.35}
+    lie = 0.3 * rng.random()
 
     def looks(zone, name, backend):
-        if chance.random() < 0.3:
+        if rng.random() < 0.3:
             return None
-        bad = (zone in dead) != (chance.random() < lie)
-        return chance.choice([BAD if bad else GOOD, BAD if bad else GOOD, QUIET])
+        bad = (zone in dead) != (rng.random() < lie)
+        return rng.choice([BAD if bad else GOOD, BAD if bad else GOOD, QUIET])
 
-    heard = [f"f{zone}-{one}" for zone in range(zones) for one in range(forwarders) if chance.random() < 0.85]
+    heard = [f"f{zone}-{one}" for zone in range(zones) for one in range(forwarders) if rng.random() < 0.85]
     view = world(looks, zones, caches, forwarders, heard=heard)
     assert [zone for zone, one in detect_faults(view).items() if one.is_faulty] == plain(view)
 
@@ -295,14 +295,12 @@
 @pytest.mark.parametrize("seed", range(100))
 def test_observers_that_are_hurt_move_nobody(seed):
     """Fewer than a quarter of a location's forwarders see nothing but failures, everywhere."""
-    chance = random.Random(seed)
-    forwarders = chance.randint(5, 12)
-    hurt = {
-        f"f{zone}-{one}" for zone in range(3) for one in chance.sample(range(forwarders), forwarders // 5)
-    }
+    rng = random.Random(seed)
+    forwarders = rng.randint(5, 12)
+    hurt = {f"f{zone}-{one}" for zone in range(3) for one in rng.sample(range(forwarders), forwarders // 5)}
 
     def looks(zone, name, backend):
-        return None if chance.random() < 0.2 else BAD if name in hurt else GOOD
+        return None if rng.random() < 0.2 else BAD if name in hurt else GOOD
 
     assert not any(
         one.is_faulty for one in detect_faults(world(looks, caches=8, forwarders=forwarders)).values()
@@ -350,20 +348,20 @@
 
 
 class Loop:
-    """A location and its decider, closed: what is at home is answered as the location is, and told back."""
+    """A location and its controller: what is at home is answered as the location is, and reported back."""
 
     def __init__(self, good, bears, rate=60.0, hits=lambda now: 0.9, zones=4, tick=2_500):
         self.good, self.bears, self.rate, self.hits, self.tick, self.now = good, bears, rate, hits, tick, 0
-        self.decider = FailoverController(-SECOND * 9)
-        self.total, self.part, self.courses = OutcomeCounts(), 0.0, []
+        self.controller = FailoverController(-SECOND * 9)
+        self.total, self.part, self.path = OutcomeCounts(), 0.0, []
         self.zones = zones
 
     def run(self, span):
         end = self.now + span
         while self.now < end:
             self.now += self.tick
-            course_ = self.decider.states.get(0)
-            back = course_.returned_slices if course_ else SLICE_COUNT
+            state = self.controller.states.get(0)
+            back = state.returned_slices if state else SLICE_COUNT
             self.part += self.rate * self.tick / SECOND * back / SLICE_COUNT
             asked = int(self.part)
             self.part -= asked
@@ -372,18 +370,18 @@
             good = self.good(self.now)
             hits = round(asked * self.hits(self.now)) if good else 0
             self.total = self.total.plus(OutcomeCounts(asked if good else 0, 0, 0 if good else asked, hits))
-            self.decider.record_counts("f0", 1, 0, self.total)
+            self.controller.record_counts("f0", 1, 0, self.total)
             fails = not good and asked > 0 and back > 0
             findings = {zone: FAILS if zone == 0 and fails else FINE for zone in range(self.zones)}
-            self.decider.update(
+            self.controller.update(
                 findings, dict.fromkeys(range(self.zones), self.rate), {0: self.bears(self.now)}, self.now
             )
-            self.courses.append(
-                (self.now, self.decider.states[0].phase, self.decider.states[0].returned_slices)
+            self.path.append(
+                (self.now, self.controller.states[0].phase, self.controller.states[0].returned_slices)
             )
 
     def changes(self):
-        states = [state for _, state, _ in self.courses]
+        states = [state for _, state, _ in self.path]
         return [two for one, two in zip(states, states[1:], strict=False) if one != two]
 
 
@@ -416,14 +414,14 @@
 def test_a_location_that_fails_is_left_and_is_back_once_it_has_proven_itself():
     loop = Loop(lambda now: not 5 * SECOND <= now < 10 * SECOND, lambda now: WARMED)
     loop.run(40 * SECOND)
-    left = next(at for at, state, _ in loop.courses if state == FailoverPhase.FAILED_OVER)
-    again = next(at for at, state, _ in loop.courses if state == FailoverPhase.RETURNING)
-    full = next(at for at, state, _ in loop.courses if state == FailoverPhase.IN_USE and at > again)
+    left = next(at for at, state, _ in loop.path if state == FailoverPhase.FAILED_OVER)
+    again = next(at for at, state, _ in loop.path if state == FailoverPhase.RETURNING)
+    full = next(at for at, state, _ in loop.path if state == FailoverPhase.IN_USE and at > again)
     assert 5 * SECOND <= left <= 5 * SECOND + 3 * loop.tick
     assert 10 * SECOND + MIN_CANARY_SPAN <= again <= 10 * SECOND + MIN_CANARY_SPAN + 4 * loop.tick
     assert full - again <= 5 * MIN_STEP_INTERVAL  # its copies are there: no step waits for fills
     assert loop.changes() == [FailoverPhase.FAILED_OVER, FailoverPhase.RETURNING, FailoverPhase.IN_USE]
-    assert "all of its slices are back" in "\n".join(loop.decider.explain(0, loop.now))
+    assert "all of its slices are back" in "\n".join(loop.controller.explain(0, loop.now))
 
 
 def test_ten_minutes_of_turns_of_three_seconds_change_it_four_times_at_most():
@@ -449,7 +447,7 @@
     before, began = SLICE_COUNT, None
     while began is None or before < SLICE_COUNT:
         loop.run(loop.tick)
-        back = loop.decider.states[0].returned_slices
+        back = loop.controller.states[0].returned_slices
         misses[0] *= 0.8
         if loop.now > born and back > before:
             misses[0] += (back - before) / SLICE_COUNT * demand
@@ -465,34 +463,34 @@
 @pytest.mark.parametrize("seed", range(120))
 def test_a_course_keeps_its_rules_whatever_comes(seed):
     """Locations that fail and come back at random; all rules are checked from the outside."""
-    chance = random.Random(seed)
-    zones = chance.randint(2, 6)
-    traffic = {zone: chance.choice((1.0, 5.0, 20.0)) for zone in range(zones)}
-    decider, now, totals = FailoverController(-9 * SECOND), 0, dict.fromkeys(range(zones), OutcomeCounts())
+    rng = random.Random(seed)
+    zones = rng.randint(2, 6)
+    traffic = {zone: rng.choice((1.0, 5.0, 20.0)) for zone in range(zones)}
+    controller, now, totals = FailoverController(-9 * SECOND), 0, dict.fromkeys(range(zones), OutcomeCounts())
     left_at, wells, proven, proved, steps = {}, dict.fromkeys(range(zones), 0), {}, {}, {}
     before = {}
     for _ in range(400):
-        now += chance.choice((1_000, 2_500, 2_500, 6_000))
+        now += rng.choice((1_000, 2_500, 2_500, 6_000))
         findings, bears = {}, {}
         for zone in range(zones):
-            bad = chance.random() < (0.3 if zone % 2 else 0.05)
+            bad = rng.random() < (0.3 if zone % 2 else 0.05)
             findings[zone] = FAILS if bad else FINE
             bears[zone] = LocationCapacity(
-                chance.choice((0.0, 40_000.0)),
+                rng.choice((0.0, 40_000.0)),
                 4000.0,
-                (ReadyBackend(8.0, chance.randrange(200_000)),) * chance.randint(0, 6),
-                chance.choice((1e9, 20_000.0)),
+                (ReadyBackend(8.0, rng.randrange(200_000)),) * rng.randint(0, 6),
+                rng.choice((1e9, 20_000.0)),
                 0.0,
             )
-            if chance.random() < 0.6:
+            if rng.random() < 0.6:
                 ended = OutcomeCounts(
-                    chance.randrange(6),
-                    chance.randrange(3) if bad else 0,
-                    chance.randrange(3) if bad else 0,
-                    chance.randrange(3),
+                    rng.randrange(6),
+                    rng.randrange(3) if bad else 0,
+                    rng.randrange(3) if bad else 0,
+                    rng.randrange(3),
                 )
                 totals[zone] = totals[zone].plus(ended)
-                decider.record_counts("f", 1, zone, totals[zone])
+                controller.record_counts("f", 1, zone, totals[zone])
                 if before.get(zone, (FailoverPhase.IN_USE,))[0] == FailoverPhase.FAILED_OVER:
                     if ended.failed or ended.late > ended.on_time:
                         wells[zone] = 0
@@ -500,9 +498,9 @@
                         proven[zone] = proven[zone] if wells[zone] else now
                         wells[zone] += ended.on_time + ended.late
                         proved[zone] = now
-        decider.update(findings, traffic, bears, now)
+        controller.update(findings, traffic, bears, now)
         away_now = 0.0
-        for zone, one in decider.states.items():
+        for zone, one in controller.states.items():
             state, back, fails = before.get(zone, (FailoverPhase.IN_USE, SLICE_COUNT, 0))
             if state == FailoverPhase.IN_USE and one.phase == FailoverPhase.FAILED_OVER:
                 away_now += traffic[zone]
@@ -537,76 +535,76 @@
             out = sum(
                 rate
                 for zone, rate in traffic.items()
-                if decider.states[zone].phase == FailoverPhase.FAILED_OVER
+                if controller.states[zone].phase == FailoverPhase.FAILED_OVER
             )
             assert away_now <= MAX_TRAFFIC_AWAY * sum(traffic.values()) + 1e-6 or out == away_now
 
 
 def test_no_more_than_half_of_the_traffic_leaves():
-    decider, traffic = FailoverController(-9 * SECOND), dict.fromkeys(range(4), 10.0)
+    controller, traffic = FailoverController(-9 * SECOND), dict.fromkeys(range(4), 10.0)
     for now in range(0, 5 * SECOND, 2_500):
-        decider.update({zone: FAILS if zone < 3 else FINE for zone in range(4)}, traffic, {}, now)
-    states = [decider.states[zone].phase for zone in range(4)]
+        controller.update({zone: FAILS if zone < 3 else FINE for zone in range(4)}, traffic, {}, now)
+    states = [controller.states[zone].phase for zone in range(4)]
     assert states.count(FailoverPhase.FAILED_OVER) == 2 and "half" not in states
-    assert "50% of the traffic" in decider.states[2].waiting_for
+    assert "50% of the traffic" in controller.states[2].waiting_for
 
 
 def test_a_second_location_that_fails_while_the_first_returns_waits_for_room():
-    decider, traffic = FailoverController(-9 * SECOND), {0: 10.0, 1: 10.0, 2: 5.0}
+    controller, traffic = FailoverController(-9 * SECOND), {0: 10.0, 1: 10.0, 2: 5.0}
     for now in (1, 2, 3):
-        decider.update({0: FAILS, 1: FINE, 2: FINE}, traffic, {}, now)
+        controller.update({0: FAILS, 1: FINE, 2: FINE}, traffic, {}, now)
     for now in (4, 5, 6):
-        decider.update({0: FINE, 1: FAILS, 2: FINE}, traffic, {}, now)
-    assert [decider.states[zone].phase for zone in range(3)] == [
+        controller.update({0: FINE, 1: FAILS, 2: FINE}, traffic, {}, now)
+    assert [controller.states[zone].phase for zone in range(3)] == [
         FailoverPhase.FAILED_OVER,
         FailoverPhase.IN_USE,
         FailoverPhase.IN_USE,
     ]
-    decider.states[0].returned_slices, decider.states[0].phase = (
+    controller.states[0].returned_slices, controller.states[0].phase = (
         SLICE_COUNT - 16,
         FailoverPhase.RETURNING,
     )  # three quarters are back
-    decider.update({0: FINE, 1: FAILS, 2: FINE}, traffic, {0: WARMED}, 7)
-    assert decider.states[1].phase == FailoverPhase.FAILED_OVER
+    controller.update({0: FINE, 1: FAILS, 2: FINE}, traffic, {0: WARMED}, 7)
+    assert controller.states[1].phase == FailoverPhase.FAILED_OVER
 
 
 def test_who_begins_to_decide_takes_up_what_forwarders_keep_to():
-    decider = FailoverController(0)
-    decider.adopt({0: FailoverStatus(0, 2), 1: FailoverStatus(20, 0)}, 100)
-    assert [(decider.states[zone].phase, decider.states[zone].returned_slices) for zone in (0, 1)] == [
+    controller = FailoverController(0)
+    controller.adopt({0: FailoverStatus(0, 2), 1: FailoverStatus(20, 0)}, 100)
+    assert [(controller.states[zone].phase, controller.states[zone].returned_slices) for zone in (0, 1)] == [
         (FailoverPhase.FAILED_OVER, 0),
         (FailoverPhase.RETURNING, 20),
     ]
-    assert decider.is_listening(100) and not decider.is_listening(2 * SECOND)
-    told = decider.directives({0: ("f0", "f1")}, 100)
+    assert controller.is_listening(100) and not controller.is_listening(2 * SECOND)
+    told = controller.directives({0: ("f0", "f1")}, 100)
     assert (
         told[0].failed_returns == 2
         and told[0].canary_gateway in ("f0", "f1")
         and told[1].returned_slices == 20
         and not told[1].canary_gateway
     )
-    decider.adopt({0: FailoverStatus(0, 2)}, 200)
-    assert decider.states[1].phase == FailoverPhase.IN_USE
+    controller.adopt({0: FailoverStatus(0, 2)}, 200)
+    assert controller.states[1].phase == FailoverPhase.IN_USE
 
 
 def test_counts_of_a_process_before_and_what_came_before_the_first_are_passed_over():
-    decider = FailoverController(0)
-    decider.record_counts("f", 1, 0, OutcomeCounts(100, 0, 50, 90))
-    assert 0 not in decider.states or decider.states[0].outcomes == OutcomeCounts()
-    decider.record_counts("f", 1, 0, OutcomeCounts(103, 0, 50, 91))
-    assert decider.states[0].outcomes == OutcomeCounts(3, 0, 0, 1)
-    decider.record_counts("f", 2, 0, OutcomeCounts(1, 0, 0, 0))
-    decider.record_counts("f", 2, 0, OutcomeCounts(2, 1, 0, 0))
-    assert decider.states[0].outcomes == OutcomeCounts(4, 1, 0, 1)
-    decider.forget_gateway("f")
-    assert not decider.reported_counts
+    controller = FailoverController(0)
+    controller.record_counts("f", 1, 0, OutcomeCounts(100, 0, 50, 90))
+    assert 0 not in controller.states or controller.states[0].outcomes == OutcomeCounts()
+    controller.record_counts("f", 1, 0, OutcomeCounts(103, 0, 50, 91))
+    assert controller.states[0].outcomes == OutcomeCounts(3, 0, 0, 1)
+    controller.record_counts("f", 2, 0, OutcomeCounts(1, 0, 0, 0))
+    controller.record_counts("f", 2, 0, OutcomeCounts(2, 1, 0, 0))
+    assert controller.states[0].outcomes == OutcomeCounts(4, 1, 0, 1)
+    controller.forget_gateway("f")
+    assert not controller.reported_counts
 
 
 def test_trials_go_by_turns():
-    decider = FailoverController(0)
-    decider.adopt({0: FailoverStatus(0, 0)}, 0)
+    controller = FailoverController(0)
+    controller.adopt({0: FailoverStatus(0, 0)}, 0)
     who = {0: ("a", "b", "c")}
-    assert [decider.directives(who, turn * CANARY_TURN)[0].canary_gateway for turn in range(4)] == [
+    assert [controller.directives(who, turn * CANARY_TURN)[0].canary_gateway for turn in range(4)] == [
         "a",
         "b",
         "c",
@@ -618,36 +616,36 @@
 
 
 def test_a_plan_is_followed_down_at_once_and_up_at_its_pace():
-    keeper = LocalFailover("f0", 4, 150_000)
-    left = keeper.update({0: FailoverDirective(0, slices_per_second=8.0)}, 0)[0]
+    gateway = LocalFailover("f0", 4, 150_000)
+    left = gateway.update({0: FailoverDirective(0, slices_per_second=8.0)}, 0)[0]
     assert left.returned_slices == 0 and left.canaries_only
-    keeper.update({0: FailoverDirective(64, slices_per_second=8.0)}, 2_500)
+    gateway.update({0: FailoverDirective(64, slices_per_second=8.0)}, 2_500)
     assert left.returned_slices == 2
-    keeper.update({}, 5_000)  # another planner's, that knows nothing of it
-    assert left.returned_slices == 4 and keeper.limited_returns
-    keeper.update({0: FailoverDirective(1, slices_per_second=8.0)}, 7_500)
+    gateway.update({}, 5_000)  # another planner's, that knows nothing of it
+    assert left.returned_slices == 4 and gateway.limited_returns
+    gateway.update({0: FailoverDirective(1, slices_per_second=8.0)}, 7_500)
     assert left.returned_slices == 1
     assert (
-        keeper.update({}, 7_500 + 100 * SECOND)[0].returned_slices <= 1 + 4
+        gateway.update({}, 7_500 + 100 * SECOND)[0].returned_slices <= 1 + 4
     )  # not asked for long: no jump either
 
 
 @pytest.mark.parametrize("seed", range(150))
 def test_no_row_of_plans_moves_a_forwarder_faster_than_the_highest_pace_told(seed):
-    chance = random.Random(seed)
-    keeper, now, path = LocalFailover("f0", chance.randint(1, 9), 150_000), 0, []
+    rng = random.Random(seed)
+    gateway, now, path = LocalFailover("f0", rng.randint(1, 9), 150_000), 0, []
     top = 64 * SECOND / 150_000
     plan = None
     for _ in range(200):
-        now += chance.choice((100, 2_500, 2_500, 40_000))
-        if chance.random() < 0.5:
-            plan = chance.choice(
+        now += rng.choice((100, 2_500, 2_500, 40_000))
+        if rng.random() < 0.5:
+            plan = rng.choice(
                 [
                     None,
                     {},
                     {
                         0: FailoverDirective(
-                            chance.randrange(65), chance.randrange(3), chance.choice((0.5, 4.0, 16.0)), "f0"
+                            rng.randrange(65), rng.randrange(3), rng.choice((0.5, 4.0, 16.0)), "f0"
                         )
                     },
                     plan,
@@ -655,9 +653,9 @@
             )
         if plan and 0 in plan:
             top = max(top, plan[0].slices_per_second)
-        for _ in range(chance.randrange(3)):
-            keeper.attempt_ended(0, chance.choice(("well", "well", "late", "failed")), True, now, now)
-        left = keeper.update(plan, now)
+        for _ in range(rng.randrange(3)):
+            gateway.attempt_ended(0, rng.choice(("well", "well", "late", "failed")), True, now, now)
+        left = gateway.update(plan, now)
         path.append((now, left[0].returned_slices if 0 in left else SLICE_COUNT))
     rises = [(two[0], two[1] - one[1], two[0] - one[0]) for one, two in zip(path, path[1:], strict=False)]
     assert all(rise <= top * span / SECOND + max(1.0, top / 2) for _, rise, span in rises)
@@ -668,20 +666,20 @@
 
 def test_forwarders_alone_return_no_faster_than_its_bes_grow_warm():
     """Twenty without a plan, each at its own time: never more of the slices than the age of its bes bears."""
-    keepers = [LocalFailover(f"f{number}", 20, 150_000) for number in range(20)]
+    gateways = [LocalFailover(f"f{number}", 20, 150_000) for number in range(20)]
     clocks = [777 * number for number in range(20)]
-    for keeper, clock in zip(keepers, clocks, strict=True):
-        keeper.update({0: FailoverDirective(0)}, clock)
+    for gateway, clock in zip(gateways, clocks, strict=True):
+        gateway.update({0: FailoverDirective(0)}, clock)
     asked, now, least_full = [], 0, None
     while now < 120 * SECOND:
         now += 2_500
         backs = []
-        for keeper, clock in zip(keepers, clocks, strict=True):
-            left = keeper.update(None, clock + now).get(0)
+        for gateway, clock in zip(gateways, clocks, strict=True):
+            left = gateway.update(None, clock + now).get(0)
             back = left.returned_slices if left else SLICE_COUNT
             backs.append(back)
             if left is None or back or not left.is_away("k 0", True, clock + now):
-                keeper.attempt_ended(0, "well", True, clock + now, clock + now)
+                gateway.attempt_ended(0, "well", True, clock + now, clock + now)
         asked.append((now, max(backs)))
         if min(backs) == SLICE_COUNT and least_full is None:
             least_full = now
@@ -690,19 +688,19 @@
 
 
 def test_a_forwarder_alone_takes_all_back_where_it_fails_and_waits_three_times_as_long():
-    keeper = LocalFailover("f0", 1, 150_000)
+    gateway = LocalFailover("f0", 1, 150_000)
     for now in (0, 5_000, 10_000, 15_000):
-        assert keeper.update({0: FailoverDirective(9)}, now)[0].returned_slices == now // 2_500
-    keeper.update(None, 17_500)
+        assert gateway.update({0: FailoverDirective(9)}, now)[0].returned_slices == now // 2_500
+    gateway.update(None, 17_500)
     for _ in range(4):
-        keeper.attempt_ended(0, "failed", False, 18_000, 18_000)
-    left = keeper.update(None, 20_000)[0]
-    assert left.returned_slices == 0 and keeper.statuses() == {0: (0, 1)}
+        gateway.attempt_ended(0, "failed", False, 18_000, 18_000)
+    left = gateway.update(None, 20_000)[0]
+    assert left.returned_slices == 0 and gateway.statuses() == {0: (0, 1)}
     for now in range(21_000, 21_000 + 3 * MIN_CANARY_SPAN, 500):
-        keeper.attempt_ended(0, "well", True, now, now)
-        assert keeper.update(None, now)[0].returned_slices == 0
-    keeper.attempt_ended(0, "well", True, 21_000 + 3 * MIN_CANARY_SPAN, 0)
-    assert keeper.update(None, 21_000 + 3 * MIN_CANARY_SPAN + 500)[0].returned_slices == 1
+        gateway.attempt_ended(0, "well", True, now, now)
+        assert gateway.update(None, now)[0].returned_slices == 0
+    gateway.attempt_ended(0, "well", True, 21_000 + 3 * MIN_CANARY_SPAN, 0)
+    assert gateway.update(None, 21_000 + 3 * MIN_CANARY_SPAN + 500)[0].returned_slices == 1
 
 
 def test_trials_are_one_at_a_time_and_only_of_what_may_be_repeated():
@@ -710,10 +708,10 @@
     assert left.is_away("a 0", False, 10)
     assert not left.is_away("a 0", True, 10) and left.is_away("b 0", True, 11)
     assert not left.is_away("b 0", True, 10 + CANARY_TURN)
-    keeper = LocalFailover("f0", 1, 150_000)
-    mine = keeper.update({0: FailoverDirective(0, canary_gateway="f0")}, 0)[0]
+    gateway = LocalFailover("f0", 1, 150_000)
+    mine = gateway.update({0: FailoverDirective(0, canary_gateway="f0")}, 0)[0]
     assert not mine.is_away("a 0", True, 0) and mine.is_away("a 0", True, 500)
-    keeper.attempt_ended(0, "well", True, 600, 600)
+    gateway.attempt_ended(0, "well", True, 600, 600)
     assert mine.is_away("a 0", True, 600) and not mine.is_away("a 0", True, 600 + MIN_CANARY_INTERVAL)
 
 
--- a/tests/test_failover_world.py
+++ b/tests/test_failover_world.py
@@ -7,9 +7,9 @@
 from lilacloft.emulator.planes import Trouble
 from lilacloft.emulator.worlds import SECOND
 from lilacloft.failover.hash_slices import SLICE_COUNT
-from rigs.failover import SCRIPTS, WatchedPlanes, one, world
+from rigs.failover import SCRIPTS, WatchedPlanes, WorldSize, build_world, run_world
 
-SIZES = (24, 12, 110.0, 4)  # caches, gateways, reqs a second, locations
+SIZE = WorldSize(24, 12, 110.0, 4)
 
 LEFT_AND_BACK = ("silent-cold", "silent", "mute", "deaf", "issuer-back", "purge", "drain", "unlogged")
 
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("script", LEFT_AND_BACK)
 def test_a_lost_location_is_left_and_back_and_no_rule_is_broken(script):
-    row = one(script, "leaves", 3, SIZES)
+    row = run_world(script, "leaves", 3, SIZE)
     assert row["broken"] == 0, row["breaches"]
     assert row["elsewhere"] is not None and row["elsewhere"] <= 3.0 and row["changes"] <= 2
     planner = "p1" if script == "issuer-back" else "p0"
@@ -29,32 +29,34 @@
 
 
 def test_it_is_worth_more_than_planners_that_leave_no_location():
-    rows = {way: [one("silent-cold", way, seed, SIZES) for seed in (1, 2)] for way in ("planes", "leaves")}
+    rows = {
+        way: [run_world("silent-cold", way, seed, SIZE) for seed in (1, 2)] for way in ("planes", "leaves")
+    }
     for earlier, now in zip(rows["planes"], rows["leaves"], strict=True):
         assert now["trouble"] > earlier["trouble"] + 0.02 and now["into"] < 0.5 * earlier["into"]
 
 
 def test_a_location_whose_gateways_no_planner_hears_is_left_by_none_and_they_go_on_alone():
-    row = one("lone", "leaves", 3, SIZES)
+    row = run_world("lone", "leaves", 3, SIZE)
     assert row["broken"] == 0 and row["left"] == [] and row["worth"] > 0.93
 
 
 @pytest.mark.parametrize("script", ["calm", "slow-origin", "apart"])
 def test_what_all_share_or_what_has_no_way_past_leaves_nobody(script):
-    row = one(script, "leaves", 5, SIZES)
+    row = run_world(script, "leaves", 5, SIZE)
     assert row["broken"] == 0 and row["left"] == [] and row["changes"] == 0
 
 
 def test_two_of_four_are_left_and_a_hub_is_as_a_location_is():
-    row = one("two", "leaves", 2, SIZES)
+    row = run_world("two", "leaves", 2, SIZE)
     assert row["broken"] == 0 and said(row, 1) and said(row, 2) and not said(row, 0)
-    row = one("hub", "leaves", 2, (24, 12, 200.0, 4))
+    row = run_world("hub", "leaves", 2, WorldSize(24, 12, 200.0, 4))
     assert row["broken"] == 0 and not any(said(row, zone) for zone in range(4))
     assert any("its parents fail" in text for text in said(row, -2)) and not said(row, -1)
 
 
 def test_turns_of_three_seconds_for_a_minute_change_it_four_times_at_most():
-    row = one("turns", "leaves", 2, SIZES)
+    row = run_world("turns", "leaves", 2, SIZE)
     assert row["broken"] == 0 and 1 <= row["changes"] <= 4
 
 
@@ -69,7 +71,7 @@
 
 def test_planners_all_dead_while_it_returns_leave_forwarders_that_go_on_slowly_and_none_in_a_jump():
     """The deciders die in the middle of the return of a cold location, for good."""
-    place = world(*SIZES, span=34.0)
+    place = build_world(SIZE, span=34.0)
     faults = parse(SCRIPTS["silent-cold"].faults)
     dead = tuple(Trouble("kill", number, 114_000, 1_000_000) for number in range(3))
     fleet = WatchedPlanes(place, 4, faults, troubles=dead, leave="past")
@@ -97,7 +99,7 @@
         Trouble("cut", 0, 60_000, 30_000),
         Trouble("kill", 1, 100_000, 5_000),
     )
-    fleet = WatchedPlanes(world(*SIZES, span=30.0), 6, faults, troubles=cuts, leave="past")
+    fleet = WatchedPlanes(build_world(SIZE, span=30.0), 6, faults, troubles=cuts, leave="past")
     fleet.watch()
     path = []
 
@@ -119,7 +121,7 @@
         "(at 3s (mute (gateway 3)) (for 8s)) (at 3s (deaf (gateway 7)) (for 8s)) "
         "(at 4s (stop (gateway 1)) (for 2s))"
     )
-    fleet = WatchedPlanes(world(*SIZES, span=14.0), 2, faults, leave="past")
+    fleet = WatchedPlanes(build_world(SIZE, span=14.0), 2, faults, leave="past")
     fleet.watch()
     assert not fleet.run().breaches
     assert all(not state.history for plane in fleet.planners for state in plane.core.zones.states.values())
@@ -128,7 +130,9 @@
 def test_the_same_seed_is_the_same_run():
     marks = []
     for _ in range(2):
-        fleet = WatchedPlanes(world(*SIZES, span=12.0), 9, parse(SCRIPTS["silent-cold"].faults), leave="past")
+        fleet = WatchedPlanes(
+            build_world(SIZE, span=12.0), 9, parse(SCRIPTS["silent-cold"].faults), leave="past"
+        )
         fleet.watch()
         marks.append(fleet.run().mark)
     assert marks[0] == marks[1]
@@ -137,7 +141,9 @@
 def test_across_each_object_has_one_cache_of_one_location_at_all_gateways():
     """While location 1 is left and before it returns, its gateways ask other locations' caches: each object's
     at one place, the one that this location's own gateways ask."""
-    fleet = WatchedPlanes(world(*SIZES, span=10.0), 3, parse(SCRIPTS["silent-cold"].faults), leave="across")
+    fleet = WatchedPlanes(
+        build_world(SIZE, span=10.0), 3, parse(SCRIPTS["silent-cold"].faults), leave="across"
+    )
     fleet.watch()
     asked = {}
     sending = fleet.sending
@@ -167,7 +173,7 @@
 
 def test_caches_elsewhere_are_shared_by_all_gateways_and_the_origin_is_divided_as_ever():
     """Found in reading: the origin, which is of no location, had been divided as others' caches are."""
-    router = WatchedPlanes(world(*SIZES, span=1.0), 1, leave="across").gateways[0].router
+    router = WatchedPlanes(build_world(SIZE, span=1.0), 1, leave="across").gateways[0].router
     own, far, origin = router.pools.caches[0], router.pools.caches_by_zone[2][0], router.pools.origins[0]
     assert (router.settings.zone_gateways, router.settings.gateways) == (3, 12)
     assert router.slow_start.capacity_share(own) == pytest.approx(4 * router.slow_start.capacity_share(far))
