--- a/lilacloft/cli/plan.py
+++ b/lilacloft/cli/plan.py
@@ -30,7 +30,7 @@
 def serve(config: str | None, name: str, planners: str, folder: str, leave: str) -> int:
     """Run one planner until SIGTERM."""
     from lilacloft.config.addresses import named
-    from lilacloft.plan.serve import Process
+    from lilacloft.control.planner_server import Process
     from lilacloft.store.form import StoreError
 
     try:
@@ -57,14 +57,14 @@
     import queue
 
     from lilacloft.config.addresses import address
-    from lilacloft.plan import form
-    from lilacloft.plan.wire import Dial
+    from lilacloft.control import codec
+    from lilacloft.control.transport import Dial
 
     heard: queue.SimpleQueue[Any] = queue.SimpleQueue()
     try:
         dial = Dial(
             address(place),
-            lambda: form.hello("operator", "operator", 1) + form.show(what),
+            lambda: codec.hello("operator", "operator", 1) + codec.show(what),
             lambda peer, message: heard.put(message),
         )
     except ValueError as wrong:
--- a/lilacloft/plan/form.py
+++ b/lilacloft/control/codec.py
@@ -15,9 +15,9 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 from google.protobuf.message import DecodeError
 
-from lilacloft.plan.order import Name
-from lilacloft.plan.sights import Sight
-from lilacloft.plan.words import NUMBERED, PARTS, Ask, Delta, Given, Plan, Reply, Summary, Word
+from lilacloft.control.health_aggregation import Sight
+from lilacloft.control.leader_lease import Name
+from lilacloft.control.messages import NUMBERED, PARTS, Ask, Delta, Given, Plan, Reply, Summary, Word
 from lilacloft.zones.course import Tally, Told
 
 VERSION = 1
--- a/lilacloft/plan/follow.py
+++ b/lilacloft/control/follower.py
@@ -15,10 +15,10 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lilacloft.plan.order import Holder, Name
-from lilacloft.plan.shares import LEAST, Grant, Purse
-from lilacloft.plan.sights import Sight
-from lilacloft.plan.words import Ask, Given, Plan, Reply, Summary, applied
+from lilacloft.control.health_aggregation import Sight
+from lilacloft.control.leader_lease import Holder, Name
+from lilacloft.control.messages import Ask, Given, Plan, Reply, Summary, applied
+from lilacloft.control.quota import LEAST, Grant, Purse
 from lilacloft.zones.keep import Keeper, Left
 
 EVERY = 2_500  # between two summaries to one planner
--- a/lilacloft/plan/agent.py
+++ b/lilacloft/control/gateway_agent.py
@@ -10,10 +10,10 @@
 
 from loguru import logger
 
-from lilacloft.plan import form
-from lilacloft.plan.follow import EVERY, Follower
-from lilacloft.plan.watch import Watch
-from lilacloft.plan.wire import Dial, Peer
+from lilacloft.control import codec
+from lilacloft.control.follower import EVERY, Follower
+from lilacloft.control.gateway_observer import Watch
+from lilacloft.control.transport import Dial, Peer
 from lilacloft.routing.host import Endpoint, ListMode
 from lilacloft.zones.keep import Keeper
 from lilacloft.zones.slices import SLICES
@@ -74,13 +74,13 @@
         """This process ends: planners need not wait to find that out."""
         for name, dial in self.dials.items():
             leave = dataclasses.replace(self.follower.summary(name, self.owner.steady), leaves=True)
-            dial.send(form.summary(leave))
+            dial.send(codec.summary(leave))
         time.sleep(0.05)
         for dial in self.dials.values():
             dial.close()
 
     def _hello(self) -> bytes:
-        return form.hello(self.follower.name, "forwarder", self.follower.incarnation)
+        return codec.hello(self.follower.name, "forwarder", self.follower.incarnation)
 
     # --- the owner's hooks ---
 
@@ -110,7 +110,7 @@
         self.watch.look(requests - self.counted, owner.feed.last, owner.time, owner.steady)
         self.counted = requests
         for name, dial in self.dials.items():
-            dial.send(form.summary(self.follower.summary(name, owner.steady)))
+            dial.send(codec.summary(self.follower.summary(name, owner.steady)))
         self._act()
         owner.at(owner.time + EVERY, self._speak)
 
@@ -151,7 +151,7 @@
     def _heard(self, peer: Peer, message: Any) -> None:
         """In a connection's thread."""
         if message.HasField("reply"):
-            self.owner.post(self._answered, form.replied(message.reply))
+            self.owner.post(self._answered, codec.replied(message.reply))
 
     def _answered(self, reply: Any) -> None:
         if self.follower.reply(reply, self.owner.steady):
--- a/lilacloft/plan/watch.py
+++ b/lilacloft/control/gateway_observer.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from lilacloft.plan.follow import EVERY, Effect, Follower
+from lilacloft.control.follower import EVERY, Effect, Follower
 from lilacloft.routing.fleet_plan import PlanUpdate
 from lilacloft.routing.router import Router
 
--- a/lilacloft/plan/words.py
+++ b/lilacloft/control/messages.py
@@ -5,8 +5,8 @@
 
 from dataclasses import dataclass, field
 
-from lilacloft.plan.order import Name
-from lilacloft.plan.sights import Sight
+from lilacloft.control.health_aggregation import Sight
+from lilacloft.control.leader_lease import Name
 from lilacloft.zones.course import Tally, Told
 
 
--- a/lilacloft/plan/planner.py
+++ b/lilacloft/control/planner.py
@@ -1,9 +1,9 @@
 """Decides what a planner plans; owns all that one planner knows.
 
 It hears summaries of forwarders, words of other planners and the change log; it issues plans where it may
-(`order.Issuer`). A plan is made anew each tick where anything in it has changed by more than noise. Cold
-budgets are no part of plans: their parts are lent by whoever holds them, also by a planner that may not issue
-(`shares`), as nothing that planners believe can make two hold one part.
+(`leader_lease.Issuer`). A plan is made anew each tick where anything in it has changed by more than noise.
+Cold budgets are no part of plans: their parts are lent by whoever holds them, also by a planner that may not
+issue (`quota`), as nothing that planners believe can make two hold one part.
 
 No I/O. Times are of its own steady clock, in tenths of a millisecond.
 """
@@ -13,12 +13,12 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from lilacloft.members.table import ALIVE, FORWARDER, PLANNER, Change, Table
-from lilacloft.plan import place as places
-from lilacloft.plan.order import Issuer, Name
-from lilacloft.plan.shares import LEAST, Grant, Purse, divide
-from lilacloft.plan.sights import HOLD, Judge, trials
-from lilacloft.plan.words import PARTS, Ask, Delta, Given, Plan, Reply, Summary, Word, delta
+from lilacloft.control import allocation as places
+from lilacloft.control.health_aggregation import HOLD, Judge, trials
+from lilacloft.control.leader_lease import Issuer, Name
+from lilacloft.control.messages import PARTS, Ask, Delta, Given, Plan, Reply, Summary, Word, delta
+from lilacloft.control.quota import LEAST, Grant, Purse, divide
+from lilacloft.membership.table import ALIVE, FORWARDER, PLANNER, Change, Table
 from lilacloft.zones import evidence, pace
 from lilacloft.zones.course import Decider, Told
 from lilacloft.zones.slices import PAST, SLICES
--- a/lilacloft/plan/serve.py
+++ b/lilacloft/control/planner_server.py
@@ -12,11 +12,11 @@
 
 from lilacloft import needed
 from lilacloft.config.addresses import address
+from lilacloft.control import codec
+from lilacloft.control.messages import PARTS, delta
+from lilacloft.control.planner import Listed, Planner, Site
+from lilacloft.control.transport import Dial, Door, Peer
 from lilacloft.net.feed import Feed, known
-from lilacloft.plan import form
-from lilacloft.plan.planner import Listed, Planner, Site
-from lilacloft.plan.wire import Dial, Door, Peer
-from lilacloft.plan.words import PARTS, delta
 from lilacloft.settings import settings
 from lilacloft.zones.pace import Warming
 
@@ -142,7 +142,7 @@
         if epoch > self.kept:  # before anybody is told of it
             self.kept = epoch
             self._keep(EPOCH, epoch)
-        word = form.word(self.core.says(now))
+        word = codec.word(self.core.says(now))
         for dial in self.dials:
             dial.send(word)
 
@@ -181,7 +181,7 @@
     # --- connections ---
 
     def _hello(self) -> bytes:
-        return form.hello(self.name, "planner", self.core.table.incarnation)
+        return codec.hello(self.name, "planner", self.core.table.incarnation)
 
     def _heard(self, peer: Peer, message: Any) -> None:
         """In a connection's thread."""
@@ -190,11 +190,11 @@
     def _take(self, peer: Peer, message: Any) -> None:
         now = self.now()
         if message.HasField("summary"):
-            peer.send(form.reply(self.core.summary(form.summarized(message.summary), now)))
+            peer.send(codec.reply(self.core.summary(codec.summarized(message.summary), now)))
         elif message.HasField("word"):
-            self.core.heard(form.worded(message.word), now)
+            self.core.heard(codec.worded(message.word), now)
         elif message.HasField("show"):
-            peer.send(form.shown(self.shows(message.show.what, now)))
+            peer.send(codec.shown(self.shows(message.show.what, now)))
 
     def shows(self, what: str, now: int) -> list[str]:
         """What an operator asks for: the plan, what the last one changed, or why of one be."""
--- a/lilacloft/plan/wire.py
+++ b/lilacloft/control/transport.py
@@ -12,9 +12,9 @@
 
 from loguru import logger
 
+from lilacloft.control import codec
+from lilacloft.control.codec import HEAD, WireError
 from lilacloft.net.feed import exactly
-from lilacloft.plan import form
-from lilacloft.plan.form import HEAD, WireError
 
 WAITS = 4  # frames that wait to be sent to one peer; the oldest goes where there are more
 CONNECT = 1.0  # seconds
@@ -83,13 +83,13 @@
         try:
             with self.sock.makefile("rb") as stream:
                 while True:
-                    length = form.head(exactly(stream, HEAD.size))
-                    message = form.read(exactly(stream, length))
+                    length = codec.head(exactly(stream, HEAD.size))
+                    message = codec.read(exactly(stream, length))
                     self.read += HEAD.size + length
                     if self.known is None:
                         if not message.HasField("hello"):
                             raise WireError("no hello")
-                        form.agreed(message.hello)
+                        codec.agreed(message.hello)
                         self.known = message.hello
                     self.told(self, message)
         except WireError as wrong:
--- a/lilacloft/emulator/planes.py
+++ b/lilacloft/emulator/planes.py
@@ -1,5 +1,5 @@
 """Joins a world to planners: two levels in virtual time. It decides nothing: forwarders' and planners' sides
-are `lilacloft.plan`, what becomes of their messages is decided by the faults on their ways.
+are `lilacloft.control`, what becomes of their messages is decided by the faults on their ways.
 
 Each forwarder tells each planner four times a second what it sees, and takes the answer; planners tell each
 other what they have heard. A planner can be killed, started anew, cut off from forwarders or from other
@@ -12,16 +12,16 @@
 from dataclasses import dataclass
 from typing import Any
 
+from lilacloft.control.follower import EVERY, Follower
+from lilacloft.control.gateway_observer import Watch
+from lilacloft.control.messages import Reply, Summary, Word
+from lilacloft.control.planner import Listed, Planner, Site
 from lilacloft.emulator.boxes import CACHE, ORIGIN, PARENT, Box
 from lilacloft.emulator.events import FAULT, LOG, NET, TIMER
 from lilacloft.emulator.faults import Fault
 from lilacloft.emulator.fleet import START, Fleet
 from lilacloft.emulator.gateway import Gateway, Policy
 from lilacloft.emulator.worlds import World
-from lilacloft.plan.follow import EVERY, Follower
-from lilacloft.plan.planner import Listed, Planner, Site
-from lilacloft.plan.watch import Watch
-from lilacloft.plan.words import Reply, Summary, Word
 from lilacloft.zones.keep import Keeper
 from lilacloft.zones.pace import Warming
 
--- a/lilacloft/record/writer.py
+++ b/lilacloft/record/writer.py
@@ -194,7 +194,7 @@
         )
 
     def planned(self, effect: Any) -> None:
-        """Another plan holds, or none: what its effect is (lilacloft.plan.follow.Effect)."""
+        """Another plan holds, or none: what its effect is (lilacloft.control.follower.Effect)."""
         name = effect.name
         self.note(
             kinds.Planned(
--- a/lilacloft/routing/fleet_plan.py
+++ b/lilacloft/routing/fleet_plan.py
@@ -1,4 +1,4 @@
-"""What a plan for the whole fleet sets in one gateway's decisions (lilacloft/plan/, lilacloft/zones/).
+"""What a plan for the whole fleet sets in one gateway's decisions (lilacloft/control/, lilacloft/zones/).
 
 Without a plan, or once it has expired, a gateway decides by itself: nothing is set here then.
 """
--- a/lilacloft/routing/router.py
+++ b/lilacloft/routing/router.py
@@ -262,7 +262,7 @@
         self.plan.standby = on
 
     def plan_changed(self, update: PlanUpdate) -> None:
-        """Another plan holds (lilacloft/plan/), or none."""
+        """Another plan holds (lilacloft/control/), or none."""
         plan, outliers = self.plan, self.outliers
         self.link_limit.ceiling = update.link_ceiling or math.inf
         plan.budget_shares = update.budget_shares
--- a/lilacloft/upgrade/process.py
+++ b/lilacloft/upgrade/process.py
@@ -82,7 +82,7 @@
     """What talks to planners, where the settings name some."""
     if not plan or not plan.get("planners"):
         return None
-    from lilacloft.plan.agent import Agent
+    from lilacloft.control.gateway_agent import Agent
 
     return Agent(
         owner,
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -19,14 +19,14 @@
 
 from lilacloft import needed
 from lilacloft.config.reader import load
+from lilacloft.control import codec as plan_codec
+from lilacloft.control import messages
+from lilacloft.control.follower import Effect
+from lilacloft.control.health_aggregation import Sight
+from lilacloft.control.leader_lease import Name
 from lilacloft.net import feed
 from lilacloft.net.conn import OUTCOMES, End
 from lilacloft.net.owner import Owner
-from lilacloft.plan import form as plan_form
-from lilacloft.plan import words
-from lilacloft.plan.follow import Effect
-from lilacloft.plan.order import Name
-from lilacloft.plan.sights import Sight
 from lilacloft.record import kinds as records
 from lilacloft.record.book import Book
 from lilacloft.record.reader import read as read_records
@@ -515,16 +515,16 @@
 
 
 def _message(data: bytes) -> Any:
-    size = plan_form.HEAD.size
-    assert plan_form.head(data[:size]) == len(data) - size
-    return plan_form.read(data[size:])
+    size = plan_codec.HEAD.size
+    assert plan_codec.head(data[:size]) == len(data) - size
+    return plan_codec.read(data[size:])
 
 
 def plan_frames(data: bytes) -> list[bytes]:
     """Frames that follow one another."""
     out = []
     while data:
-        end = plan_form.HEAD.size + plan_form.head(data[: plan_form.HEAD.size])
+        end = plan_codec.HEAD.size + plan_codec.head(data[: plan_codec.HEAD.size])
         out.append(data[:end])
         data = data[end:]
     return out
@@ -539,13 +539,13 @@
         "incarnation": told.incarnation,
         "newest": told.newest,
         "oldest": told.oldest,
-        "agreed": plan_form.agreed(told),
+        "agreed": plan_codec.agreed(told),
     }
 
 
 def hello_frame(plain: Plain) -> bytes:
     """The frame of a hello."""
-    return plan_form.hello(plain["name"], plain["role"], plain["incarnation"])
+    return plan_codec.hello(plain["name"], plain["role"], plain["incarnation"])
 
 
 def _name_values(name: Name) -> Plain:
@@ -556,24 +556,24 @@
     return Name(plain["epoch"], plain["number"], plain["planner"])
 
 
-def _asks_values(asks: tuple[words.Ask, ...]) -> list[Plain]:
+def _asks_values(asks: tuple[messages.Ask, ...]) -> list[Plain]:
     return [{"number": one.number, "be": one.backend, "part": one.part, "span": one.span} for one in asks]
 
 
-def _asks(plain: list[Plain]) -> tuple[words.Ask, ...]:
-    return tuple(words.Ask(one["number"], one["be"], one["part"], one["span"]) for one in plain)
+def _asks(plain: list[Plain]) -> tuple[messages.Ask, ...]:
+    return tuple(messages.Ask(one["number"], one["be"], one["part"], one["span"]) for one in plain)
 
 
-def _given_values(given: tuple[words.Given, ...]) -> list[Plain]:
+def _given_values(given: tuple[messages.Given, ...]) -> list[Plain]:
     return [
         {"number": one.number, "be": one.backend, "part": one.part, "delay": one.delay, "span": one.span}
         for one in given
     ]
 
 
-def _given(plain: list[Plain]) -> tuple[words.Given, ...]:
+def _given(plain: list[Plain]) -> tuple[messages.Given, ...]:
     return tuple(
-        words.Given(one["number"], one["be"], one["part"], one["delay"], one["span"]) for one in plain
+        messages.Given(one["number"], one["be"], one["part"], one["delay"], one["span"]) for one in plain
     )
 
 
@@ -609,7 +609,7 @@
 
 def summary_of_forwarder(data: bytes) -> Plain:
     """What a forwarder tells a planner, from its frame."""
-    told = plan_form.summarized(_message(data).summary)
+    told = plan_codec.summarized(_message(data).summary)
     return {
         "name": told.name,
         "incarnation": told.incarnation,
@@ -637,8 +637,8 @@
 
 def summary_frame(plain: Plain) -> bytes:
     """The frame of a forwarder's summary."""
-    return plan_form.summary(
-        words.Summary(
+    return plan_codec.summary(
+        messages.Summary(
             name=plain["name"],
             incarnation=plain["incarnation"],
             number=plain["number"],
@@ -680,7 +680,7 @@
     return Told(plain["back"], plain["fails"], plain["rate"], plain["trial"], plain["why"], to)
 
 
-def _plan_values(plan: words.Plan) -> Plain:
+def _plan_values(plan: messages.Plan) -> Plain:
     return {
         "name": _name_values(plan.name),
         "listed": plan.listed,
@@ -694,8 +694,8 @@
     }
 
 
-def _plan(plain: Plain) -> words.Plan:
-    return words.Plan(
+def _plan(plain: Plain) -> messages.Plan:
+    return messages.Plan(
         name=_name(plain["name"]),
         listed=plain["listed"],
         out=plain["out"],
@@ -711,9 +711,9 @@
 def reply_values(data: bytes, before: Plain | None = None) -> Plain:
     """What a planner answers, from its frame; `applied` is the plan that its delta makes of the plan
     `before`."""
-    told = plan_form.replied(_message(data).reply)
+    told = plan_codec.replied(_message(data).reply)
     delta = told.delta
-    applied = words.applied(_plan(before), delta) if before and delta else None
+    applied = messages.applied(_plan(before), delta) if before and delta else None
     return {
         "planner": told.planner,
         "incarnation": told.incarnation,
@@ -731,14 +731,14 @@
 
 def reply_frame(plain: Plain, before: Plain | None = None) -> bytes:
     """The frame of a planner's reply: with its plan, or with what `applied` changes of the plan `before`."""
-    return plan_form.reply(
-        words.Reply(
+    return plan_codec.reply(
+        messages.Reply(
             planner=plain["planner"],
             incarnation=plain["incarnation"],
             number=plain["number"],
             span=plain["span"],
             plan=_plan(plain["plan"]) if plain["plan"] else None,
-            delta=words.delta(_plan(before), _plan(plain["applied"])) if before else None,
+            delta=messages.delta(_plan(before), _plan(plain["applied"])) if before else None,
             asks=_asks(plain["asks"]),
             given=_given(plain["given"]),
             whole=plain["whole"],
@@ -748,7 +748,7 @@
 
 def word_values(data: bytes) -> Plain:
     """What a planner tells another, from its frame."""
-    told = plan_form.worded(_message(data).word)
+    told = plan_codec.worded(_message(data).word)
     return {
         "name": told.name,
         "incarnation": told.incarnation,
@@ -761,8 +761,8 @@
 def word_frame(plain: Plain) -> bytes:
     """The frame of a planner's word to another."""
     rows = tuple(tuple(row) for row in plain["rows"])
-    return plan_form.word(
-        words.Word(plain["name"], plain["incarnation"], plain["epoch"], plain["seen"], rows)  # type: ignore[arg-type]
+    return plan_codec.word(
+        messages.Word(plain["name"], plain["incarnation"], plain["epoch"], plain["seen"], rows)  # type: ignore[arg-type]
     )
 
 
@@ -773,7 +773,7 @@
 
 def show_frame(what: str) -> bytes:
     """The frame that asks for something to be shown."""
-    return plan_form.show(what)
+    return plan_codec.show(what)
 
 
 def shown_values(data: bytes) -> list[str]:
@@ -783,7 +783,7 @@
 
 def shown_frame(lines: list[str]) -> bytes:
     """The frame of lines that are shown."""
-    return plan_form.shown(lines)
+    return plan_codec.shown(lines)
 
 
 # --- settings ---
--- a/tests/test_plan.py
+++ b/tests/test_control.py
@@ -5,20 +5,20 @@
 
 import pytest
 
+from lilacloft.control import allocation as places
+from lilacloft.control.allocation import Demand, Limits, greedy, place
+from lilacloft.control.follower import LENDS, WAITS, Follower
+from lilacloft.control.health_aggregation import FRESH, HOLD, TRIAL, Judge, Sight, trials
+from lilacloft.control.leader_lease import Holder, Issuer, Name
+from lilacloft.control.messages import Ask, Given, Plan, Reply, Summary, Word, applied, delta
+from lilacloft.control.planner import SPAN, Listed, Planner, Site
 from lilacloft.emulator.chance import Chance
 from lilacloft.emulator.faults import draw, parse
 from lilacloft.emulator.fleet import run
 from lilacloft.emulator.planes import Planes, Trouble, troubles
 from lilacloft.emulator.worlds import READS, SECOND, World
-from lilacloft.members import table as members
-from lilacloft.members.table import ALIVE, DEAD, FORGET, GONE, LEFT, SILENT, SUSPECT, Table, order
-from lilacloft.plan import place as places
-from lilacloft.plan.follow import LENDS, WAITS, Follower
-from lilacloft.plan.order import Holder, Issuer, Name
-from lilacloft.plan.place import Demand, Limits, greedy, place
-from lilacloft.plan.planner import SPAN, Listed, Planner, Site
-from lilacloft.plan.sights import FRESH, HOLD, TRIAL, Judge, Sight, trials
-from lilacloft.plan.words import Ask, Given, Plan, Reply, Summary, Word, applied, delta
+from lilacloft.membership import table as members
+from lilacloft.membership.table import ALIVE, DEAD, FORGET, GONE, LEFT, SILENT, SUSPECT, Table, order
 
 WELL, BAD = Sight(well=9), Sight(failed=5)
 
--- a/tests/test_planes.py
+++ b/tests/test_control_processes.py
@@ -11,19 +11,19 @@
 from lilacloft.__main__ import main
 from lilacloft.config.addresses import address, named
 from lilacloft.config.reader import SettingsError, load
-from lilacloft.plan import form
-from lilacloft.plan.form import FRAME, HEAD, WireError
-from lilacloft.plan.order import Name
-from lilacloft.plan.sights import Sight
-from lilacloft.plan.wire import WAITS, Dial, Door, Peer
-from lilacloft.plan.words import Ask, Given, Plan, Reply, Summary, Word, applied, delta
+from lilacloft.control import codec
+from lilacloft.control.codec import FRAME, HEAD, WireError
+from lilacloft.control.health_aggregation import Sight
+from lilacloft.control.leader_lease import Name
+from lilacloft.control.messages import Ask, Given, Plan, Reply, Summary, Word, applied, delta
+from lilacloft.control.transport import WAITS, Dial, Door, Peer
 from rigs.planes import Planners, run
 from rigs.scene import Scene
 from rigs.stands import unused
 
 
 def body(data):
-    return form.read(data[HEAD.size :])
+    return codec.read(data[HEAD.size :])
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -54,7 +54,7 @@
         Name(2, 3, "p1"),
         chance.random() < 0.5,
     )
-    assert form.summarized(body(form.summary(summary)).summary) == summary
+    assert codec.summarized(body(codec.summary(summary)).summary) == summary
 
     def plan(number):
         return Plan(
@@ -74,29 +74,29 @@
         Reply("p0", 1, 2, 30_000, None, delta(one, two)),
         Reply("p0", 1, 2),
     ):
-        assert form.replied(body(form.reply(reply)).reply) == reply
+        assert codec.replied(body(codec.reply(reply)).reply) == reply
     word = Word("p0", 1, 2, 3, (("f1", "forwarder", 2, 1, "a:1", 500, "alive"),))
-    assert form.worded(body(form.word(word)).word) == word
+    assert codec.worded(body(codec.word(word)).word) == word
 
 
 def test_what_is_no_frame_is_told_and_what_is_newer_is_skipped():
-    data = form.word(Word("p0", 1, 2, 3))
-    assert form.head(data[: HEAD.size]) == len(data) - HEAD.size
+    data = codec.word(Word("p0", 1, 2, 3))
+    assert codec.head(data[: HEAD.size]) == len(data) - HEAD.size
     for wrong in (b"GET / HTT", HEAD.pack(b"llpl", 0, 5), HEAD.pack(b"llpl", 1, 1 << 30)):
         with pytest.raises(WireError):
-            form.head(wrong)
+            codec.head(wrong)
     with pytest.raises(WireError):
-        form.read(b"\xff\xff\xff")
+        codec.read(b"\xff\xff\xff")
     newer = data[HEAD.size :] + b"\xfa\x3f\x03abc"  # a field that nobody here knows
-    assert form.worded(form.read(newer).word) == Word("p0", 1, 2, 3)
+    assert codec.worded(codec.read(newer).word) == Word("p0", 1, 2, 3)
     old = FRAME()
     old.hello.name, old.hello.newest, old.hello.oldest = "x", 9, 5
     with pytest.raises(WireError, match="reads versions 5 to 9"):
-        form.agreed(old.hello)
-    bad = body(form.reply(Reply("p0", 1, 2, 3, None, delta(Plan(Name(1)), Plan(Name(2))))))
+        codec.agreed(old.hello)
+    bad = body(codec.reply(Reply("p0", 1, 2, 3, None, delta(Plan(Name(1)), Plan(Name(2))))))
     bad.reply.delta.gone.add(key="b", value="weather")
     with pytest.raises(WireError, match="weather"):
-        form.replied(bad.reply)
+        codec.replied(bad.reply)
 
 
 def test_addresses_are_checked():
@@ -113,18 +113,20 @@
     port = unused()
     door = Door(
         ("127.0.0.1", port),
-        lambda: form.hello("p0", "planner", 1),
+        lambda: codec.hello("p0", "planner", 1),
         lambda peer, message: there.put((peer, message)),
     )
     dial = Dial(
-        ("127.0.0.1", port), lambda: form.hello("f0", "forwarder", 1), lambda peer, message: here.put(message)
+        ("127.0.0.1", port),
+        lambda: codec.hello("f0", "forwarder", 1),
+        lambda peer, message: here.put(message),
     )
     try:
         peer, message = there.get(timeout=5)
         assert message.hello.name == "f0" and here.get(timeout=5).hello.name == "p0"
-        assert dial.send(form.word(Word("f0", 1, 0, 0)))
+        assert dial.send(codec.word(Word("f0", 1, 0, 0)))
         assert there.get(timeout=5)[1].word.name == "f0"
-        peer.send(form.shown(["one"]))
+        peer.send(codec.shown(["one"]))
         assert list(here.get(timeout=5).shown.lines) == ["one"]
         peer.close()
         assert there.get(timeout=5)[1].hello.name == "f0" and dial.connects == 2
@@ -137,14 +139,14 @@
     there = queue.SimpleQueue()
     port = unused()
     door = Door(
-        ("127.0.0.1", port), lambda: form.hello("p0", "planner", 1), lambda peer, message: there.put(message)
+        ("127.0.0.1", port), lambda: codec.hello("p0", "planner", 1), lambda peer, message: there.put(message)
     )
     try:
         for data in (
             b"GET / HTTP/1.1\r\n\r\n",
             HEAD.pack(b"llpl", 1, 3) + b"\xff\xff\xff",
-            form.word(Word("x", 1, 0, 0)),
-            form.hello("x", "forwarder", 1) + b"nonsense!",
+            codec.word(Word("x", 1, 0, 0)),
+            codec.hello("x", "forwarder", 1) + b"nonsense!",
         ):
             with socket.create_connection(("127.0.0.1", port), 5) as sock:
                 sock.settimeout(5)
@@ -152,7 +154,7 @@
                 while sock.recv(4096):
                     pass
         with socket.create_connection(("127.0.0.1", port), 5) as sock:
-            sock.sendall(form.hello("f9", "forwarder", 1))
+            sock.sendall(codec.hello("f9", "forwarder", 1))
             names = [there.get(timeout=5).hello.name for _ in range(2)]
         assert names == ["x", "f9"]
     finally:
@@ -161,7 +163,7 @@
 
 def test_what_waits_for_a_slow_peer_is_bounded_and_the_newest_is_kept():
     one, other = socket.socketpair()
-    peer = Peer(one, form.hello("p0", "planner", 1), lambda *_: None, lambda *_: None)
+    peer = Peer(one, codec.hello("p0", "planner", 1), lambda *_: None, lambda *_: None)
     for number in range(WAITS + 5):
         peer.send(b"%d" % number)
     assert list(peer.waits) == [b"%d" % number for number in range(5, WAITS + 5)] and peer.dropped == 5
@@ -247,9 +249,9 @@
         tallies={2: Tally(5, 4, 3, 2), -1: Tally(1)},
         left={2: (40, 3), -1: (0, 0)},
     )
-    assert form.summarized(body(form.summary(summary)).summary) == summary
+    assert codec.summarized(body(codec.summary(summary)).summary) == summary
     one = Plan(Name(1, 2, "p"), 3, zones={0: Told(0, 1, 4.25, "f1", "its caches fail"), -2: Told(63)})
     two = Plan(Name(1, 3, "p"), 3, zones={-2: Told(64, 2)})
     for reply in (Reply("p0", 1, 2, 30_000, one), Reply("p0", 1, 2, 30_000, None, delta(one, two))):
-        assert form.replied(body(form.reply(reply)).reply) == reply
+        assert codec.replied(body(codec.reply(reply)).reply) == reply
     assert applied(one, delta(one, two)) == two
--- a/tests/test_shares.py
+++ b/tests/test_quota.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lilacloft.plan.shares import DRIFT, NEVER, Grant, Purse, divide
+from lilacloft.control.quota import DRIFT, NEVER, Grant, Purse, divide
 
 FALL = 1000
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -363,9 +363,9 @@
     """Once when another plan holds and once when none does: not each quarter of a second."""
     from types import SimpleNamespace
 
-    from lilacloft.plan.agent import Agent
-    from lilacloft.plan.follow import Effect
-    from lilacloft.plan.order import Name
+    from lilacloft.control.follower import Effect
+    from lilacloft.control.gateway_agent import Agent
+    from lilacloft.control.leader_lease import Name
     from lilacloft.record.writer import Recorder
 
     written = []
@@ -391,8 +391,8 @@
 def test_what_becomes_of_locations_is_written_once_each_time_it_changes():
     from types import SimpleNamespace
 
-    from lilacloft.plan.agent import Agent
-    from lilacloft.plan.order import Name
+    from lilacloft.control.gateway_agent import Agent
+    from lilacloft.control.leader_lease import Name
     from lilacloft.record.writer import Recorder
     from lilacloft.zones.course import Told
 
