--- a/lilacloft/control/planner.py
+++ b/lilacloft/control/planner.py
@@ -18,7 +18,16 @@
 from lilacloft.control.leader_lease import Issuer, Name
 from lilacloft.control.messages import PARTS, Ask, Delta, Given, Plan, Reply, Summary, Word, delta
 from lilacloft.control.quota import LEAST, Grant, Purse, divide
-from lilacloft.membership.table import ALIVE, FORWARDER, PLANNER, Change, Table
+from lilacloft.membership.table import (
+    ALIVE,
+    DEAD,
+    FORWARDER,
+    LEFT,
+    PLANNER,
+    MemberRow,
+    MembershipChange,
+    MemberTable,
+)
 from lilacloft.zones import evidence, pace
 from lilacloft.zones.course import Decider, Told
 from lilacloft.zones.slices import PAST, SLICES
@@ -93,7 +102,7 @@
 
     def __init__(self, name: str, incarnation: int, site: Site, epoch: int = 0) -> None:
         self.name, self.site = name, site
-        self.table = Table(name, incarnation)
+        self.table = MemberTable(name, incarnation)
         self.issuer = Issuer(name, site.planners, epoch)
         self.judge = Judge()
         self.backends: dict[str, Listed] = {}
@@ -126,8 +135,8 @@
     def heard(self, word: Word, now: int) -> None:
         """Another planner tells what it knows."""
         self.issuer.heard(max(word.epoch, word.seen))
-        self._changed(self.table.heard(word.name, PLANNER, word.incarnation, now))
-        for change in self.table.told(word.rows, now):
+        self._changed(self.table.record_heartbeat(word.name, PLANNER, word.incarnation, now))
+        for change in self.table.merge(map(MemberRow._make, word.rows), now):
             self._changed(change)
 
     def says(self, now: int) -> Word:
@@ -137,7 +146,7 @@
             self.table.incarnation,
             self.issuer.epoch if self.issuer.issues else 0,
             self.issuer.seen,
-            tuple(self.table.rows(now)),
+            tuple(self.table.export_rows(now)),
         )
 
     def summary(self, told: Summary, now: int) -> Reply:
@@ -155,11 +164,11 @@
         before = known.summary
         known.summary, known.at = told, now
         if told.leaves:
-            self._changed(self.table.left(told.name, told.incarnation, now))
+            self._changed(self.table.record_leave(told.name, told.incarnation, now))
             self.known.pop(told.name, None)
             self.judge.gone(told.name)
             return Reply(self.name, self.table.incarnation, told.number)
-        self._changed(self.table.heard(told.name, FORWARDER, told.incarnation, now, told.zone))
+        self._changed(self.table.record_heartbeat(told.name, FORWARDER, told.incarnation, now, told.zone))
         self.issuer.heard(told.holds.epoch)
         self.judge.saw(
             told.name,
@@ -219,8 +228,8 @@
             {other: told for other, told in plan.zones.items() if other == zone or other in hubs},
         )
 
-    def _changed(self, change: Change | None) -> None:
-        if change and (change.new or change.member.state in ("gone", "left")):
+    def _changed(self, change: MembershipChange | None) -> None:
+        if change and (change.is_new_process or change.member.state in (DEAD, LEFT)):
             name = change.member.name
             if change.member.role == FORWARDER:
                 self.judge.gone(name)
@@ -230,7 +239,7 @@
                 if (
                     known
                     and known.summary.incarnation <= change.member.incarnation
-                    and not (change.new and known.summary.incarnation == change.member.incarnation)
+                    and not (change.is_new_process and known.summary.incarnation == change.member.incarnation)
                 ):
                     self.known.pop(name, None)
 
@@ -295,7 +304,7 @@
 
     def tick(self, now: int) -> bool:
         """Look at everything; True where a new plan was issued."""
-        for change in self.table.tick(now):
+        for change in self.table.expire(now):
             self._changed(change)
         for name in [name for name, known in self.known.items() if now - known.at > 2 * SPAN]:
             del self.known[name]
--- a/lilacloft/membership/__init__.py
+++ b/lilacloft/membership/__init__.py
@@ -1,2 +1,2 @@
-"""Who is there: forwarders and planners, by their own word and by others'. It must never take a process that
-has started anew under an old name for the old one."""
+"""Membership of the control plane: which gateways and planners are running, by their heartbeats and by
+gossip."""
--- a/lilacloft/membership/table.py
+++ b/lilacloft/membership/table.py
@@ -1,201 +1,202 @@
-"""Decides who is there, and owns the table of members.
-
-Each member tells all planners of itself, with an incarnation that rises with each start; planners tell each
-other what they have heard. A member that is not heard of is suspected, and is gone only once nobody whom one
-hears has heard of it either: one bad path takes nobody away. Who hears that it is suspected refutes it with a
-higher incarnation. A later incarnation is another process: all that was known of the earlier one is void.
-
-The table is a persistent map: whoever reads it holds one whole version, however it changes meanwhile. No I/O;
-times are of one's own steady clock, in tenths of a millisecond; what others have heard is told as an age.
-
-Gossip among all (SWIM) was weighed against leases with planners: forwarders need not know of each other, and
-a few planners hear of a thousand forwarders directly, four times a second; gossip would spare messages that
-are sent anyway, as they carry the sights.
+"""The membership table: which gateways and planners are alive, and which process runs under a name.
+
+Each member sends heartbeats to all planners with an incarnation that rises with each start; planners exchange
+by gossip what they have received. A member without a heartbeat is suspected, and counts as dead only once no
+other reachable planner has heard from it either, so that one bad network path removes nobody. A planner that
+learns that it is suspected refutes that with a higher incarnation. A later incarnation is another process:
+all state of the earlier one is void.
+
+The table is a persistent map: a reader keeps one consistent version while the table changes. The module does
+no I/O; times are `Ticks` of the caller's monotonic clock. Gossip carries ages, as no two clocks are compared.
+The protocol is a lease with each planner rather than SWIM among all members: the gateways send their load
+reports to each planner anyway, and a report is the heartbeat.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
+from typing import NamedTuple
 
 from pyrsistent import PMap, pmap
 
-ALIVE, SUSPECT, GONE, LEFT = "alive", "suspect", "gone", "left"
-FORWARDER, PLANNER = "forwarder", "planner"
-SILENT = 15_000  # without a word for so long a member is suspected
-DEAD = 40_000  # and for so long, by anybody's word, it is gone
-FORGET = 600_000  # and forgotten
-OLDEST = 1 << 20  # what others say may not be older
+from lilacloft.routing.units import Ticks
+
+ALIVE, SUSPECT, DEAD, LEFT = "alive", "suspect", "gone", "left"  # sent in gossip
+FORWARDER, PLANNER = "forwarder", "planner"  # sent in gossip
+SUSPECT_AFTER: Ticks = 15_000  # without a heartbeat
+DEAD_AFTER: Ticks = 40_000  # without a heartbeat at any planner
+FORGET_AFTER: Ticks = 600_000  # in the state dead or left
+MAX_AGE: Ticks = 1 << 20  # of a heartbeat told by another planner
 
 
 @dataclass(frozen=True)
 class Member:
-    """One process, as it is known here."""
+    """One process as this planner knows it."""
 
     name: str
     role: str
     incarnation: int
     zone: int = 0
     address: str = ""
-    heard: int = 0  # when anybody last heard of it, in our time
+    last_heard: Ticks = 0  # the newest heartbeat at any planner, by this planner's clock
     state: str = ALIVE
-    since: int = 0  # of this state
+    state_since: Ticks = 0
 
-    def same(self, other: Member) -> bool:
+    def is_same_process(self, other: Member) -> bool:
+        """Return whether both are the same incarnation of the same name."""
         return (self.name, self.incarnation) == (other.name, other.incarnation)
 
 
+class MemberRow(NamedTuple):
+    """What gossip says of one member."""
+
+    name: str
+    role: str
+    incarnation: int
+    zone: int
+    address: str
+    age: Ticks  # of its last heartbeat
+    state: str
+
+
 @dataclass(frozen=True)
-class Change:
-    """What has become of a member."""
+class MembershipChange:
+    """A change of a member's state."""
 
     member: Member
-    was: str  # its state before; empty: it was not known
-    new: bool = False  # another process under its name
+    previous_state: str  # empty: the member was unknown
+    is_new_process: bool = False  # another incarnation under a known name
 
 
-class Table:
-    """One planner's members."""
+class MemberTable:
+    """The members that one planner knows."""
 
     def __init__(self, name: str, incarnation: int) -> None:
         self.name, self.incarnation = name, incarnation
         self.members: PMap[str, Member] = pmap()
-        self.refuted = 0
+        self.refutations = 0
 
-    # --- what is heard ---
+    # --- updates ---
 
-    def heard(
-        self, name: str, role: str, incarnation: int, now: int, zone: int = 0, address: str = ""
-    ) -> Change | None:
-        """A member tells of itself. What is of an earlier process under its name is passed over."""
-        return self._take(Member(name, role, incarnation, zone, address, now), now)
+    def record_heartbeat(
+        self, name: str, role: str, incarnation: int, now: Ticks, zone: int = 0, address: str = ""
+    ) -> MembershipChange | None:
+        """Record a heartbeat; one of an earlier incarnation is ignored."""
+        return self._merge_member(Member(name, role, incarnation, zone, address, now), now)
 
-    def left(self, name: str, incarnation: int, now: int) -> Change | None:
-        """A member says that it ends."""
+    def record_leave(self, name: str, incarnation: int, now: Ticks) -> MembershipChange | None:
+        """Record that a member has announced its end."""
         before = self.members.get(name)
         if before is None or before.incarnation > incarnation or before.state == LEFT:
             return None
         return self._set(Member(name, before.role, incarnation, before.zone, before.address, now, LEFT, now))
 
-    def told(self, rows: Iterable[tuple[str, str, int, int, str, int, str]], now: int) -> list[Change]:
-        """Another planner tells what it knows: name, role, incarnation, zone, address, age of what it has
-        heard, state. Ages count from now: the way here only makes them too young by what it took, which DEAD
-        leaves room for."""
-        out = []
-        for name, role, incarnation, zone, address, age, state in rows:
-            if name == self.name:
-                if state in (SUSPECT, GONE) and incarnation >= self.incarnation:
-                    self.incarnation = incarnation + 1  # it is not so
-                    self.refuted += 1
-                continue
-            if not 0 <= age < OLDEST:
+    def merge(self, rows: Iterable[MemberRow], now: Ticks) -> list[MembershipChange]:
+        """Merge the rows of another planner's gossip. Ages count from now: the message's delay makes them
+        too young by as much, for which `DEAD_AFTER` leaves a margin."""
+        changes = []
+        for row in rows:
+            if row.name == self.name:
+                self._refute(row)
                 continue
-            if state == LEFT:
-                change = self.left(name, incarnation, now) if name in self.members else None
-            else:
-                change = self._take(Member(name, role, incarnation, zone, address, now - age), now)
+            change = self._merge_row(row, now)
             if change:
-                out.append(change)
-        return out
+                changes.append(change)
+        return changes
+
+    def _refute(self, row: MemberRow) -> None:
+        if row.state in (SUSPECT, DEAD) and row.incarnation >= self.incarnation:
+            self.incarnation = row.incarnation + 1
+            self.refutations += 1
+
+    def _merge_row(self, row: MemberRow, now: Ticks) -> MembershipChange | None:
+        if not 0 <= row.age < MAX_AGE:
+            return None
+        if row.state == LEFT:
+            return self.record_leave(row.name, row.incarnation, now)
+        member = Member(row.name, row.role, row.incarnation, row.zone, row.address, now - row.age)
+        return self._merge_member(member, now)
 
-    def _take(self, member: Member, now: int) -> Change | None:
+    def _merge_member(self, member: Member, now: Ticks) -> MembershipChange | None:
         before = self.members.get(member.name)
-        if before is not None:
-            if member.incarnation < before.incarnation or (
-                member.incarnation == before.incarnation and before.state == LEFT
-            ):
-                return None
-            if member.same(before) and member.heard <= before.heard:
-                return None
-        state = self._state(member.heard, now)
-        if before is not None and member.same(before) and state == before.state:
-            self.members = self.members.set(
-                member.name,
-                Member(
-                    member.name,
-                    member.role,
-                    member.incarnation,
-                    member.zone,
-                    member.address or before.address,
-                    member.heard,
-                    state,
-                    before.since,
-                ),
-            )
+        if before is not None and self._is_outdated(member, before):
             return None
-        if before is None and state == GONE:
-            return None  # one that nobody has heard of for long is no news
-        return self._set(
-            Member(
-                member.name,
-                member.role,
-                member.incarnation,
-                member.zone,
-                member.address,
-                member.heard,
-                state,
-                now,
+        state = self._state(member.last_heard, now)
+        if before is not None and member.is_same_process(before) and state == before.state:
+            updated = replace(
+                member, address=member.address or before.address, state=state, state_since=before.state_since
             )
-        )
+            self.members = self.members.set(member.name, updated)
+            return None
+        if before is None and state == DEAD:
+            return None
+        return self._set(replace(member, state=state, state_since=now))
 
-    def _set(self, member: Member) -> Change:
+    @staticmethod
+    def _is_outdated(member: Member, before: Member) -> bool:
+        if member.incarnation < before.incarnation:
+            return True
+        if member.incarnation == before.incarnation and before.state == LEFT:
+            return True
+        return member.is_same_process(before) and member.last_heard <= before.last_heard
+
+    def _set(self, member: Member) -> MembershipChange:
         before = self.members.get(member.name)
         self.members = self.members.set(member.name, member)
-        return Change(member, before.state if before else "", before is not None and not member.same(before))
+        is_new_process = before is not None and not member.is_same_process(before)
+        return MembershipChange(member, before.state if before else "", is_new_process)
 
     @staticmethod
-    def _state(heard: int, now: int) -> str:
-        quiet = now - heard
-        return ALIVE if quiet < SILENT else SUSPECT if quiet < DEAD else GONE
-
-    # --- time ---
-
-    def tick(self, now: int) -> list[Change]:
-        """Who has been silent for too long."""
-        out = []
+    def _state(last_heard: Ticks, now: Ticks) -> str:
+        silent_for = now - last_heard
+        if silent_for < SUSPECT_AFTER:
+            return ALIVE
+        return SUSPECT if silent_for < DEAD_AFTER else DEAD
+
+    def expire(self, now: Ticks) -> list[MembershipChange]:
+        """Change the state of members that have been silent for too long, and forget dead ones."""
+        changes = []
         for name in sorted(self.members):
             member = self.members[name]
-            if member.state == LEFT or member.state == GONE:
-                if now - member.since >= FORGET:
+            if member.state in (LEFT, DEAD):
+                if now - member.state_since >= FORGET_AFTER:
                     self.members = self.members.remove(name)
                 continue
-            state = self._state(member.heard, now)
+            state = self._state(member.last_heard, now)
             if state != member.state:
-                out.append(
-                    self._set(
-                        Member(
-                            name,
-                            member.role,
-                            member.incarnation,
-                            member.zone,
-                            member.address,
-                            member.heard,
-                            state,
-                            now,
-                        )
-                    )
-                )
-        return out
-
-    # --- asking ---
+                changes.append(self._set(replace(member, state=state, state_since=now)))
+        return changes
+
+    # --- queries ---
 
     def alive(self, role: str) -> list[str]:
-        """Names of those that are there, or at least not known to be gone."""
+        """Return the names of a role's members that are alive or only suspected."""
         return sorted(
             name
             for name, member in self.members.items()
             if member.role == role and member.state in (ALIVE, SUSPECT)
         )
 
-    def rows(self, now: int) -> list[tuple[str, str, int, int, str, int, str]]:
-        """What another planner is told."""
+    def export_rows(self, now: Ticks) -> list[MemberRow]:
+        """Return the rows that gossip carries to other planners."""
         return [
-            (one.name, one.role, one.incarnation, one.zone, one.address, max(0, now - one.heard), one.state)
-            for one in (self.members[name] for name in sorted(self.members))
+            MemberRow(
+                member.name,
+                member.role,
+                member.incarnation,
+                member.zone,
+                member.address,
+                max(0, now - member.last_heard),
+                member.state,
+            )
+            for member in (self.members[name] for name in sorted(self.members))
         ]
 
 
-def order(epochs: Mapping[str, tuple[int, int]]) -> str:
-    """Of planners, by their epochs and numbers, whose plan holds: the highest epoch, then the highest number,
-    then the first by name. The same everywhere, without asking anybody."""
-    return min(epochs, key=lambda name: (-epochs[name][0], -epochs[name][1], name)) if epochs else ""
+def preferred_planner(versions: Mapping[str, tuple[int, int]]) -> str:
+    """Return the planner whose plan has precedence, given each one's epoch and plan number: the highest
+    epoch, then the highest number, then the first name. It is the same everywhere without coordination."""
+    if not versions:
+        return ""
+    return min(versions, key=lambda name: (-versions[name][0], -versions[name][1], name))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -18,7 +18,18 @@
 from lilacloft.emulator.planes import Planes, Trouble, troubles
 from lilacloft.emulator.worlds import READS, SECOND, World
 from lilacloft.membership import table as members
-from lilacloft.membership.table import ALIVE, DEAD, FORGET, GONE, LEFT, SILENT, SUSPECT, Table, order
+from lilacloft.membership.table import (
+    ALIVE,
+    DEAD,
+    DEAD_AFTER,
+    FORGET_AFTER,
+    LEFT,
+    SUSPECT,
+    SUSPECT_AFTER,
+    MemberRow,
+    MemberTable,
+    preferred_planner,
+)
 
 WELL, BAD = Sight(well=9), Sight(failed=5)
 
@@ -26,65 +37,71 @@
 
 
 def test_who_is_silent_is_suspected_then_gone_and_who_is_heard_by_another_is_not():
-    table = Table("p0", 1)
-    assert table.heard("f1", "forwarder", 1, 0).member.state == ALIVE
-    assert table.tick(SILENT - 1) == []
-    assert [change.member.state for change in table.tick(SILENT)] == [SUSPECT]
+    table = MemberTable("p0", 1)
+    assert table.record_heartbeat("f1", "forwarder", 1, 0).member.state == ALIVE
+    assert table.expire(SUSPECT_AFTER - 1) == []
+    assert [change.member.state for change in table.expire(SUSPECT_AFTER)] == [SUSPECT]
     assert table.alive("forwarder") == ["f1"]
-    row = ("f1", "forwarder", 1, 0, "", 500, ALIVE)  # another has heard it 50 ms ago
-    assert [change.member.state for change in table.told([row], SILENT + 10)] == [ALIVE]
-    gone = [change.member.state for change in table.tick(SILENT + 10 - 500 + DEAD)]
-    assert gone == [GONE] and table.alive("forwarder") == []
-    table.tick(SILENT + DEAD + FORGET)
+    row = MemberRow("f1", "forwarder", 1, 0, "", 500, ALIVE)  # another has heard it 50 ms ago
+    assert [change.member.state for change in table.merge([row], SUSPECT_AFTER + 10)] == [ALIVE]
+    gone = [change.member.state for change in table.expire(SUSPECT_AFTER + 10 - 500 + DEAD_AFTER)]
+    assert gone == [DEAD] and table.alive("forwarder") == []
+    table.expire(SUSPECT_AFTER + DEAD_AFTER + FORGET_AFTER)
     assert not table.members
 
 
 def test_a_process_that_started_anew_is_another_and_what_is_older_is_passed_over():
-    table = Table("p0", 1)
-    table.heard("f1", "forwarder", 1, 0)
-    change = table.heard("f1", "forwarder", 2, 10)
-    assert change.new and change.member.incarnation == 2
-    assert table.heard("f1", "forwarder", 1, 20) is None and table.members["f1"].incarnation == 2
-    assert table.left("f1", 1, 30) is None and table.left("f1", 2, 30).member.state == LEFT
-    assert table.heard("f1", "forwarder", 2, 40) is None and table.heard("f1", "forwarder", 3, 40).new
+    table = MemberTable("p0", 1)
+    table.record_heartbeat("f1", "forwarder", 1, 0)
+    change = table.record_heartbeat("f1", "forwarder", 2, 10)
+    assert change.is_new_process and change.member.incarnation == 2
+    assert table.record_heartbeat("f1", "forwarder", 1, 20) is None and table.members["f1"].incarnation == 2
+    assert table.record_leave("f1", 1, 30) is None and table.record_leave("f1", 2, 30).member.state == LEFT
+    assert (
+        table.record_heartbeat("f1", "forwarder", 2, 40) is None
+        and table.record_heartbeat("f1", "forwarder", 3, 40).is_new_process
+    )
 
 
 def test_who_hears_that_it_is_suspected_says_that_it_is_there():
-    table = Table("p0", 4)
-    table.told([("p0", "planner", 4, 0, "", 90_000, SUSPECT)], 0)
-    assert table.incarnation == 5 and table.refuted == 1
-    table.told([("p0", "planner", 3, 0, "", 90_000, GONE), ("x", "planner", 1, 0, "", -5, ALIVE)], 0)
+    table = MemberTable("p0", 4)
+    table.merge([MemberRow("p0", "planner", 4, 0, "", 90_000, SUSPECT)], 0)
+    assert table.incarnation == 5 and table.refutations == 1
+    table.merge(
+        [MemberRow("p0", "planner", 3, 0, "", 90_000, DEAD), MemberRow("x", "planner", 1, 0, "", -5, ALIVE)],
+        0,
+    )
     assert table.incarnation == 5 and "x" not in table.members
 
 
 def test_a_reader_holds_one_whole_version():
-    table = Table("p0", 1)
-    table.heard("f1", "forwarder", 1, 0)
+    table = MemberTable("p0", 1)
+    table.record_heartbeat("f1", "forwarder", 1, 0)
     held = table.members
-    table.heard("f2", "forwarder", 1, 0)
-    table.left("f1", 1, 0)
+    table.record_heartbeat("f2", "forwarder", 1, 0)
+    table.record_leave("f1", 1, 0)
     assert list(held) == ["f1"] and held["f1"].state == ALIVE and len(table.members) == 2
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_tables_that_talk_come_to_one_mind_whatever_the_order(seed):
     chance, now = random.Random(seed), 10_000
-    tables = [Table(f"p{number}", 1) for number in range(3)]
+    tables = [MemberTable(f"p{number}", 1) for number in range(3)]
     lives = dict.fromkeys("abcd", 1)
     for _ in range(60):
         now += chance.randrange(400)
         name = chance.choice("abcd")
         lives[name] += chance.random() < 0.1
-        chance.choice(tables).heard(name, members.FORWARDER, lives[name], now)
+        chance.choice(tables).record_heartbeat(name, members.FORWARDER, lives[name], now)
         one, other = chance.sample(tables, 2)
-        other.told(one.rows(now), now)
+        other.merge(one.export_rows(now), now)
     for _ in range(3):
         for one in tables:
             for other in tables:
                 if one is not other:
-                    other.told(one.rows(now), now)
+                    other.merge(one.export_rows(now), now)
     views = [
-        {name: (row.incarnation, row.heard) for name, row in one.members.items() if name in lives}
+        {name: (row.incarnation, row.last_heard) for name, row in one.members.items() if name in lives}
         for one in tables
     ]
     assert views[0] == views[1] == views[2]
@@ -104,8 +121,11 @@
     first.heard(2)  # the first is back
     first.look(["p1", "p2"])
     assert first.next() == Name(3, 1, "p0") and first.next() == Name(3, 2, "p0")
-    assert not Issuer("p1", names, 7).look([]) and order({"a": (1, 9), "b": (2, 1), "c": (2, 1)}) == "b"
-    assert order({}) == ""
+    assert (
+        not Issuer("p1", names, 7).look([])
+        and preferred_planner({"a": (1, 9), "b": (2, 1), "c": (2, 1)}) == "b"
+    )
+    assert preferred_planner({}) == ""
 
 
 def test_a_plan_holds_from_when_it_was_asked_for_and_late_old_and_double_ones_change_nothing():
