--- a/lilacloft/control/allocation.py
+++ b/lilacloft/control/allocation.py
@@ -1,113 +1,126 @@
-"""Decides how much of what is asked each location, parent and the origin are given to do.
-
-For each location and vhost it is known what is asked (fills in KB a second that its reqs would need) and what
-a KB is worth. Links of locations, ways out of parents and the origin have only so much. Which part of each
-demand is let through is a linear program: the most worth, less what it costs to move away from the last plan,
-as each move means limits to be learned anew. HiGHS solves it; where that takes too long, or fails, a greedy
-filling by worth holds, which is within the same limits and only less well. No I/O, no clock: the time that
-the solver may take is told. Rates in KB a second.
+"""Allocates the capacity of links, parents and the origin to the demands of locations and virtual hosts.
+
+Each demand has a fill rate and a value per KB. A linear program decides how much of each demand is admitted:
+it maximises the value, less a cost for each change from the last allocation, as the limits must be learned
+again after a change. HiGHS solves it; if that takes too long or fails, a greedy allocation by value is used,
+which respects the same capacities. The module does no I/O and reads no clock. Rates are in KB a second.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import Any, NamedTuple
+
+CHANGE_COST = 0.02  # of changing a rate by one KB a second, as a fraction of the mean value of a KB
+SOLVER_SECONDS = 0.2  # the time limit of the solver
+TOLERANCE = 1e-6  # by which a solution may exceed a capacity, relative and absolute
+LINK, PARENT, ORIGIN = "link", "parent", "origin"
+
+DemandKey = tuple[str, str]  # location, virtual host
+
+
+class Resource(NamedTuple):
+    """Something with a limited capacity."""
 
-MOVES = 0.02  # what changing a rate by one KB costs, of what a KB of mean worth earns
-Place = tuple[str, str]  # location, vhost
+    kind: str  # LINK, PARENT or ORIGIN
+    name: str  # of the location or parent
 
 
 @dataclass(frozen=True)
 class Demand:
-    """What one location's reqs of one vhost would need."""
+    """What the requests of one location for one virtual host need."""
 
     rate: float
-    worth: float  # of a KB
-    parents: Mapping[str, float] = field(default_factory=dict)  # the parts that each parent fills
-    miss: float = 0.0  # the part that a parent has to fetch from the origin
+    value: float  # of a KB
+    parent_shares: Mapping[str, float] = field(default_factory=dict)  # fraction that each parent fills
+    origin_share: float = 0.0  # fraction that parents fetch from the origin
 
 
 @dataclass(frozen=True)
-class Limits:
-    """What there is."""
+class Capacities:
+    """The available capacities."""
 
     links: Mapping[str, float]  # by location
     parents: Mapping[str, float]
     origin: float
 
+    def of(self, resource: Resource) -> float:
+        """Return a resource's capacity; infinite where none is known."""
+        if resource.kind == ORIGIN:
+            return self.origin
+        by_name = self.links if resource.kind == LINK else self.parents
+        return by_name.get(resource.name, float("inf"))
+
 
 @dataclass(frozen=True)
-class Placed:
-    """What is let through, by location and vhost, and how it was found."""
-
-    rates: dict[Place, float]
-    by: str  # highs, greedy
-    worth: float
-
-
-def uses(demands: Mapping[Place, Demand]) -> dict[tuple[str, str], dict[Place, float]]:
-    """What one KB of each demand takes of each limit."""
-    out: dict[tuple[str, str], dict[Place, float]] = {}
-    for place, demand in demands.items():
-        out.setdefault(("link", place[0]), {})[place] = 1.0
-        for parent, part in demand.parents.items():
-            if part > 0:
-                out.setdefault(("parent", parent), {})[place] = part
-        if demand.miss > 0:
-            out.setdefault(("origin", ""), {})[place] = demand.miss
-    return out
-
-
-def limit(limits: Limits, what: tuple[str, str]) -> float:
-    kind, name = what
-    return (
-        limits.origin
-        if kind == "origin"
-        else (limits.links if kind == "link" else limits.parents).get(name, float("inf"))
-    )
+class Allocation:
+    """The admitted rates, and the method that found them."""
+
+    rates: dict[DemandKey, float]
+    method: str  # highs, greedy
+    value: float
+
 
+def resource_usage(demands: Mapping[DemandKey, Demand]) -> dict[Resource, dict[DemandKey, float]]:
+    """Return how much of each resource one KB of each demand uses."""
+    usage: dict[Resource, dict[DemandKey, float]] = {}
+    for key, demand in demands.items():
+        usage.setdefault(Resource(LINK, key[0]), {})[key] = 1.0
+        for parent, share in demand.parent_shares.items():
+            if share > 0:
+                usage.setdefault(Resource(PARENT, parent), {})[key] = share
+        if demand.origin_share > 0:
+            usage.setdefault(Resource(ORIGIN, ""), {})[key] = demand.origin_share
+    return usage
 
-def mean(demands: Mapping[Place, Demand]) -> float:
-    total = sum(one.rate for one in demands.values())
-    return sum(one.rate * one.worth for one in demands.values()) / total if total else 1.0
 
+def mean_value(demands: Mapping[DemandKey, Demand]) -> float:
+    """Return the mean value of a KB; 1 without demand."""
+    total = sum(demand.rate for demand in demands.values())
+    return sum(demand.rate * demand.value for demand in demands.values()) / total if total else 1.0
 
-def greedy(
-    demands: Mapping[Place, Demand], limits: Limits, last: Mapping[Place, float] | None = None
-) -> Placed:
-    """The worthiest first, each as far as there is room. Of equal worth what was let through before."""
+
+def total_value(demands: Mapping[DemandKey, Demand], rates: Mapping[DemandKey, float]) -> float:
+    """Return the value of admitted rates."""
+    return sum(demands[key].value * rate for key, rate in rates.items())
+
+
+def allocate_greedily(
+    demands: Mapping[DemandKey, Demand],
+    capacities: Capacities,
+    last: Mapping[DemandKey, float] | None = None,
+) -> Allocation:
+    """Admit the most valuable demands first, each as far as the capacities allow; among equal ones those that
+    were admitted before."""
     last = last or {}
-    rows = uses(demands)
-    left = {what: limit(limits, what) for what in rows}
+    usage = resource_usage(demands)
+    available = {resource: capacities.of(resource) for resource in usage}
     rates = {}
-    for place in sorted(demands, key=lambda one: (-demands[one].worth, -last.get(one, 0.0), one)):
-        rate = demands[place].rate
-        for what, row in rows.items():
-            if place in row:
-                rate = min(rate, left[what] / row[place])
-        rates[place] = rate = max(0.0, rate)
-        for what, row in rows.items():
-            if place in row:
-                left[what] -= rate * row[place]
-    return Placed(rates, "greedy", value(demands, rates))
-
-
-def value(demands: Mapping[Place, Demand], rates: Mapping[Place, float]) -> float:
-    return sum(demands[place].worth * rate for place, rate in rates.items())
-
-
-def place(
-    demands: Mapping[Place, Demand],
-    limits: Limits,
-    last: Mapping[Place, float] | None = None,
-    seconds: float = 0.2,
-) -> Placed:
-    """The most worth within the limits, near the last plan."""
+    for key in sorted(demands, key=lambda one: (-demands[one].value, -last.get(one, 0.0), one)):
+        rate = demands[key].rate
+        for resource, row in usage.items():
+            if key in row:
+                rate = min(rate, available[resource] / row[key])
+        rates[key] = rate = max(0.0, rate)
+        for resource, row in usage.items():
+            if key in row:
+                available[resource] -= rate * row[key]
+    return Allocation(rates, "greedy", total_value(demands, rates))
+
+
+def allocate(
+    demands: Mapping[DemandKey, Demand],
+    capacities: Capacities,
+    last: Mapping[DemandKey, float] | None = None,
+    seconds: float = SOLVER_SECONDS,
+) -> Allocation:
+    """Return the most valuable allocation within the capacities and near the last one. `seconds`: the time
+    that the solver may take."""
     last = last or {}
-    names = sorted(demands)
-    if not names:
-        return Placed({}, "highs", 0.0)
-    fallback = greedy(demands, limits, last)
+    if not demands:
+        return Allocation({}, "highs", 0.0)
+    fallback = allocate_greedily(demands, capacities, last)
     try:
         import highspy
     except ImportError:
@@ -116,30 +129,52 @@
     solver.setOptionValue("output_flag", False)
     solver.setOptionValue("threads", 1)
     solver.setOptionValue("time_limit", seconds)
-    cost = MOVES * mean(demands)
-    through, moved = [], []
-    for name in names:
-        demand = demands[name]
-        through.append(solver.addVariable(0.0, max(0.0, demand.rate), -demand.worth))
-        moved.append(solver.addVariable(0.0, float("inf"), cost if name in last else 0.0))
-    for name, rate, move in zip(names, through, moved, strict=True):
-        if name in last:
-            before = min(last[name], demands[name].rate)
-            solver.addConstr(rate - move <= before)
-            solver.addConstr(rate + move >= before)
-    at = {name: variable for name, variable in zip(names, through, strict=True)}
-    for what, row in sorted(uses(demands).items()):
-        most = limit(limits, what)
-        if most < float("inf"):
-            solver.addConstr(solver.qsum(part * at[name] for name, part in sorted(row.items())) <= most)
-    solver.minimize()
+    _solve(solver, demands, capacities, last)
     if solver.getModelStatus() != highspy.HighsModelStatus.kOptimal:
         return fallback
-    found = solver.getSolution().col_value
-    rates = {name: min(demands[name].rate, max(0.0, found[2 * number])) for number, name in enumerate(names)}
-    if any(
-        sum(part * rates[name] for name, part in row.items()) > limit(limits, what) * (1 + 1e-6) + 1e-6
-        for what, row in uses(demands).items()
-    ):
+    solution = solver.getSolution().col_value
+    rates = {
+        key: min(demands[key].rate, max(0.0, solution[2 * column]))
+        for column, key in enumerate(sorted(demands))
+    }
+    if not _respects(rates, demands, capacities):
         return fallback
-    return Placed(rates, "highs", value(demands, rates))
+    return Allocation(rates, "highs", total_value(demands, rates))
+
+
+def _solve(
+    solver: Any,
+    demands: Mapping[DemandKey, Demand],
+    capacities: Capacities,
+    last: Mapping[DemandKey, float],
+) -> None:
+    """Build and solve the linear program. Its columns are, for each demand in the order of keys, the admitted
+    rate and the change from the last allocation."""
+    keys = sorted(demands)
+    change_cost = CHANGE_COST * mean_value(demands)
+    rates, changes = {}, {}
+    for key in keys:
+        rates[key] = solver.addVariable(0.0, max(0.0, demands[key].rate), -demands[key].value)
+        changes[key] = solver.addVariable(0.0, float("inf"), change_cost if key in last else 0.0)
+    for key in keys:
+        if key in last:
+            before = min(last[key], demands[key].rate)
+            solver.addConstr(rates[key] - changes[key] <= before)
+            solver.addConstr(rates[key] + changes[key] >= before)
+    for resource, row in sorted(resource_usage(demands).items()):
+        capacity = capacities.of(resource)
+        if capacity < float("inf"):
+            used = solver.qsum(share * rates[key] for key, share in sorted(row.items()))
+            solver.addConstr(used <= capacity)
+    solver.minimize()
+
+
+def _respects(
+    rates: Mapping[DemandKey, float], demands: Mapping[DemandKey, Demand], capacities: Capacities
+) -> bool:
+    """Return whether rates stay within all capacities."""
+    return all(
+        sum(share * rates[key] for key, share in row.items())
+        <= capacities.of(resource) * (1 + TOLERANCE) + TOLERANCE
+        for resource, row in resource_usage(demands).items()
+    )
--- a/lilacloft/control/follower.py
+++ b/lilacloft/control/follower.py
@@ -18,7 +18,7 @@
 from lilacloft.control.health_aggregation import Sight
 from lilacloft.control.leader_lease import Holder, Name
 from lilacloft.control.messages import Ask, Given, Plan, Reply, Summary, applied
-from lilacloft.control.quota import LEAST, Grant, Purse
+from lilacloft.control.quota import MIN_SHARE, LeaseTerms, QuotaLedger
 from lilacloft.zones.keep import Keeper, Left
 
 EVERY = 2_500  # between two summaries to one planner
@@ -86,7 +86,7 @@
         self.sent: dict[str, dict[int, int]] = {planner: {} for planner in self.planners}
         self.lives: dict[str, int] = {}  # planners' incarnations
         self.heard: dict[str, int] = {}
-        self.purses: dict[str, Purse] = {}  # by be that is cold
+        self.ledgers: dict[str, QuotaLedger] = {}  # by be that is cold
         self.asked: dict[int, tuple[Ask, int, str]] = {}
         self.asks = 0
         self.given: dict[str, list[Given]] = {planner: [] for planner in self.planners}
@@ -136,13 +136,15 @@
         for backend in changed:
             self.changed[backend] = number
         cold = set(cold)
-        for backend in sorted(cold - self.purses.keys()):
-            self.purses[backend] = Purse(self.own, self.fall, self.begin)
+        for backend in sorted(cold - self.ledgers.keys()):
+            self.ledgers[backend] = QuotaLedger(self.own, self.fall, self.begin)
         # a be that has warmed may start anew before what was lent for its last life is back
         for backend in [
-            backend for backend, purse in self.purses.items() if backend not in cold and purse.idle(now)
+            backend
+            for backend, ledger in self.ledgers.items()
+            if backend not in cold and ledger.is_settled(now)
         ]:
-            del self.purses[backend]
+            del self.ledgers[backend]
 
     def uses(self, used: Mapping[str, float]) -> None:
         """Which part of what it may do at cold bes is in use, 0 to 1."""
@@ -181,8 +183,8 @@
                 )
         given, self.given[planner] = tuple(self.given[planner]), []
         cold = {
-            backend: (purse.usable(now), purse.usable(now) * self.used.get(backend, 0.0))
-            for backend, purse in sorted(self.purses.items())
+            backend: (ledger.usable(now), ledger.usable(now) * self.used.get(backend, 0.0))
+            for backend, ledger in sorted(self.ledgers.items())
         }
         self.counts["summaries"] += 1
         return Summary(
@@ -213,10 +215,10 @@
         waiting = {ask.backend for ask, _, _ in self.asked.values()}
         if planner != self._first(now):
             return
-        for backend, purse in sorted(self.purses.items()):
+        for backend, ledger in sorted(self.ledgers.items()):
             if backend not in waiting and self.used.get(backend, 0.0) >= EAGER:
                 self.asks += 1
-                ask = Ask(self.asks, backend, max(self.own, purse.usable(now)), LENDS)
+                ask = Ask(self.asks, backend, max(self.own, ledger.usable(now)), LENDS)
                 self.asked[self.asks] = (ask, now, planner)
                 yield ask
 
@@ -260,22 +262,22 @@
     # --- budgets of cold bes ---
 
     def _lend(self, ask: Ask, now: int) -> Given:
-        purse = self.purses.get(ask.backend)
-        if purse is None:
+        ledger = self.ledgers.get(ask.backend)
+        if ledger is None:
             return Given(ask.number, ask.backend)
-        spare = max(0.0, purse.usable(now) * (1 - self.used.get(ask.backend, 0.0)))
-        grant = purse.lend(now, min(ask.part, spare), min(ask.span, LENDS)) if spare > LEAST else None
+        spare = max(0.0, ledger.usable(now) * (1 - self.used.get(ask.backend, 0.0)))
+        grant = ledger.lend(now, min(ask.part, spare), min(ask.span, LENDS)) if spare > MIN_SHARE else None
         if grant is None:
             return Given(ask.number, ask.backend)
         self.counts["lent"] += 1
-        return Given(ask.number, ask.backend, grant.part, grant.delay, grant.span)
+        return Given(ask.number, ask.backend, grant.share, grant.delay, grant.duration)
 
     def _borrowed(self, given: Given, asked: int, now: int) -> None:
         ask, at, _ = self.asked.pop(given.number, (None, 0, ""))
-        purse = self.purses.get(given.backend)
-        if ask is None or ask.backend != given.backend or purse is None or given.part <= LEAST:
+        ledger = self.ledgers.get(given.backend)
+        if ask is None or ask.backend != given.backend or ledger is None or given.part <= MIN_SHARE:
             return
-        if purse.borrow(Grant(given.part, given.delay, given.span), min(at, asked), now):
+        if ledger.borrow(LeaseTerms(given.part, given.delay, given.span), min(at, asked), now):
             self.counts["borrowed"] += 1
 
     # --- what holds ---
@@ -283,7 +285,7 @@
     def effect(self, now: int) -> Effect:
         """What holds now. Of bes that have changed on our list since the plan's, the plan says nothing."""
         shares = (
-            {backend: purse.usable(now) / self.own for backend, purse in sorted(self.purses.items())}
+            {backend: ledger.usable(now) / self.own for backend, ledger in sorted(self.ledgers.items())}
             if self.own
             else {}
         )
--- a/lilacloft/control/gateway_observer.py
+++ b/lilacloft/control/gateway_observer.py
@@ -118,7 +118,7 @@
             {
                 backend.name: router.slow_start.used_share(backend, time)
                 for backend in router.pools.caches
-                if backend.name in follower.purses
+                if backend.name in follower.ledgers
             }
         )
 
--- a/lilacloft/control/planner.py
+++ b/lilacloft/control/planner.py
@@ -13,11 +13,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from lilacloft.control import allocation as places
+from lilacloft.control import allocation
 from lilacloft.control.health_aggregation import HOLD, Judge, trials
 from lilacloft.control.leader_lease import Issuer, Name
 from lilacloft.control.messages import PARTS, Ask, Delta, Given, Plan, Reply, Summary, Word, delta
-from lilacloft.control.quota import LEAST, Grant, Purse, divide
+from lilacloft.control.quota import MIN_SHARE, LeaseTerms, QuotaLedger, max_min_fair
 from lilacloft.membership.table import (
     ALIVE,
     DEAD,
@@ -108,11 +108,11 @@
         self.backends: dict[str, Listed] = {}
         self.listed = 0
         self.known: dict[str, Known] = {}
-        self.purses: dict[str, Purse] = {}
+        self.ledgers: dict[str, QuotaLedger] = {}
         self.plan = Plan(Name())
         self.plans: dict[Name, Plan] = {}  # issued lately
         self.made: dict[tuple[int, Name], tuple[Plan | None, Delta | None]] = {}  # answers, by location
-        self.placed: dict[places.Place, float] = {}
+        self.placed: dict[allocation.DemandKey, float] = {}
         self.asked = 0
         self.zones: Decider | None = None
         self.bears: dict[int, pace.Bears] = {}  # of locations with caches, as of the last look
@@ -127,10 +127,10 @@
         self.judge.keep(self.backends)
         for backend in [
             backend
-            for backend in self.purses
+            for backend in self.ledgers
             if backend not in self.backends or not self.backends[backend].cold
         ]:
-            del self.purses[backend]
+            del self.ledgers[backend]
 
     def heard(self, word: Word, now: int) -> None:
         """Another planner tells what it knows."""
@@ -247,21 +247,21 @@
 
     def _lend(self, ask: Ask, now: int) -> Given:
         """A forwarder wants a part: of what is spare here, divided among all that want some now."""
-        purse = self.purses.get(ask.backend)
-        if purse is None or ask.part <= LEAST:
+        ledger = self.ledgers.get(ask.backend)
+        if ledger is None or ask.part <= MIN_SHARE:
             return Given(ask.number, ask.backend)
-        spare = purse.spare(now, ask.span)
+        spare = ledger.lendable(now, ask.span)
         wants = {
             name: sum(one.part for one in known.summary.asks if one.backend == ask.backend)
             for name, known in self.known.items()
         }
         wants[""] = ask.part
-        part = divide(wants, spare)[""]
-        grant = purse.lend(now, part, min(ask.span, LENDS))
+        part = max_min_fair(wants, spare)[""]
+        grant = ledger.lend(now, part, min(ask.span, LENDS))
         if grant is None:
             return Given(ask.number, ask.backend)
         self.counts["lent"] += 1
-        return Given(ask.number, ask.backend, grant.part, grant.delay, grant.span)
+        return Given(ask.number, ask.backend, grant.share, grant.delay, grant.duration)
 
     def _wants(self, known: Known, now: int) -> Iterable[Ask]:
         """What is asked of a forwarder: most of what it does not use, where others want some."""
@@ -279,8 +279,8 @@
                 if ask.backend == backend
             )
             spare = SPARES * max(0.0, own - used)
-            purse = self.purses.setdefault(backend, Purse(0.0, self.site.fall))
-            if spare > LEAST and wanted > purse.spare(now, LENDS):
+            ledger = self.ledgers.setdefault(backend, QuotaLedger(0.0, self.site.fall))
+            if spare > MIN_SHARE and wanted > ledger.lendable(now, LENDS):
                 self.asked += 1
                 ask = Ask(self.asked, backend, min(spare, wanted), LENDS)
                 known.asks[ask.number] = (ask, now)
@@ -291,12 +291,12 @@
         if (
             ask is None
             or ask.backend != given.backend
-            or given.part <= LEAST
-            or given.backend not in self.purses
+            or given.part <= MIN_SHARE
+            or given.backend not in self.ledgers
         ):
             return
-        if self.purses[given.backend].borrow(
-            Grant(min(given.part, ask.part), given.delay, given.span), at, now
+        if self.ledgers[given.backend].borrow(
+            LeaseTerms(min(given.part, ask.part), given.delay, given.span), at, now
         ):
             self.counts["borrowed"] += 1
 
@@ -521,7 +521,7 @@
     def _links(self, there: Mapping[str, Known]) -> dict[int, float]:
         """Fills at once by location, where all together ask for more than links, parents or the origin
         have."""
-        demands: dict[places.Place, places.Demand] = {}
+        demands: dict[allocation.DemandKey, allocation.Demand] = {}
         parents = sorted(
             backend.name for backend in self.backends.values() if backend.kind == "parent" and backend.ready
         )
@@ -531,20 +531,20 @@
                 at = (str(known.summary.zone), vhost)
                 before = demands.get(at)
                 worth = known.summary.worth.get(vhost, 1.0)
-                demands[at] = places.Demand(
+                demands[at] = allocation.Demand(
                     (before.rate if before else 0.0) + max(0.0, rate),
                     worth,
                     dict.fromkeys(parents, part),
                     0.5,
                 )
-        limits = places.Limits(
+        limits = allocation.Capacities(
             {str(zone): rate for zone, rate in self.site.links.items()},
             dict.fromkeys(parents, self.site.parents),
             self.site.origin,
         )
-        placed = places.place(demands, limits, self.placed)
+        placed = allocation.allocate(demands, limits, self.placed)
         self.placed = placed.rates
-        self.counts["greedy"] += placed.by == "greedy"
+        self.counts["greedy"] += placed.method == "greedy"
         out: dict[int, float] = {}
         for zone in self.site.links:
             mine = [at for at in demands if at[0] == str(zone)]
@@ -617,7 +617,7 @@
         ]
         if what in self.plan.ways:
             out.append(f"no more than {self.plan.ways[what]:g} dispatches at once, all forwarders together")
-        purse = self.purses.get(what)
-        if purse:
-            out.append(f"{purse.spare(now, 0):.3f} of its cold budget is held here to be lent")
+        ledger = self.ledgers.get(what)
+        if ledger:
+            out.append(f"{ledger.lendable(now, 0):.3f} of its cold budget is held here to be lent")
         return out
--- a/lilacloft/control/quota.py
+++ b/lilacloft/control/quota.py
@@ -1,140 +1,155 @@
-"""Decides who may use which part of a budget, and owns the state of what is lent.
+"""The quota ledger: which shares of a cold backend's start budget a party may use, and what it has lent.
 
-Rule 4 bounds what all gateways together send a cold be in any fall span. Alone each has its own part, 1/N of
-it, which nobody needs to be asked for. Parts that are not needed can be lent: a forwarder to a planner, a
-planner on to another forwarder. However many planners there are, whatever they believe, and whatever is lost
-on the way, no part is ever in two hands within one fall span, as each only passes on what it holds:
+The start budget bounds what all gateways together send to a cold backend in any window (rule 4). Without a
+planner each gateway has its own share, 1/N, that needs no coordination. Shares that are not needed are
+leased: a gateway to a planner, and the planner to another gateway. Whatever the number of planners, whatever
+they assume and whichever messages are lost, no share is used by two parties within one window, as each party
+lends only what it has:
 
-- A lender gives a part up as it answers, and takes it up again only when its time is surely over.
-- A borrower counts the time from before it asked, so that no two clocks are ever compared.
-- Who gets a part begins with it one fall span after it was given up, and who gave it up begins again one fall
-  span after its end: what the other sent still counts until then.
+- A lender stops using a share when it answers, and uses it again only when the lease has surely expired.
+- A borrower counts the duration from before it sent its request, so that no two clocks are compared.
+- A borrower starts using a share one window after the lender stopped, and a lender starts again one window
+  after the lease expires: until then what the other party has sent still counts.
 
-Clocks run at one speed, but for DRIFT. No I/O; times are of each party's own steady clock, whole tenths of a
-millisecond; parts are of the whole budget, 0 to 1.
+The clocks are assumed to run at the same rate, except for `MAX_CLOCK_DRIFT`. The module does no I/O; times
+are `Ticks` of each party's own monotonic clock; shares are fractions of the whole budget, from 0 to 1.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-DRIFT = 0.001  # by which one clock may run faster than another
-LEAST = 1e-9  # parts below are nothing
-NEVER = 1 << 62
+from lilacloft.routing.units import Ticks
+
+MAX_CLOCK_DRIFT = 0.001  # by which one clock may run faster than another, as a fraction
+MIN_SHARE = 1e-9  # smaller shares count as none
+NEVER: Ticks = 1 << 62
 
 
 @dataclass
-class Lot:
-    """A part in hand, for a time; what of it is lent on is not there."""
+class ShareEntry:
+    """One share in a ledger, for a limited time, less what is lent out of it."""
 
-    part: float
-    begin: int  # usable from then
-    until: int  # and before then
-    lent: list[tuple[float, int]] = field(default_factory=list)  # parts, and when each is back
+    share: float
+    usable_from: Ticks
+    expires_at: Ticks
+    lent: list[tuple[float, Ticks]] = field(default_factory=list)  # shares, and when each returns
 
-    def free(self, now: int) -> float:
-        """What of it may be used now."""
-        if not self.begin <= now < self.until:
+    def usable(self, now: Ticks) -> float:
+        """Return the share that may be used now."""
+        if not self.usable_from <= now < self.expires_at:
             return 0.0
-        return self.spare(now)
+        return self.lendable(now)
+
+    def lendable(self, now: Ticks) -> float:
+        """Return the share that is not lent, whether it may be used already or not."""
+        self.lent = [(share, returns_at) for share, returns_at in self.lent if returns_at > now]
+        return max(0.0, self.share - sum(share for share, _ in self.lent))
 
-    def spare(self, now: int) -> float:
-        """What of it is not lent, whether it may be used already or not."""
-        self.lent = [(part, back) for part, back in self.lent if back > now]
-        return max(0.0, self.part - sum(part for part, _ in self.lent))
+    def remaining(self, now: Ticks) -> Ticks:
+        """Return the time until the share expires; `NEVER` for a party's own share."""
+        return self.expires_at - now if self.expires_at < NEVER else NEVER
 
 
 @dataclass(frozen=True)
-class Grant:
-    """What a lender answers: a part, usable so long after this is heard, for so long after it was asked
-    for."""
-
-    part: float
-    delay: int
-    span: int
-
-
-class Purse:
-    """One party's parts of one budget."""
-
-    def __init__(self, own: float, fall: int, begin: int = 0) -> None:
-        """`own`: the part that is this party's for good, usable from `begin` on: a process that starts anew
-        under an old name does not know what that one had lent, and waits until all of it is surely back."""
-        self.fall, self.own = fall, own
-        self.lots = [Lot(own, begin, NEVER)] if own > 0 else []
-
-    def usable(self, now: int) -> float:
-        """The part that may be used now."""
-        self._clean(now)
-        return sum(lot.free(now) for lot in self.lots)
-
-    def spare(self, now: int, span: int) -> float:
-        """What could be lent for so long."""
-        self._clean(now)
-        return sum(lot.spare(now) for lot in self.lots if self._left(lot, now) >= min(span, 4 * self.fall))
-
-    def lend(self, now: int, part: float, span: int) -> Grant | None:
-        """Give up a part for so long at most; none where there is nothing worth lending. It is given up here
-        and now, whether the answer arrives or not. One lot a grant: that with the most time left."""
-        self._clean(now)
-        lots = [lot for lot in self.lots if lot.spare(now) > LEAST and self._left(lot, now) > 2 * self.fall]
-        if not lots or part <= LEAST or span <= 2 * self.fall:
+class LeaseTerms:
+    """A lender's answer: a share, usable `delay` after the answer arrives, until `duration` after the request
+    was sent."""
+
+    share: float
+    delay: Ticks
+    duration: Ticks
+
+
+class QuotaLedger:
+    """One party's shares of one budget."""
+
+    def __init__(self, own_share: float, window: Ticks, usable_from: Ticks = 0) -> None:
+        """`own_share`: the share that this party has permanently, usable from `usable_from` on: a restarted
+        process does not know what the earlier one had lent, and waits until all of it has surely returned.
+        `window`: the period to which the budget applies."""
+        self.window, self.own_share = window, own_share
+        self.entries = [ShareEntry(own_share, usable_from, NEVER)] if own_share > 0 else []
+
+    def usable(self, now: Ticks) -> float:
+        """Return the share that may be used now."""
+        self._remove_expired(now)
+        return sum(entry.usable(now) for entry in self.entries)
+
+    def lendable(self, now: Ticks, duration: Ticks) -> float:
+        """Return the share that could be lent for a duration."""
+        self._remove_expired(now)
+        required = min(duration, 4 * self.window)
+        return sum(entry.lendable(now) for entry in self.entries if entry.remaining(now) >= required)
+
+    def lend(self, now: Ticks, share: float, duration: Ticks) -> LeaseTerms | None:
+        """Lend up to a share for up to a duration, out of the entry with the most time left; return None
+        where nothing can be lent. The share is given up at once, whether the answer arrives or not."""
+        self._remove_expired(now)
+        entries = [
+            entry
+            for entry in self.entries
+            if entry.lendable(now) > MIN_SHARE and entry.remaining(now) > 2 * self.window
+        ]
+        if not entries or share <= MIN_SHARE or duration <= 2 * self.window:
             return None
-        lot = max(lots, key=lambda one: (min(one.until, now + span), one.spare(now)))
-        given = min(part, lot.spare(now))
-        lasts = min(span, self._left(lot, now))
-        # it stops being used now, and is used elsewhere one fall span after the answer is heard; where it was
-        # not yet usable here either, it waits for that as well
-        delay = self.fall + max(0, lot.begin - now)
-        if lasts <= delay:
+        entry = max(entries, key=lambda one: (min(one.expires_at, now + duration), one.lendable(now)))
+        lent = min(share, entry.lendable(now))
+        lease_duration = min(duration, entry.remaining(now))
+        # the share goes out of use now and may be used elsewhere one window after the answer arrives; where
+        # it was not usable here yet, the borrower waits for that as well
+        delay = self.window + max(0, entry.usable_from - now)
+        if lease_duration <= delay:
             return None
-        back = now + self._longer(lasts) + self.fall
-        lot.lent.append((given, back))
-        return Grant(given, delay, lasts)
-
-    def borrow(self, grant: Grant, asked: int, heard: int) -> bool:
-        """A grant has come: its time counts from when it was asked for; False where nothing is left of it."""
-        begin, until = heard + self._longer(grant.delay), asked + self._shorter(grant.span)
-        if until <= begin or grant.part <= LEAST:
+        returns_at = now + longest(lease_duration) + self.window
+        entry.lent.append((lent, returns_at))
+        return LeaseTerms(lent, delay, lease_duration)
+
+    def borrow(self, terms: LeaseTerms, requested_at: Ticks, received_at: Ticks) -> bool:
+        """Add a share that was lent to this party; return False if the lease has no usable time left."""
+        usable_from = received_at + longest(terms.delay)
+        expires_at = requested_at + shortest(terms.duration)
+        if expires_at <= usable_from or terms.share <= MIN_SHARE:
             return False
-        self.lots.append(Lot(grant.part, begin, until))
+        self.entries.append(ShareEntry(terms.share, usable_from, expires_at))
         return True
 
-    def idle(self, now: int) -> bool:
-        """Is nothing lent, and nothing borrowed?"""
-        self._clean(now)
-        return all(lot.until == NEVER and lot.spare(now) == lot.part for lot in self.lots)
-
-    def until(self, now: int) -> int:
-        """When the first part that was borrowed is over; NEVER where none is."""
-        self._clean(now)
-        return min((lot.until for lot in self.lots), default=NEVER)
-
-    def _left(self, lot: Lot, now: int) -> int:
-        return lot.until - now if lot.until < NEVER else NEVER
-
-    def _clean(self, now: int) -> None:
-        self.lots = [lot for lot in self.lots if lot.until > now]
-
-    @staticmethod
-    def _longer(span: int) -> int:
-        return span + int(span * DRIFT) + 1
-
-    @staticmethod
-    def _shorter(span: int) -> int:
-        return span - int(span * DRIFT) - 1
-
-
-def divide(wants: dict[str, float], parts: float) -> dict[str, float]:
-    """Divide parts among those that want some, by max-min: who wants little gets it, the rest is even. In the
-    order of names, so that any two who divide the same divide alike."""
-    out = dict.fromkeys(wants, 0.0)
-    open_, left = sorted(name for name in wants if wants[name] > LEAST), parts
-    while open_ and left > LEAST:
-        even = left / len(open_)
-        small = [name for name in open_ if wants[name] <= even]
-        for name in small or open_:
-            out[name] = wants[name] if small else even
-            left -= out[name]
-        open_ = [name for name in open_ if name not in small] if small else []
-    return out
+    def is_settled(self, now: Ticks) -> bool:
+        """Return whether nothing is lent and nothing borrowed."""
+        self._remove_expired(now)
+        return all(entry.expires_at == NEVER and entry.lendable(now) == entry.share for entry in self.entries)
+
+    def next_expiry(self, now: Ticks) -> Ticks:
+        """Return when the first borrowed share expires; `NEVER` if none is borrowed."""
+        self._remove_expired(now)
+        return min((entry.expires_at for entry in self.entries), default=NEVER)
+
+    def _remove_expired(self, now: Ticks) -> None:
+        self.entries = [entry for entry in self.entries if entry.expires_at > now]
+
+
+def longest(duration: Ticks) -> Ticks:
+    """Return the longest time that another clock's duration may take by this clock."""
+    return duration + int(duration * MAX_CLOCK_DRIFT) + 1
+
+
+def shortest(duration: Ticks) -> Ticks:
+    """Return the shortest time that another clock's duration may take by this clock."""
+    return duration - int(duration * MAX_CLOCK_DRIFT) - 1
+
+
+def max_min_fair(demands: Mapping[str, float], supply: float) -> dict[str, float]:
+    """Divide a supply by max-min fairness: small demands are met, the rest is divided evenly. The order of
+    names decides the order of the computation, so that all parties get equal results from equal input."""
+    result = dict.fromkeys(demands, 0.0)
+    pending = sorted(name for name in demands if demands[name] > MIN_SHARE)
+    remaining = supply
+    while pending and remaining > MIN_SHARE:
+        even = remaining / len(pending)
+        satisfied = [name for name in pending if demands[name] <= even]
+        for name in satisfied or pending:
+            result[name] = demands[name] if satisfied else even
+            remaining -= result[name]
+        pending = [name for name in pending if name not in satisfied] if satisfied else []
+    return result
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from lilacloft.control import allocation as places
-from lilacloft.control.allocation import Demand, Limits, greedy, place
+from lilacloft.control import allocation
+from lilacloft.control.allocation import Capacities, Demand, allocate, allocate_greedily
 from lilacloft.control.follower import LENDS, WAITS, Follower
 from lilacloft.control.health_aggregation import FRESH, HOLD, TRIAL, Judge, Sight, trials
 from lilacloft.control.leader_lease import Holder, Issuer, Name
@@ -213,7 +213,7 @@
                 dict.fromkeys(parents, 1 / len(parents)),
                 chance.random(),
             )
-    limits = Limits(
+    limits = Capacities(
         {str(zone): chance.uniform(20, 200) for zone in range(5)},
         {name: chance.uniform(20, 200) for name in parents},
         chance.uniform(20, 200),
@@ -222,9 +222,9 @@
 
 
 def within(demands, limits, rates):
-    for what, row in places.uses(demands).items():
+    for what, row in allocation.resource_usage(demands).items():
         used = sum(part * rates[at] for at, part in row.items())
-        assert used <= places.limit(limits, what) * 1.00001 + 1e-6
+        assert used <= limits.of(what) * 1.00001 + 1e-6
     assert all(-1e-9 <= rates[at] <= demands[at].rate + 1e-9 for at in demands)
 
 
@@ -232,10 +232,10 @@
 def test_the_solver_stays_within_all_limits_and_is_no_worse_than_the_greedy_way_or_any_drawn_one(seed):
     chance = random.Random(seed)
     demands, limits = demanded(chance)
-    best, plain = place(demands, limits), greedy(demands, limits)
+    best, plain = allocate(demands, limits), allocate_greedily(demands, limits)
     within(demands, limits, best.rates)
     within(demands, limits, plain.rates)
-    assert best.by == "highs" and best.worth >= plain.worth - 1e-6
+    assert best.method == "highs" and best.value >= plain.value - 1e-6
     for _ in range(200):  # no point near it is better and allowed
         other = {
             at: min(demands[at].rate, max(0.0, rate + chance.gauss(0, 5))) for at, rate in best.rates.items()
@@ -244,18 +244,18 @@
             within(demands, limits, other)
         except AssertionError:
             continue
-        assert places.value(demands, other) <= best.worth * 1.0001 + 1e-3
+        assert allocation.total_value(demands, other) <= best.value * 1.0001 + 1e-3
 
 
 def test_a_plan_stays_near_the_last_one_where_little_is_to_be_gained():
     demands = {("0", "a"): Demand(60.0, 1.0), ("0", "b"): Demand(60.0, 1.001)}
-    limits = Limits({"0": 60.0}, {}, 1e9)
+    limits = Capacities({"0": 60.0}, {}, 1e9)
     last = {("0", "a"): 60.0, ("0", "b"): 0.0}
-    assert place(demands, limits, last).rates == pytest.approx(last)
-    assert place(demands, limits).rates["0", "b"] == pytest.approx(60.0)
+    assert allocate(demands, limits, last).rates == pytest.approx(last)
+    assert allocate(demands, limits).rates["0", "b"] == pytest.approx(60.0)
     worth = {**demands, ("0", "b"): Demand(60.0, 2.0)}
-    assert place(worth, limits, last).rates["0", "b"] == pytest.approx(60.0)
-    assert place({}, limits).rates == {}
+    assert allocate(worth, limits, last).rates["0", "b"] == pytest.approx(60.0)
+    assert allocate({}, limits).rates == {}
 
 
 def test_without_time_for_the_solver_the_greedy_way_holds(monkeypatch):
@@ -263,8 +263,8 @@
     import highspy
 
     monkeypatch.setattr(highspy.Highs, "getModelStatus", lambda self: highspy.HighsModelStatus.kTimeLimit)
-    got = place(demands, limits)
-    assert got.by == "greedy" and got.rates == greedy(demands, limits).rates
+    got = allocate(demands, limits)
+    assert got.method == "greedy" and got.rates == allocate_greedily(demands, limits).rates
 
 
 # --- words ---
@@ -394,7 +394,7 @@
             one.uses({"b1": 1.0 if nth == 0 else 0.0})
             for plan in plans:
                 talk(one, plan, now, 40)
-        history.append([one.purses["b1"].usable(now + 50) for one in many])
+        history.append([one.ledgers["b1"].usable(now + 50) for one in many])
         window = history[-5:]  # more than a fall span
         assert sum(max(moment[nth] for moment in window) for nth in range(4)) <= 1 + 1e-9
     assert max(moment[0] for moment in history) > 0.4  # who needs it has more than its own
@@ -433,7 +433,7 @@
     assert plan.counts["borrowed"] == 0
     number = one.summary("p0", 20).number
     one.reply(Reply("p0", 1, number, given=(Given(9, "b1", 0.5, 0, 50_000),)), 30)
-    assert one.purses["b1"].usable(20_000) == 0.25
+    assert one.ledgers["b1"].usable(20_000) == 0.25
     assert plan.summary(Summary("f9", 1, 1, asks=(Ask(1, "b7", 0.5, 50_000),)), 40).given == (Given(1, "b7"),)
 
 
