--- a/lilacloft/cli/plan.py
+++ b/lilacloft/cli/plan.py
@@ -1,4 +1,4 @@
-"""Commands of planners: one that runs, and what an operator asks it."""
+"""Commands for planners: run one, and query one as an operator."""
 
 from __future__ import annotations
 
@@ -9,6 +9,8 @@
 
 from lilacloft import errors, serving
 
+ANSWER_TIMEOUT = 3.0  # seconds
+
 
 @click.group()
 def plan() -> None:
@@ -30,70 +32,70 @@
 def serve(config: str | None, name: str, planners: str, folder: str, leave: str) -> int:
     """Run one planner until SIGTERM."""
     from lilacloft.config.addresses import named
-    from lilacloft.control.planner_server import Process
+    from lilacloft.control.planner_server import PlannerServer
     from lilacloft.store.form import StoreError
 
     try:
-        places = named(planners)
-    except ValueError as wrong:
-        raise click.UsageError(str(wrong)) from wrong
-    if name not in places:
-        raise click.UsageError(f"{name} is none of the planners {', '.join(places)}")
+        addresses = named(planners)
+    except ValueError as error:
+        raise click.UsageError(str(error)) from error
+    if name not in addresses:
+        raise click.UsageError(f"{name} is none of the planners {', '.join(addresses)}")
     try:
-        process = Process(name, serving.read(config), places, folder, leave)
-    except (KeyError, ValueError, TypeError, OSError, StoreError) as wrong:
-        raise errors.UnusableError(f"the planner cannot be started: {wrong}") from wrong
+        server = PlannerServer(name, serving.read(config), addresses, folder, leave)
+    except (KeyError, ValueError, TypeError, OSError, StoreError) as error:
+        raise errors.UnusableError(f"the planner cannot be started: {error}") from error
 
     def end(*_: Any) -> None:
-        process.over = True
+        server.is_closed = True
 
     signal.signal(signal.SIGTERM, end)
-    process.run()
+    server.run()
     return 0
 
 
-def asked(place: str, what: str) -> int:
-    """Ask a planner, and print its lines."""
+def print_answer(planner: str, query: str) -> int:
+    """Send a query to a planner's address, and print the lines of its answer."""
     import queue
 
     from lilacloft.config.addresses import address
     from lilacloft.control import codec
-    from lilacloft.control.transport import Dial
+    from lilacloft.control.transport import Client
 
-    heard: queue.SimpleQueue[Any] = queue.SimpleQueue()
+    messages: queue.SimpleQueue[Any] = queue.SimpleQueue()
     try:
-        dial = Dial(
-            address(place),
-            lambda: codec.hello("operator", "operator", 1) + codec.show(what),
-            lambda peer, message: heard.put(message),
+        client = Client(
+            address(planner),
+            lambda: codec.encode_hello("operator", "operator", 1) + codec.encode_query(query),
+            lambda connection, message: messages.put(message),
         )
-    except ValueError as wrong:
-        raise click.UsageError(str(wrong)) from wrong
+    except ValueError as error:
+        raise click.UsageError(str(error)) from error
     try:
         while True:
-            message = heard.get(timeout=3.0)
+            message = messages.get(timeout=ANSWER_TIMEOUT)
             if message.HasField("shown"):
                 for line in message.shown.lines:
                     click.echo(line)
                 return 0
     except queue.Empty:
-        raise click.ClickException(f"{place}: no answer") from None
+        raise click.ClickException(f"{planner}: no answer") from None
     finally:
-        dial.close()
+        client.close()
 
 
 @plan.command()
 @click.argument("address")
 def show(address: str) -> int:
     """Show a planner's plan and members."""
-    return asked(address, "plan")
+    return print_answer(address, "plan")
 
 
 @plan.command()
 @click.argument("address")
 def diff(address: str) -> int:
     """Show what its last plan changed."""
-    return asked(address, "diff")
+    return print_answer(address, "diff")
 
 
 @plan.command()
@@ -101,7 +103,7 @@
 @click.argument("what")
 def explain(address: str, what: str) -> int:
     """Say who decided what of a be, or of a whole location (`zone 3`, in quotes), and on what evidence."""
-    return asked(address, f"explain {what}")
+    return print_answer(address, f"explain {what}")
 
 
 COMMANDS = (plan,)
--- a/lilacloft/control/codec.py
+++ b/lilacloft/control/codec.py
@@ -1,32 +1,45 @@
-"""The bytes that forwarders and planners exchange: protobuf messages in frames with a length. It knows no
-socket.
+"""The wire format between gateways and planners: protobuf messages in frames with a length. It does no I/O.
 
-A frame is a head (magic, version, length) and one message `Frame`, which holds one of the others. The first
-frame each way is a hello with the versions that its side reads; the lower of both newest ones is spoken.
-Fields that are not known are skipped, as protobuf has it. The messages are described here rather than in
-generated files.
+A frame is a head (magic, version, length) and one `Frame` message, which contains one of the others. The
+first frame in each direction is a hello with the versions that its sender reads; both sides then use the
+lower of the two newest ones. Unknown fields are skipped, as usual with protobuf. The schema is described here
+rather than in generated files; `WIRE_FIELDS` and `WIRE_SECTIONS` map its names to the attributes of the
+records in `messages`.
 """
 
 from __future__ import annotations
 
 import struct
-from typing import Any
+from collections.abc import Iterable, Mapping
+from typing import Any, TypeVar
 
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 from google.protobuf.message import DecodeError
 
-from lilacloft.control.health_aggregation import Sight
-from lilacloft.control.leader_lease import Name
-from lilacloft.control.messages import NUMBERED, PARTS, Ask, Delta, Given, Plan, Reply, Summary, Word
+from lilacloft.control.health_aggregation import Observation
+from lilacloft.control.leader_lease import PlanId
+from lilacloft.control.messages import (
+    SECTIONS,
+    SECTIONS_BY_LOCATION,
+    GossipMessage,
+    LoadReport,
+    Plan,
+    PlanDelta,
+    PlanReply,
+    QuotaLease,
+    QuotaRequest,
+)
+from lilacloft.membership.table import MemberRow
 from lilacloft.zones.course import Tally, Told
 
-VERSION = 1
-LEAST = 1
+VERSION = 1  # the newest that is read and written here
+OLDEST_VERSION = 1  # that is read here
 MAGIC = b"llpl"
 HEAD = struct.Struct(">4sBI")
-LARGEST = 8 << 20  # bytes of a message: a plan of 10,000 bes is half a megabyte
+MAX_MESSAGE_BYTES = 8 << 20  # a plan of 10,000 backends has half a megabyte
 
-SPEC = {
+# message: its fields in the order of their numbers, as name:type; s, u, i, d, b are the types in SCALAR_TYPES
+SCHEMA = {
     "Hello": "name:s role:s incarnation:u newest:u oldest:u",
     "Name": "epoch:u number:u planner:s",
     "Sight": "be:s well:u late:u failed:u out:u alone:b limit:d streak:u quiet:u unfilled:u filled:u",
@@ -53,307 +66,341 @@
     "Shown": "lines:s*",
     "Frame": "hello:Hello summary:Summary reply:Reply word:Word show:Show shown:Shown",
 }
-TYPES = {"s": 9, "u": 4, "i": 18, "d": 1, "b": 8}  # string, uint64, sint64, double, bool
+SCALAR_TYPES = {"s": 9, "u": 4, "i": 18, "d": 1, "b": 8}  # string, uint64, sint64, double, bool
+MESSAGE_TYPE = 11
+SINGULAR, REPEATED = 1, 3
+
+# by record: its scalar attributes and their fields on the wire
+WIRE_FIELDS: Mapping[type, Mapping[str, str]] = {
+    PlanId: {"epoch": "epoch", "number": "number", "planner": "planner"},
+    Observation: {
+        "in_time": "well",
+        "late": "late",
+        "failed": "failed",
+        "in_flight": "out",
+        "is_ejected": "alone",
+        "concurrency_limit": "limit",
+        "failure_streak": "streak",
+        "silent_for": "quiet",
+        "missing_fills": "unfilled",
+        "fills": "filled",
+    },
+    QuotaRequest: {"number": "number", "backend": "be", "share": "part", "duration": "span"},
+    QuotaLease: {"number": "number", "backend": "be", "share": "part", "delay": "delay", "duration": "span"},
+    Tally: {"well": "well", "late": "late", "failed": "failed", "hits": "hits"},
+    Told: {"back": "back", "fails": "fails", "rate": "rate", "trial": "trial", "why": "why"},
+    LoadReport: {
+        "name": "name",
+        "incarnation": "incarnation",
+        "number": "number",
+        "zone": "zone",
+        "list_version": "listed",
+        "request_rate": "reqs",
+        "is_leaving": "leaves",
+        "requested_rate": "asked",
+        "uncached_rate": "past",
+    },
+    PlanReply: {
+        "planner": "planner",
+        "incarnation": "incarnation",
+        "number": "number",
+        "duration": "span",
+        "is_first": "whole",
+    },
+    GossipMessage: {
+        "name": "name",
+        "incarnation": "incarnation",
+        "epoch": "epoch",
+        "highest_epoch": "seen",
+    },
+    MemberRow: {name: name for name in MemberRow._fields},
+}
+
+# sections of a plan: their fields on the wire, and what a delta calls the section of a removed entry
+WIRE_SECTIONS: Mapping[str, str] = {
+    "ejections": "out",
+    "canary_gateways": "trials",
+    "concurrency_limits": "ways",
+    "fill_limits": "links",
+    "gateway_shares": "parts",
+    "revalidation_order": "renews",
+    "locations": "zones",
+}
+PAIR_SECTIONS = ("ejections", "canary_gateways", "concurrency_limits", "fill_limits", "gateway_shares")
+
+Record = TypeVar("Record")
 
 
 class WireError(Exception):
-    """What came is none of these messages; the text says why."""
+    """The data received is not a valid message; the text says why."""
 
 
-def _classes() -> dict[str, Any]:
+def _message_classes() -> dict[str, Any]:
+    """Build the protobuf classes of the schema, by message name."""
     file = descriptor_pb2.FileDescriptorProto(
         name="lilacloft/plan.proto", package="lilacloft", syntax="proto3"
     )
-    for message, fields in SPEC.items():
-        made = file.message_type.add(name=message)
-        for number, field in enumerate(fields.split(), 1):
-            name, _, kind = field.partition(":")
-            one = made.field.add(name=name, number=number, label=3 if kind.endswith("*") else 1)
+    for message, fields in SCHEMA.items():
+        descriptor = file.message_type.add(name=message)
+        for number, spec in enumerate(fields.split(), 1):
+            name, _, kind = spec.partition(":")
+            label = REPEATED if kind.endswith("*") else SINGULAR
+            field = descriptor.field.add(name=name, number=number, label=label)
             kind = kind.rstrip("*")
-            if kind in TYPES:
-                one.type = TYPES[kind]
+            if kind in SCALAR_TYPES:
+                field.type = SCALAR_TYPES[kind]
             else:
-                one.type, one.type_name = 11, f".lilacloft.{kind}"
+                field.type, field.type_name = MESSAGE_TYPE, f".lilacloft.{kind}"
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file)
     return {
         name: message_factory.GetMessageClass(pool.FindMessageTypeByName(f"lilacloft.{name}"))
-        for name in SPEC
+        for name in SCHEMA
     }
 
 
-CLASSES = _classes()
-FRAME = CLASSES["Frame"]
+MESSAGE_CLASSES = _message_classes()
+FRAME = MESSAGE_CLASSES["Frame"]
+
+
+# --- frames ---
 
 
-def frame(message: Any) -> bytes:
-    """One whole frame."""
+def encode_frame(message: Any) -> bytes:
+    """Return the frame of a `Frame` message."""
     data = message.SerializeToString()
-    if len(data) > LARGEST:
-        raise WireError(f"a message of {len(data)} bytes, {LARGEST} at most")
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise WireError(f"a message of {len(data)} bytes, {MAX_MESSAGE_BYTES} at most")
     return HEAD.pack(MAGIC, VERSION, len(data)) + data
 
 
-def head(data: bytes) -> int:
-    """The length of the message after a head."""
-    magic, version, length = HEAD.unpack(data)
+def message_length(head: bytes) -> int:
+    """Return the length of the message after a frame's head."""
+    magic, version, length = HEAD.unpack(head)
     if magic != MAGIC:
         raise WireError("no frame")
-    if version < LEAST:
-        raise WireError(f"version {version}; {LEAST} and later are read here")
-    if length > LARGEST:
-        raise WireError(f"a message of {length} bytes, {LARGEST} at most")
+    if version < OLDEST_VERSION:
+        raise WireError(f"version {version}; {OLDEST_VERSION} and later are read here")
+    if length > MAX_MESSAGE_BYTES:
+        raise WireError(f"a message of {length} bytes, {MAX_MESSAGE_BYTES} at most")
     return length
 
 
-def read(data: bytes) -> Any:
-    """The message of a frame."""
+def decode_message(data: bytes) -> Any:
+    """Return the `Frame` message in a frame's body."""
     try:
         return FRAME.FromString(data)
-    except DecodeError as wrong:
-        raise WireError(f"no message: {wrong}") from wrong
-
-
-def hello(name: str, role: str, incarnation: int) -> bytes:
-    out = FRAME()
-    for field, value in (
-        ("name", name),
-        ("role", role),
-        ("incarnation", incarnation),
-        ("newest", VERSION),
-        ("oldest", LEAST),
-    ):
-        setattr(out.hello, field, value)
-    return frame(out)
-
-
-def agreed(told: Any) -> int:
-    """The version that is spoken with one that said hello."""
-    if told.newest < LEAST or told.oldest > VERSION:
-        theirs = f"{told.oldest} to {told.newest}"
-        raise WireError(f"{told.name} reads versions {theirs}, here {LEAST} to {VERSION}")
-    return min(VERSION, told.newest)
-
-
-# --- records to messages, and back ---
-
-
-def _name(into: Any, name: Name) -> None:
-    into.epoch, into.number, into.planner = name.epoch, name.number, name.planner
-
-
-def _named(told: Any) -> Name:
-    return Name(told.epoch, told.number, told.planner)
-
-
-def _pairs(into: Any, told: dict[Any, Any]) -> None:
-    for key, value in told.items():
-        into.add(key=str(key), value=value)
-
-
-def _asks(into: Any, told: tuple[Ask, ...]) -> None:
-    for one in told:
-        into.add(number=one.number, be=one.backend, part=one.part, span=one.span)
-
-
-def _givens(into: Any, told: tuple[Given, ...]) -> None:
-    for one in told:
-        into.add(number=one.number, be=one.backend, part=one.part, delay=one.delay, span=one.span)
-
-
-def _asked(told: Any) -> tuple[Ask, ...]:
-    return tuple(Ask(one.number, one.be, one.part, one.span) for one in told)
-
-
-def _given(told: Any) -> tuple[Given, ...]:
-    return tuple(Given(one.number, one.be, one.part, one.delay, one.span) for one in told)
-
-
-def summary(told: Summary) -> bytes:
-    out = FRAME()
-    into = out.summary
-    for field in ("name", "incarnation", "number", "zone", "listed", "leaves", "asked", "past"):
-        setattr(into, field, getattr(told, field))
-    into.reqs = told.requests
-    _pairs(into.fills, told.fills)
-    _pairs(into.worth, told.worth)
-    for backend, sight in told.sights.items():
-        into.sights.add(
-            be=backend,
-            well=sight.well,
-            late=sight.late,
-            failed=sight.failed,
-            out=sight.out,
-            alone=sight.alone,
-            limit=sight.limit,
-            streak=sight.streak,
-            quiet=sight.quiet,
-            unfilled=sight.unfilled,
-            filled=sight.filled,
-        )
-    for backend, (own, used) in told.cold.items():
-        into.cold.add(be=backend, own=own, used=used)
-    _asks(into.asks, told.asks)
-    _givens(into.given, told.given)
-    _name(into.holds, told.holds)
-    for zone, tally in told.tallies.items():
-        into.tallies.add(zone=zone, well=tally.well, late=tally.late, failed=tally.failed, hits=tally.hits)
-    for zone, (back, fails) in told.left.items():
-        into.left.add(zone=zone, back=back, fails=fails)
-    return frame(out)
-
-
-def summarized(told: Any) -> Summary:
-    return Summary(
-        told.name,
-        told.incarnation,
-        told.number,
-        told.zone,
-        told.listed,
-        told.reqs,
-        {one.key: one.value for one in told.fills},
-        {one.key: one.value for one in told.worth},
-        {
-            one.be: Sight(
-                one.well,
-                one.late,
-                one.failed,
-                one.out,
-                one.alone,
-                one.limit,
-                one.streak,
-                one.quiet,
-                one.unfilled,
-                one.filled,
-            )
-            for one in told.sights
-        },
-        {one.be: (one.own, one.used) for one in told.cold},
-        _asked(told.asks),
-        _given(told.given),
-        _named(told.holds),
-        told.leaves,
-        told.asked,
-        told.past,
-        {one.zone: Tally(one.well, one.late, one.failed, one.hits) for one in told.tallies},
-        {one.zone: (one.back, one.fails) for one in told.left},
+    except DecodeError as error:
+        raise WireError(f"no message: {error}") from error
+
+
+def encode_hello(name: str, role: str, incarnation: int) -> bytes:
+    """Return the frame that opens a connection."""
+    frame = FRAME()
+    frame.hello.name = name
+    frame.hello.role = role
+    frame.hello.incarnation = incarnation
+    frame.hello.newest = VERSION
+    frame.hello.oldest = OLDEST_VERSION
+    return encode_frame(frame)
+
+
+def negotiate_version(hello: Any) -> int:
+    """Return the version to use with the sender of a hello."""
+    if hello.newest < OLDEST_VERSION or hello.oldest > VERSION:
+        theirs = f"{hello.oldest} to {hello.newest}"
+        raise WireError(f"{hello.name} reads versions {theirs}, here {OLDEST_VERSION} to {VERSION}")
+    return min(VERSION, hello.newest)
+
+
+# --- parts of messages ---
+
+
+def _write(target: Any, record: Any) -> None:
+    """Write a record's scalar attributes into a message."""
+    for attribute, field in WIRE_FIELDS[type(record)].items():
+        setattr(target, field, getattr(record, attribute))
+
+
+def _read_scalars(kind: type, source: Any) -> dict[str, Any]:
+    """Return the scalar attributes of a record of a kind, from a message."""
+    return {attribute: getattr(source, field) for attribute, field in WIRE_FIELDS[kind].items()}
+
+
+def _read(kind: type[Record], source: Any) -> Record:
+    """Return a record that has only scalar attributes."""
+    return kind(**_read_scalars(kind, source))
+
+
+def _write_all(target: Any, records: Iterable[object]) -> None:
+    for record in records:
+        _write(target.add(), record)
+
+
+def _read_all(kind: type[Record], source: Any) -> tuple[Record, ...]:
+    return tuple(_read(kind, item) for item in source)
+
+
+def _write_pairs(target: Any, pairs: Mapping[Any, Any]) -> None:
+    for key, value in pairs.items():
+        target.add(key=str(key), value=value)
+
+
+def _read_pairs(source: Any) -> dict[str, Any]:
+    return {pair.key: pair.value for pair in source}
+
+
+# --- load reports ---
+
+
+def encode_report(report: LoadReport) -> bytes:
+    """Return the frame of a load report."""
+    frame = FRAME()
+    target = frame.summary
+    _write(target, report)
+    _write_pairs(target.fills, report.fill_rates)
+    _write_pairs(target.worth, report.values_per_kb)
+    for backend, observation in report.observations.items():
+        _write(target.sights.add(be=backend), observation)
+    for backend, (usable, used) in report.cold_shares.items():
+        target.cold.add(be=backend, own=usable, used=used)
+    _write_all(target.asks, report.quota_requests)
+    _write_all(target.given, report.quota_leases)
+    _write(target.holds, report.plan_id)
+    for zone, tally in report.tallies.items():
+        _write(target.tallies.add(zone=zone), tally)
+    for zone, (back, fails) in report.away.items():
+        target.left.add(zone=zone, back=back, fails=fails)
+    return encode_frame(frame)
+
+
+def decode_report(source: Any) -> LoadReport:
+    """Return the load report in a `Summary` message."""
+    return LoadReport(
+        **_read_scalars(LoadReport, source),
+        fill_rates=_read_pairs(source.fills),
+        values_per_kb=_read_pairs(source.worth),
+        observations={item.be: _read(Observation, item) for item in source.sights},
+        cold_shares={item.be: (item.own, item.used) for item in source.cold},
+        quota_requests=_read_all(QuotaRequest, source.asks),
+        quota_leases=_read_all(QuotaLease, source.given),
+        plan_id=_read(PlanId, source.holds),
+        tallies={item.zone: _read(Tally, item) for item in source.tallies},
+        away={item.zone: (item.back, item.fails) for item in source.left},
     )
 
 
-def _plan(into: Any, plan: Plan) -> None:
-    _name(into.name, plan.name)
-    into.listed = plan.listed
-    for part in PARTS[:-2]:
-        _pairs(getattr(into, part), getattr(plan, part))
-    for zone, names in plan.renews.items():
-        into.renews.add(zone=zone, names=names)
-    for zone, one in plan.zones.items():
-        made = into.zones.add(
-            zone=zone, back=one.back, fails=one.fails, rate=one.rate, trial=one.trial, why=one.why
-        )
-        for other, part in one.to:
-            made.to.add(zone=other, part=part)
+# --- plans ---
+
 
+def _write_plan(target: Any, plan: Plan) -> None:
+    _write(target.name, plan.plan_id)
+    target.listed = plan.list_version
+    for section in PAIR_SECTIONS:
+        _write_pairs(getattr(target, WIRE_SECTIONS[section]), getattr(plan, section))
+    for zone, names in plan.revalidation_order.items():
+        target.renews.add(zone=zone, names=names)
+    for zone, location in plan.locations.items():
+        item = target.zones.add(zone=zone)
+        _write(item, location)
+        for other, weight in location.to:
+            item.to.add(zone=other, part=weight)
 
-def _planned(told: Any) -> Plan:
+
+def _read_plan(source: Any) -> Plan:
+    pairs = {section: _read_pairs(getattr(source, WIRE_SECTIONS[section])) for section in PAIR_SECTIONS}
+    pairs["fill_limits"] = {int(zone): limit for zone, limit in pairs["fill_limits"].items()}
     return Plan(
-        _named(told.name),
-        told.listed,
-        {one.key: one.value for one in told.out},
-        {one.key: one.value for one in told.trials},
-        {one.key: one.value for one in told.ways},
-        {int(one.key): one.value for one in told.links},
-        {one.key: one.value for one in told.parts},
-        {one.zone: tuple(one.names) for one in told.renews},
-        {
-            one.zone: Told(
-                one.back,
-                one.fails,
-                one.rate,
-                one.trial,
-                one.why,
-                tuple((part.zone, part.part) for part in one.to),
-            )
-            for one in told.zones
-        },
+        _read(PlanId, source.name),
+        source.listed,
+        **pairs,
+        revalidation_order={item.zone: tuple(item.names) for item in source.renews},
+        locations={item.zone: _read_location(item) for item in source.zones},
     )
 
 
-def reply(told: Reply) -> bytes:
-    out = FRAME()
-    into = out.reply
-    for field in ("planner", "incarnation", "number", "span", "whole"):
-        setattr(into, field, getattr(told, field))
-    if told.plan is not None:
-        _plan(into.plan, told.plan)
-    if told.delta is not None:
-        _name(into.delta.since, told.delta.since)
-        kept = {
-            part: {key: value for key, value in mine.items() if value is not None}
-            for part, mine in told.delta.changes.items()
-        }
-        _plan(into.delta.plan, Plan(told.delta.name, told.delta.listed, **kept))
-        for part, mine in told.delta.changes.items():
-            for key in (key for key, value in mine.items() if value is None):
-                into.delta.gone.add(key=str(key), value=part)
-    _asks(into.asks, told.asks)
-    _givens(into.given, told.given)
-    return frame(out)
-
-
-def replied(told: Any) -> Reply:
-    plan = _planned(told.plan) if told.HasField("plan") else None
-    change = None
-    if told.HasField("delta"):
-        new = _planned(told.delta.plan)
-        changes: dict[str, dict[object, object]] = {
-            part: dict(getattr(new, part)) for part in PARTS if getattr(new, part)
-        }
-        for one in told.delta.gone:
-            if one.value not in PARTS:
-                raise WireError(f"no part {one.value!r} of a plan")
-            key = int(one.key) if one.value in NUMBERED else one.key
-            changes.setdefault(one.value, {})[key] = None
-        change = Delta(_named(told.delta.since), new.name, new.listed, changes)
-    return Reply(
-        told.planner,
-        told.incarnation,
-        told.number,
-        told.span,
-        plan,
-        change,
-        _asked(told.asks),
-        _given(told.given),
-        told.whole,
-    )
+def _read_location(source: Any) -> Told:
+    return Told(**_read_scalars(Told, source), to=tuple((item.zone, item.part) for item in source.to))
 
 
-def word(told: Word) -> bytes:
-    out = FRAME()
-    into = out.word
-    for field in ("name", "incarnation", "epoch", "seen"):
-        setattr(into, field, getattr(told, field))
-    for name, role, incarnation, zone, address, age, state in told.rows:
-        into.rows.add(
-            name=name, role=role, incarnation=incarnation, zone=zone, address=address, age=age, state=state
-        )
-    return frame(out)
+def _write_delta(target: Any, delta: PlanDelta) -> None:
+    _write(target.since, delta.base)
+    present: dict[str, Any] = {
+        section: {key: value for key, value in entries.items() if value is not None}
+        for section, entries in delta.changes.items()
+    }
+    _write_plan(target.plan, Plan(delta.plan_id, delta.list_version, **present))
+    for section, entries in delta.changes.items():
+        for key, value in entries.items():
+            if value is None:
+                target.gone.add(key=str(key), value=WIRE_SECTIONS[section])
 
 
-def worded(told: Any) -> Word:
-    rows = tuple(
-        (one.name, one.role, one.incarnation, one.zone, one.address, one.age, one.state) for one in told.rows
+def _read_delta(source: Any) -> PlanDelta:
+    changed = _read_plan(source.plan)
+    changes: dict[str, dict[object, object]] = {
+        section: dict(getattr(changed, section)) for section in SECTIONS if getattr(changed, section)
+    }
+    sections = {field: section for section, field in WIRE_SECTIONS.items()}
+    for removed in source.gone:
+        section = sections.get(removed.value)
+        if section is None:
+            raise WireError(f"no part {removed.value!r} of a plan")
+        key = int(removed.key) if section in SECTIONS_BY_LOCATION else removed.key
+        changes.setdefault(section, {})[key] = None
+    return PlanDelta(_read(PlanId, source.since), changed.plan_id, changed.list_version, changes)
+
+
+def encode_reply(reply: PlanReply) -> bytes:
+    """Return the frame of a planner's reply."""
+    frame = FRAME()
+    target = frame.reply
+    _write(target, reply)
+    if reply.plan is not None:
+        _write_plan(target.plan, reply.plan)
+    if reply.delta is not None:
+        _write_delta(target.delta, reply.delta)
+    _write_all(target.asks, reply.quota_requests)
+    _write_all(target.given, reply.quota_leases)
+    return encode_frame(frame)
+
+
+def decode_reply(source: Any) -> PlanReply:
+    """Return the reply in a `Reply` message."""
+    return PlanReply(
+        **_read_scalars(PlanReply, source),
+        plan=_read_plan(source.plan) if source.HasField("plan") else None,
+        delta=_read_delta(source.delta) if source.HasField("delta") else None,
+        quota_requests=_read_all(QuotaRequest, source.asks),
+        quota_leases=_read_all(QuotaLease, source.given),
     )
-    return Word(told.name, told.incarnation, told.epoch, told.seen, rows)
 
 
-def show(what: str) -> bytes:
-    out = FRAME()
-    out.show.what = what
-    return frame(out)
+# --- gossip, and operators' queries ---
+
+
+def encode_gossip(gossip: GossipMessage) -> bytes:
+    """Return the frame of a planner's gossip."""
+    frame = FRAME()
+    _write(frame.word, gossip)
+    _write_all(frame.word.rows, gossip.members)
+    return encode_frame(frame)
+
+
+def decode_gossip(source: Any) -> GossipMessage:
+    """Return the gossip in a `Word` message."""
+    return GossipMessage(**_read_scalars(GossipMessage, source), members=_read_all(MemberRow, source.rows))
+
+
+def encode_query(query: str) -> bytes:
+    """Return the frame of an operator's query."""
+    frame = FRAME()
+    frame.show.what = query
+    return encode_frame(frame)
 
 
-def shown(lines: list[str]) -> bytes:
-    out = FRAME()
-    out.shown.lines.extend(lines)
-    return frame(out)
+def encode_answer(lines: list[str]) -> bytes:
+    """Return the frame of the answer to an operator's query."""
+    frame = FRAME()
+    frame.shown.lines.extend(lines)
+    return encode_frame(frame)
--- a/lilacloft/control/follower.py
+++ b/lilacloft/control/follower.py
@@ -1,312 +1,241 @@
-"""Decides what a forwarder does by plans, and what it tells planners; owns what it knows of them.
+"""A gateway's side of the control plane: makes load reports, and applies the plan with the highest id.
 
-It sends summaries to all planners and takes the plan that is highest in order. While a plan holds, its effect
-is: who is left alone and when this one may try them, limits that no forwarder exceeds by its part, its turn
-at renewals. When the plan's time is over nothing of that is left: the forwarder is a gateway alone. Parts of
-cold budgets that it has lent stay lent until they are back, plan or no plan. What the change log says beats
-any plan, as it goes to the decision module itself: a plan made on an older list than one's own says nothing
-of bes that have changed since.
+While a plan is valid, its effect is: which backends are ejected and when this gateway may send them canary
+requests, its share of common limits, and its turn at revalidations. When the plan has expired, none of that
+remains, and the gateway decides by itself. Shares of cold budgets that it has lent stay lent until they
+return, with or without a plan. The change log has precedence over plans: a plan that was made from an older
+list says nothing of backends that have changed since.
 
-No I/O. Times are of its own steady clock, in tenths of a millisecond.
+The module does no I/O. Times are `Ticks` of the gateway's own monotonic clock.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lilacloft.control.health_aggregation import Sight
-from lilacloft.control.leader_lease import Holder, Name
-from lilacloft.control.messages import Ask, Given, Plan, Reply, Summary, applied
-from lilacloft.control.quota import MIN_SHARE, LeaseTerms, QuotaLedger
+from lilacloft.control.backend_stats import BackendState, BackendStats
+from lilacloft.control.leader_lease import PlanId, PlanLease
+from lilacloft.control.messages import LoadReport, Plan, PlanReply, QuotaLease, apply_delta
+from lilacloft.control.quota import MAX_LEASE
+from lilacloft.control.quota_client import QuotaClient
+from lilacloft.routing.units import Ticks
 from lilacloft.zones.keep import Keeper, Left
 
-EVERY = 2_500  # between two summaries to one planner
-WINDOW = 10_000  # that a sight tells of: this window and the last one
-WAITS = 20_000  # for an answer; then it may be asked again, also of another planner
-LENDS = 50_000
-RECENT = 10_000  # failures older than this say nothing of now
-EAGER = 0.7  # part of a cold budget in use from which on more of it is asked for
+REPORT_INTERVAL: Ticks = 2_500
+PLANNER_TIMEOUT: Ticks = 20_000  # without a reply: another planner is asked for quota
+MAX_REPLY_TIME: Ticks = 40_000  # after which a report's reply is ignored
+
+
+@dataclass(frozen=True)
+class FollowerSettings:
+    """What a gateway's side needs to know."""
+
+    name: str
+    incarnation: int
+    zone: int
+    planners: Collection[str]
+    quota_window: Ticks
+    own_share: float  # of each cold budget without planners
 
 
 @dataclass
-class Seen:
-    """What was seen of one be in this window and the last."""
-
-    now: list[int] = field(default_factory=lambda: [0, 0, 0])  # well, late, failed
-    last: list[int] = field(default_factory=lambda: [0, 0, 0])
-    out: int = 0
-    alone: bool = False
-    limit: float = 0.0
-    bad: int = 0  # failures since it last answered, and when the last one was
-    bad_at: int = 0
-    streak: int = 0
-    quiet: int = 0
-    unfilled: int = 0
-    filled: list[int] = field(default_factory=lambda: [0, 0])  # in this window and the last
+class LoadRates:
+    """The gateway's load, per second, smoothed; in KB but for requests."""
+
+    request_rate: float = 0.0
+    fill_rates: dict[str, float] = field(default_factory=dict)  # by virtual host
+    values_per_kb: dict[str, float] = field(default_factory=dict)  # by virtual host
+    requested_rate: float = 0.0
+    uncached_rate: float = 0.0  # of fills that bypass the caches
 
 
 @dataclass(frozen=True)
-class Effect:
-    """What holds now for the decision module."""
+class PlanEffect:
+    """What applies to the gateway's decisions now."""
 
-    name: Name = Name()
-    out: Mapping[str, int] = field(default_factory=dict)  # left alone, until when (0: it is ours to try)
-    ways: Mapping[str, float] = field(default_factory=dict)  # our part of limits at bes
-    link: float = 0.0  # of likely fills; 0: none
-    shares: Mapping[str, float] = field(default_factory=dict)  # of cold budgets, over one's own part alone
-    turn: tuple[int, int] = (0, 1)  # at renewals: which of how many
-    left: Mapping[int, Left] = field(default_factory=dict)  # locations that are not all in use
+    plan_id: PlanId = PlanId()
+    ejections: Mapping[str, Ticks] = field(default_factory=dict)  # until when; 0: canaries may go there
+    concurrency_limits: Mapping[str, float] = field(default_factory=dict)  # this gateway's shares, by backend
+    fill_limit: float = 0.0  # likely fills in flight; 0: none
+    budget_factors: Mapping[str, float] = field(default_factory=dict)  # of cold budgets, over the own share
+    revalidation_turn: tuple[int, int] = (0, 1)  # index and number of gateways
+    failovers: Mapping[int, Left] = field(default_factory=dict)  # locations that are not all in use
 
 
 class Follower:
-    """One forwarder's side."""
+    """One gateway's side of the control plane."""
 
     def __init__(
         self,
-        name: str,
-        incarnation: int,
-        zone: int,
-        planners: Iterable[str],
-        fall: int,
-        own: float,
-        now: int,
+        settings: FollowerSettings,
+        now: Ticks,
         restarted: bool = False,
         keeper: Keeper | None = None,
     ) -> None:
-        """`own`: its part of each cold budget when alone. `restarted`: another process had its name, and may
-        have lent parts: those are its own again only once they are surely back."""
-        self.name, self.incarnation, self.zone = name, incarnation, zone
-        self.planners, self.fall, self.own = sorted(planners), fall, own
-        self.begin = now + LENDS + 2 * fall if restarted else now
-        self.holder, self.plan = Holder(), Plan(Name())
-        self.seen: dict[str, Seen] = {}
-        self.turned = now  # when the window began
-        self.numbers = dict.fromkeys(self.planners, 0)
-        self.sent: dict[str, dict[int, int]] = {planner: {} for planner in self.planners}
-        self.lives: dict[str, int] = {}  # planners' incarnations
-        self.heard: dict[str, int] = {}
-        self.ledgers: dict[str, QuotaLedger] = {}  # by be that is cold
-        self.asked: dict[int, tuple[Ask, int, str]] = {}
-        self.asks = 0
-        self.given: dict[str, list[Given]] = {planner: [] for planner in self.planners}
-        self.used: dict[str, float] = {}
-        self.listed = 0
-        self.changed: dict[str, int] = {}  # bes by the list's number at which they changed last
-        self.requests = 0.0
-        self.fills: dict[str, float] = {}
-        self.worth: dict[str, float] = {}
-        self.asked_kb = self.past = 0.0
-        self.keeper = keeper  # where whole locations may be left
-        self.now = now  # of the last look
-        self.counts = dict.fromkeys(("summaries", "replies", "late", "plans", "lent", "borrowed"), 0)
-
-    # --- what is seen ---
-
-    def ended(self, backend: str, how: str) -> None:
-        """A dispatch at a be is over: well, late or failed."""
-        seen = self.seen.setdefault(backend, Seen())
-        seen.now[("well", "late", "failed").index(how)] += 1
-        seen.bad, seen.bad_at = (seen.bad + 1, self.now) if how == "failed" else (0, seen.bad_at)
-
-    def filled(self, source: str) -> None:
-        """A fill came from it."""
-        self.seen.setdefault(source, Seen()).filled[0] += 1
-
-    def state(
-        self,
-        backend: str,
-        out: int,
-        alone: bool,
-        limit: float,
-        waits: int = 0,
-        quiet: int = 0,
-        unfilled: int = 0,
+        """`restarted`: an earlier process under this name may have lent shares, which are usable only once
+        they have surely returned. `keeper`: decides on whole locations, if these may be out of use."""
+        self.settings, self.now, self.keeper = settings, now, keeper
+        self.planners = sorted(settings.planners)
+        usable_from = now + MAX_LEASE + 2 * settings.quota_window if restarted else now
+        self.quota = QuotaClient(settings.own_share, settings.quota_window, usable_from)
+        self.stats = BackendStats(now)
+        self.load = LoadRates()
+        self.lease, self.plan = PlanLease(), Plan(PlanId())
+        self.list_version = 0
+        self._changed_at: dict[str, int] = {}  # by backend: the list version of its last change
+        self._report_numbers = dict.fromkeys(self.planners, 0)
+        self._reports_sent: dict[str, dict[int, Ticks]] = {planner: {} for planner in self.planners}
+        self._incarnations: dict[str, int] = {}  # of planners
+        self._last_replies: dict[str, Ticks] = {}  # of planners
+        self._quota_leases: dict[str, list[QuotaLease]] = {planner: [] for planner in self.planners}
+        self.reports = self.replies = self.late_replies = self.plans = 0
+
+    # --- input ---
+
+    def record_attempt(self, backend: str, result: str) -> None:
+        """Count an attempt that has ended: IN_TIME, LATE or FAILED of `backend_stats`."""
+        self.stats.record_attempt(backend, result, self.now)
+
+    def update_state(self, backend: str, state: BackendState) -> None:
+        """Take over what the decisions have of a backend now."""
+        self.stats.update(backend, state, self.now)
+
+    def update_list(
+        self, changed: Iterable[str], list_version: int, cold: Collection[str], now: Ticks
     ) -> None:
-        """What the module has of a be now. What failed a while ago, and was not asked since, is no news: a
-        location that returns slice by slice would be left again for what its trials had met."""
-        seen = self.seen.setdefault(backend, Seen())
-        seen.out, seen.alone, seen.limit = out, alone, limit
-        seen.streak = waits + (seen.bad if self.now - seen.bad_at <= RECENT else 0)
-        seen.quiet, seen.unfilled = quiet, unfilled
-
-    def list(self, changed: Iterable[str], number: int, cold: Iterable[str], now: int) -> None:
-        """The change log has told of bes, as of a number; which are cold now."""
-        self.listed = max(self.listed, number)
+        """Take over the backends that have changed, as of a change log number, and those that are cold."""
+        self.list_version = max(self.list_version, list_version)
         for backend in changed:
-            self.changed[backend] = number
-        cold = set(cold)
-        for backend in sorted(cold - self.ledgers.keys()):
-            self.ledgers[backend] = QuotaLedger(self.own, self.fall, self.begin)
-        # a be that has warmed may start anew before what was lent for its last life is back
-        for backend in [
-            backend
-            for backend, ledger in self.ledgers.items()
-            if backend not in cold and ledger.is_settled(now)
-        ]:
-            del self.ledgers[backend]
-
-    def uses(self, used: Mapping[str, float]) -> None:
-        """Which part of what it may do at cold bes is in use, 0 to 1."""
-        self.used = dict(used)
-
-    # --- to planners ---
-
-    def summary(self, planner: str, now: int) -> Summary:
-        """What a planner is told now."""
-        while now - self.turned >= WINDOW:
-            self.turned += WINDOW
-            for seen in self.seen.values():
-                seen.last, seen.now = seen.now, [0, 0, 0]
-                seen.filled = [0, seen.filled[0]]
-        self.numbers[planner] += 1
-        number = self.numbers[planner]
-        self.sent[planner][number] = now
-        for old in [old for old, at in self.sent[planner].items() if now - at > 2 * WAITS]:
-            del self.sent[planner][old]
-        sights = {}
-        for backend, seen in sorted(self.seen.items()):
-            well, late, failed = (one + other for one, other in zip(seen.now, seen.last, strict=True))
-            filled = sum(seen.filled)
-            if well or late or failed or seen.out or seen.alone or filled or seen.streak:
-                sights[backend] = Sight(
-                    well,
-                    late,
-                    failed,
-                    seen.out,
-                    seen.alone,
-                    seen.limit,
-                    seen.streak,
-                    seen.quiet,
-                    seen.unfilled,
-                    filled,
-                )
-        given, self.given[planner] = tuple(self.given[planner]), []
-        cold = {
-            backend: (ledger.usable(now), ledger.usable(now) * self.used.get(backend, 0.0))
-            for backend, ledger in sorted(self.ledgers.items())
-        }
-        self.counts["summaries"] += 1
-        return Summary(
-            self.name,
-            self.incarnation,
-            number,
-            self.zone,
-            self.listed,
-            self.requests,
-            dict(self.fills),
-            dict(self.worth),
-            sights,
-            cold,
-            tuple(self._asks(planner, now)),
-            given,
-            self.holder.name if self.holder.holds(now) else Name(),
-            False,
-            self.asked_kb,
-            self.past,
-            dict(self.keeper.tallies) if self.keeper else {},
-            self.keeper.holds() if self.keeper else {},
+            self._changed_at[backend] = list_version
+        self.quota.update_cold(cold, now)
+
+    # --- reports and replies ---
+
+    def make_report(self, planner: str, now: Ticks) -> LoadReport:
+        """Return the next report to a planner."""
+        self._report_numbers[planner] += 1
+        number = self._report_numbers[planner]
+        sent = self._reports_sent[planner]
+        sent[number] = now
+        for old in [old for old, sent_at in sent.items() if now - sent_at > MAX_REPLY_TIME]:
+            del sent[old]
+        observations = self.stats.observations(now)
+        leases, self._quota_leases[planner] = tuple(self._quota_leases[planner]), []
+        cold_shares = self.quota.cold_shares(now)
+        self.quota.remove_timed_out(now)
+        may_request = planner == self.preferred_planner(now)
+        self.reports += 1
+        return LoadReport(
+            name=self.settings.name,
+            incarnation=self.settings.incarnation,
+            number=number,
+            zone=self.settings.zone,
+            list_version=self.list_version,
+            request_rate=self.load.request_rate,
+            fill_rates=dict(self.load.fill_rates),
+            values_per_kb=dict(self.load.values_per_kb),
+            observations=observations,
+            cold_shares=cold_shares,
+            quota_requests=tuple(self.quota.new_requests(now)) if may_request else (),
+            quota_leases=leases,
+            plan_id=self.lease.plan_id if self.lease.is_valid(now) else PlanId(),
+            requested_rate=self.load.requested_rate,
+            uncached_rate=self.load.uncached_rate,
+            tallies=dict(self.keeper.tallies) if self.keeper else {},
+            away=self.keeper.holds() if self.keeper else {},
         )
 
-    def _asks(self, planner: str, now: int) -> Iterable[Ask]:
-        """More of a cold budget, where nearly all of ours is in use; of one planner at a time."""
-        for number in [number for number, (_, at, _) in self.asked.items() if now - at > WAITS]:
-            del self.asked[number]
-        waiting = {ask.backend for ask, _, _ in self.asked.values()}
-        if planner != self._first(now):
-            return
-        for backend, ledger in sorted(self.ledgers.items()):
-            if backend not in waiting and self.used.get(backend, 0.0) >= EAGER:
-                self.asks += 1
-                ask = Ask(self.asks, backend, max(self.own, ledger.usable(now)), LENDS)
-                self.asked[self.asks] = (ask, now, planner)
-                yield ask
-
-    def _first(self, now: int) -> str:
-        """The planner that is asked: whose plan holds, if it answers; else the first that does."""
-        there = [name for name in self.planners if now - self.heard.get(name, -WAITS) < WAITS]
-        if self.holder.name.planner in there:
-            return self.holder.name.planner
-        return there[0] if there else self.planners[0] if self.planners else ""
-
-    def reply(self, told: Reply, now: int) -> bool:
-        """A planner answers; True where another plan holds now. What answers nothing that was sent, or comes
-        from a planner's earlier process, is passed over."""
-        asked = self.sent.get(told.planner, {}).get(told.number)
-        if asked is None or told.incarnation < self.lives.get(told.planner, 0):
-            self.counts["late"] += 1
+    def preferred_planner(self, now: Ticks) -> str:
+        """Return the planner that is asked for quota: the issuer of the plan if it replies, else the first
+        that does."""
+        replying = [
+            name
+            for name in self.planners
+            if now - self._last_replies.get(name, -PLANNER_TIMEOUT) < PLANNER_TIMEOUT
+        ]
+        if self.lease.plan_id.planner in replying:
+            return self.lease.plan_id.planner
+        if replying:
+            return replying[0]
+        return self.planners[0] if self.planners else ""
+
+    def receive_reply(self, reply: PlanReply, now: Ticks) -> bool:
+        """Take in a planner's reply; return whether another plan applies now. A reply to no known report, or
+        from a planner's earlier process, is ignored."""
+        requested_at = self._reports_sent.get(reply.planner, {}).get(reply.number)
+        if requested_at is None or reply.incarnation < self._incarnations.get(reply.planner, 0):
+            self.late_replies += 1
             return False
-        self.counts["replies"] += 1
-        self.lives[told.planner] = told.incarnation
-        self.heard[told.planner] = now
-        self.given[told.planner] += [self._lend(ask, now) for ask in told.asks]
-        for given in told.given:
-            self._borrowed(given, asked, now)
-        return self._take(told, asked, now)
-
-    def _take(self, told: Reply, asked: int, now: int) -> bool:
-        plan = told.plan
-        if plan is None and told.delta is not None:
-            if told.delta.name == self.holder.name == told.delta.since:
-                self.holder.take(told.delta.name, asked, told.span, now)
+        self.replies += 1
+        self._incarnations[reply.planner] = reply.incarnation
+        self._last_replies[reply.planner] = now
+        leases = self._quota_leases[reply.planner]
+        leases += [self.quota.lend(request, now) for request in reply.quota_requests]
+        for lease in reply.quota_leases:
+            self.quota.record_lease(lease, requested_at, now)
+        return self._accept_plan(reply, requested_at, now)
+
+    def _accept_plan(self, reply: PlanReply, requested_at: Ticks, now: Ticks) -> bool:
+        plan, delta = reply.plan, reply.delta
+        if plan is None and delta is not None:
+            if delta.plan_id == self.lease.plan_id == delta.base:
+                self.lease.accept(delta.plan_id, requested_at, reply.duration, now)
                 return False
-            plan = applied(self.plan, told.delta)
-        if plan is None:
+            plan = apply_delta(self.plan, delta)
+        if plan is None or not self.lease.accept(plan.plan_id, requested_at, reply.duration, now):
             return False
-        if self.holder.take(plan.name, asked, told.span, now):
-            self.plan = plan
-            self.counts["plans"] += 1
-            return True
-        return False
-
-    # --- budgets of cold bes ---
-
-    def _lend(self, ask: Ask, now: int) -> Given:
-        ledger = self.ledgers.get(ask.backend)
-        if ledger is None:
-            return Given(ask.number, ask.backend)
-        spare = max(0.0, ledger.usable(now) * (1 - self.used.get(ask.backend, 0.0)))
-        grant = ledger.lend(now, min(ask.part, spare), min(ask.span, LENDS)) if spare > MIN_SHARE else None
-        if grant is None:
-            return Given(ask.number, ask.backend)
-        self.counts["lent"] += 1
-        return Given(ask.number, ask.backend, grant.share, grant.delay, grant.duration)
-
-    def _borrowed(self, given: Given, asked: int, now: int) -> None:
-        ask, at, _ = self.asked.pop(given.number, (None, 0, ""))
-        ledger = self.ledgers.get(given.backend)
-        if ask is None or ask.backend != given.backend or ledger is None or given.part <= MIN_SHARE:
-            return
-        if ledger.borrow(LeaseTerms(given.part, given.delay, given.span), min(at, asked), now):
-            self.counts["borrowed"] += 1
-
-    # --- what holds ---
-
-    def effect(self, now: int) -> Effect:
-        """What holds now. Of bes that have changed on our list since the plan's, the plan says nothing."""
-        shares = (
-            {backend: ledger.usable(now) / self.own for backend, ledger in sorted(self.ledgers.items())}
-            if self.own
-            else {}
+        self.plan = plan
+        self.plans += 1
+        return True
+
+    # --- effect ---
+
+    def effect(self, now: Ticks) -> PlanEffect:
+        """Return what applies now."""
+        budget_factors = self.quota.budget_factors(now)
+        is_valid = self.lease.is_valid(now)
+        locations = self.plan.locations if is_valid else None
+        failovers = self.keeper.look(locations, now) if self.keeper else {}
+        if not is_valid:
+            return PlanEffect(budget_factors=budget_factors, failovers=failovers)
+        share = self.plan.gateway_shares.get(self.settings.name, 0.0)
+        return PlanEffect(
+            plan_id=self.plan.plan_id,
+            ejections=self._ejections(),
+            concurrency_limits=self._concurrency_limits(share),
+            fill_limit=self._fill_limit(share),
+            budget_factors=budget_factors,
+            revalidation_turn=self._revalidation_turn(),
+            failovers=failovers,
         )
-        holds = self.holder.holds(now)
-        left = self.keeper.look(self.plan.zones if holds else None, now) if self.keeper else {}
-        if not holds:
-            return Effect(shares=shares, left=left)
-        plan = self.plan
-        known = {backend for backend, number in self.changed.items() if number > plan.listed}
-        out = {
-            backend: 0 if plan.trials.get(backend) == self.name else self.holder.until
-            for backend in plan.out
-            if backend not in known
+
+    def _is_outdated(self, backend: str) -> bool:
+        """Return whether a backend has changed since the list from which the plan was made."""
+        return self._changed_at.get(backend, -1) > self.plan.list_version
+
+    def _ejections(self) -> dict[str, Ticks]:
+        plan, name = self.plan, self.settings.name
+        return {
+            backend: 0 if plan.canary_gateways.get(backend) == name else self.lease.expires_at
+            for backend in plan.ejections
+            if not self._is_outdated(backend)
         }
-        part = plan.parts.get(self.name, 0.0)
-        ways = {
-            backend: max(1.0, limit * part)
-            for backend, limit in plan.ways.items()
-            if part and backend not in known
+
+    def _concurrency_limits(self, share: float) -> dict[str, float]:
+        if not share:
+            return {}
+        return {
+            backend: max(1.0, limit * share)
+            for backend, limit in self.plan.concurrency_limits.items()
+            if not self._is_outdated(backend)
         }
-        link = max(1.0, plan.links.get(self.zone, 0.0) * part) if plan.links.get(self.zone) and part else 0.0
-        names = plan.renews.get(self.zone, ())
-        turn = (names.index(self.name), len(names)) if self.name in names else (0, 1)
-        return Effect(plan.name, out, ways, link, shares, turn, left)
+
+    def _fill_limit(self, share: float) -> float:
+        limit = self.plan.fill_limits.get(self.settings.zone)
+        return max(1.0, limit * share) if limit and share else 0.0
+
+    def _revalidation_turn(self) -> tuple[int, int]:
+        names = self.plan.revalidation_order.get(self.settings.zone, ())
+        name = self.settings.name
+        return (names.index(name), len(names)) if name in names else (0, 1)
--- a/lilacloft/control/gateway_agent.py
+++ b/lilacloft/control/gateway_agent.py
@@ -1,5 +1,5 @@
-"""A gateway's side on sockets: tells planners what it sees, and has the decision module keep what a plan
-sets. All but the connections belongs to the owner's thread. It decides nothing."""
+"""A gateway's connections to the planners: sends its load reports and applies the plans. All but the
+connections runs in the owner's thread. It decides nothing."""
 
 from __future__ import annotations
 
@@ -11,148 +11,171 @@
 from loguru import logger
 
 from lilacloft.control import codec
-from lilacloft.control.follower import EVERY, Follower
-from lilacloft.control.gateway_observer import Watch
-from lilacloft.control.transport import Dial, Peer
+from lilacloft.control.follower import REPORT_INTERVAL, Follower, FollowerSettings
+from lilacloft.control.gateway_observer import EndedAttempt, GatewayObserver
+from lilacloft.control.messages import PlanReply
+from lilacloft.control.transport import Address, Client, Connection
+from lilacloft.membership.table import FORWARDER
 from lilacloft.routing.host import Endpoint, ListMode
+from lilacloft.routing.units import Ticks
 from lilacloft.zones.keep import Keeper
 from lilacloft.zones.slices import SLICES
 
+LEAVE_SECONDS = 0.05  # for the last reports to be sent
 
-class Agent:
+
+class GatewayAgent:
     """One gateway's."""
 
-    def __init__(
-        self, owner: Any, name: str, planners: Mapping[str, tuple[str, int]], leave: str = "never"
-    ) -> None:
-        """`leave`: whole locations may be left, `past` their caches or `across`, to others'."""
+    def __init__(self, owner: Any, name: str, planners: Mapping[str, Address], leave: str = "never") -> None:
+        """`leave`: whether whole locations may be out of use, `past` their caches, or `across`, with other
+        locations' caches in their place."""
         self.owner = owner
-        router = owner.router
-        keeper = Keeper(name, router.settings.zone_gateways, router.settings.cache_slow_start.duration)
-        follower = Follower(
-            name,
-            max(1, time.time_ns() // 1_000_000),
-            router.settings.zone,
-            planners,
-            router.settings.overload_window,
-            1 / router.settings.zone_gateways,
-            owner.steady,
-            restarted=True,
-            keeper=None if leave == "never" else keeper,
+        self.follower = self._make_follower(name, planners, leave)
+        self.observer = GatewayObserver(
+            owner.router, [vhost["name"] for vhost in owner.vhosts], self.follower
         )
-        self.follower = follower
-        self.watch = Watch(router, [vhost["name"] for vhost in owner.vhosts], follower)
-        self.counted = 0
-        self.dials = {other: Dial(place, self._hello, self._heard) for other, place in planners.items()}
-        self.held = follower.holder.name
-        self.away: dict[int, int] = {}  # slices at home, of locations that have not all
+        self.counted_requests = 0
+        self.clients = {
+            other: Client(address, self._make_hello, self._on_message) for other, address in planners.items()
+        }
+        self.plan_id = self.follower.lease.plan_id
+        self.slices_in_use: dict[int, int] = {}  # of locations that are not all in use
         owner.agent = self
         if leave == "across":
-            router.settings.cross_location = True
-            router.endpoints_changed(
-                ListMode.DELTA,
-                [
-                    Endpoint(
-                        backend,
-                        backend.zone,
-                        backend.kind,
-                        backend.cell,
-                        backend.status,
-                        backend.capacity,
-                        backend.started,
-                    )
-                    for backend in owner.backends.values()
-                ],
-            )
-        self.told(owner.backends)
+            self._enable_cross_location()
+        self.backends_changed(owner.backends)
+
+    def _make_follower(self, name: str, planners: Mapping[str, Address], leave: str) -> Follower:
+        settings = self.owner.router.settings
+        keeper = Keeper(name, settings.zone_gateways, settings.cache_slow_start.duration)
+        return Follower(
+            FollowerSettings(
+                name=name,
+                incarnation=max(1, time.time_ns() // 1_000_000),
+                zone=settings.zone,
+                planners=planners,
+                quota_window=settings.overload_window,
+                own_share=1 / settings.zone_gateways,
+            ),
+            self.owner.steady,
+            restarted=True,
+            keeper=None if leave == "never" else keeper,
+        )
+
+    def _enable_cross_location(self) -> None:
+        """Have the decisions use other locations' caches, which are in the list already."""
+        router = self.owner.router
+        router.settings.cross_location = True
+        router.endpoints_changed(
+            ListMode.DELTA,
+            [
+                Endpoint(
+                    backend,
+                    backend.zone,
+                    backend.kind,
+                    backend.cell,
+                    backend.status,
+                    backend.capacity,
+                    backend.started,
+                )
+                for backend in self.owner.backends.values()
+            ],
+        )
 
     def start(self) -> None:
-        """The owner runs."""
-        self._speak()
+        """Begin to report; the owner runs."""
+        self._report()
 
     def close(self) -> None:
-        """This process ends: planners need not wait to find that out."""
-        for name, dial in self.dials.items():
-            leave = dataclasses.replace(self.follower.summary(name, self.owner.steady), leaves=True)
-            dial.send(codec.summary(leave))
-        time.sleep(0.05)
-        for dial in self.dials.values():
-            dial.close()
-
-    def _hello(self) -> bytes:
-        return codec.hello(self.follower.name, "forwarder", self.follower.incarnation)
-
-    # --- the owner's hooks ---
-
-    def ended(self, call: Any, backend: Any, outcome: str, took: int, note: int) -> None:
-        """A dispatch is over."""
-        self.watch.ended(
-            backend,
-            call.vhost,
-            outcome,
-            took,
-            call.request.transfer_time,
-            note,
-            call.kbytes,
-            call.request.source,
+        """Tell the planners that this process ends, and close the connections."""
+        for name, client in self.clients.items():
+            report = self.follower.make_report(name, self.owner.steady)
+            client.send(codec.encode_report(dataclasses.replace(report, is_leaving=True)))
+        time.sleep(LEAVE_SECONDS)
+        for client in self.clients.values():
+            client.close()
+
+    def _make_hello(self) -> bytes:
+        settings = self.follower.settings
+        return codec.encode_hello(settings.name, FORWARDER, settings.incarnation)
+
+    # --- called by the owner ---
+
+    def attempt_ended(self, call: Any, backend: Any, outcome: str, took: Ticks, note: int) -> None:
+        """Count an attempt that has ended."""
+        request = call.request
+        self.observer.attempt_ended(
+            EndedAttempt(
+                backend,
+                call.vhost,
+                outcome,
+                took,
+                request.transfer_time,
+                note,
+                call.kbytes,
+                request.source,
+            )
         )
 
-    def told(self, names: Iterable[str]) -> None:
-        """The change log has told of bes."""
+    def backends_changed(self, names: Iterable[str]) -> None:
+        """Take in the backends that the change log has changed."""
         owner = self.owner
-        self.watch.listed(names, owner.feed.last, owner.time, owner.steady)
+        self.observer.backends_changed(names, owner.feed.last, owner.time, owner.steady)
 
-    # --- each quarter of a second ---
+    # --- once per report interval ---
 
-    def _speak(self) -> None:
+    def _report(self) -> None:
         owner = self.owner
         requests = owner.front.counts["reqs"]
-        self.watch.look(requests - self.counted, owner.feed.last, owner.time, owner.steady)
-        self.counted = requests
-        for name, dial in self.dials.items():
-            dial.send(codec.summary(self.follower.summary(name, owner.steady)))
-        self._act()
-        owner.at(owner.time + EVERY, self._speak)
-
-    def _act(self) -> None:
-        effect = self.watch.act(self.owner.time, self.owner.steady)
-        if effect.name.planner != self.held.planner:
-            logger.info("plan: {} holds", effect.name if effect.name.planner else "none")
-        if effect.name != self.held and self.owner.recorder:
+        self.observer.observe(requests - self.counted_requests, owner.feed.last, owner.time, owner.steady)
+        self.counted_requests = requests
+        for name, client in self.clients.items():
+            client.send(codec.encode_report(self.follower.make_report(name, owner.steady)))
+        self._apply()
+        owner.at(owner.time + REPORT_INTERVAL, self._report)
+
+    def _apply(self) -> None:
+        """Have the decisions follow the plan; log and record a change of it."""
+        effect = self.observer.apply(self.owner.time, self.owner.steady)
+        plan_id = effect.plan_id
+        if plan_id.planner != self.plan_id.planner:
+            logger.info("plan: {} holds", plan_id if plan_id.planner else "none")
+        if plan_id != self.plan_id and self.owner.recorder:
             self.owner.recorder.planned(effect)
-        self.held = effect.name
-        self._note()
-
-    def _note(self) -> None:
-        """What has become of locations goes to the log and the records."""
-        keeper, holds = self.follower.keeper, self.held.planner != ""
-        now = keeper.holds() if keeper else {}
-        for zone in sorted(now.keys() | self.away.keys()):
-            back, fails = now.get(zone, (SLICES, 0))
-            was = self.away.get(zone, SLICES)
-            if back == was:
-                continue
-            names, told = self.owner.config["zones"], self.follower.plan.zones.get(zone) if holds else None
-            name, why = names[zone] if 0 <= zone < len(names) else str(zone), told.why if told else ""
-            if back == 0 or back == SLICES or was == 0:
-                logger.info(
-                    "location {}: {} of {} slices at home{}",
-                    name,
-                    back,
-                    SLICES,
-                    f" ({why})" if why else "" if holds else " (without a plan)",
-                )
-            if self.owner.recorder:
-                self.owner.recorder.away(name, back, SLICES, fails, why, not holds)
-        self.away = {zone: back for zone, (back, _) in now.items()}
+        self.plan_id = plan_id
+        self._note_locations()
+
+    def _note_locations(self) -> None:
+        """Log and record changes of locations' use."""
+        keeper = self.follower.keeper
+        current = keeper.holds() if keeper else {}
+        for zone in sorted(current.keys() | self.slices_in_use.keys()):
+            in_use, failed_returns = current.get(zone, (SLICES, 0))
+            before = self.slices_in_use.get(zone, SLICES)
+            if in_use != before:
+                self._note_location(zone, before, in_use, failed_returns)
+        self.slices_in_use = {zone: in_use for zone, (in_use, _) in current.items()}
+
+    def _note_location(self, zone: int, before: int, in_use: int, failed_returns: int) -> None:
+        has_plan = self.plan_id.planner != ""
+        names = self.owner.config["zones"]
+        name = names[zone] if 0 <= zone < len(names) else str(zone)
+        location = self.follower.plan.locations.get(zone) if has_plan else None
+        why = location.why if location else ""
+        if in_use in (0, SLICES) or before == 0:
+            suffix = f" ({why})" if why else "" if has_plan else " (without a plan)"
+            logger.info("location {}: {} of {} slices at home{}", name, in_use, SLICES, suffix)
+        if self.owner.recorder:
+            self.owner.recorder.away(name, in_use, SLICES, failed_returns, why, not has_plan)
 
     # --- connections ---
 
-    def _heard(self, peer: Peer, message: Any) -> None:
-        """In a connection's thread."""
+    def _on_message(self, connection: Connection, message: Any) -> None:
+        """Runs in a connection's thread."""
         if message.HasField("reply"):
-            self.owner.post(self._answered, codec.replied(message.reply))
+            self.owner.post(self._on_reply, codec.decode_reply(message.reply))
 
-    def _answered(self, reply: Any) -> None:
-        if self.follower.reply(reply, self.owner.steady):
-            self._act()
+    def _on_reply(self, reply: PlanReply) -> None:
+        if self.follower.receive_reply(reply, self.owner.steady):
+            self._apply()
--- a/lilacloft/control/gateway_observer.py
+++ b/lilacloft/control/gateway_observer.py
@@ -1,146 +1,195 @@
-"""Decides what a forwarder sees through its decision module, and has the module keep what a plan sets; owns
-the counts in between.
+"""Connects a gateway's decisions to its side of the control plane: counts what the attempts came to, and
+applies what a plan sets.
 
-The same for a gateway on sockets and one in the emulator: whoever holds it tells what ended, asks for a look
-each quarter of a second, and carries messages. No I/O; `time` is the module's, `steady` the forwarder's own
-clock, both in tenths of a millisecond.
+The same for a real gateway and one in the emulator: the caller reports ended attempts, calls `observe` once
+per report interval, and transports the messages. The module does no I/O. `time` is the decisions' clock,
+`steady` the gateway's own monotonic clock, both in `Ticks`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
-from typing import Any
+from dataclasses import dataclass
 
-from lilacloft.control.follower import EVERY, Effect, Follower
+from lilacloft.control.backend_stats import FAILED, IN_TIME, LATE, BackendState
+from lilacloft.control.follower import REPORT_INTERVAL, Follower, PlanEffect
 from lilacloft.routing.fleet_plan import PlanUpdate
+from lilacloft.routing.model import Backend, Request
 from lilacloft.routing.router import Router
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
-SECOND = 10_000
-WAITS = 0.5  # part of its aim that a dispatch may be out before it counts as not answered; a likely fill
-# may be out for all of it, as its source may be slow
-MEAN = 1 / 4  # weight of one look in what reqs and fills are a second
-ANSWERED = ("done", "miss", "full", "error")
-FAILED = ("timeout", "reset", "unreached")
-FILLED = (2, 3)  # notes of answers that were filled for this req
+OVERDUE_SHARE = 0.5  # of its latency objective, after which an attempt counts as not answered
+OVERDUE_FILL_SHARE = 1.0  # the same for a likely fill, as its source may be slow
+RATE_WEIGHT = 1 / 4  # of one interval in the smoothed rates
+SIZE_WEIGHT = 1 / 16  # of one answer in the mean size
+ANSWERED = ("done", "miss", "full", "error")  # outcomes of attempts
+UNANSWERED = ("timeout", "reset", "unreached")
+FILLED_NOTES = (2, 3)  # of answers that were filled for this request
 
 
-class Watch:
-    """One forwarder's."""
+@dataclass(frozen=True)
+class EndedAttempt:
+    """An attempt that has ended."""
+
+    backend: Backend
+    vhost: int
+    outcome: str
+    took: Ticks
+    transfer_time: float  # of the request
+    note: int  # of the answer
+    kbytes: float
+    source: Backend  # that was to fill it; the backend itself without one
+
+
+class GatewayObserver:
+    """One gateway's."""
 
     def __init__(self, router: Router, vhosts: Sequence[str], follower: Follower) -> None:
+        """`vhosts`: the names of the virtual hosts, by index."""
         self.router, self.vhosts, self.follower = router, list(vhosts), follower
-        self.fills: dict[str, float] = {}  # KB since the last look, by vhost
-        self.past, self.mean = 0.0, 0.0  # KB of those that went past the caches; of a mean answer
-
-    def ended(
-        self,
-        backend: Any,
-        vhost: int,
-        outcome: str,
-        took: int,
-        work: float,
-        note: int,
-        kbytes: float,
-        source: Any,
-    ) -> None:
-        """A dispatch at one of the module's bes is over, so long after it was sent; `source`: the be that was
-        to fill it, itself where nobody was."""
-        mine = self.router.virtual_hosts[vhost]
-        how = (
-            ("late" if took > mine.latency_objective(work) else "well")
-            if outcome in ANSWERED
-            else "failed"
-            if outcome in FAILED
-            else ""
-        )
-        if how:
-            self.follower.ended(backend.name, how)
-        direct = self.router.pools.is_parent(backend) or self.router.pools.is_origin(backend)
+        self._fills: dict[str, float] = {}  # KB in this interval, by virtual host
+        self._uncached = 0.0  # KB in this interval that bypassed the caches
+        self._mean_kbytes = 0.0  # of an answer
+
+    # --- attempts ---
+
+    def attempt_ended(self, attempt: EndedAttempt) -> None:
+        """Count an attempt that has ended."""
+        result = self._result(attempt)
+        if result:
+            self.follower.record_attempt(attempt.backend.name, result)
+        self._count_for_location(attempt, result)
+        if attempt.outcome == "done":
+            self._count_answer(attempt, result)
+
+    def _result(self, attempt: EndedAttempt) -> str:
+        """Return what an attempt says of its backend; empty for nothing."""
+        if attempt.outcome in ANSWERED:
+            return LATE if self._is_late(attempt) else IN_TIME
+        return FAILED if attempt.outcome in UNANSWERED else ""
+
+    def _is_late(self, attempt: EndedAttempt) -> bool:
+        vhost = self.router.virtual_hosts[attempt.vhost]
+        return attempt.took > vhost.latency_objective(attempt.transfer_time)
+
+    def _count_for_location(self, attempt: EndedAttempt, result: str) -> None:
         keeper = self.follower.keeper
-        if keeper and outcome == "cancelled" and took > mine.latency_objective(work):
-            how = "failed"  # of a trial that was called back: it was given more than its time
-        if how and keeper and not self.router.pools.is_origin(backend):
-            keeper.ended(
-                backend.zone,
-                how,
-                outcome == "done" and note not in FILLED,
-                self.follower.now,
-                self.router.host.now(),
-            )
-        if outcome == "done":
-            self.mean += ((kbytes or 1.0) - self.mean) * (1 / 16 if self.mean else 1)
-            if source is not backend and note in FILLED and how == "well":
-                self.follower.filled(source.name)
-            if direct:
-                self.past += max(1.0, kbytes)
-        if outcome == "done" and (note in FILLED or direct):
-            name, kbytes = self.vhosts[vhost], max(1.0, kbytes)
-            self.fills[name] = self.fills.get(name, 0.0) + kbytes
-            self.follower.worth[name] = mine.value / kbytes
-
-    def listed(self, names: Iterable[str], number: int, time: int, steady: int) -> None:
-        """The change log has told of bes, as of a number."""
-        router = self.router
-        cold = [
+        if not keeper:
+            return
+        if attempt.outcome == "cancelled" and self._is_late(attempt):
+            result = FAILED  # of a canary request that was cancelled after its objective
+        if not result or self.router.pools.is_origin(attempt.backend):
+            return
+        is_hit = attempt.outcome == "done" and attempt.note not in FILLED_NOTES
+        keeper.ended(attempt.backend.zone, result, is_hit, self.follower.now, self.router.host.now())
+
+    def _count_answer(self, attempt: EndedAttempt, result: str) -> None:
+        weight = SIZE_WEIGHT if self._mean_kbytes else 1
+        self._mean_kbytes += ((attempt.kbytes or 1.0) - self._mean_kbytes) * weight
+        is_filled, source = attempt.note in FILLED_NOTES, attempt.source
+        if source is not attempt.backend and is_filled and result == IN_TIME:
+            self.follower.stats.record_fill(source.name)
+        pools = self.router.pools
+        bypasses_caches = pools.is_parent(attempt.backend) or pools.is_origin(attempt.backend)
+        kbytes = max(1.0, attempt.kbytes)
+        if bypasses_caches:
+            self._uncached += kbytes
+        if is_filled or bypasses_caches:
+            name = self.vhosts[attempt.vhost]
+            self._fills[name] = self._fills.get(name, 0.0) + kbytes
+            value = self.router.virtual_hosts[attempt.vhost].value
+            self.follower.load.values_per_kb[name] = value / kbytes
+
+    # --- state ---
+
+    def backends_changed(self, names: Iterable[str], list_version: int, time: Ticks, steady: Ticks) -> None:
+        """Take in the backends that the change log has changed, as of a number."""
+        slow_start = self.router.settings.cache_slow_start.duration
+        cold = {
             backend.name
-            for backend in router.pools.caches
-            if backend.started and time - backend.started < router.settings.cache_slow_start.duration + SECOND
-        ]
-        self.follower.list(names, number, cold, steady)
-
-    def look(self, requests: int, number: int, time: int, steady: int) -> None:
-        """What the module has now, and so many reqs since the last look, goes to the follower."""
-        router, follower = self.router, self.follower
+            for backend in self.router.pools.caches
+            if backend.started and time - backend.started < slow_start + TICKS_PER_SECOND
+        }
+        self.follower.update_list(names, list_version, cold, steady)
+
+    def observe(self, requests: int, list_version: int, time: Ticks, steady: Ticks) -> None:
+        """Take over the decisions' state, and the number of requests since the last call."""
+        follower, router = self.follower, self.router
         follower.now = steady
-        follower.requests += (requests * SECOND / EVERY - follower.requests) * MEAN
-        for name in sorted(follower.fills.keys() | self.fills.keys()):
-            before = follower.fills.get(name, 0.0)
-            follower.fills[name] = before + (self.fills.get(name, 0.0) * SECOND / EVERY - before) * MEAN
-        follower.past += (self.past * SECOND / EVERY - follower.past) * MEAN
-        follower.asked_kb = follower.requests * self.mean
-        self.past = 0.0
-        self.fills.clear()
+        self._update_rates(requests)
         for backend in router.pools.backends:
-            # what the origin answers tells a bad path of one's own from a location that fails
+            # the origin's answers tell a bad path of this gateway from a location that fails
             if not router.pools.is_origin(backend) or follower.keeper:
-                waits, unfilled = self._waits(backend, time)
-                follower.state(
-                    backend.name,
-                    len(backend.requests),
-                    backend.ejected and backend.name not in router.plan.ejections,
-                    backend.concurrency_limit.limit if backend.concurrency_limit else 0.0,
-                    waits,
-                    time - backend.last_answer_at + 1 if backend.last_answer_at else 0,
-                    unfilled,
-                )
-        self.listed((), number, time, steady)
-        follower.uses(
+                follower.update_state(backend.name, self._state(backend, time))
+        self.backends_changed((), list_version, time, steady)
+        follower.quota.update_used(
             {
                 backend.name: router.slow_start.used_share(backend, time)
                 for backend in router.pools.caches
-                if backend.name in follower.ledgers
+                if backend.name in follower.quota.ledgers
             }
         )
 
-    def _waits(self, backend: Any, time: int) -> tuple[int, int]:
-        """How many dispatches are out at a be that it should have answered, with nothing heard from it since;
-        and of how many that others should have answered it is the source, while those answer others."""
-        waits = unfilled = 0
+    def _update_rates(self, requests: int) -> None:
+        load = self.follower.load
+        load.request_rate = _smoothed(load.request_rate, requests)
+        for name in sorted(load.fill_rates.keys() | self._fills.keys()):
+            before = load.fill_rates.get(name, 0.0)
+            load.fill_rates[name] = _smoothed(before, self._fills.get(name, 0.0))
+        load.uncached_rate = _smoothed(load.uncached_rate, self._uncached)
+        load.requested_rate = load.request_rate * self._mean_kbytes
+        self._uncached = 0.0
+        self._fills.clear()
+
+    def _state(self, backend: Backend, time: Ticks) -> BackendState:
+        overdue, missing_fills = self._overdue(backend, time)
+        return BackendState(
+            in_flight=len(backend.requests),
+            is_ejected=backend.ejected and backend.name not in self.router.plan.ejections,
+            concurrency_limit=backend.concurrency_limit.limit if backend.concurrency_limit else 0.0,
+            overdue=overdue,
+            silent_for=time - backend.last_answer_at + 1 if backend.last_answer_at else 0,
+            missing_fills=missing_fills,
+        )
+
+    def _overdue(self, backend: Backend, time: Ticks) -> tuple[int, int]:
+        """Return how many attempts at a backend are overdue without anything received from it since, and for
+        how many overdue fills it is the source while their caches answer other requests."""
+        attempts = fills = 0
         for request in backend.requests:
-            long = self.router.virtual_hosts[request.vhost].latency_objective(request.transfer_time) * (
-                2 * WAITS if request.expects_fill else WAITS
-            )
-            if time - request.sent_at <= long:
+            if not self._is_overdue(request, time):
                 continue
             if request.backend is backend:
-                waits += backend.last_answer_at < request.sent_at
+                attempts += backend.last_answer_at < request.sent_at
             elif request.expects_fill and request.backend.last_answer_at >= request.sent_at:
-                unfilled += 1
-        return waits, unfilled
+                fills += 1
+        return attempts, fills
 
-    def act(self, time: int, steady: int) -> Effect:
-        """Have the module keep what holds now, in its own time; returns it."""
+    def _is_overdue(self, request: Request, time: Ticks) -> bool:
+        objective = self.router.virtual_hosts[request.vhost].latency_objective(request.transfer_time)
+        share = OVERDUE_FILL_SHARE if request.expects_fill else OVERDUE_SHARE
+        return time - request.sent_at > objective * share
+
+    # --- plans ---
+
+    def apply(self, time: Ticks, steady: Ticks) -> PlanEffect:
+        """Have the decisions follow what applies now; return it."""
         effect = self.follower.effect(steady)
-        out = {backend: until + time - steady if until else 0 for backend, until in effect.out.items()}
-        self.router.plan_changed(PlanUpdate(out, effect.ways, effect.link, dict(effect.shares), effect.left))
+        ejections = {
+            backend: until + time - steady if until else 0 for backend, until in effect.ejections.items()
+        }
+        self.router.plan_changed(
+            PlanUpdate(
+                ejections,
+                effect.concurrency_limits,
+                effect.fill_limit,
+                dict(effect.budget_factors),
+                effect.failovers,
+            )
+        )
         return effect
+
+
+def _smoothed(rate: float, amount: float) -> float:
+    """Return a rate per second, updated with the amount of one report interval."""
+    return rate + (amount * TICKS_PER_SECOND / REPORT_INTERVAL - rate) * RATE_WEIGHT
--- a/lilacloft/control/health_aggregation.py
+++ b/lilacloft/control/health_aggregation.py
@@ -1,10 +1,10 @@
-"""Decides what many forwarders' sights of one be mean: is it to be left alone, and by whose word?
+"""Aggregates what gateways observe of a backend into one verdict: whether all of them eject it.
 
-A sight is what a forwarder has seen of a be lately: how many of its dispatches came back well, late or not at
-all, and whether it leaves it alone. One forwarder's bad path must blame nobody for all: a be is left alone
-where a quorum of those that have looked see it fail, each counted once, whatever its traffic. A forwarder
-that blames most of what others find well is taken not at its word but as the trouble itself (its path, or its
-mind). Owns the state of verdicts, which change slowly in both ways. No I/O; times in tenths of a millisecond.
+An observation counts a gateway's recent attempts at a backend, and says whether it has ejected the backend by
+itself. A gateway with a bad network path must not eject a backend for all: a verdict needs a quorum of the
+gateways that have data, each with one vote whatever its traffic. A gateway that reports most of what others
+find healthy as failing is distrusted: its own path or process is the likely cause. Verdicts change slowly in
+both directions. The module does no I/O; times are `Ticks`.
 """
 
 from __future__ import annotations
@@ -12,135 +12,139 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-FRESH = 20_000  # sights older than this say nothing
-LOOKED = 2  # dispatches that ended, from which on a forwarder has seen something
-QUORUM = 0.5  # part of those that have looked who must see a be fail
-ALONE = 2  # and no fewer than so many, where so many have looked
-ASTRAY = 0.5  # a forwarder that blames more of what most find well is not believed
-HOLD = 20_000  # a verdict holds so long at least, so that two sights by turns do not make it flap
-TRIAL = 5_000  # between two trials of a be that is left alone, by one forwarder after the other
+from lilacloft.routing.units import Ticks
+
+MAX_OBSERVATION_AGE: Ticks = 20_000
+MIN_ATTEMPTS = 2  # that ended, before an observation counts as a vote
+QUORUM = 0.5  # fraction of the votes that must find a backend failing
+MIN_VOTES = 2  # and their least number, where there are as many
+DISTRUST_SHARE = 0.5  # of what most find healthy: a gateway that reports more of it as failing is distrusted
+MIN_VERDICT_TIME: Ticks = 20_000  # between two changes of a verdict, so that it does not flap
+CANARY_TURN: Ticks = 5_000  # for which one gateway sends the canary requests to an ejected backend
 
 
 @dataclass(frozen=True)
-class Sight:
-    """What one forwarder has seen of one be since its last sight."""
-
-    well: int = 0  # answers in time
-    late: int = 0
-    failed: int = 0  # silence, resets, closed doors
-    out: int = 0  # in flight now
-    alone: bool = False  # it leaves it alone by its own word
-    limit: float = 0.0  # of dispatches at once, as it has learned; 0: not told
-    streak: int = 0  # failures just now, with no answer since, and dispatches that should have been answered
-    quiet: int = 0  # for so long it has not answered, and one more; 0: it never has
-    unfilled: int = 0  # fills out or lost that it should have supplied, through caches that answer others
-    filled: int = 0  # fills that it has supplied lately
-
-    def bad(self) -> bool | None:
-        """Does it fail? None where nothing was seen."""
-        if self.alone:
+class Observation:
+    """What one gateway has observed of one backend recently."""
+
+    in_time: int = 0  # answers
+    late: int = 0  # answers
+    failed: int = 0  # no answer, resets, refused connections
+    in_flight: int = 0
+    is_ejected: bool = False  # by the gateway's own decision
+    concurrency_limit: float = 0.0  # that the gateway has learned; 0: unknown
+    failure_streak: int = 0  # failures and overdue attempts since the last answer
+    silent_for: Ticks = 0  # since the last answer, plus one; 0: it has never answered
+    missing_fills: int = 0  # that it should have supplied to caches which answer other requests
+    fills: int = 0  # that it has supplied
+
+    def is_failing(self) -> bool | None:
+        """Return the gateway's vote; None without enough data."""
+        if self.is_ejected:
             return True
-        if self.well + self.late + self.failed < LOOKED:
+        if self.in_time + self.late + self.failed < MIN_ATTEMPTS:
             return None
-        return self.failed > self.well + self.late
+        return self.failed > self.in_time + self.late
 
 
 @dataclass
 class Verdict:
-    """On one be."""
+    """The aggregated health of one backend."""
 
-    out: bool = False
-    since: int = 0
-    by: tuple[str, ...] = ()  # who sees it fail
-    against: tuple[str, ...] = ()  # who sees it well
-    why: str = ""
+    is_ejected: bool = False
+    changed_at: Ticks = 0
+    failing_votes: tuple[str, ...] = ()  # gateways
+    healthy_votes: tuple[str, ...] = ()  # gateways
+    reason: str = ""
 
 
 @dataclass
-class Judge:
-    """All verdicts of one planner."""
+class HealthAggregator:
+    """The observations and verdicts of one planner."""
 
-    sights: dict[str, dict[str, tuple[int, Sight]]] = field(default_factory=dict)  # by be, by forwarder
+    # by backend and gateway, with the time of arrival
+    observations: dict[str, dict[str, tuple[Ticks, Observation]]] = field(default_factory=dict)
     verdicts: dict[str, Verdict] = field(default_factory=dict)
-    astray: dict[str, float] = field(default_factory=dict)  # forwarders not believed: the part they blame
+    distrusted: dict[str, float] = field(default_factory=dict)  # gateways: fraction reported as failing
 
-    def saw(self, forwarder: str, sights: Mapping[str, Sight], now: int) -> None:
-        """A forwarder tells what it has seen."""
-        for backend, sight in sights.items():
-            self.sights.setdefault(backend, {})[forwarder] = (now, sight)
+    def record(self, gateway: str, observations: Mapping[str, Observation], now: Ticks) -> None:
+        """Record a gateway's observations, by backend."""
+        for backend, observation in observations.items():
+            self.observations.setdefault(backend, {})[gateway] = (now, observation)
 
-    def gone(self, forwarder: str) -> None:
-        """A forwarder is no more, or another has its name: what it saw is void."""
-        for mine in self.sights.values():
-            mine.pop(forwarder, None)
+    def forget_gateway(self, gateway: str) -> None:
+        """Discard the observations of a gateway that has ended or was restarted."""
+        for by_gateway in self.observations.values():
+            by_gateway.pop(gateway, None)
 
-    def keep(self, backends: Iterable[str]) -> None:
-        """Only these are listed."""
+    def retain(self, backends: Iterable[str]) -> None:
+        """Discard all data of other backends than these."""
         listed = set(backends)
-        for gone in [backend for backend in self.sights if backend not in listed]:
-            del self.sights[gone]
-        for gone in [backend for backend in self.verdicts if backend not in listed]:
-            del self.verdicts[gone]
-
-    def votes(self, backend: str, now: int) -> dict[str, bool]:
-        """Who has looked lately, and sees it fail."""
-        out = {}
-        for forwarder, (at, sight) in self.sights.get(backend, {}).items():
-            bad = sight.bad() if now - at <= FRESH else None
-            if bad is not None:
-                out[forwarder] = bad
-        return out
-
-    def judge(self, now: int) -> dict[str, Verdict]:
-        """All verdicts as of now."""
-        votes = {backend: self.votes(backend, now) for backend in sorted(self.sights)}
-        self.astray = self._astray(votes)
-        for backend, all_ in votes.items():
-            mine = {name: bad for name, bad in all_.items() if name not in self.astray}
-            self._verdict(backend, mine, now)
+        for by_backend in (self.observations, self.verdicts):
+            for unlisted in [backend for backend in by_backend if backend not in listed]:
+                del by_backend[unlisted]
+
+    def votes(self, backend: str, now: Ticks) -> dict[str, bool]:
+        """Return the gateways with recent data on a backend, and whether each finds it failing."""
+        votes = {}
+        for gateway, (received_at, observation) in self.observations.get(backend, {}).items():
+            is_failing = observation.is_failing() if now - received_at <= MAX_OBSERVATION_AGE else None
+            if is_failing is not None:
+                votes[gateway] = is_failing
+        return votes
+
+    def evaluate(self, now: Ticks) -> dict[str, Verdict]:
+        """Update all verdicts and return them, by backend."""
+        votes = {backend: self.votes(backend, now) for backend in sorted(self.observations)}
+        self.distrusted = self._find_distrusted(votes)
+        for backend, all_votes in votes.items():
+            trusted = {name: vote for name, vote in all_votes.items() if name not in self.distrusted}
+            self._update_verdict(backend, trusted, now)
         return self.verdicts
 
     @staticmethod
-    def _astray(votes: Mapping[str, Mapping[str, bool]]) -> dict[str, float]:
-        """Forwarders that blame most of what others find well. Of bes that only one has looked at nothing is
-        known; where most blame a be, nobody is astray for blaming it."""
-        blamed: dict[str, int] = {}
-        looked: dict[str, int] = {}
-        for all_ in votes.values():
-            if len(all_) < 2 or sum(all_.values()) * 2 > len(all_):
+    def _find_distrusted(votes: Mapping[str, Mapping[str, bool]]) -> dict[str, float]:
+        """Return the gateways that report most of what others find healthy as failing. Backends with a single
+        vote are not considered, nor those that most gateways find failing."""
+        failing: dict[str, int] = {}
+        total: dict[str, int] = {}
+        for by_gateway in votes.values():
+            if len(by_gateway) < 2 or sum(by_gateway.values()) * 2 > len(by_gateway):
                 continue
-            for name, bad in all_.items():
-                looked[name] = looked.get(name, 0) + 1
-                blamed[name] = blamed.get(name, 0) + bad
+            for name, is_failing in by_gateway.items():
+                total[name] = total.get(name, 0) + 1
+                failing[name] = failing.get(name, 0) + is_failing
         return {
-            name: blamed[name] / count
-            for name, count in sorted(looked.items())
-            if count >= 2 and blamed[name] / count > ASTRAY
+            name: failing[name] / count
+            for name, count in sorted(total.items())
+            if count >= 2 and failing[name] / count > DISTRUST_SHARE
         }
 
-    def _verdict(self, backend: str, votes: Mapping[str, bool], now: int) -> None:
-        bad = tuple(sorted(name for name, fails in votes.items() if fails))
-        well = tuple(sorted(name for name, fails in votes.items() if not fails))
-        needs = max(min(ALONE, len(votes)), -(-len(votes) * QUORUM // 1))
-        found = self.verdicts.setdefault(backend, Verdict())
-        out = bool(votes) and len(bad) >= needs and len(bad) > len(well) * QUORUM
-        if len(votes) < ALONE:
-            out = found.out  # one sight alone changes nothing for all; its own forwarder acts on it by itself
-        if found.out and not votes:
-            out = True  # nobody has tried: it stays until somebody has
-        if out != found.out and now - found.since >= (HOLD if found.since else 0):
-            found.out, found.since = out, now
-        found.by, found.against = bad, well
-        found.why = f"{len(bad)} of {len(votes)} that have looked see it fail"
-
-
-def trials(left_out: Iterable[str], forwarders: Iterable[str], now: int) -> dict[str, tuple[str, int]]:
-    """Who may try a be that is left alone, and from when: one forwarder after the other, so that all together
-    send it one req at a time."""
-    names = sorted(forwarders)
-    out = {}
-    if names:
-        for place, backend in enumerate(sorted(left_out)):
-            turn = now // TRIAL
-            out[backend] = (names[(turn + place) % len(names)], (turn + 1) * TRIAL)
-    return out
+    def _update_verdict(self, backend: str, votes: Mapping[str, bool], now: Ticks) -> None:
+        failing = tuple(sorted(name for name, is_failing in votes.items() if is_failing))
+        healthy = tuple(sorted(name for name, is_failing in votes.items() if not is_failing))
+        required = max(min(MIN_VOTES, len(votes)), -(-len(votes) * QUORUM // 1))
+        verdict = self.verdicts.setdefault(backend, Verdict())
+        is_ejected = bool(votes) and len(failing) >= required and len(failing) > len(healthy) * QUORUM
+        if len(votes) < MIN_VOTES:
+            is_ejected = verdict.is_ejected  # a single gateway acts on its observation by itself
+        if verdict.is_ejected and not votes:
+            is_ejected = True  # until a canary request has been sent
+        min_time = MIN_VERDICT_TIME if verdict.changed_at else 0
+        if is_ejected != verdict.is_ejected and now - verdict.changed_at >= min_time:
+            verdict.is_ejected, verdict.changed_at = is_ejected, now
+        verdict.failing_votes, verdict.healthy_votes = failing, healthy
+        verdict.reason = f"{len(failing)} of {len(votes)} that have looked see it fail"
+
+
+def canary_turns(ejected: Iterable[str], gateways: Iterable[str], now: Ticks) -> dict[str, tuple[str, Ticks]]:
+    """Return for each ejected backend the gateway that may send it canary requests now, and until when. The
+    gateways take turns, so that a backend gets one canary request at a time."""
+    names = sorted(gateways)
+    if not names:
+        return {}
+    turn = now // CANARY_TURN
+    return {
+        backend: (names[(turn + index) % len(names)], (turn + 1) * CANARY_TURN)
+        for index, backend in enumerate(sorted(ejected))
+    }
--- a/lilacloft/control/leader_lease.py
+++ b/lilacloft/control/leader_lease.py
@@ -1,11 +1,11 @@
-"""Decides which planner's plan holds, when a planner may issue one, and what a forwarder may do with it.
-
-A plan is named by epoch, number and planner, in this order: the later name holds, everywhere, without a
-leader that is needed to serve. A planner issues where it is the first by name among the planners that it
-hears, and hears more than half of all there are; its epoch is higher than any that it has seen whenever it
-begins to issue. So in a split one side at most makes plans, the other only judges for itself; and who comes
-back begins with a new epoch, above what the other side had. A forwarder's plan holds for a stated time from
-when the forwarder asked for it. No I/O; times are of one's own steady clock, in tenths of a millisecond.
+"""Leader election among planners, and the lease under which a gateway applies a plan.
+
+Plans are ordered by epoch, number and planner: the higher id takes precedence everywhere, and no leader is
+required for serving requests. A planner issues plans while it is the first by name among the planners that it
+hears from, and hears from a majority of all configured ones. Whenever it starts to issue, its epoch is higher
+than any it has seen. So in a network partition at most one side issues plans; a planner that returns starts
+with a new epoch above those of the other side. A gateway applies a plan for a limited time from when it asked
+for it. The module does no I/O; times are `Ticks` of the caller's own monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,12 +13,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-DRIFT = 0.001
+from lilacloft.control.quota import shortest
+from lilacloft.routing.units import Ticks
 
 
 @dataclass(frozen=True, order=True)
-class Name:
-    """A plan's: compared in this order."""
+class PlanId:
+    """Identifies a plan; a higher one takes precedence."""
 
     epoch: int = 0
     number: int = 0
@@ -28,59 +29,61 @@
         return f"{self.epoch}.{self.number} of {self.planner or 'nobody'}"
 
 
-class Issuer:
-    """One planner's right to issue plans."""
+class LeaderElection:
+    """Decides when one planner may issue plans."""
 
     def __init__(self, name: str, planners: Iterable[str], epoch: int = 0) -> None:
-        """`planners`: all there are, by the settings. `epoch`: the last it knows of, kept over its own
-        ends."""
+        """`planners`: all configured planners. `epoch`: the highest one known before this process started."""
         self.name, self.planners = name, sorted(set(planners) | {name})
-        self.seen = epoch  # the highest epoch heard of
-        self.epoch = self.number = 0
-        self.issues = False
-
-    def heard(self, epoch: int) -> None:
-        """Somebody has a plan of an epoch."""
-        self.seen = max(self.seen, epoch)
-
-    def look(self, alive: Iterable[str]) -> bool:
-        """May it issue, with these planners heard (itself is always)? Tells whether that has just begun."""
-        there = {self.name, *alive} & set(self.planners)
-        may = len(there) * 2 > len(self.planners) and min(there) == self.name
-        began = may and not self.issues
-        if began or (may and self.seen > self.epoch):  # somebody else has issued since
-            self.epoch = self.seen = self.seen + 1
-            self.number = 0
-        self.issues = may
-        return began
-
-    def next(self) -> Name:
-        """The next plan's name."""
-        self.number += 1
-        return Name(self.epoch, self.number, self.name)
-
-
-class Holder:
-    """One forwarder's plan, and until when it holds."""
+        self.highest_epoch = epoch  # seen anywhere
+        self.epoch = self.plan_number = 0  # of the last plan of this planner
+        self.is_leader = False
+
+    def observe_epoch(self, epoch: int) -> None:
+        """Record that a plan of an epoch exists."""
+        self.highest_epoch = max(self.highest_epoch, epoch)
+
+    def update(self, alive: Iterable[str]) -> bool:
+        """Decide whether this planner is the leader while it hears from some planners (it always hears from
+        itself); return whether it has just become the leader."""
+        reachable = {self.name, *alive} & set(self.planners)
+        is_majority = len(reachable) * 2 > len(self.planners)
+        is_leader = is_majority and min(reachable) == self.name
+        became_leader = is_leader and not self.is_leader
+        was_overtaken = is_leader and self.highest_epoch > self.epoch  # another planner has issued since
+        if became_leader or was_overtaken:
+            self.epoch = self.highest_epoch = self.highest_epoch + 1
+            self.plan_number = 0
+        self.is_leader = is_leader
+        return became_leader
+
+    def next_plan_id(self) -> PlanId:
+        """Return the id of this planner's next plan."""
+        self.plan_number += 1
+        return PlanId(self.epoch, self.plan_number, self.name)
+
+
+class PlanLease:
+    """The plan that a gateway applies, and until when."""
 
     def __init__(self) -> None:
-        self.name = Name()
-        self.until = 0
-        self.refused = 0  # plans that came late, twice, out of order, or of a past epoch
-
-    def take(self, name: Name, asked: int, span: int, now: int) -> bool:
-        """A plan has come, in answer to what was asked at a time, good for a span from then. True where it is
-        another than the one held; one that is told again only holds longer."""
-        until = asked + span - int(span * DRIFT) - 1
-        if until <= now or name < self.name:
-            self.refused += 1
+        self.plan_id = PlanId()
+        self.expires_at: Ticks = 0
+        self.rejected = 0  # plans that were late, duplicate, out of order or of an earlier epoch
+
+    def accept(self, plan_id: PlanId, requested_at: Ticks, duration: Ticks, now: Ticks) -> bool:
+        """Accept a plan that is valid for a duration from when it was requested; return whether it is a new
+        plan. For the current plan only the lease is extended."""
+        expires_at = requested_at + shortest(duration)
+        if expires_at <= now or plan_id < self.plan_id:
+            self.rejected += 1
             return False
-        if name == self.name:
-            self.until = max(self.until, until)
+        if plan_id == self.plan_id:
+            self.expires_at = max(self.expires_at, expires_at)
             return False
-        self.name, self.until = name, until
+        self.plan_id, self.expires_at = plan_id, expires_at
         return True
 
-    def holds(self, now: int) -> bool:
-        """Is there a plan?"""
-        return now < self.until
+    def is_valid(self, now: Ticks) -> bool:
+        """Return whether a plan applies now."""
+        return now < self.expires_at
--- a/lilacloft/control/messages.py
+++ b/lilacloft/control/messages.py
@@ -1,138 +1,157 @@
-"""What forwarders and planners tell each other, as records; the wire's form is in `form`. They hold facts and
-decide nothing. Times are spans, in tenths of a millisecond: no two clocks are compared."""
+"""The messages between gateways and planners, as records; `codec` has their form on the wire.
+
+Times are durations in `Ticks`: no two clocks are compared. Rates are per second, shares are fractions of a
+whole budget or limit.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from lilacloft.control.health_aggregation import Sight
-from lilacloft.control.leader_lease import Name
+from lilacloft.control.health_aggregation import Observation
+from lilacloft.control.leader_lease import PlanId
+from lilacloft.membership.table import MemberRow
+from lilacloft.routing.units import Ticks
 from lilacloft.zones.course import Tally, Told
 
 
 @dataclass(frozen=True)
-class Ask:
-    """One asks for a part of a cold be's budget."""
+class QuotaRequest:
+    """A request for a share of a cold backend's start budget."""
 
     number: int
     backend: str
-    part: float
-    span: int
+    share: float
+    duration: Ticks
 
 
 @dataclass(frozen=True)
-class Given:
-    """The answer: a part, usable after a delay, for a span since it was asked for; a part of 0 is a no."""
+class QuotaLease:
+    """The answer: a share, usable `delay` after its arrival, until `duration` after the request was sent. A
+    share of 0 refuses the request."""
 
-    number: int
+    number: int  # of the request
     backend: str
-    part: float = 0.0
-    delay: int = 0
-    span: int = 0
+    share: float = 0.0
+    delay: Ticks = 0
+    duration: Ticks = 0
 
 
 @dataclass(frozen=True)
-class Summary:
-    """What a forwarder tells a planner."""
+class LoadReport:
+    """What a gateway reports to a planner, four times a second."""
 
     name: str
     incarnation: int
-    number: int
+    number: int  # of this report, rising
     zone: int = 0
-    listed: int = 0  # the change log's number that it has
-    requests: float = 0.0  # a second
-    fills: dict[str, float] = field(default_factory=dict)  # by vhost, KB a second that its reqs would need
-    worth: dict[str, float] = field(default_factory=dict)  # by vhost, of a KB
-    sights: dict[str, Sight] = field(default_factory=dict)
-    cold: dict[str, tuple[float, float]] = field(default_factory=dict)  # by be: own part, part in use
-    asks: tuple[Ask, ...] = ()
-    given: tuple[Given, ...] = ()  # answers to the planner's asks
-    holds: Name = Name()
-    leaves: bool = False
-    asked: float = 0.0  # KB a second that its reqs ask for
-    past: float = 0.0  # of `fills`, what goes past the caches
-    tallies: dict[int, Tally] = field(default_factory=dict)  # by location, since its process began
-    left: dict[int, tuple[int, int]] = field(default_factory=dict)  # what it keeps to, of those not in use
+    list_version: int = 0  # number of the last change log entry that the gateway has applied
+    request_rate: float = 0.0
+    fill_rates: dict[str, float] = field(default_factory=dict)  # by virtual host, KB a second
+    values_per_kb: dict[str, float] = field(default_factory=dict)  # by virtual host
+    observations: dict[str, Observation] = field(default_factory=dict)  # by backend
+    cold_shares: dict[str, tuple[float, float]] = field(default_factory=dict)  # by backend: usable, in use
+    quota_requests: tuple[QuotaRequest, ...] = ()
+    quota_leases: tuple[QuotaLease, ...] = ()  # answers to the planner's requests
+    plan_id: PlanId = PlanId()  # of the plan that the gateway applies
+    is_leaving: bool = False
+    requested_rate: float = 0.0  # KB a second that clients request
+    uncached_rate: float = 0.0  # KB a second of fills that bypass the caches
+    tallies: dict[int, Tally] = field(default_factory=dict)  # by location, since the process began
+    away: dict[int, tuple[int, int]] = field(default_factory=dict)  # by location that is not all in use
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What one plan says. Of a location only its forwarders read what is its own."""
-
-    name: Name
-    listed: int = 0  # of the list on which it was made
-    out: dict[str, str] = field(default_factory=dict)  # left alone, and why
-    trials: dict[str, str] = field(default_factory=dict)  # who may try one of those
-    ways: dict[str, float] = field(default_factory=dict)  # dispatches at once, of all forwarders together
-    links: dict[int, float] = field(default_factory=dict)  # fills at once, by location, of all together
-    parts: dict[str, float] = field(default_factory=dict)  # a forwarder's part of its location's
-    renews: dict[int, tuple[str, ...]] = field(default_factory=dict)  # forwarders in the order of their turns
-    zones: dict[int, Told] = field(default_factory=dict)  # locations that are not all in use
+    """A plan. A gateway reads only what concerns its own location."""
+
+    plan_id: PlanId
+    list_version: int = 0  # of the backend list from which the plan was made
+    ejections: dict[str, str] = field(default_factory=dict)  # by backend: the reason
+    canary_gateways: dict[str, str] = field(default_factory=dict)  # by ejected backend
+    concurrency_limits: dict[str, float] = field(default_factory=dict)  # by backend, of all gateways together
+    fill_limits: dict[int, float] = field(default_factory=dict)  # by location, of all gateways together
+    gateway_shares: dict[str, float] = field(default_factory=dict)  # of a location's limits
+    revalidation_order: dict[int, tuple[str, ...]] = field(default_factory=dict)  # gateways by location
+    locations: dict[int, Told] = field(default_factory=dict)  # that are not all in use
+
+
+SECTIONS = (  # of a plan: maps whose changes a delta carries, in this order
+    "ejections",
+    "canary_gateways",
+    "concurrency_limits",
+    "fill_limits",
+    "gateway_shares",
+    "revalidation_order",
+    "locations",
+)
+SECTIONS_BY_LOCATION = ("fill_limits", "revalidation_order", "locations")
 
 
 @dataclass(frozen=True)
-class Delta:
-    """What of a plan is other than in one before; a key with none is gone."""
+class PlanDelta:
+    """The difference between two plans: by section the changed entries; the value None removes an entry."""
 
-    since: Name
-    name: Name
-    listed: int
+    base: PlanId
+    plan_id: PlanId
+    list_version: int
     changes: dict[str, dict[object, object]] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
-class Reply:
-    """What a planner answers."""
+class PlanReply:
+    """A planner's answer to a load report."""
 
     planner: str
     incarnation: int
-    number: int  # of the summary that it answers: spans count from its sending
-    span: int = 0  # for which the plan holds
+    number: int  # of the report that it answers: durations count from when that was sent
+    duration: Ticks = 0  # for which the plan is valid
     plan: Plan | None = None
-    delta: Delta | None = None
-    asks: tuple[Ask, ...] = ()
-    given: tuple[Given, ...] = ()
-    whole: bool = False  # all sights are wanted again
+    delta: PlanDelta | None = None
+    quota_requests: tuple[QuotaRequest, ...] = ()
+    quota_leases: tuple[QuotaLease, ...] = ()
+    is_first: bool = False  # the planner knew nothing of this process before
 
 
 @dataclass(frozen=True)
-class Word:
-    """What a planner tells another."""
+class GossipMessage:
+    """What a planner tells the other planners, four times a second."""
 
     name: str
     incarnation: int
-    epoch: int
-    seen: int
-    rows: tuple[tuple[str, str, int, int, str, int, str], ...] = ()
+    epoch: int  # of its plans; 0: it issues none
+    highest_epoch: int
+    members: tuple[MemberRow, ...] = ()
 
 
-PARTS = ("out", "trials", "ways", "links", "parts", "renews", "zones")
-NUMBERED = ("links", "renews", "zones")  # those by location
+def diff(before: Plan, after: Plan) -> PlanDelta:
+    """Return the difference between two plans."""
+    changes = {}
+    for section in SECTIONS:
+        changed = _changed_entries(getattr(before, section), getattr(after, section))
+        if changed:
+            changes[section] = changed
+    return PlanDelta(before.plan_id, after.plan_id, after.list_version, changes)
 
 
-def delta(before: Plan, after: Plan) -> Delta:
-    """What has changed."""
-    changes: dict[str, dict[object, object]] = {}
-    for part in PARTS:
-        old, new = getattr(before, part), getattr(after, part)
-        mine: dict[object, object] = {key: value for key, value in new.items() if old.get(key) != value}
-        mine.update((key, None) for key in old if key not in new)
-        if mine:
-            changes[part] = mine
-    return Delta(before.name, after.name, after.listed, changes)
+def _changed_entries(before: Mapping[object, object], after: Mapping[object, object]) -> dict[object, object]:
+    changed = {key: value for key, value in after.items() if before.get(key) != value}
+    changed.update((key, None) for key in before if key not in after)
+    return changed
 
 
-def applied(before: Plan, change: Delta) -> Plan | None:
-    """The plan after a change; none where the change is to another plan."""
-    if change.since != before.name:
+def apply_delta(before: Plan, delta: PlanDelta) -> Plan | None:
+    """Return the plan after a change; None if the delta is based on another plan."""
+    if delta.base != before.plan_id:
         return None
-    parts = {}
-    for part in PARTS:
-        mine = dict(getattr(before, part))
-        for key, value in change.changes.get(part, {}).items():
+    sections = {}
+    for section in SECTIONS:
+        entries = dict(getattr(before, section))
+        for key, value in delta.changes.get(section, {}).items():
             if value is None:
-                mine.pop(key, None)
+                entries.pop(key, None)
             else:
-                mine[key] = value
-        parts[part] = mine
-    return Plan(change.name, change.listed, **parts)
+                entries[key] = value
+        sections[section] = entries
+    return Plan(delta.plan_id, delta.list_version, **sections)
--- a/lilacloft/control/planner_server.py
+++ b/lilacloft/control/planner_server.py
@@ -1,11 +1,11 @@
-"""One planner process: its thread that owns the planner, its door, its ways to the other planners, the change
-log. It decides nothing."""
+"""A planner process: the thread that owns the planner, the connections to gateways, other planners and
+operators, and the change log. It decides nothing."""
 
 from __future__ import annotations
 
 import queue
 import time
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from typing import Any
 
 from loguru import logger
@@ -13,75 +13,79 @@
 from lilacloft import needed
 from lilacloft.config.addresses import address
 from lilacloft.control import codec
-from lilacloft.control.messages import PARTS, delta
-from lilacloft.control.planner import Listed, Planner, Site
-from lilacloft.control.transport import Dial, Door, Peer
+from lilacloft.control.explanation import explain
+from lilacloft.control.fleet_state import (
+    CACHE,
+    ORIGIN,
+    PARENT,
+    UNKNOWN_AGE,
+    ListedBackend,
+    SiteSettings,
+)
+from lilacloft.control.messages import SECTIONS, diff
+from lilacloft.control.planner import Planner
+from lilacloft.control.transport import Address, Client, Connection, Server
+from lilacloft.membership.table import PLANNER
 from lilacloft.net.feed import Feed, known
+from lilacloft.routing.model import BackendStatus
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 from lilacloft.settings import settings
 from lilacloft.zones.pace import Warming
 
-TICK = 0.25
-NS = 100_000
-EPOCH = 7  # kind of the record of the highest epoch, in the planner's store
-STARTED = 8  # and of how often it has started
+TICK_SECONDS = 0.25
+NANOSECONDS_PER_TICK = 100_000
+TICKS_PER_MILLISECOND = 10
+# kinds of records in the planner's store
+EPOCH_RECORD = 7  # the highest epoch
+STARTS_RECORD = 8  # how often a process has started
 
 
-class Process:
-    """One planner."""
+class PlannerServer:
+    """One planner process."""
 
     def __init__(
         self,
         name: str,
         config: Mapping[str, Any],
-        planners: Mapping[str, tuple[str, int]],
+        planners: Mapping[str, Address],
         folder: str = "",
         leave: str = "never",
     ) -> None:
-        """`leave`: whole locations may be left, `past` their caches, or `across`."""
+        """`folder`: of the planner's store; empty for none. `leave`: whether whole locations may be out of
+        use, `past` their caches, or `across`, with other locations' caches in their place."""
         found = settings(needed.told(config["settings"]))
         family = found["family"]
-        self.name, self.kinds, self.found = name, (family["parent_kind"], family["source_kind"]), found
-        self.cold = found["rules"]["cold"]
-        links = {zone: float(rate) for zone, rate in enumerate(family.get("feed_kb_per_s") or []) if rate}
-        rules = found["rules"]
-        site = Site(
-            tuple(sorted(planners)),
-            family["pace_kb_per_s"],
-            links,
-            fall=rules["fall"],
-            zones=leave != "never",
-            across=leave == "across",
-            sizes=found.get("weight_source", "silent") != "silent",
-            caches=Warming(rules["start_capacity"], rules["cold"], rules["tip_multiple"]),
-            hubs=Warming(family["parent_floor"], family["parent_warms_in"], family["parent_breaks_at"]),
-        )
-        self.store = self._open(folder)
-        epoch, life = self._begin()
-        self.core = Planner(name, life, site, epoch)
-        self.kept = epoch
-        self.queue: queue.SimpleQueue[tuple[Any, ...]] = queue.SimpleQueue()
+        self.name = name
+        self.kinds = {family["source_kind"]: ORIGIN, family["parent_kind"]: PARENT}
+        self.cold_duration: Ticks = found["rules"]["cold"]
+        self.store = self._open_store(folder)
+        epoch, incarnation = self._begin()
+        site = _site_settings(found, planners, leave)
+        self.planner = Planner(name, incarnation, site, epoch)
+        self.stored_epoch = epoch
+        self.queue: queue.SimpleQueue[tuple[Callable[..., None], tuple[Any, ...]]] = queue.SimpleQueue()
         self.backends: dict[str, tuple[Any, ...]] = {}
-        self.number = config["known"]["seq"]
+        self.list_version = config["known"]["seq"]
         for number, event in known(config["known"]["results"], found["zones"], found["kinds"]):
-            self._told(event, number)
+            self._on_list_event(event, number)
         self.feed = Feed(
             address(config["changelog"]),
-            self.number,
-            lambda event, number: self.queue.put((self._told, event, number)),
+            self.list_version,
+            lambda event, number: self._post(self._on_list_event, event, number),
         )
-        self.door = Door(planners[name], self._hello, self._heard)
-        self.dials = [
-            Dial(place, self._hello, self._heard)
-            for other, place in sorted(planners.items())
+        self.server = Server(planners[name], self._make_hello, self._on_message)
+        self.clients = [
+            Client(other_address, self._make_hello, self._on_message)
+            for other, other_address in sorted(planners.items())
             if other != name
         ]
-        self.over = False
-        self.before = self.core.plan
+        self.is_closed = False
+        self.previous_plan = self.planner.plan
 
-    # --- what is kept ---
+    # --- store ---
 
     @staticmethod
-    def _open(folder: str) -> Any:
+    def _open_store(folder: str) -> Any:
         if not folder:
             return None
         from lilacloft.store.files import Folder
@@ -90,65 +94,78 @@
         return Store(Folder(folder))
 
     def _begin(self) -> tuple[int, int]:
-        """The highest epoch that was known, and this start's number. Without a store the clock tells starts
-        apart."""
+        """Return the highest known epoch, and this process's incarnation. Without a store the incarnation is
+        the wall clock's milliseconds."""
         if self.store is None:
             return 0, max(1, time.time_ns() // 1_000_000)
-        epoch, life = (int.from_bytes(self.store.get(kind, b"") or b"\0", "big") for kind in (EPOCH, STARTED))
-        self._keep(STARTED, life + 1)
-        return epoch, life + 1
+        epoch, starts = self._load(EPOCH_RECORD), self._load(STARTS_RECORD)
+        self._save(STARTS_RECORD, starts + 1)
+        return epoch, starts + 1
+
+    def _load(self, kind: int) -> int:
+        return int.from_bytes(self.store.get(kind, b"") or b"\0", "big")
 
-    def _keep(self, kind: int, value: int) -> None:
+    def _save(self, kind: int, value: int) -> None:
         if self.store is not None:
             self.store.put(kind, b"", value.to_bytes(8, "big"))
             self.store.commit()
 
-    # --- the one thread of the planner ---
+    # --- the planner's thread ---
 
     @staticmethod
-    def now() -> int:
-        return time.monotonic_ns() // NS
+    def now() -> Ticks:
+        """Return the monotonic clock's time."""
+        return time.monotonic_ns() // NANOSECONDS_PER_TICK
 
     def run(self) -> None:
-        """Until `over`."""
+        """Run until `is_closed` is set."""
         self.feed.start()
-        due = time.monotonic()
+        next_tick = time.monotonic()
         logger.info("planner {} listens, with {} bes listed", self.name, len(self.backends))
-        while not self.over:
-            due = max(due + TICK, time.monotonic())
+        while not self.is_closed:
+            next_tick = max(next_tick + TICK_SECONDS, time.monotonic())
             self._tick()
-            while (left := due - time.monotonic()) > 0:
-                try:
-                    what, *told = self.queue.get(timeout=left)
-                except queue.Empty:
-                    break
-                try:
-                    what(*told)
-                except Exception:
-                    logger.exception("planner: one event failed")
-        self.door.close()
-        for dial in self.dials:
-            dial.close()
+            self._handle_events(next_tick)
+        self.server.close()
+        for client in self.clients:
+            client.close()
+
+    def _post(self, handler: Callable[..., None], *arguments: Any) -> None:
+        """Have a handler called in the planner's thread."""
+        self.queue.put((handler, arguments))
+
+    def _handle_events(self, until: float) -> None:
+        """Call handlers until a time of the monotonic clock, in seconds."""
+        while (timeout := until - time.monotonic()) > 0:
+            try:
+                handler, arguments = self.queue.get(timeout=timeout)
+            except queue.Empty:
+                return
+            try:
+                handler(*arguments)
+            except Exception:
+                logger.exception("planner: one event failed")
 
     def _tick(self) -> None:
         now = self.now()
-        self._list()
-        was = self.core.plan
-        if self.core.tick(now):
-            self.before = was
-            plan = self.core.plan
-            logger.bind(plan=str(plan.name), left_out=sorted(plan.out)).debug("plan {}", plan.name)
-        epoch = max(self.core.issuer.seen, self.core.issuer.epoch)
-        if epoch > self.kept:  # before anybody is told of it
-            self.kept = epoch
-            self._keep(EPOCH, epoch)
-        word = codec.word(self.core.says(now))
-        for dial in self.dials:
-            dial.send(word)
-
-    def _told(self, event: Any, number: int) -> None:
+        self._update_backends()
+        before = self.planner.plan
+        if self.planner.tick(now):
+            self.previous_plan = before
+            plan = self.planner.plan
+            left_out = sorted(plan.ejections)
+            logger.bind(plan=str(plan.plan_id), left_out=left_out).debug("plan {}", plan.plan_id)
+        epoch = max(self.planner.election.highest_epoch, self.planner.election.epoch)
+        if epoch > self.stored_epoch:  # stored before it is sent
+            self.stored_epoch = epoch
+            self._save(EPOCH_RECORD, epoch)
+        gossip = codec.encode_gossip(self.planner.gossip(now))
+        for client in self.clients:
+            client.send(gossip)
+
+    def _on_list_event(self, event: Any, number: int) -> None:
         mode, rows = event
-        self.number = max(self.number, number)
+        self.list_version = max(self.list_version, number)
         if mode == "purge":
             return
         if mode == "full":
@@ -157,65 +174,102 @@
             self.backends.pop(row[0], None)
             if row[5]:
                 self.backends[row[0]] = row
-        self._list()
-
-    def _list(self) -> None:
-        parent, origin = self.kinds
-        now = time.time() * 10_000
-        self.core.listing(
-            [
-                Listed(
-                    name,
-                    zone,
-                    "parent" if kind == parent else "origin" if kind == origin else "cache",
-                    status == 1,
-                    kind not in (parent, origin) and bool(started) and now - started * 10 < self.cold,
-                    size if size > 0 else 1.0,
-                    int(now - started * 10) if started else 1 << 40,
-                )
-                for name, _, zone, kind, _, status, size, started in self.backends.values()
-            ],
-            self.number,
+        self._update_backends()
+
+    def _update_backends(self) -> None:
+        now = time.time() * TICKS_PER_SECOND
+        listed = [self._listed(row, now) for row in self.backends.values()]
+        self.planner.update_backends(listed, self.list_version)
+
+    def _listed(self, row: tuple[Any, ...], now: float) -> ListedBackend:
+        """Return a backend from its row of the change log. `now`: the wall clock's time in ticks."""
+        name, _, zone, kind_name, _, status, capacity, started_ms = row
+        kind = self.kinds.get(kind_name, CACHE)
+        age = now - started_ms * TICKS_PER_MILLISECOND
+        return ListedBackend(
+            name,
+            zone,
+            kind,
+            status == BackendStatus.READY,
+            kind == CACHE and bool(started_ms) and age < self.cold_duration,
+            capacity if capacity > 0 else 1.0,
+            int(age) if started_ms else UNKNOWN_AGE,
         )
 
     # --- connections ---
 
-    def _hello(self) -> bytes:
-        return codec.hello(self.name, "planner", self.core.table.incarnation)
+    def _make_hello(self) -> bytes:
+        return codec.encode_hello(self.name, PLANNER, self.planner.table.incarnation)
 
-    def _heard(self, peer: Peer, message: Any) -> None:
-        """In a connection's thread."""
-        self.queue.put((self._take, peer, message))
+    def _on_message(self, connection: Connection, message: Any) -> None:
+        """Runs in a connection's thread."""
+        self._post(self._handle_message, connection, message)
 
-    def _take(self, peer: Peer, message: Any) -> None:
+    def _handle_message(self, connection: Connection, message: Any) -> None:
         now = self.now()
         if message.HasField("summary"):
-            peer.send(codec.reply(self.core.summary(codec.summarized(message.summary), now)))
+            reply = self.planner.receive_report(codec.decode_report(message.summary), now)
+            connection.send(codec.encode_reply(reply))
         elif message.HasField("word"):
-            self.core.heard(codec.worded(message.word), now)
+            self.planner.receive_gossip(codec.decode_gossip(message.word), now)
         elif message.HasField("show"):
-            peer.send(codec.shown(self.shows(message.show.what, now)))
-
-    def shows(self, what: str, now: int) -> list[str]:
-        """What an operator asks for: the plan, what the last one changed, or why of one be."""
-        plan = self.core.plan
-        if what == "diff":
-            changes = delta(self.before, plan).changes
-            return [f"{self.before.name} -> {plan.name}"] + [
-                f"{part} {key}: {getattr(self.before, part).get(key)} -> {value}"
-                for part in PARTS
-                for key, value in sorted(changes.get(part, {}).items(), key=str)
+            connection.send(codec.encode_answer(self.answer(message.show.what, now)))
+
+    # --- operators' queries ---
+
+    def answer(self, query: str, now: Ticks) -> list[str]:
+        """Return the lines for a query: `diff`, `explain` with a subject, or anything else for the plan."""
+        if query == "diff":
+            return self._describe_change()
+        if query.startswith("explain "):
+            return explain(self.planner, query.removeprefix("explain "), now)
+        return self._describe_plan()
+
+    def _describe_change(self) -> list[str]:
+        """Return what the last plan has changed."""
+        before, plan = self.previous_plan, self.planner.plan
+        changes = diff(before, plan).changes
+        lines = [f"{before.plan_id} -> {plan.plan_id}"]
+        for section in SECTIONS:
+            previous = getattr(before, section)
+            lines += [
+                f"{codec.WIRE_SECTIONS[section]} {key}: {previous.get(key)} -> {value}"
+                for key, value in sorted(changes.get(section, {}).items(), key=str)
             ]
-        if what.startswith("explain "):
-            return self.core.explain(what.partition(" ")[2], now)
-        members = [
-            f"{one.role} {one.name} ({one.incarnation}): {one.state}"
-            for _, one in sorted(self.core.table.members.items())
-        ]
+        return lines
+
+    def _describe_plan(self) -> list[str]:
+        """Return the plan, the counters and the members."""
+        planner, plan = self.planner, self.planner.plan
+        issues = "issues" if planner.election.is_leader else "does not issue"
         lines = [
-            f"{part} {key}: {value}" for part in PARTS for key, value in sorted(getattr(plan, part).items())
+            f"{self.name} {issues}; plan {plan.plan_id}, list as of {planner.list_version}",
+            " ".join(f"{name}={count}" for name, count in planner.counts.items()),
         ]
-        counts = " ".join(f"{name}={count}" for name, count in self.core.counts.items())
-        issues = "issues" if self.core.issuer.issues else "does not issue"
-        first = f"{self.name} {issues}; plan {plan.name}, list as of {self.core.listed}"
-        return [first, counts, *members, *lines]
+        lines += [
+            f"{member.role} {member.name} ({member.incarnation}): {member.state}"
+            for _, member in sorted(planner.table.members.items())
+        ]
+        for section in SECTIONS:
+            lines += [
+                f"{codec.WIRE_SECTIONS[section]} {key}: {value}"
+                for key, value in sorted(getattr(plan, section).items())
+            ]
+        return lines
+
+
+def _site_settings(found: Mapping[str, Any], planners: Mapping[str, Address], leave: str) -> SiteSettings:
+    """Return the planner's settings from the platform's."""
+    family, rules = found["family"], found["rules"]
+    links = {zone: float(rate) for zone, rate in enumerate(family.get("feed_kb_per_s") or []) if rate}
+    return SiteSettings(
+        tuple(sorted(planners)),
+        family["pace_kb_per_s"],
+        links,
+        quota_window=rules["fall"],
+        location_failover=leave != "never",
+        cross_location=leave == "across",
+        lists_capacities=found.get("weight_source", "silent") != "silent",
+        cache_warming=Warming(rules["start_capacity"], rules["cold"], rules["tip_multiple"]),
+        parent_warming=Warming(family["parent_floor"], family["parent_warms_in"], family["parent_breaks_at"]),
+    )
--- a/lilacloft/control/quota.py
+++ b/lilacloft/control/quota.py
@@ -24,6 +24,7 @@
 
 MAX_CLOCK_DRIFT = 0.001  # by which one clock may run faster than another, as a fraction
 MIN_SHARE = 1e-9  # smaller shares count as none
+MAX_LEASE: Ticks = 50_000  # for which a share is lent at most
 NEVER: Ticks = 1 << 62
 
 
--- /dev/null
+++ b/lilacloft/control/quota_client.py
@@ -0,0 +1,109 @@
+"""A gateway's part in leasing quota: it lends unused shares to planners, and requests more where it needs
+more."""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Iterator, Mapping
+from dataclasses import dataclass
+
+from lilacloft.control.messages import QuotaLease, QuotaRequest
+from lilacloft.control.quota import MAX_LEASE, MIN_SHARE, LeaseTerms, QuotaLedger
+from lilacloft.routing.units import Ticks
+
+REQUEST_TIMEOUT: Ticks = 20_000  # after which a request may be repeated, also to another planner
+HIGH_USE = 0.7  # fraction of a share in use, above which more is requested
+
+
+@dataclass(frozen=True)
+class PendingRequest:
+    """A request that is not answered yet."""
+
+    request: QuotaRequest
+    sent_at: Ticks
+
+
+class QuotaClient:
+    """One gateway's quota ledgers, by cold backend."""
+
+    def __init__(self, own_share: float, window: Ticks, usable_from: Ticks) -> None:
+        """`own_share`: this gateway's share of each budget; `usable_from`: when the leases of an earlier
+        process have surely expired."""
+        self.own_share, self.window, self.usable_from = own_share, window, usable_from
+        self.ledgers: dict[str, QuotaLedger] = {}
+        self.used: dict[str, float] = {}  # fraction in use of what is usable
+        self.pending: dict[int, PendingRequest] = {}
+        self.last_request = 0
+        self.lent = self.borrowed = 0
+
+    def update_cold(self, cold: Collection[str], now: Ticks) -> None:
+        """Take over which backends are cold. The ledger of one that is warm stays while something is lent:
+        the backend may restart, and be cold again, before that returns."""
+        for backend in sorted(set(cold) - self.ledgers.keys()):
+            self.ledgers[backend] = QuotaLedger(self.own_share, self.window, self.usable_from)
+        for backend in [backend for backend in self.ledgers if backend not in cold]:
+            if self.ledgers[backend].is_settled(now):
+                del self.ledgers[backend]
+
+    def update_used(self, used: Mapping[str, float]) -> None:
+        """Take over the fraction in use of what is usable, by backend."""
+        self.used = dict(used)
+
+    def cold_shares(self, now: Ticks) -> dict[str, tuple[float, float]]:
+        """Return the usable share and the share in use, by backend."""
+        shares = {}
+        for backend, ledger in sorted(self.ledgers.items()):
+            usable = ledger.usable(now)
+            shares[backend] = usable, usable * self.used.get(backend, 0.0)
+        return shares
+
+    def budget_factors(self, now: Ticks) -> dict[str, float]:
+        """Return the usable share as a multiple of the gateway's own share, by backend."""
+        if not self.own_share:
+            return {}
+        return {
+            backend: ledger.usable(now) / self.own_share for backend, ledger in sorted(self.ledgers.items())
+        }
+
+    def remove_timed_out(self, now: Ticks) -> None:
+        """Forget requests without an answer."""
+        timed_out = [number for number, one in self.pending.items() if now - one.sent_at > REQUEST_TIMEOUT]
+        for number in timed_out:
+            del self.pending[number]
+
+    def new_requests(self, now: Ticks) -> Iterator[QuotaRequest]:
+        """Return requests for budgets of which nearly the whole share is in use."""
+        pending = {one.request.backend for one in self.pending.values()}
+        for backend, ledger in sorted(self.ledgers.items()):
+            if backend not in pending and self.used.get(backend, 0.0) >= HIGH_USE:
+                self.last_request += 1
+                share = max(self.own_share, ledger.usable(now))
+                request = QuotaRequest(self.last_request, backend, share, MAX_LEASE)
+                self.pending[request.number] = PendingRequest(request, now)
+                yield request
+
+    def lend(self, request: QuotaRequest, now: Ticks) -> QuotaLease:
+        """Answer a planner's request out of what is not in use."""
+        refusal = QuotaLease(request.number, request.backend)
+        ledger = self.ledgers.get(request.backend)
+        if ledger is None:
+            return refusal
+        unused = max(0.0, ledger.usable(now) * (1 - self.used.get(request.backend, 0.0)))
+        if unused <= MIN_SHARE:
+            return refusal
+        terms = ledger.lend(now, min(request.share, unused), min(request.duration, MAX_LEASE))
+        if terms is None:
+            return refusal
+        self.lent += 1
+        return QuotaLease(request.number, request.backend, terms.share, terms.delay, terms.duration)
+
+    def record_lease(self, lease: QuotaLease, requested_at: Ticks, now: Ticks) -> None:
+        """Add a share that a planner has lent; ignore one that was not requested. `requested_at`: when the
+        report was sent that the planner has answered."""
+        pending, ledger = self.pending.pop(lease.number, None), self.ledgers.get(lease.backend)
+        if pending is None or ledger is None:
+            return
+        if pending.request.backend != lease.backend or lease.share <= MIN_SHARE:
+            return
+        terms = LeaseTerms(lease.share, lease.delay, lease.duration)
+        if ledger.borrow(terms, min(pending.sent_at, requested_at), now):
+            self.borrowed += 1
--- a/lilacloft/control/transport.py
+++ b/lilacloft/control/transport.py
@@ -1,5 +1,7 @@
-"""Connections between forwarders and planners: frames over TCP, on threads. It must never hold up whoever
-sends: what waits for a slow peer is bounded, and the newest is kept."""
+"""Connections between gateways and planners: frames over TCP, with two threads for each connection.
+
+A sender never blocks: the queue of a slow connection is bounded, and drops its oldest frames.
+"""
 
 from __future__ import annotations
 
@@ -16,51 +18,58 @@
 from lilacloft.control.codec import HEAD, WireError
 from lilacloft.net.feed import exactly
 
-WAITS = 4  # frames that wait to be sent to one peer; the oldest goes where there are more
-CONNECT = 1.0  # seconds
-SILENCE = 5.0  # without a frame a connection is given up
-PAUSE = 0.25  # before another try to connect
-MOST = 4096  # connections that a planner takes
+MAX_QUEUED_FRAMES = 4  # of one connection
+CONNECT_TIMEOUT = 1.0  # seconds
+SILENCE_TIMEOUT = 5.0  # seconds without a frame, after which a connection is closed
+RECONNECT_DELAY = 0.25  # seconds
+MAX_CONNECTIONS = 4096  # that a planner accepts
+LISTEN_BACKLOG = 256
+
+Address = tuple[str, int]
 
 
-class Peer:
-    """One connection: a thread reads, another writes what waits."""
+class Connection:
+    """One connection: a thread reads, another one writes the queued frames."""
 
     def __init__(
         self,
         sock: socket.socket,
         hello: bytes,
-        told: Callable[[Peer, Any], None],
-        gone: Callable[[Peer], None],
+        on_message: Callable[[Connection, Any], None],
+        on_close: Callable[[Connection], None],
     ) -> None:
-        self.sock, self.told, self.gone = sock, told, gone
-        self.hello = hello  # first of all, however much waits by then
-        self.waits: deque[bytes] = deque()
-        self.change = threading.Condition()
-        self.over = False
-        self.known: Any = None  # the other side's hello
-        self.dropped = self.sent = self.read = 0
-        sock.settimeout(SILENCE)
-        with contextlib.suppress(OSError):  # a pair has none
+        """`hello`: the frame that is sent first, whatever is queued by then. `on_message`, `on_close`: called
+        in the reading thread."""
+        self.sock, self.on_message, self.on_close = sock, on_message, on_close
+        self.hello = hello
+        self.queue: deque[bytes] = deque()
+        self.changed = threading.Condition()
+        self.is_closed = False
+        self.peer_hello: Any = None
+        self.dropped = self.bytes_sent = self.bytes_read = 0
+        sock.settimeout(SILENCE_TIMEOUT)
+        with contextlib.suppress(OSError):  # a socket pair has no such option
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def start(self) -> None:
-        for run in (self._read, self._write):
-            threading.Thread(target=run, daemon=True).start()
-
-    def send(self, data: bytes) -> None:
-        """Have a frame sent; returns at once."""
-        with self.change:
-            if len(self.waits) >= WAITS:
-                self.waits.popleft()
+        """Start both threads."""
+        for target in (self._read, self._write):
+            threading.Thread(target=target, daemon=True).start()
+
+    def send(self, frame: bytes) -> None:
+        """Queue a frame; return at once."""
+        with self.changed:
+            if len(self.queue) >= MAX_QUEUED_FRAMES:
+                self.queue.popleft()
                 self.dropped += 1
-            self.waits.append(data)
-            self.change.notify()
+            self.queue.append(frame)
+            self.changed.notify()
 
     def close(self) -> None:
-        with self.change:
-            self.over = True
-            self.change.notify()
+        """Close the connection; the threads end."""
+        with self.changed:
+            self.is_closed = True
+            self.changed.notify()
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
@@ -68,32 +77,22 @@
         try:
             self.sock.sendall(self.hello)
             while True:
-                with self.change:
-                    while not self.waits and not self.over:
-                        self.change.wait()
-                    if self.over:
+                with self.changed:
+                    while not self.queue and not self.is_closed:
+                        self.changed.wait()
+                    if self.is_closed:
                         return
-                    data = self.waits.popleft()
-                self.sock.sendall(data)
-                self.sent += len(data)
+                    frame = self.queue.popleft()
+                self.sock.sendall(frame)
+                self.bytes_sent += len(frame)
         except OSError:
             self.close()
 
     def _read(self) -> None:
         try:
-            with self.sock.makefile("rb") as stream:
-                while True:
-                    length = codec.head(exactly(stream, HEAD.size))
-                    message = codec.read(exactly(stream, length))
-                    self.read += HEAD.size + length
-                    if self.known is None:
-                        if not message.HasField("hello"):
-                            raise WireError("no hello")
-                        codec.agreed(message.hello)
-                        self.known = message.hello
-                    self.told(self, message)
-        except WireError as wrong:
-            logger.warning("plan: a connection is ended: {}", wrong)
+            self._read_messages()
+        except WireError as error:
+            logger.warning("plan: a connection is ended: {}", error)
         except OSError:
             pass
         except Exception:
@@ -101,60 +100,83 @@
         finally:
             self.close()
             self.sock.close()
-            self.gone(self)
+            self.on_close(self)
+
+    def _read_messages(self) -> None:
+        """Read messages until the connection ends with an `OSError`; raise `WireError` for an invalid one."""
+        with self.sock.makefile("rb") as stream:
+            while True:
+                length = codec.message_length(exactly(stream, HEAD.size))
+                message = codec.decode_message(exactly(stream, length))
+                self.bytes_read += HEAD.size + length
+                if self.peer_hello is None:
+                    if not message.HasField("hello"):
+                        raise WireError("no hello")
+                    codec.negotiate_version(message.hello)
+                    self.peer_hello = message.hello
+                self.on_message(self, message)
 
 
-class Dial:
-    """A way to one peer, made again whenever it ends; what is sent meanwhile is dropped, as the next tells
-    more."""
+class Client:
+    """A connection to one peer that is made again whenever it ends. Frames that are sent without one are
+    dropped, as the next report or gossip replaces them."""
 
     def __init__(
-        self, address: tuple[str, int], hello: Callable[[], bytes], told: Callable[[Peer, Any], None]
+        self,
+        address: Address,
+        make_hello: Callable[[], bytes],
+        on_message: Callable[[Connection, Any], None],
     ) -> None:
-        self.address, self.hello, self.told = address, hello, told
-        self.peer: Peer | None = None
-        self.over = threading.Event()
+        self.address, self.make_hello, self.on_message = address, make_hello, on_message
+        self.connection: Connection | None = None
+        self.is_closed = threading.Event()
         self.connects = 0
         threading.Thread(target=self._run, daemon=True).start()
 
-    def send(self, data: bytes) -> bool:
-        """Send where there is a connection; tells whether there is."""
-        peer = self.peer
-        if peer is None or peer.over:
+    def send(self, frame: bytes) -> bool:
+        """Queue a frame; return whether there is a connection."""
+        connection = self.connection
+        if connection is None or connection.is_closed:
             return False
-        peer.send(data)
+        connection.send(frame)
         return True
 
     def close(self) -> None:
-        self.over.set()
-        if self.peer:
-            self.peer.close()
+        """Close the connection, and make no other."""
+        self.is_closed.set()
+        if self.connection:
+            self.connection.close()
 
     def _run(self) -> None:
-        while not self.over.is_set():
+        while not self.is_closed.is_set():
             ended = threading.Event()
             try:
-                sock = socket.create_connection(self.address, CONNECT)
+                sock = socket.create_connection(self.address, CONNECT_TIMEOUT)
             except OSError:
-                self.over.wait(PAUSE)
+                self.is_closed.wait(RECONNECT_DELAY)
                 continue
             self.connects += 1
-            peer = Peer(sock, self.hello(), self.told, lambda _, ended=ended: ended.set())
-            self.peer = peer
-            peer.start()
+            connection = Connection(
+                sock, self.make_hello(), self.on_message, lambda _, ended=ended: ended.set()
+            )
+            self.connection = connection
+            connection.start()
             ended.wait()
-            self.over.wait(PAUSE)
+            self.is_closed.wait(RECONNECT_DELAY)
 
 
-class Door:
-    """Takes connections."""
+class Server:
+    """Accepts connections."""
 
     def __init__(
-        self, address: tuple[str, int], hello: Callable[[], bytes], told: Callable[[Peer, Any], None]
+        self,
+        address: Address,
+        make_hello: Callable[[], bytes],
+        on_message: Callable[[Connection, Any], None],
     ) -> None:
-        self.hello, self.told = hello, told
-        self.sock = socket.create_server(address, backlog=256)
-        self.peers: dict[Peer, None] = {}
+        self.make_hello, self.on_message = make_hello, on_message
+        self.sock = socket.create_server(address, backlog=LISTEN_BACKLOG)
+        self.connections: dict[Connection, None] = {}
         self.lock = threading.Lock()
         threading.Thread(target=self._run, daemon=True).start()
 
@@ -165,26 +187,27 @@
             except OSError:
                 return
             with self.lock:
-                if len(self.peers) >= MOST:
+                if len(self.connections) >= MAX_CONNECTIONS:
                     sock.close()
                     continue
-                peer = Peer(sock, self.hello(), self.told, self._gone)
-                self.peers[peer] = None
+                connection = Connection(sock, self.make_hello(), self.on_message, self._remove)
+                self.connections[connection] = None
             try:
-                peer.start()
-            except RuntimeError:  # no thread to be had
-                peer.close()
-                self._gone(peer)
+                connection.start()
+            except RuntimeError:  # no thread can be started
+                connection.close()
+                self._remove(connection)
 
-    def _gone(self, peer: Peer) -> None:
+    def _remove(self, connection: Connection) -> None:
         with self.lock:
-            self.peers.pop(peer, None)
+            self.connections.pop(connection, None)
 
     def close(self) -> None:
+        """Accept no more connections, and close all."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
         with self.lock:
-            peers = list(self.peers)
-        for peer in peers:
-            peer.close()
+            connections = list(self.connections)
+        for connection in connections:
+            connection.close()
--- a/lilacloft/emulator/planes.py
+++ b/lilacloft/emulator/planes.py
@@ -12,10 +12,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lilacloft.control.follower import EVERY, Follower
-from lilacloft.control.gateway_observer import Watch
-from lilacloft.control.messages import Reply, Summary, Word
-from lilacloft.control.planner import Listed, Planner, Site
+from lilacloft.control.fleet_state import UNKNOWN_AGE, ListedBackend, SiteSettings
+from lilacloft.control.follower import REPORT_INTERVAL, Follower, FollowerSettings
+from lilacloft.control.gateway_observer import EndedAttempt, GatewayObserver
+from lilacloft.control.messages import GossipMessage, LoadReport, PlanReply
+from lilacloft.control.planner import Planner
 from lilacloft.emulator.boxes import CACHE, ORIGIN, PARENT, Box
 from lilacloft.emulator.events import FAULT, LOG, NET, TIMER
 from lilacloft.emulator.faults import Fault
@@ -55,19 +56,14 @@
         leaves = self.fleet.leave != "never"
         keeper = Keeper(self.name, world.gateways, world.cold_cache[1]) if leaves else None
         self.follower = Follower(
-            self.name,
-            self.life,
-            self.zone,
-            names,
-            world.fall,
-            1 / world.gateways,
+            FollowerSettings(self.name, self.life, self.zone, names, world.fall, 1 / world.gateways),
             self.steady(now),
             restarted,
             keeper,
         )
-        self.watch = Watch(self.router, [vhost.name for vhost in world.vhosts], self.follower)
+        self.observer = GatewayObserver(self.router, [vhost.name for vhost in world.vhosts], self.follower)
         self.requests = 0
-        self.fleet.events.at(now + 1 + self.number * 37 % EVERY, TIMER, self._speak, self.life)
+        self.fleet.events.at(now + 1 + self.number * 37 % REPORT_INTERVAL, TIMER, self._speak, self.life)
 
     def steady(self, now: int) -> int:
         """Its steady clock: another beginning than everybody's."""
@@ -75,9 +71,11 @@
 
     def told(self, rows: list[Any], mode: str = "delta") -> None:
         super().told(rows, mode)
-        if hasattr(self, "watch"):
+        if hasattr(self, "observer"):
             now = self.fleet.events.now
-            self.watch.listed([box.name for box in rows], len(self.fleet.log), self.now(), self.steady(now))
+            self.observer.backends_changed(
+                [box.name for box in rows], len(self.fleet.log), self.now(), self.steady(now)
+            )
 
     def arrived(self, number: int, ask: Any) -> None:
         self.requests += 1
@@ -86,15 +84,17 @@
     def ended(self, dispatch: Any, outcome: str, note: int, load: list[float]) -> None:
         if not dispatch.over and self.fleet.events.now >= self.frozen:
             request, took = dispatch.request, self.fleet.events.now - dispatch.sent
-            self.watch.ended(
-                dispatch.backend,
-                request.vhost,
-                outcome,
-                took,
-                request.transfer_time,
-                note,
-                dispatch.kbytes,
-                request.source,
+            self.observer.attempt_ended(
+                EndedAttempt(
+                    dispatch.backend,
+                    request.vhost,
+                    outcome,
+                    took,
+                    request.transfer_time,
+                    note,
+                    dispatch.kbytes,
+                    request.source,
+                )
             )
         super().ended(dispatch, outcome, note, load)
 
@@ -103,22 +103,22 @@
         if life != self.life or self.held(TIMER, self._speak, life):
             return
         now = self.fleet.events.now
-        self.watch.look(self.requests, len(self.fleet.log), self.now(), self.steady(now))
+        self.observer.observe(self.requests, len(self.fleet.log), self.now(), self.steady(now))
         self.requests = 0
         for planner in self.fleet.planners:
-            self.fleet.up(self, planner, self.follower.summary(planner.name, self.steady(now)))
+            self.fleet.up(self, planner, self.follower.make_report(planner.name, self.steady(now)))
         self.act()
-        self.fleet.events.at(now + EVERY, TIMER, self._speak, life)
+        self.fleet.events.at(now + REPORT_INTERVAL, TIMER, self._speak, life)
 
     def act(self) -> None:
         """What holds now goes to the module."""
-        self.watch.act(self.now(), self.steady(self.fleet.events.now))
+        self.observer.apply(self.now(), self.steady(self.fleet.events.now))
 
-    def answered(self, reply: Reply, life: int) -> None:
+    def answered(self, reply: PlanReply, life: int) -> None:
         """A planner answers."""
         if life != self.life or self.held(NET, self.answered, reply, life):
             return
-        if self.follower.reply(reply, self.steady(self.fleet.events.now)):
+        if self.follower.receive_reply(reply, self.steady(self.fleet.events.now)):
             self.act()
 
 
@@ -136,7 +136,7 @@
         """Another process; it knows the list, and its last epoch."""
         self.life += 1
         self.dead = False
-        self.core = Planner(self.name, self.life, self.fleet.site, self.epoch)
+        self.planner = Planner(self.name, self.life, self.fleet.site, self.epoch)
         self.fleet.events.at(self.fleet.events.now + 1 + 113 * self.number, TIMER, self._tick, self.life)
         self.list()
 
@@ -150,39 +150,42 @@
         for box in self.fleet.boxes:
             cold = box.kind == CACHE and bool(box.started) and now - box.started < self.fleet.cold_cache[1]
             rows.append(
-                Listed(
+                ListedBackend(
                     box.name,
                     box.zone,
                     KINDS[box.kind],
                     box.status == 1,
                     cold,
                     box.size,
-                    now - box.started if box.started else 1 << 40,
+                    now - box.started if box.started else UNKNOWN_AGE,
                 )
             )
-        self.core.listing(rows, len(self.fleet.log))
+        self.planner.update_backends(rows, len(self.fleet.log))
 
     def _tick(self, life: int) -> None:
         if life != self.life or self.dead:
             return
         self.list()
-        if self.core.tick(self.now()):
-            self.fleet.issued.append((self.fleet.events.now, self.core.plan.name, len(self.core.plan.out)))
-        self.epoch = max(self.epoch, self.core.issuer.epoch, self.core.issuer.seen)
-        word = self.core.says(self.now())
+        if self.planner.tick(self.now()):
+            self.fleet.issued.append(
+                (self.fleet.events.now, self.planner.plan.plan_id, len(self.planner.plan.ejections))
+            )
+        election = self.planner.election
+        self.epoch = max(self.epoch, election.epoch, election.highest_epoch)
+        gossip = self.planner.gossip(self.now())
         for other in self.fleet.planners:
             if other is not self:
-                self.fleet.across(self, other, word)
+                self.fleet.across(self, other, gossip)
         self.fleet.events.at(self.fleet.events.now + TICK, TIMER, self._tick, life)
 
-    def asked(self, gateway: Forwarder, told: Summary, life: int) -> None:
+    def asked(self, gateway: Forwarder, report: LoadReport, life: int) -> None:
         """A forwarder's summary."""
         if not self.dead:
-            self.fleet.down(self, gateway, self.core.summary(told, self.now()), life)
+            self.fleet.down(self, gateway, self.planner.receive_report(report, self.now()), life)
 
-    def heard(self, word: Word) -> None:
+    def heard(self, gossip: GossipMessage) -> None:
         if not self.dead:
-            self.core.heard(word, self.now())
+            self.planner.receive_gossip(gossip, self.now())
 
 
 class Planes(Fleet):
@@ -206,7 +209,7 @@
         super().__init__(world, seed, faults, policy)
         names = tuple(f"p{number}" for number in range(planners))
         links = {zone: world.way_in for zone in range(world.zones)}
-        self.site = Site(
+        self.site = SiteSettings(
             names,
             world.pace,
             links,
@@ -244,11 +247,11 @@
     def _way(self) -> int:
         return WAY + int(self.chance.stream("planes").expo(WAY))
 
-    def up(self, gateway: Forwarder, plane: Plane, told: Summary) -> None:
+    def up(self, gateway: Forwarder, plane: Plane, report: LoadReport) -> None:
         if gateway.name not in plane.cut:
-            self.events.at(self.events.now + self._way(), NET, plane.asked, gateway, told, gateway.life)
+            self.events.at(self.events.now + self._way(), NET, plane.asked, gateway, report, gateway.life)
 
-    def down(self, plane: Plane, gateway: Forwarder, reply: Reply, life: int) -> None:
+    def down(self, plane: Plane, gateway: Forwarder, reply: PlanReply, life: int) -> None:
         if gateway.name in plane.cut:
             return
         way = self._way()
@@ -256,9 +259,9 @@
         if self.chance.stream("planes").random() < TWICE:  # twice, and out of order
             self.events.at(self.events.now + way + LATE, NET, gateway.answered, reply, life)
 
-    def across(self, one: Plane, other: Plane, word: Word) -> None:
+    def across(self, one: Plane, other: Plane, gossip: GossipMessage) -> None:
         if other.name not in one.cut and one.name not in other.cut:
-            self.events.at(self.events.now + self._way(), NET, other.heard, word)
+            self.events.at(self.events.now + self._way(), NET, other.heard, gossip)
 
     def tell(self, *event: Any) -> None:
         super().tell(*event)
--- a/lilacloft/net/owner.py
+++ b/lilacloft/net/owner.py
@@ -508,7 +508,7 @@
         if self.recorder:
             self.recorder.ended(call, sent.backend, end, took, note, waited, load)
         if self.agent:
-            self.agent.ended(call, sent.backend, outcome, took, note)
+            self.agent.attempt_ended(call, sent.backend, outcome, took, note)
         if outcome == "done":
             if end is End.UNCHANGED:
                 self._final(call, "done", b"200", (("ok304", 1),))
@@ -603,7 +603,7 @@
             self.invariants.listed(entry.backend.name, entry.status, self.time, self.steady)
         self.router.endpoints_changed(mode, entries)
         if self.agent:
-            self.agent.told([entry.backend.name for entry in entries])
+            self.agent.backends_changed([entry.backend.name for entry in entries])
         for backend, place in places:
             if backend.status:
                 self.back.place(backend, place)
--- a/lilacloft/record/writer.py
+++ b/lilacloft/record/writer.py
@@ -194,16 +194,16 @@
         )
 
     def planned(self, effect: Any) -> None:
-        """Another plan holds, or none: what its effect is (lilacloft.control.follower.Effect)."""
-        name = effect.name
+        """Another plan holds, or none: what its effect is (lilacloft.control.follower.PlanEffect)."""
+        plan_id = effect.plan_id
         self.note(
             kinds.Planned(
-                planner=name.planner,
-                epoch=name.epoch,
-                issued=name.number,
-                out=sorted(effect.out),
-                limits=len(effect.ways),
-                link=round(effect.link, 3),
+                planner=plan_id.planner,
+                epoch=plan_id.epoch,
+                issued=plan_id.number,
+                out=sorted(effect.ejections),
+                limits=len(effect.concurrency_limits),
+                link=round(effect.fill_limit, 3),
             )
         )
 
--- a/lilacloft/upgrade/process.py
+++ b/lilacloft/upgrade/process.py
@@ -82,9 +82,9 @@
     """What talks to planners, where the settings name some."""
     if not plan or not plan.get("planners"):
         return None
-    from lilacloft.control.gateway_agent import Agent
+    from lilacloft.control.gateway_agent import GatewayAgent
 
-    return Agent(
+    return GatewayAgent(
         owner,
         str(config.get("name", "gateway")),
         plan["planners"],
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -21,9 +21,10 @@
 from lilacloft.config.reader import load
 from lilacloft.control import codec as plan_codec
 from lilacloft.control import messages
-from lilacloft.control.follower import Effect
-from lilacloft.control.health_aggregation import Sight
-from lilacloft.control.leader_lease import Name
+from lilacloft.control.follower import PlanEffect
+from lilacloft.control.health_aggregation import Observation
+from lilacloft.control.leader_lease import PlanId
+from lilacloft.membership.table import MemberRow
 from lilacloft.net import feed
 from lilacloft.net.conn import OUTCOMES, End
 from lilacloft.net.owner import Owner
@@ -241,7 +242,14 @@
     ) = 5, 0.375, 14.25, 900
     recorder.phase("warming", "too slow")
     recorder.believed(backend, "left alone", "silent")
-    recorder.planned(Effect(name=Name(6, 12, "p1"), out={"s-2": 0, "s-1": 0}, ways={"s-1": 8.5}, link=17.5))
+    recorder.planned(
+        PlanEffect(
+            plan_id=PlanId(6, 12, "p1"),
+            ejections={"s-2": 0, "s-1": 0},
+            concurrency_limits={"s-1": 8.5},
+            fill_limit=17.5,
+        )
+    )
     recorder.away("hub", 9, 64, 2, "lost", True)
     recorder.limited(backend, 20.5, 14.25, 0.5)
     recorder.heard(("purge", ("00000000000000aa", 7, 1_699_999_999)), 42, 0)
@@ -516,15 +524,15 @@
 
 def _message(data: bytes) -> Any:
     size = plan_codec.HEAD.size
-    assert plan_codec.head(data[:size]) == len(data) - size
-    return plan_codec.read(data[size:])
+    assert plan_codec.message_length(data[:size]) == len(data) - size
+    return plan_codec.decode_message(data[size:])
 
 
 def plan_frames(data: bytes) -> list[bytes]:
     """Frames that follow one another."""
     out = []
     while data:
-        end = plan_codec.HEAD.size + plan_codec.head(data[: plan_codec.HEAD.size])
+        end = plan_codec.HEAD.size + plan_codec.message_length(data[: plan_codec.HEAD.size])
         out.append(data[:end])
         data = data[end:]
     return out
@@ -539,127 +547,129 @@
         "incarnation": told.incarnation,
         "newest": told.newest,
         "oldest": told.oldest,
-        "agreed": plan_codec.agreed(told),
+        "agreed": plan_codec.negotiate_version(told),
     }
 
 
 def hello_frame(plain: Plain) -> bytes:
     """The frame of a hello."""
-    return plan_codec.hello(plain["name"], plain["role"], plain["incarnation"])
+    return plan_codec.encode_hello(plain["name"], plain["role"], plain["incarnation"])
 
 
-def _name_values(name: Name) -> Plain:
+def _name_values(name: PlanId) -> Plain:
     return {"epoch": name.epoch, "number": name.number, "planner": name.planner}
 
 
-def _name(plain: Plain) -> Name:
-    return Name(plain["epoch"], plain["number"], plain["planner"])
+def _name(plain: Plain) -> PlanId:
+    return PlanId(plain["epoch"], plain["number"], plain["planner"])
 
 
-def _asks_values(asks: tuple[messages.Ask, ...]) -> list[Plain]:
-    return [{"number": one.number, "be": one.backend, "part": one.part, "span": one.span} for one in asks]
+def _asks_values(asks: tuple[messages.QuotaRequest, ...]) -> list[Plain]:
+    return [
+        {"number": one.number, "be": one.backend, "part": one.share, "span": one.duration} for one in asks
+    ]
 
 
-def _asks(plain: list[Plain]) -> tuple[messages.Ask, ...]:
-    return tuple(messages.Ask(one["number"], one["be"], one["part"], one["span"]) for one in plain)
+def _asks(plain: list[Plain]) -> tuple[messages.QuotaRequest, ...]:
+    return tuple(messages.QuotaRequest(one["number"], one["be"], one["part"], one["span"]) for one in plain)
 
 
-def _given_values(given: tuple[messages.Given, ...]) -> list[Plain]:
+def _given_values(given: tuple[messages.QuotaLease, ...]) -> list[Plain]:
     return [
-        {"number": one.number, "be": one.backend, "part": one.part, "delay": one.delay, "span": one.span}
+        {"number": one.number, "be": one.backend, "part": one.share, "delay": one.delay, "span": one.duration}
         for one in given
     ]
 
 
-def _given(plain: list[Plain]) -> tuple[messages.Given, ...]:
+def _given(plain: list[Plain]) -> tuple[messages.QuotaLease, ...]:
     return tuple(
-        messages.Given(one["number"], one["be"], one["part"], one["delay"], one["span"]) for one in plain
+        messages.QuotaLease(one["number"], one["be"], one["part"], one["delay"], one["span"]) for one in plain
     )
 
 
-def _sight_values(sight: Sight) -> Plain:
+def _sight_values(sight: Observation) -> Plain:
     return {
-        "well": sight.well,
+        "well": sight.in_time,
         "late": sight.late,
         "failed": sight.failed,
-        "out": sight.out,
-        "alone": sight.alone,
-        "limit": sight.limit,
-        "streak": sight.streak,
-        "quiet": sight.quiet,
-        "unfilled": sight.unfilled,
-        "filled": sight.filled,
+        "out": sight.in_flight,
+        "alone": sight.is_ejected,
+        "limit": sight.concurrency_limit,
+        "streak": sight.failure_streak,
+        "quiet": sight.silent_for,
+        "unfilled": sight.missing_fills,
+        "filled": sight.fills,
     }
 
 
-def _sight(plain: Plain) -> Sight:
-    return Sight(
-        well=plain["well"],
+def _sight(plain: Plain) -> Observation:
+    return Observation(
+        in_time=plain["well"],
         late=plain["late"],
         failed=plain["failed"],
-        out=plain["out"],
-        alone=plain["alone"],
-        limit=plain["limit"],
-        streak=plain["streak"],
-        quiet=plain["quiet"],
-        unfilled=plain["unfilled"],
-        filled=plain["filled"],
+        in_flight=plain["out"],
+        is_ejected=plain["alone"],
+        concurrency_limit=plain["limit"],
+        failure_streak=plain["streak"],
+        silent_for=plain["quiet"],
+        missing_fills=plain["unfilled"],
+        fills=plain["filled"],
     )
 
 
 def summary_of_forwarder(data: bytes) -> Plain:
     """What a forwarder tells a planner, from its frame."""
-    told = plan_codec.summarized(_message(data).summary)
+    told = plan_codec.decode_report(_message(data).summary)
     return {
         "name": told.name,
         "incarnation": told.incarnation,
         "number": told.number,
         "zone": told.zone,
-        "listed": told.listed,
-        "reqs": told.requests,
-        "fills": told.fills,
-        "worth": told.worth,
-        "sights": {backend: _sight_values(sight) for backend, sight in told.sights.items()},
-        "cold": lists(told.cold),
-        "asks": _asks_values(told.asks),
-        "given": _given_values(told.given),
-        "holds": _name_values(told.holds),
-        "leaves": told.leaves,
-        "asked": told.asked,
-        "past": told.past,
+        "listed": told.list_version,
+        "reqs": told.request_rate,
+        "fills": told.fill_rates,
+        "worth": told.values_per_kb,
+        "sights": {backend: _sight_values(sight) for backend, sight in told.observations.items()},
+        "cold": lists(told.cold_shares),
+        "asks": _asks_values(told.quota_requests),
+        "given": _given_values(told.quota_leases),
+        "holds": _name_values(told.plan_id),
+        "leaves": told.is_leaving,
+        "asked": told.requested_rate,
+        "past": told.uncached_rate,
         "tallies": {
             zone: {"well": one.well, "late": one.late, "failed": one.failed, "hits": one.hits}
             for zone, one in told.tallies.items()
         },
-        "left": lists(told.left),
+        "left": lists(told.away),
     }
 
 
 def summary_frame(plain: Plain) -> bytes:
     """The frame of a forwarder's summary."""
-    return plan_codec.summary(
-        messages.Summary(
+    return plan_codec.encode_report(
+        messages.LoadReport(
             name=plain["name"],
             incarnation=plain["incarnation"],
             number=plain["number"],
             zone=plain["zone"],
-            listed=plain["listed"],
-            requests=plain["reqs"],
-            fills=plain["fills"],
-            worth=plain["worth"],
-            sights={backend: _sight(one) for backend, one in plain["sights"].items()},
-            cold={backend: (own, used) for backend, (own, used) in plain["cold"].items()},
-            asks=_asks(plain["asks"]),
-            given=_given(plain["given"]),
-            holds=_name(plain["holds"]),
-            leaves=plain["leaves"],
-            asked=plain["asked"],
-            past=plain["past"],
+            list_version=plain["listed"],
+            request_rate=plain["reqs"],
+            fill_rates=plain["fills"],
+            values_per_kb=plain["worth"],
+            observations={backend: _sight(one) for backend, one in plain["sights"].items()},
+            cold_shares={backend: (own, used) for backend, (own, used) in plain["cold"].items()},
+            quota_requests=_asks(plain["asks"]),
+            quota_leases=_given(plain["given"]),
+            plan_id=_name(plain["holds"]),
+            is_leaving=plain["leaves"],
+            requested_rate=plain["asked"],
+            uncached_rate=plain["past"],
             tallies={
                 zone: Tally(one["well"], one["late"], one["failed"], one["hits"])
                 for zone, one in plain["tallies"].items()
             },
-            left={zone: (back, fails) for zone, (back, fails) in plain["left"].items()},
+            away={zone: (back, fails) for zone, (back, fails) in plain["left"].items()},
         )
     )
 
@@ -682,87 +692,91 @@
 
 def _plan_values(plan: messages.Plan) -> Plain:
     return {
-        "name": _name_values(plan.name),
-        "listed": plan.listed,
-        "out": plan.out,
-        "trials": plan.trials,
-        "ways": plan.ways,
-        "links": plan.links,
-        "parts": plan.parts,
-        "renews": lists(plan.renews),
-        "zones": {zone: _zone_values(one) for zone, one in plan.zones.items()},
+        "name": _name_values(plan.plan_id),
+        "listed": plan.list_version,
+        "out": plan.ejections,
+        "trials": plan.canary_gateways,
+        "ways": plan.concurrency_limits,
+        "links": plan.fill_limits,
+        "parts": plan.gateway_shares,
+        "renews": lists(plan.revalidation_order),
+        "zones": {zone: _zone_values(one) for zone, one in plan.locations.items()},
     }
 
 
 def _plan(plain: Plain) -> messages.Plan:
     return messages.Plan(
-        name=_name(plain["name"]),
-        listed=plain["listed"],
-        out=plain["out"],
-        trials=plain["trials"],
-        ways=plain["ways"],
-        links=plain["links"],
-        parts=plain["parts"],
-        renews={zone: tuple(names) for zone, names in plain["renews"].items()},
-        zones={zone: _zone(one) for zone, one in plain["zones"].items()},
+        plan_id=_name(plain["name"]),
+        list_version=plain["listed"],
+        ejections=plain["out"],
+        canary_gateways=plain["trials"],
+        concurrency_limits=plain["ways"],
+        fill_limits=plain["links"],
+        gateway_shares=plain["parts"],
+        revalidation_order={zone: tuple(names) for zone, names in plain["renews"].items()},
+        locations={zone: _zone(one) for zone, one in plain["zones"].items()},
     )
 
 
 def reply_values(data: bytes, before: Plain | None = None) -> Plain:
     """What a planner answers, from its frame; `applied` is the plan that its delta makes of the plan
     `before`."""
-    told = plan_codec.replied(_message(data).reply)
+    told = plan_codec.decode_reply(_message(data).reply)
     delta = told.delta
-    applied = messages.applied(_plan(before), delta) if before and delta else None
+    applied = messages.apply_delta(_plan(before), delta) if before and delta else None
     return {
         "planner": told.planner,
         "incarnation": told.incarnation,
         "number": told.number,
-        "span": told.span,
+        "span": told.duration,
         "plan": told.plan and _plan_values(told.plan),
         "delta": delta
-        and {"since": _name_values(delta.since), "name": _name_values(delta.name), "listed": delta.listed},
+        and {
+            "since": _name_values(delta.base),
+            "name": _name_values(delta.plan_id),
+            "listed": delta.list_version,
+        },
         "applied": applied and _plan_values(applied),
-        "asks": _asks_values(told.asks),
-        "given": _given_values(told.given),
-        "whole": told.whole,
+        "asks": _asks_values(told.quota_requests),
+        "given": _given_values(told.quota_leases),
+        "whole": told.is_first,
     }
 
 
 def reply_frame(plain: Plain, before: Plain | None = None) -> bytes:
     """The frame of a planner's reply: with its plan, or with what `applied` changes of the plan `before`."""
-    return plan_codec.reply(
-        messages.Reply(
+    return plan_codec.encode_reply(
+        messages.PlanReply(
             planner=plain["planner"],
             incarnation=plain["incarnation"],
             number=plain["number"],
-            span=plain["span"],
+            duration=plain["span"],
             plan=_plan(plain["plan"]) if plain["plan"] else None,
-            delta=messages.delta(_plan(before), _plan(plain["applied"])) if before else None,
-            asks=_asks(plain["asks"]),
-            given=_given(plain["given"]),
-            whole=plain["whole"],
+            delta=messages.diff(_plan(before), _plan(plain["applied"])) if before else None,
+            quota_requests=_asks(plain["asks"]),
+            quota_leases=_given(plain["given"]),
+            is_first=plain["whole"],
         )
     )
 
 
 def word_values(data: bytes) -> Plain:
     """What a planner tells another, from its frame."""
-    told = plan_codec.worded(_message(data).word)
+    told = plan_codec.decode_gossip(_message(data).word)
     return {
         "name": told.name,
         "incarnation": told.incarnation,
         "epoch": told.epoch,
-        "seen": told.seen,
-        "rows": lists(told.rows),
+        "seen": told.highest_epoch,
+        "rows": lists(told.members),
     }
 
 
 def word_frame(plain: Plain) -> bytes:
     """The frame of a planner's word to another."""
-    rows = tuple(tuple(row) for row in plain["rows"])
-    return plan_codec.word(
-        messages.Word(plain["name"], plain["incarnation"], plain["epoch"], plain["seen"], rows)  # type: ignore[arg-type]
+    rows = tuple(MemberRow(*row) for row in plain["rows"])
+    return plan_codec.encode_gossip(
+        messages.GossipMessage(plain["name"], plain["incarnation"], plain["epoch"], plain["seen"], rows)
     )
 
 
@@ -773,7 +787,7 @@
 
 def show_frame(what: str) -> bytes:
     """The frame that asks for something to be shown."""
-    return plan_codec.show(what)
+    return plan_codec.encode_query(what)
 
 
 def shown_values(data: bytes) -> list[str]:
@@ -783,7 +797,7 @@
 
 def shown_frame(lines: list[str]) -> bytes:
     """The frame of lines that are shown."""
-    return plan_codec.shown(lines)
+    return plan_codec.encode_answer(lines)
 
 
 # --- settings ---
--- a/rigs/zones.py
+++ b/rigs/zones.py
@@ -203,8 +203,8 @@
         out["elsewhere"], out["into"] = gone(fleet, lost[0])
     if way in ("leaves", "across"):
         for plane in fleet.planners:
-            zones = plane.core.zones
-            for zone, course in (zones.courses if zones else {}).items():
+            decider = plane.planner.locations.decider
+            for zone, course in (decider.courses if decider else {}).items():
                 mine = [(at - plane.now() + fleet.events.now - START, text) for at, text in course.log]
                 out["left"] += [f"{plane.name} {zone} at {at / SECOND:.2f} s: {text}" for at, text in mine]
         # who followed another has the same changes once more
@@ -247,8 +247,8 @@
     said = [
         f"{plane.name} {zone}: {text}"
         for plane in fleet.planners
-        if plane.core.zones
-        for zone, course in plane.core.zones.courses.items()
+        if plane.planner.locations.decider
+        for zone, course in plane.planner.locations.decider.courses.items()
         for _, text in course.log
     ]
     return [*said, *(str(one) for one in result.breaches)]
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -13,17 +13,27 @@
 from lilacloft.config.reader import SettingsError, load
 from lilacloft.control import codec
 from lilacloft.control.codec import FRAME, HEAD, WireError
-from lilacloft.control.health_aggregation import Sight
-from lilacloft.control.leader_lease import Name
-from lilacloft.control.messages import Ask, Given, Plan, Reply, Summary, Word, applied, delta
-from lilacloft.control.transport import WAITS, Dial, Door, Peer
+from lilacloft.control.health_aggregation import Observation
+from lilacloft.control.leader_lease import PlanId
+from lilacloft.control.messages import (
+    GossipMessage,
+    LoadReport,
+    Plan,
+    PlanReply,
+    QuotaLease,
+    QuotaRequest,
+    apply_delta,
+    diff,
+)
+from lilacloft.control.transport import MAX_QUEUED_FRAMES, Client, Connection, Server
+from lilacloft.membership.table import MemberRow
 from rigs.planes import Planners, run
 from rigs.scene import Scene
 from rigs.stands import unused
 
 
 def body(data):
-    return codec.read(data[HEAD.size :])
+    return codec.decode_message(data[HEAD.size :])
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -33,9 +43,9 @@
     def some(make, most=4):
         return tuple(make(number) for number in range(chance.randrange(most)))
 
-    asks = some(lambda number: Ask(number, f"b{number}", chance.random(), 50_000))
-    given = some(lambda number: Given(number, f"b{number}", chance.random(), 10, 20_000))
-    summary = Summary(
+    asks = some(lambda number: QuotaRequest(number, f"b{number}", chance.random(), 50_000))
+    given = some(lambda number: QuotaLease(number, f"b{number}", chance.random(), 10, 20_000))
+    summary = LoadReport(
         "f1",
         7,
         9,
@@ -45,20 +55,20 @@
         {"clip": 3.5},
         {"clip": 0.5},
         {
-            f"b{number}": Sight(number, 2, 3, 4, bool(number % 2), 1.5)
+            f"b{number}": Observation(number, 2, 3, 4, bool(number % 2), 1.5)
             for number in range(chance.randrange(5))
         },
         {"b1": (0.25, 0.1)},
         asks,
         given,
-        Name(2, 3, "p1"),
+        PlanId(2, 3, "p1"),
         chance.random() < 0.5,
     )
-    assert codec.summarized(body(codec.summary(summary)).summary) == summary
+    assert codec.decode_report(body(codec.encode_report(summary)).summary) == summary
 
     def plan(number):
         return Plan(
-            Name(1, number, "p"),
+            PlanId(1, number, "p"),
             number,
             {f"b{chance.randrange(4)}": "why"},
             {f"b{chance.randrange(4)}": "f1"},
@@ -70,33 +80,33 @@
 
     one, two = plan(1), plan(2)
     for reply in (
-        Reply("p0", 1, 2, 30_000, one, None, asks, given, True),
-        Reply("p0", 1, 2, 30_000, None, delta(one, two)),
-        Reply("p0", 1, 2),
+        PlanReply("p0", 1, 2, 30_000, one, None, asks, given, True),
+        PlanReply("p0", 1, 2, 30_000, None, diff(one, two)),
+        PlanReply("p0", 1, 2),
     ):
-        assert codec.replied(body(codec.reply(reply)).reply) == reply
-    word = Word("p0", 1, 2, 3, (("f1", "forwarder", 2, 1, "a:1", 500, "alive"),))
-    assert codec.worded(body(codec.word(word)).word) == word
+        assert codec.decode_reply(body(codec.encode_reply(reply)).reply) == reply
+    word = GossipMessage("p0", 1, 2, 3, (MemberRow("f1", "forwarder", 2, 1, "a:1", 500, "alive"),))
+    assert codec.decode_gossip(body(codec.encode_gossip(word)).word) == word
 
 
 def test_what_is_no_frame_is_told_and_what_is_newer_is_skipped():
-    data = codec.word(Word("p0", 1, 2, 3))
-    assert codec.head(data[: HEAD.size]) == len(data) - HEAD.size
+    data = codec.encode_gossip(GossipMessage("p0", 1, 2, 3))
+    assert codec.message_length(data[: HEAD.size]) == len(data) - HEAD.size
     for wrong in (b"GET / HTT", HEAD.pack(b"llpl", 0, 5), HEAD.pack(b"llpl", 1, 1 << 30)):
         with pytest.raises(WireError):
-            codec.head(wrong)
+            codec.message_length(wrong)
     with pytest.raises(WireError):
-        codec.read(b"\xff\xff\xff")
+        codec.decode_message(b"\xff\xff\xff")
     newer = data[HEAD.size :] + b"\xfa\x3f\x03abc"  # a field that nobody here knows
-    assert codec.worded(codec.read(newer).word) == Word("p0", 1, 2, 3)
+    assert codec.decode_gossip(codec.decode_message(newer).word) == GossipMessage("p0", 1, 2, 3)
     old = FRAME()
     old.hello.name, old.hello.newest, old.hello.oldest = "x", 9, 5
     with pytest.raises(WireError, match="reads versions 5 to 9"):
-        codec.agreed(old.hello)
-    bad = body(codec.reply(Reply("p0", 1, 2, 3, None, delta(Plan(Name(1)), Plan(Name(2))))))
+        codec.negotiate_version(old.hello)
+    bad = body(codec.encode_reply(PlanReply("p0", 1, 2, 3, None, diff(Plan(PlanId(1)), Plan(PlanId(2))))))
     bad.reply.delta.gone.add(key="b", value="weather")
     with pytest.raises(WireError, match="weather"):
-        codec.replied(bad.reply)
+        codec.decode_reply(bad.reply)
 
 
 def test_addresses_are_checked():
@@ -111,42 +121,44 @@
 def test_frames_pass_both_ways_and_a_way_is_made_again_when_it_ends():
     here, there = queue.SimpleQueue(), queue.SimpleQueue()
     port = unused()
-    door = Door(
+    server = Server(
         ("127.0.0.1", port),
-        lambda: codec.hello("p0", "planner", 1),
+        lambda: codec.encode_hello("p0", "planner", 1),
         lambda peer, message: there.put((peer, message)),
     )
-    dial = Dial(
+    client = Client(
         ("127.0.0.1", port),
-        lambda: codec.hello("f0", "forwarder", 1),
+        lambda: codec.encode_hello("f0", "forwarder", 1),
         lambda peer, message: here.put(message),
     )
     try:
         peer, message = there.get(timeout=5)
         assert message.hello.name == "f0" and here.get(timeout=5).hello.name == "p0"
-        assert dial.send(codec.word(Word("f0", 1, 0, 0)))
+        assert client.send(codec.encode_gossip(GossipMessage("f0", 1, 0, 0)))
         assert there.get(timeout=5)[1].word.name == "f0"
-        peer.send(codec.shown(["one"]))
+        peer.send(codec.encode_answer(["one"]))
         assert list(here.get(timeout=5).shown.lines) == ["one"]
         peer.close()
-        assert there.get(timeout=5)[1].hello.name == "f0" and dial.connects == 2
+        assert there.get(timeout=5)[1].hello.name == "f0" and client.connects == 2
     finally:
-        dial.close()
-        door.close()
+        client.close()
+        server.close()
 
 
 def test_nonsense_ends_its_own_connection_only():
     there = queue.SimpleQueue()
     port = unused()
-    door = Door(
-        ("127.0.0.1", port), lambda: codec.hello("p0", "planner", 1), lambda peer, message: there.put(message)
+    server = Server(
+        ("127.0.0.1", port),
+        lambda: codec.encode_hello("p0", "planner", 1),
+        lambda peer, message: there.put(message),
     )
     try:
         for data in (
             b"GET / HTTP/1.1\r\n\r\n",
             HEAD.pack(b"llpl", 1, 3) + b"\xff\xff\xff",
-            codec.word(Word("x", 1, 0, 0)),
-            codec.hello("x", "forwarder", 1) + b"nonsense!",
+            codec.encode_gossip(GossipMessage("x", 1, 0, 0)),
+            codec.encode_hello("x", "forwarder", 1) + b"nonsense!",
         ):
             with socket.create_connection(("127.0.0.1", port), 5) as sock:
                 sock.settimeout(5)
@@ -154,23 +166,26 @@
                 while sock.recv(4096):
                     pass
         with socket.create_connection(("127.0.0.1", port), 5) as sock:
-            sock.sendall(codec.hello("f9", "forwarder", 1))
+            sock.sendall(codec.encode_hello("f9", "forwarder", 1))
             names = [there.get(timeout=5).hello.name for _ in range(2)]
         assert names == ["x", "f9"]
     finally:
-        door.close()
+        server.close()
 
 
 def test_what_waits_for_a_slow_peer_is_bounded_and_the_newest_is_kept():
     one, other = socket.socketpair()
-    peer = Peer(one, codec.hello("p0", "planner", 1), lambda *_: None, lambda *_: None)
-    for number in range(WAITS + 5):
+    peer = Connection(one, codec.encode_hello("p0", "planner", 1), lambda *_: None, lambda *_: None)
+    for number in range(MAX_QUEUED_FRAMES + 5):
         peer.send(b"%d" % number)
-    assert list(peer.waits) == [b"%d" % number for number in range(5, WAITS + 5)] and peer.dropped == 5
+    assert (
+        list(peer.queue) == [b"%d" % number for number in range(5, MAX_QUEUED_FRAMES + 5)]
+        and peer.dropped == 5
+    )
     peer.start()
     other.settimeout(5)
     data = other.recv(4096)
-    while len(data) < len(peer.hello) + WAITS:
+    while len(data) < len(peer.hello) + MAX_QUEUED_FRAMES:
         data += other.recv(4096)
     assert data == peer.hello + b"5678"  # the hello is first, whatever was dropped
     other.close()
@@ -238,20 +253,20 @@
 def test_what_is_told_of_locations_reads_the_same_and_an_older_reader_skips_it():
     from lilacloft.zones.course import Tally, Told
 
-    summary = Summary(
+    summary = LoadReport(
         "f1",
         7,
         9,
         3,
-        sights={"b": Sight(1, 2, 3, 4, True, 1.5, 5, 60, 7, 8)},
-        asked=12.5,
-        past=3.25,
+        observations={"b": Observation(1, 2, 3, 4, True, 1.5, 5, 60, 7, 8)},
+        requested_rate=12.5,
+        uncached_rate=3.25,
         tallies={2: Tally(5, 4, 3, 2), -1: Tally(1)},
-        left={2: (40, 3), -1: (0, 0)},
+        away={2: (40, 3), -1: (0, 0)},
     )
-    assert codec.summarized(body(codec.summary(summary)).summary) == summary
-    one = Plan(Name(1, 2, "p"), 3, zones={0: Told(0, 1, 4.25, "f1", "its caches fail"), -2: Told(63)})
-    two = Plan(Name(1, 3, "p"), 3, zones={-2: Told(64, 2)})
-    for reply in (Reply("p0", 1, 2, 30_000, one), Reply("p0", 1, 2, 30_000, None, delta(one, two))):
-        assert codec.replied(body(codec.reply(reply)).reply) == reply
-    assert applied(one, delta(one, two)) == two
+    assert codec.decode_report(body(codec.encode_report(summary)).summary) == summary
+    one = Plan(PlanId(1, 2, "p"), 3, locations={0: Told(0, 1, 4.25, "f1", "its caches fail"), -2: Told(63)})
+    two = Plan(PlanId(1, 3, "p"), 3, locations={-2: Told(64, 2)})
+    for reply in (PlanReply("p0", 1, 2, 30_000, one), PlanReply("p0", 1, 2, 30_000, None, diff(one, two))):
+        assert codec.decode_reply(body(codec.encode_reply(reply)).reply) == reply
+    assert apply_delta(one, diff(one, two)) == two
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -363,23 +363,25 @@
     """Once when another plan holds and once when none does: not each quarter of a second."""
     from types import SimpleNamespace
 
-    from lilacloft.control.follower import Effect
-    from lilacloft.control.gateway_agent import Agent
-    from lilacloft.control.leader_lease import Name
+    from lilacloft.control.follower import PlanEffect
+    from lilacloft.control.gateway_agent import GatewayAgent
+    from lilacloft.control.leader_lease import PlanId
     from lilacloft.record.writer import Recorder
 
     written = []
     recorder = SimpleNamespace(note=written.append)
     recorder.planned = lambda effect: Recorder.planned(recorder, effect)
-    first = Effect(Name(1, 4, "p1"), out={"b": 0, "a": 9}, ways={"a": 2.0}, link=3.25)
-    effects = iter([first, first, Effect(Name(1, 5, "p1")), Effect(), Effect()])
-    agent = Agent.__new__(Agent)
+    first = PlanEffect(
+        PlanId(1, 4, "p1"), ejections={"b": 0, "a": 9}, concurrency_limits={"a": 2.0}, fill_limit=3.25
+    )
+    effects = iter([first, first, PlanEffect(PlanId(1, 5, "p1")), PlanEffect(), PlanEffect()])
+    agent = GatewayAgent.__new__(GatewayAgent)
     agent.owner = SimpleNamespace(recorder=recorder, time=0, steady=0)
-    agent.watch = SimpleNamespace(act=lambda time, steady: next(effects))
-    agent.held, agent.away = Name(), {}
+    agent.observer = SimpleNamespace(apply=lambda time, steady: next(effects))
+    agent.plan_id, agent.slices_in_use = PlanId(), {}
     agent.follower = SimpleNamespace(keeper=None)
     for _ in range(5):
-        agent._act()
+        agent._apply()
     held = [(one.planner, one.epoch, one.issued) for one in written]
     assert held == [("p1", 1, 4), ("p1", 1, 5), ("", 0, 0)]
     assert written[0].out == ["a", "b"] and written[0].limits == 1 and written[0].link == 3.25
@@ -391,8 +393,8 @@
 def test_what_becomes_of_locations_is_written_once_each_time_it_changes():
     from types import SimpleNamespace
 
-    from lilacloft.control.gateway_agent import Agent
-    from lilacloft.control.leader_lease import Name
+    from lilacloft.control.gateway_agent import GatewayAgent
+    from lilacloft.control.leader_lease import PlanId
     from lilacloft.record.writer import Recorder
     from lilacloft.zones.course import Told
 
@@ -400,16 +402,16 @@
     recorder = SimpleNamespace(note=written.append)
     recorder.away = lambda *told: Recorder.away(recorder, *told)
     holds = iter([{1: (0, 0)}, {1: (0, 0)}, {1: (4, 1)}, {}, {}])
-    agent = Agent.__new__(Agent)
+    agent = GatewayAgent.__new__(GatewayAgent)
     agent.owner = SimpleNamespace(recorder=recorder, config={"zones": ["here", "there"]})
     agent.follower = SimpleNamespace(
         keeper=SimpleNamespace(holds=lambda: next(holds)),
-        plan=SimpleNamespace(zones={1: Told(0, why="its caches fail")}),
+        plan=SimpleNamespace(locations={1: Told(0, why="its caches fail")}),
     )
-    agent.away = {}
+    agent.slices_in_use = {}
     for planner in ("p1", "p1", "", "p1", "p1"):
-        agent.held = Name(1, 1, planner)
-        agent._note()
+        agent.plan_id = PlanId(1, 1, planner)
+        agent._note_locations()
     assert [(one.zone, one.back, one.failed, one.why, one.alone) for one in written] == [
         ("there", 0, 0, "its caches fail", False),
         ("there", 4, 1, "", True),
--- a/tests/test_zones_world.py
+++ b/tests/test_zones_world.py
@@ -122,7 +122,11 @@
     fleet = WatchedPlanes(world(*SIZES, span=14.0), 2, faults, leave="past")
     fleet.watch()
     assert not fleet.run().breaches
-    assert all(not course.log for plane in fleet.planners for course in plane.core.zones.courses.values())
+    assert all(
+        not course.log
+        for plane in fleet.planners
+        for course in plane.planner.locations.decider.courses.values()
+    )
 
 
 def test_the_same_seed_is_the_same_run():
