--- a/lilacloft/control/__init__.py
+++ b/lilacloft/control/__init__.py
@@ -1,8 +1,7 @@
-"""Two levels: planners see what all forwarders see, and set bounds; forwarders move reqs, and are gateways as
-ever.
+"""The control plane: planners see what all gateways observe, and set limits that the gateways respect.
 
-A plan never sends a req anywhere: it says who is left alone, how much of a cold budget a forwarder has, and
-which limits it keeps, and the decision module does the rest. Without a plan, or with one whose time is over,
-a forwarder is a gateway alone. It must never let a plan widen what the rules allow one alone, or all
-together.
+A plan never routes a request: it says which backends are ejected, which limits apply and which locations are
+out of use, and each gateway's decisions (`lilacloft.routing`) do the rest. Without a valid plan a gateway
+decides by itself. A plan only restricts: it must never allow what the rules forbid to one gateway, or to all
+of them together.
 """
--- a/lilacloft/control/codec.py
+++ b/lilacloft/control/codec.py
@@ -2,9 +2,8 @@
 
 A frame is a head (magic, version, length) and one `Frame` message, which contains one of the others. The
 first frame in each direction is a hello with the versions that its sender reads; both sides then use the
-lower of the two newest ones. Unknown fields are skipped, as usual with protobuf. The schema is described here
-rather than in generated files; `WIRE_FIELDS` and `WIRE_SECTIONS` map its names to the attributes of the
-records in `messages`.
+lower of the two newest ones. Unknown fields are skipped, as usual with protobuf. `wire_schema` has the
+schema; `WIRE_FIELDS` and `WIRE_SECTIONS` map its names to the attributes of the records in `messages`.
 """
 
 from __future__ import annotations
@@ -13,7 +12,6 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, TypeVar
 
-from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 from google.protobuf.message import DecodeError
 
 from lilacloft.control.health_aggregation import Observation
@@ -29,6 +27,7 @@
     QuotaLease,
     QuotaRequest,
 )
+from lilacloft.control.wire_schema import FRAME
 from lilacloft.membership.table import MemberRow
 from lilacloft.zones.course import Tally, Told
 
@@ -38,38 +37,6 @@
 HEAD = struct.Struct(">4sBI")
 MAX_MESSAGE_BYTES = 8 << 20  # a plan of 10,000 backends has half a megabyte
 
-# message: its fields in the order of their numbers, as name:type; s, u, i, d, b are the types in SCALAR_TYPES
-SCHEMA = {
-    "Hello": "name:s role:s incarnation:u newest:u oldest:u",
-    "Name": "epoch:u number:u planner:s",
-    "Sight": "be:s well:u late:u failed:u out:u alone:b limit:d streak:u quiet:u unfilled:u filled:u",
-    "Ask": "number:u be:s part:d span:i",
-    "Given": "number:u be:s part:d delay:i span:i",
-    "Pair": "key:s value:d",
-    "Text": "key:s value:s",
-    "Cold": "be:s own:d used:d",
-    "Turn": "zone:u names:s*",
-    "Tally": "zone:i well:u late:u failed:u hits:u",
-    "Left": "zone:i back:u fails:u",
-    "Part": "zone:i part:d",
-    "Zone": "zone:i back:u fails:u rate:d trial:s why:s to:Part*",
-    "Summary": "name:s incarnation:u number:u zone:u listed:u reqs:d fills:Pair* worth:Pair* sights:Sight* "
-    "cold:Cold* asks:Ask* given:Given* holds:Name leaves:b asked:d past:d tallies:Tally* "
-    "left:Left*",
-    "Plan": "name:Name listed:u out:Text* trials:Text* ways:Pair* links:Pair* parts:Pair* renews:Turn* "
-    "zones:Zone*",
-    "Delta": "since:Name plan:Plan gone:Text*",
-    "Reply": "planner:s incarnation:u number:u span:i plan:Plan delta:Delta asks:Ask* given:Given* whole:b",
-    "Row": "name:s role:s incarnation:u zone:u address:s age:i state:s",
-    "Word": "name:s incarnation:u epoch:u seen:u rows:Row*",
-    "Show": "what:s",
-    "Shown": "lines:s*",
-    "Frame": "hello:Hello summary:Summary reply:Reply word:Word show:Show shown:Shown",
-}
-SCALAR_TYPES = {"s": 9, "u": 4, "i": 18, "d": 1, "b": 8}  # string, uint64, sint64, double, bool
-MESSAGE_TYPE = 11
-SINGULAR, REPEATED = 1, 3
-
 # by record: its scalar attributes and their fields on the wire
 WIRE_FIELDS: Mapping[type, Mapping[str, str]] = {
     PlanId: {"epoch": "epoch", "number": "number", "planner": "planner"},
@@ -135,34 +102,6 @@
     """The data received is not a valid message; the text says why."""
 
 
-def _message_classes() -> dict[str, Any]:
-    """Build the protobuf classes of the schema, by message name."""
-    file = descriptor_pb2.FileDescriptorProto(
-        name="lilacloft/plan.proto", package="lilacloft", syntax="proto3"
-    )
-    for message, fields in SCHEMA.items():
-        descriptor = file.message_type.add(name=message)
-        for number, spec in enumerate(fields.split(), 1):
-            name, _, kind = spec.partition(":")
-            label = REPEATED if kind.endswith("*") else SINGULAR
-            field = descriptor.field.add(name=name, number=number, label=label)
-            kind = kind.rstrip("*")
-            if kind in SCALAR_TYPES:
-                field.type = SCALAR_TYPES[kind]
-            else:
-                field.type, field.type_name = MESSAGE_TYPE, f".lilacloft.{kind}"
-    pool = descriptor_pool.DescriptorPool()
-    pool.Add(file)
-    return {
-        name: message_factory.GetMessageClass(pool.FindMessageTypeByName(f"lilacloft.{name}"))
-        for name in SCHEMA
-    }
-
-
-MESSAGE_CLASSES = _message_classes()
-FRAME = MESSAGE_CLASSES["Frame"]
-
-
 # --- frames ---
 
 
@@ -269,7 +208,7 @@
     _write(target.holds, report.plan_id)
     for zone, tally in report.tallies.items():
         _write(target.tallies.add(zone=zone), tally)
-    for zone, (back, fails) in report.away.items():
+    for zone, (back, fails) in report.location_states.items():
         target.left.add(zone=zone, back=back, fails=fails)
     return encode_frame(frame)
 
@@ -286,7 +225,7 @@
         quota_leases=_read_all(QuotaLease, source.given),
         plan_id=_read(PlanId, source.holds),
         tallies={item.zone: _read(Tally, item) for item in source.tallies},
-        away={item.zone: (item.back, item.fails) for item in source.left},
+        location_states={item.zone: (item.back, item.fails) for item in source.left},
     )
 
 
--- a/lilacloft/control/follower.py
+++ b/lilacloft/control/follower.py
@@ -143,7 +143,7 @@
             requested_rate=self.load.requested_rate,
             uncached_rate=self.load.uncached_rate,
             tallies=dict(self.keeper.tallies) if self.keeper else {},
-            away=self.keeper.holds() if self.keeper else {},
+            location_states=self.keeper.holds() if self.keeper else {},
         )
 
     def preferred_planner(self, now: Ticks) -> str:
--- a/lilacloft/control/gateway_agent.py
+++ b/lilacloft/control/gateway_agent.py
@@ -21,7 +21,7 @@
 from lilacloft.zones.keep import Keeper
 from lilacloft.zones.slices import SLICES
 
-LEAVE_SECONDS = 0.05  # for the last reports to be sent
+FLUSH_SECONDS = 0.05  # for the last reports to be sent
 
 
 class GatewayAgent:
@@ -92,7 +92,7 @@
         for name, client in self.clients.items():
             report = self.follower.make_report(name, self.owner.steady)
             client.send(codec.encode_report(dataclasses.replace(report, is_leaving=True)))
-        time.sleep(LEAVE_SECONDS)
+        time.sleep(FLUSH_SECONDS)
         for client in self.clients.values():
             client.close()
 
--- a/lilacloft/control/location_planning.py
+++ b/lilacloft/control/location_planning.py
@@ -218,7 +218,7 @@
     slices in use, the most failed returns."""
     applied: dict[int, tuple[int, int]] = {}
     for report in reports:
-        for zone, (back, fails) in report.away.items():
+        for zone, (back, fails) in report.location_states.items():
             before = applied.get(zone, (back, fails))
             applied[zone] = min(back, before[0]), max(fails, before[1])
     return applied
--- a/lilacloft/control/messages.py
+++ b/lilacloft/control/messages.py
@@ -59,7 +59,7 @@
     requested_rate: float = 0.0  # KB a second that clients request
     uncached_rate: float = 0.0  # KB a second of fills that bypass the caches
     tallies: dict[int, Tally] = field(default_factory=dict)  # by location, since the process began
-    away: dict[int, tuple[int, int]] = field(default_factory=dict)  # by location that is not all in use
+    location_states: dict[int, tuple[int, int]] = field(default_factory=dict)  # of locations not all in use
 
 
 @dataclass(frozen=True)
--- a/lilacloft/control/plan_distribution.py
+++ b/lilacloft/control/plan_distribution.py
@@ -2,13 +2,17 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
+from typing import TypeVar
+
 from lilacloft.control.fleet_state import CACHE, Backends, parent_zones
 from lilacloft.control.leader_lease import PlanId
 from lilacloft.control.messages import SECTIONS, Plan, PlanDelta, diff
 
 KEPT_PLANS = 64  # that a delta can be based on
 
-PlanUpdate = tuple[Plan | None, PlanDelta | None]  # one of both
+PlanOrDelta = tuple[Plan | None, PlanDelta | None]  # one of both
+Value = TypeVar("Value")
 
 
 class PlanDistributor:
@@ -17,7 +21,7 @@
     def __init__(self) -> None:
         self.plan = Plan(PlanId())
         self._recent: dict[PlanId, Plan] = {}
-        self._updates: dict[tuple[int, PlanId], PlanUpdate] = {}  # by location and the plan that it has
+        self._updates: dict[tuple[int, PlanId], PlanOrDelta] = {}  # by location and the plan that it has
 
     def publish(self, plan: Plan) -> None:
         """Make a plan the current one."""
@@ -27,7 +31,7 @@
         while len(self._recent) > KEPT_PLANS:
             del self._recent[next(iter(self._recent))]
 
-    def update_for(self, zone: int, applied: PlanId, backends: Backends) -> PlanUpdate:
+    def update_for(self, zone: int, applied: PlanId, backends: Backends) -> PlanOrDelta:
         """Return what a gateway of a location needs that applies some plan. All gateways of the location that
         apply the same plan share one update."""
         if applied == self.plan.plan_id:
@@ -37,7 +41,7 @@
             self._updates[key] = self._make_update(zone, applied, backends)
         return self._updates[key]
 
-    def _make_update(self, zone: int, applied: PlanId, backends: Backends) -> PlanUpdate:
+    def _make_update(self, zone: int, applied: PlanId, backends: Backends) -> PlanOrDelta:
         whole, before = plan_for_location(self.plan, zone, backends), self._recent.get(applied)
         if before is None:
             return whole, None
@@ -50,23 +54,26 @@
 
 def plan_for_location(plan: Plan, zone: int, backends: Backends) -> Plan:
     """Return the part of a plan that the gateways of a location need."""
-
-    def is_relevant(name: str) -> bool:
-        backend = backends.get(name)
-        return backend is None or backend.zone == zone or backend.kind != CACHE
-
     gateways = plan.revalidation_order.get(zone, ())
     zones = {zone} | parent_zones(backends.values())
     return Plan(
         plan.plan_id,
         plan.list_version,
-        ejections={name: reason for name, reason in plan.ejections.items() if is_relevant(name)},
-        canary_gateways={name: who for name, who in plan.canary_gateways.items() if is_relevant(name)},
-        concurrency_limits={
-            name: limit for name, limit in plan.concurrency_limits.items() if is_relevant(name)
-        },
+        ejections=_relevant(plan.ejections, zone, backends),
+        canary_gateways=_relevant(plan.canary_gateways, zone, backends),
+        concurrency_limits=_relevant(plan.concurrency_limits, zone, backends),
         fill_limits={zone: plan.fill_limits[zone]} if zone in plan.fill_limits else {},
         gateway_shares={name: plan.gateway_shares[name] for name in gateways if name in plan.gateway_shares},
         revalidation_order={zone: gateways} if gateways else {},
         locations={other: location for other, location in plan.locations.items() if other in zones},
     )
+
+
+def _relevant(by_backend: Mapping[str, Value], zone: int, backends: Backends) -> dict[str, Value]:
+    """Return the entries of backends that the gateways of a location send requests to."""
+    entries = {}
+    for name, value in by_backend.items():
+        backend = backends.get(name)
+        if backend is None or backend.zone == zone or backend.kind != CACHE:
+            entries[name] = value
+    return entries
--- a/lilacloft/membership/table.py
+++ b/lilacloft/membership/table.py
@@ -39,7 +39,7 @@
     incarnation: int
     zone: int = 0
     address: str = ""
-    last_heard: Ticks = 0  # the newest heartbeat at any planner, by this planner's clock
+    last_heartbeat: Ticks = 0  # the newest heartbeat at any planner, by this planner's clock
     state: str = ALIVE
     state_since: Ticks = 0
 
@@ -80,10 +80,10 @@
     # --- updates ---
 
     def record_heartbeat(
-        self, name: str, role: str, incarnation: int, now: Ticks, zone: int = 0, address: str = ""
+        self, name: str, role: str, incarnation: int, now: Ticks, zone: int = 0
     ) -> MembershipChange | None:
         """Record a heartbeat; one of an earlier incarnation is ignored."""
-        return self._merge_member(Member(name, role, incarnation, zone, address, now), now)
+        return self._merge_member(Member(name, role, incarnation, zone, last_heartbeat=now), now)
 
     def record_leave(self, name: str, incarnation: int, now: Ticks) -> MembershipChange | None:
         """Record that a member has announced its end."""
@@ -122,7 +122,7 @@
         before = self.members.get(member.name)
         if before is not None and self._is_outdated(member, before):
             return None
-        state = self._state(member.last_heard, now)
+        state = self._state(member.last_heartbeat, now)
         if before is not None and member.is_same_process(before) and state == before.state:
             updated = replace(
                 member, address=member.address or before.address, state=state, state_since=before.state_since
@@ -139,7 +139,7 @@
             return True
         if member.incarnation == before.incarnation and before.state == LEFT:
             return True
-        return member.is_same_process(before) and member.last_heard <= before.last_heard
+        return member.is_same_process(before) and member.last_heartbeat <= before.last_heartbeat
 
     def _set(self, member: Member) -> MembershipChange:
         before = self.members.get(member.name)
@@ -148,8 +148,8 @@
         return MembershipChange(member, before.state if before else "", is_new_process)
 
     @staticmethod
-    def _state(last_heard: Ticks, now: Ticks) -> str:
-        silent_for = now - last_heard
+    def _state(last_heartbeat: Ticks, now: Ticks) -> str:
+        silent_for = now - last_heartbeat
         if silent_for < SUSPECT_AFTER:
             return ALIVE
         return SUSPECT if silent_for < DEAD_AFTER else DEAD
@@ -163,7 +163,7 @@
                 if now - member.state_since >= FORGET_AFTER:
                     self.members = self.members.remove(name)
                 continue
-            state = self._state(member.last_heard, now)
+            state = self._state(member.last_heartbeat, now)
             if state != member.state:
                 changes.append(self._set(replace(member, state=state, state_since=now)))
         return changes
@@ -187,7 +187,7 @@
                 member.incarnation,
                 member.zone,
                 member.address,
-                max(0, now - member.last_heard),
+                max(0, now - member.last_heartbeat),
                 member.state,
             )
             for member in (self.members[name] for name in sorted(self.members))
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -641,7 +641,7 @@
             zone: {"well": one.well, "late": one.late, "failed": one.failed, "hits": one.hits}
             for zone, one in told.tallies.items()
         },
-        "left": lists(told.away),
+        "left": lists(told.location_states),
     }
 
 
@@ -669,7 +669,7 @@
                 zone: Tally(one["well"], one["late"], one["failed"], one["hits"])
                 for zone, one in plain["tallies"].items()
             },
-            away={zone: (back, fails) for zone, (back, fails) in plain["left"].items()},
+            location_states={zone: (back, fails) for zone, (back, fails) in plain["left"].items()},
         )
     )
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -122,7 +122,7 @@
                 if one is not other:
                     other.merge(one.export_rows(now), now)
     views = [
-        {name: (row.incarnation, row.last_heard) for name, row in one.members.items() if name in lives}
+        {name: (row.incarnation, row.last_heartbeat) for name, row in one.members.items() if name in lives}
         for one in tables
     ]
     assert views[0] == views[1] == views[2]
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -262,7 +262,7 @@
         requested_rate=12.5,
         uncached_rate=3.25,
         tallies={2: Tally(5, 4, 3, 2), -1: Tally(1)},
-        away={2: (40, 3), -1: (0, 0)},
+        location_states={2: (40, 3), -1: (0, 0)},
     )
     assert codec.decode_report(body(codec.encode_report(summary)).summary) == summary
     one = Plan(PlanId(1, 2, "p"), 3, locations={0: Told(0, 1, 4.25, "f1", "its caches fail"), -2: Told(63)})
