--- a/rigs/planes.py
+++ b/rigs/planes.py
@@ -18,7 +18,9 @@
 import tempfile
 import threading
 import time
+from dataclasses import dataclass
 from pathlib import Path
+from random import Random
 from typing import Any
 
 from rigs.checker import check
@@ -28,58 +30,65 @@
 from rigs.told import tell
 from rigs.upgrade import histogram
 
+SETTLING_SECONDS = 3.0  # from the start until counting begins
+STOP_SHARE = 0.3  # of the troubles that stop a planner for a while; the others kill it
+SINGLE_SHARE = 0.75  # of the troubles that concern one planner; the others concern all
+ANSWER_SECONDS = 10.0  # within which a planner that was just started answers
+FAULT_KINDS = ("silent", "drain", "purge")
+
 
 class Planners:
-    """The planner processes of a scene."""
+    """The planner processes of a test fleet."""
 
     def __init__(self, scene: Scene, count: int) -> None:
         self.scene = scene
-        self.places = {f"p{number}": f"127.0.0.1:{unused()}" for number in range(count)}
-        self.words = ",".join(f"{name}={place}" for name, place in self.places.items())
+        self.addresses = {f"p{number}": f"127.0.0.1:{unused()}" for number in range(count)}
+        self.setting = ",".join(f"{name}={address}" for name, address in self.addresses.items())
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.kills = self.stops = 0
 
     def start(self, name: str) -> None:
-        # one a planner: another that was just started may still be reading its own
+        """Start a planner."""
+        # one file for each planner: another that was just started may still be reading its own
         config = self.scene.folder / f"{name}.json"
         config.write_text(json.dumps(self.scene.config(self.scene.gateways[0])))
+        options = {
+            "--config": str(config),
+            "--name": name,
+            "--planners": self.setting,
+            "--store": str(self.scene.folder / f"store-{name}"),
+        }
+        arguments = [argument for option in options.items() for argument in option]
         with (self.scene.folder / f"{name}.log").open("ab") as file:
-            words = [
-                "--config",
-                str(config),
-                "--name",
-                name,
-                "--planners",
-                self.words,
-                "--store",
-                str(self.scene.folder / f"store-{name}"),
-            ]
             self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", "lilacloft", "plan", "serve", *words],
+                [sys.executable, "-m", "lilacloft", "plan", "serve", *arguments],
                 stderr=file,
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.DEVNULL,
             )
 
     def kill(self, name: str) -> None:
+        """Kill a planner."""
         self.processes[name].kill()
         self.processes[name].wait()
         self.kills += 1
 
     def stop(self, name: str, seconds: float) -> None:
-        """As if cut off: it neither hears nor says anything for a while."""
+        """Stop a planner for a while, as if it were cut off."""
         with contextlib.suppress(ProcessLookupError):
             os.kill(self.processes[name].pid, signal.SIGSTOP)
             self.stops += 1
             time.sleep(seconds)
             os.kill(self.processes[name].pid, signal.SIGCONT)
 
-    def asked(self, name: str, *words: str) -> list[str]:
-        command = [sys.executable, "-m", "lilacloft", "plan", words[0], self.places[name], *words[1:]]
-        told = subprocess.run(command, capture_output=True, text=True, timeout=20)
-        return told.stdout.splitlines()
+    def query(self, name: str, command: str, *arguments: str) -> list[str]:
+        """Return the lines of a command of `lilacloft plan`."""
+        words = [sys.executable, "-m", "lilacloft", "plan", command, self.addresses[name], *arguments]
+        completed = subprocess.run(words, capture_output=True, text=True, timeout=20)
+        return completed.stdout.splitlines()
 
     def close(self) -> None:
+        """End all planners."""
         for process in self.processes.values():
             with contextlib.suppress(ProcessLookupError):
                 os.kill(process.pid, signal.SIGCONT)
@@ -87,110 +96,162 @@
             process.wait()
 
 
-def run(
-    forwarders: int,
-    count: int,
-    seconds: float,
-    rate: float,
-    seed: int,
-    calm: bool = False,
-    alone: bool = False,
-    boxes: int = 6,
-) -> dict[str, Any]:
-    """One run."""
+@dataclass(frozen=True)
+class Options:
+    """What a run is to be."""
+
+    forwarders: int
+    planners: int
+    seconds: float
+    rate: float  # requests a second
+    seed: int
+    calm: bool = False  # planners are not disturbed
+    alone: bool = False  # there are no planners
+    caches: int = 6
+
+
+@dataclass
+class Findings:
+    """What was found at the end of a run."""
+
+    shown: list[str]  # the first lines of `plan show`
+    breaches: list[Any]
+    faults: int  # exceptions in logs
+    plans_taken: int
+    alone_again: int
+
+
+def run(options: Options) -> dict[str, Any]:
+    """Run a fleet under load and troubles; return the report."""
     with tempfile.TemporaryDirectory(prefix="planes") as name:
-        scene = Scene(Path(name), seed, caches=boxes, gateways=forwarders)
-        planners = Planners(scene, 0 if alone else count)
-        chance = scene.chance("planners")
+        scene = Scene(Path(name), options.seed, caches=options.caches, gateways=options.forwarders)
+        planners = Planners(scene, 0 if options.alone else options.planners)
+        random = scene.chance("planners")
         over = threading.Event()
         try:
-            for one in planners.places:
-                planners.start(one)
-            form = f'(plan (planners "{planners.words}"))'
-            for gateway in scene.gateways:
-                gateway.start(*(() if alone else gateway.settings(form)))
-            load = Load(scene, rate, held=2)
+            start(scene, planners, options)
+            load = Load(scene, options.rate, held=2)
             load.start()
-            time.sleep(3.0)
+            time.sleep(SETTLING_SECONDS)
             load.times.clear()
             before = dict(load.counts)
-
-            def boxes_fail() -> None:
-                """What planners are for: the same at the same times in every mode."""
-                turns = scene.chance("boxes")
-                while not over.wait(2.0 + 2.0 * turns.random()):
-                    box = turns.choice(scene.caches)
-                    kind = turns.choice(("silent", "drain", "purge"))
-                    if kind == "purge":
-                        scene.log.purge(f"{turns.randrange(40):016x}")
-                    elif kind == "silent":
-                        box.silent = True
-                        over.wait(2.5)
-                        box.silent = False
-                    elif box.state == "active":
-                        box.state = "leaving"
-                        scene.log.tell(box)
-                        over.wait(3.0)
-                        box.state = "active"
-                        scene.log.tell(box)
-
-            threading.Thread(target=boxes_fail, daemon=True).start()
-            until = time.monotonic() + seconds
-            while time.monotonic() < until:
-                time.sleep(0.5 + chance.random())
-                if calm or alone:
-                    continue
-                names = list(planners.places)
-                if chance.random() >= 0.25:
-                    names = [chance.choice(names)]
-                if chance.random() < 0.3:
-                    planners.stop(names[0], 1.0 + 2 * chance.random())
-                    continue
-                for one in names:
-                    planners.kill(one)
-                time.sleep(3.0 * chance.random())
-                for one in names:
-                    planners.start(one)
+            threading.Thread(target=disturb_caches, args=(scene, over), daemon=True).start()
+            disturb_planners(planners, options, random)
             over.set()
-            shown: list[str] = []
-            until = time.monotonic() + 10
-            while planners.places and not shown and time.monotonic() < until:
-                shown = planners.asked("p0", "show")[:2]  # it may have been started just now
+            shown = first_lines(planners)
             load.stop()
-            entries = scene.account.sorted()
-            breaches = [one for one in check(entries, scene.limits())]
-            logs = [gateway.log.read_text() for gateway in scene.gateways]
-            faults = sum(text.count("Traceback") for text in logs) + sum(
-                path.read_text().count("Traceback") for path in scene.folder.glob("p*.log")
-            )
-            held = sum(text.count("holds") for text in logs)
-            alone_again = sum(text.count("plan: none holds") for text in logs)
+            findings = examine(scene, shown)
         finally:
             over.set()
             planners.close()
             scene.close()
     counts = {key: load.counts[key] - before[key] for key in before}
+    latencies = histogram([took for _, took, _, word in load.times if word == "200"])
+    return report_of(options, planners, counts, findings, latencies)
+
+
+def start(scene: Scene, planners: Planners, options: Options) -> None:
+    """Start planners and gateways."""
+    for name in planners.addresses:
+        planners.start(name)
+    setting = f'(plan (planners "{planners.setting}"))'
+    for gateway in scene.gateways:
+        gateway.start(*(() if options.alone else gateway.settings(setting)))
+
+
+def disturb_caches(scene: Scene, over: threading.Event) -> None:
+    """Disturb caches until the end: the same troubles at the same times in every mode."""
+    random = scene.chance("boxes")
+    while not over.wait(2.0 + 2.0 * random.random()):
+        cache = random.choice(scene.caches)
+        kind = random.choice(FAULT_KINDS)
+        if kind == "purge":
+            scene.log.purge(f"{random.randrange(40):016x}")
+        elif kind == "silent":
+            cache.silent = True
+            over.wait(2.5)
+            cache.silent = False
+        elif cache.state == "active":
+            cache.state = "leaving"
+            scene.log.tell(cache)
+            over.wait(3.0)
+            cache.state = "active"
+            scene.log.tell(cache)
+
+
+def disturb_planners(planners: Planners, options: Options, random: Random) -> None:
+    """Kill and stop planners until the end of the run; only wait where they are not to be disturbed."""
+    until = time.monotonic() + options.seconds
+    while time.monotonic() < until:
+        time.sleep(0.5 + random.random())
+        if options.calm or options.alone:
+            continue
+        names = list(planners.addresses)
+        if random.random() >= 1 - SINGLE_SHARE:
+            names = [random.choice(names)]
+        if random.random() < STOP_SHARE:
+            planners.stop(names[0], 1.0 + 2 * random.random())
+            continue
+        for name in names:
+            planners.kill(name)
+        time.sleep(3.0 * random.random())
+        for name in names:
+            planners.start(name)
+
+
+def first_lines(planners: Planners) -> list[str]:
+    """Return the first lines of `plan show`; the planner may have been started just now."""
+    shown: list[str] = []
+    until = time.monotonic() + ANSWER_SECONDS
+    while planners.addresses and not shown and time.monotonic() < until:
+        shown = planners.query("p0", "show")[:2]
+    return shown
+
+
+def examine(scene: Scene, shown: list[str]) -> Findings:
+    """Check the accounts and the logs."""
+    breaches = list(check(scene.account.sorted(), scene.limits()))
+    logs = [gateway.log.read_text() for gateway in scene.gateways]
+    planner_logs = [path.read_text() for path in scene.folder.glob("p*.log")]
+    return Findings(
+        shown=shown,
+        breaches=breaches,
+        faults=sum(text.count("Traceback") for text in [*logs, *planner_logs]),
+        plans_taken=sum(text.count("holds") for text in logs),
+        alone_again=sum(text.count("plan: none holds") for text in logs),
+    )
+
+
+def report_of(
+    options: Options,
+    planners: Planners,
+    counts: dict[str, int],
+    findings: Findings,
+    latencies: Any,
+) -> dict[str, Any]:
+    """Return the report of a run."""
     return {
-        "forwarders": forwarders,
-        "planners": 0 if alone else count,
-        "seconds": seconds,
-        "rate": rate,
-        "seed": seed,
+        "forwarders": options.forwarders,
+        "planners": 0 if options.alone else options.planners,
+        "seconds": options.seconds,
+        "rate": options.rate,
+        "seed": options.seed,
         "kills": planners.kills,
         "stops": planners.stops,
         "counts": counts,
         "done": counts["done"] / max(1, counts["asked"]),
-        "plans_taken": held,
-        "alone_again": alone_again,
-        "breaches": len(breaches),
-        "first": [str(one) for one in breaches[:5]],
-        "faults": faults,
-        "latency_ms": histogram([took for _, took, _, word in load.times if word == "200"]),
-        "shown": shown,
+        "plans_taken": findings.plans_taken,
+        "alone_again": findings.alone_again,
+        "breaches": len(findings.breaches),
+        "first": [str(breach) for breach in findings.breaches[:5]],
+        "faults": findings.faults,
+        "latency_ms": latencies,
+        "shown": findings.shown,
     }
 
 
 def main(words: list[str] | None = None) -> int:
+    """Run the command line; return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m rigs.planes", description=__doc__)
     parser.add_argument("--forwarders", type=int, default=30)
     parser.add_argument("--planners", type=int, default=3)
@@ -200,11 +261,10 @@
     parser.add_argument("--calm", action="store_true", help="planners are left alone")
     parser.add_argument("--alone", action="store_true", help="there are none")
     parser.add_argument("--json", metavar="FILE")
-    given = parser.parse_args(words)
-    report = run(
-        given.forwarders, given.planners, given.seconds, given.rate, given.seed, given.calm, given.alone
-    )
-    tell(report, given.json)
+    arguments = vars(parser.parse_args(words))
+    path = arguments.pop("json")
+    report = run(Options(**arguments))
+    tell(report, path)
     return 0 if not (report["breaches"] or report["faults"]) else 1
 
 
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -27,7 +27,7 @@
 )
 from lilacloft.control.transport import MAX_QUEUED_FRAMES, Client, Connection, Server
 from lilacloft.membership.table import MemberRow
-from rigs.planes import Planners, run
+from rigs.planes import Options, Planners, run
 from rigs.scene import Scene
 from rigs.stands import unused
 
@@ -203,7 +203,7 @@
 
 
 def test_planners_die_and_come_back_and_no_rule_is_broken():
-    report = run(3, 3, 4.0, 60.0, 2)
+    report = run(Options(forwarders=3, planners=3, seconds=4.0, rate=60.0, seed=2))
     assert report["kills"] + report["stops"] > 0 and report["plans_taken"] >= 3
     assert not report["first"] and not report["faults"] and report["done"] > 0.9
     assert "plan" in report["shown"][0]
@@ -218,33 +218,33 @@
     scene = Scene(tmp_path, 1, caches=4, gateways=2)
     planners = Planners(scene, 3)
     try:
-        for one in planners.places:
+        for one in planners.addresses:
             planners.start(one)
         for gateway in scene.gateways:
-            gateway.start(*gateway.settings(f'(plan (planners "{planners.words}"))'))
+            gateway.start(*gateway.settings(f'(plan (planners "{planners.setting}"))'))
         until = time.monotonic() + 15
         shown: list[str] = []
         while time.monotonic() < until and not (
             "p0 issues" in " ".join(shown) and "forwarder n1" in " ".join(shown)
         ):
             time.sleep(0.1)
-            shown = planners.asked("p0", "show")
+            shown = planners.query("p0", "show")
         assert shown[0].startswith("p0 issues; plan") and any("forwarder n1" in line for line in shown)
-        told = planners.asked("p0", "explain", scene.caches[0].name)
+        told = planners.query("p0", "explain", scene.caches[0].name)
         assert f"{scene.caches[0].name} is in use" in told
-        assert "->" in planners.asked("p0", "diff")[0]
-        issued = epoch(planners.asked("p0", "show")[0])
+        assert "->" in planners.query("p0", "diff")[0]
+        issued = epoch(planners.query("p0", "show")[0])
         planners.kill("p0")
         until = time.monotonic() + 15
-        while time.monotonic() < until and "p1 issues" not in " ".join(planners.asked("p1", "show")):
+        while time.monotonic() < until and "p1 issues" not in " ".join(planners.query("p1", "show")):
             time.sleep(0.1)
-        taken = epoch(planners.asked("p1", "show")[0])
+        taken = epoch(planners.query("p1", "show")[0])
         assert taken > issued  # a new epoch; on a slow machine leases run out, and there are more
         planners.start("p0")
         until = time.monotonic() + 15
-        while time.monotonic() < until and "p0 issues" not in " ".join(planners.asked("p0", "show")):
+        while time.monotonic() < until and "p0 issues" not in " ".join(planners.query("p0", "show")):
             time.sleep(0.1)
-        assert epoch(planners.asked("p0", "show")[0]) > taken  # it knew the epochs before
+        assert epoch(planners.query("p0", "show")[0]) > taken  # it knew the epochs before
     finally:
         planners.close()
         scene.close()
