--- a/lilacloft/control/follower.py
+++ b/lilacloft/control/follower.py
@@ -89,7 +89,7 @@
         self._incarnations: dict[str, int] = {}  # of planners
         self._last_replies: dict[str, Ticks] = {}  # of planners
         self._quota_leases: dict[str, list[QuotaLease]] = {planner: [] for planner in self.planners}
-        self.reports = self.replies = self.late_replies = self.plans = 0
+        self.plans = 0  # accepted
 
     # --- input ---
 
@@ -125,7 +125,6 @@
         cold_shares = self.quota.cold_shares(now)
         self.quota.remove_timed_out(now)
         may_request = planner == self.preferred_planner(now)
-        self.reports += 1
         return LoadReport(
             name=self.settings.name,
             incarnation=self.settings.incarnation,
@@ -165,9 +164,7 @@
         from a planner's earlier process, is ignored."""
         requested_at = self._reports_sent.get(reply.planner, {}).get(reply.number)
         if requested_at is None or reply.incarnation < self._incarnations.get(reply.planner, 0):
-            self.late_replies += 1
             return False
-        self.replies += 1
         self._incarnations[reply.planner] = reply.incarnation
         self._last_replies[reply.planner] = now
         leases = self._quota_leases[reply.planner]
--- a/lilacloft/control/quota_client.py
+++ b/lilacloft/control/quota_client.py
@@ -33,7 +33,6 @@
         self.used: dict[str, float] = {}  # fraction in use of what is usable
         self.pending: dict[int, PendingRequest] = {}
         self.last_request = 0
-        self.lent = self.borrowed = 0
 
     def update_cold(self, cold: Collection[str], now: Ticks) -> None:
         """Take over which backends are cold. The ledger of one that is warm stays while something is lent:
@@ -93,7 +92,6 @@
         terms = ledger.lend(now, min(request.share, unused), min(request.duration, MAX_LEASE))
         if terms is None:
             return refusal
-        self.lent += 1
         return QuotaLease(request.number, request.backend, terms.share, terms.delay, terms.duration)
 
     def record_lease(self, lease: QuotaLease, requested_at: Ticks, now: Ticks) -> None:
@@ -105,5 +103,4 @@
         if pending.request.backend != lease.backend or lease.share <= MIN_SHARE:
             return
         terms = LeaseTerms(lease.share, lease.delay, lease.duration)
-        if ledger.borrow(terms, min(pending.sent_at, requested_at), now):
-            self.borrowed += 1
+        ledger.borrow(terms, min(pending.sent_at, requested_at), now)
--- a/lilacloft/control/transport.py
+++ b/lilacloft/control/transport.py
@@ -46,7 +46,7 @@
         self.changed = threading.Condition()
         self.is_closed = False
         self.peer_hello: Any = None
-        self.dropped = self.bytes_sent = self.bytes_read = 0
+        self.dropped = 0  # frames
         sock.settimeout(SILENCE_TIMEOUT)
         with contextlib.suppress(OSError):  # a socket pair has no such option
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -84,7 +84,6 @@
                         return
                     frame = self.queue.popleft()
                 self.sock.sendall(frame)
-                self.bytes_sent += len(frame)
         except OSError:
             self.close()
 
@@ -108,7 +107,6 @@
             while True:
                 length = codec.message_length(exactly(stream, HEAD.size))
                 message = codec.decode_message(exactly(stream, length))
-                self.bytes_read += HEAD.size + length
                 if self.peer_hello is None:
                     if not message.HasField("hello"):
                         raise WireError("no hello")
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Planners and forwarders, each core beside its plain words; then worlds of two levels."""
+"""The control plane: each module by itself, then worlds with planners and gateways in virtual time."""
 
 import dataclasses
 import random
@@ -54,7 +54,7 @@
 
 WELL, BAD = Observation(in_time=9), Observation(failed=5)
 
-# --- members ---
+# --- membership ---
 
 
 def test_who_is_silent_is_suspected_then_gone_and_who_is_heard_by_another_is_not():
@@ -129,7 +129,7 @@
     assert all(incarnation <= lives[name] for name, (incarnation, _) in views[0].items())
 
 
-# --- whose plan holds ---
+# --- leader election and plan leases ---
 
 
 def test_only_the_first_of_a_majority_issues_and_each_beginning_has_a_higher_epoch():
@@ -165,7 +165,7 @@
     assert str(PlanId()) == "0.0 of nobody"
 
 
-# --- sights ---
+# --- health aggregation ---
 
 
 def judged(sights, now=100_000, judge=None):
@@ -230,7 +230,7 @@
     )
 
 
-# --- placement ---
+# --- allocation ---
 
 
 def demanded(chance):
@@ -298,7 +298,7 @@
     assert got.method == "greedy" and got.rates == allocate_greedily(demands, limits).rates
 
 
-# --- words ---
+# --- plan deltas ---
 
 
 @pytest.mark.parametrize("seed", range(30))
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -1,4 +1,4 @@
-"""Forwarders and planners on the wire: messages, connections, processes."""
+"""Gateways and planners on the wire: messages, connections, processes."""
 
 import queue
 import random
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Parts of a budget that are lent: never in two hands within one fall span, whatever is lost or late."""
+"""Shares of a budget that are lent: never used by two parties within one window, whatever is lost or late."""
 
 import random
 
