--- /dev/null
+++ b/lilacloft/control/gateway_agent.py
@@ -0,0 +1,185 @@
+"""A gateway's connections to the planners: sends its load reports and applies the plans. All but the
+connections runs in the gateway's thread. It decides nothing."""
+
+from __future__ import annotations
+
+import dataclasses
+import time
+from collections.abc import Iterable, Mapping
+from typing import Any
+
+from loguru import logger
+
+from lilacloft.control import codec
+from lilacloft.control.follower import REPORT_INTERVAL, Follower, FollowerSettings
+from lilacloft.control.gateway_observer import EndedAttempt, GatewayObserver
+from lilacloft.control.messages import PlanReply
+from lilacloft.control.transport import Address, Client, Connection
+from lilacloft.failover.hash_slices import SLICE_COUNT
+from lilacloft.failover.local_failover import LocalFailover
+from lilacloft.membership.table import FORWARDER
+from lilacloft.routing.host import Endpoint, ListMode
+from lilacloft.routing.units import Ticks
+
+FLUSH_SECONDS = 0.05  # for the last reports to be sent
+
+
+class GatewayAgent:
+    """One gateway's."""
+
+    def __init__(
+        self, gateway: Any, name: str, planners: Mapping[str, Address], leave: str = "never"
+    ) -> None:
+        """`leave`: whether whole locations may be out of use, `past` their caches, or `across`, with other
+        locations' caches in their place."""
+        self.gateway = gateway
+        self.follower = self._make_follower(name, planners, leave)
+        self.observer = GatewayObserver(
+            gateway.router, [vhost["name"] for vhost in gateway.vhosts], self.follower
+        )
+        self.counted_requests = 0
+        self.clients = {
+            other: Client(address, self._make_hello, self._on_message) for other, address in planners.items()
+        }
+        self.plan_id = self.follower.lease.plan_id
+        self.slices_in_use: dict[int, int] = {}  # of locations that are not all in use
+        gateway.agent = self
+        if leave == "across":
+            self._enable_cross_location()
+        self.backends_changed(gateway.backends)
+
+    def _make_follower(self, name: str, planners: Mapping[str, Address], leave: str) -> Follower:
+        settings = self.gateway.router.settings
+        keeper = LocalFailover(name, settings.zone_gateways, settings.cache_slow_start.duration)
+        return Follower(
+            FollowerSettings(
+                name=name,
+                incarnation=max(1, time.time_ns() // 1_000_000),
+                zone=settings.zone,
+                planners=planners,
+                quota_window=settings.overload_window,
+                own_share=1 / settings.zone_gateways,
+            ),
+            self.gateway.monotonic_time,
+            restarted=True,
+            keeper=None if leave == "never" else keeper,
+        )
+
+    def _enable_cross_location(self) -> None:
+        """Have the decisions use other locations' caches, which are in the list already."""
+        router = self.gateway.router
+        router.settings.cross_location = True
+        router.endpoints_changed(
+            ListMode.DELTA,
+            [
+                Endpoint(
+                    backend,
+                    backend.zone,
+                    backend.kind,
+                    backend.cell,
+                    backend.status,
+                    backend.capacity,
+                    backend.started,
+                )
+                for backend in self.gateway.backends.values()
+            ],
+        )
+
+    def start(self) -> None:
+        """Begin to report; the gateway runs."""
+        self._report()
+
+    def close(self) -> None:
+        """Tell the planners that this process ends, and close the connections."""
+        for name, client in self.clients.items():
+            report = self.follower.make_report(name, self.gateway.monotonic_time)
+            client.send(codec.encode_report(dataclasses.replace(report, is_leaving=True)))
+        time.sleep(FLUSH_SECONDS)
+        for client in self.clients.values():
+            client.close()
+
+    def _make_hello(self) -> bytes:
+        settings = self.follower.settings
+        return codec.encode_hello(settings.name, FORWARDER, settings.incarnation)
+
+    # --- called by the gateway ---
+
+    def attempt_ended(self, call: Any, backend: Any, outcome: str, took: Ticks, note: int) -> None:
+        """Count an attempt that has ended."""
+        request = call.request
+        self.observer.attempt_ended(
+            EndedAttempt(
+                backend,
+                call.vhost,
+                outcome,
+                took,
+                request.transfer_time,
+                note,
+                call.kbytes,
+                request.source,
+            )
+        )
+
+    def backends_changed(self, names: Iterable[str]) -> None:
+        """Take in the backends that the change log has changed."""
+        gateway = self.gateway
+        self.observer.backends_changed(names, gateway.feed.last, gateway.time, gateway.monotonic_time)
+
+    # --- once per report interval ---
+
+    def _report(self) -> None:
+        gateway = self.gateway
+        requests = gateway.front.counts["reqs"]
+        self.observer.observe(
+            requests - self.counted_requests, gateway.feed.last, gateway.time, gateway.monotonic_time
+        )
+        self.counted_requests = requests
+        for name, client in self.clients.items():
+            client.send(codec.encode_report(self.follower.make_report(name, gateway.monotonic_time)))
+        self._apply()
+        gateway.call_at(gateway.time + REPORT_INTERVAL, self._report)
+
+    def _apply(self) -> None:
+        """Have the decisions follow the plan; log and record a change of it."""
+        effect = self.observer.apply(self.gateway.time, self.gateway.monotonic_time)
+        plan_id = effect.plan_id
+        if plan_id.planner != self.plan_id.planner:
+            logger.info("plan: {} holds", plan_id if plan_id.planner else "none")
+        if plan_id != self.plan_id and self.gateway.recorder:
+            self.gateway.recorder.planned(effect)
+        self.plan_id = plan_id
+        self._note_locations()
+
+    def _note_locations(self) -> None:
+        """Log and record changes of locations' use."""
+        keeper = self.follower.keeper
+        current = keeper.statuses() if keeper else {}
+        for zone in sorted(current.keys() | self.slices_in_use.keys()):
+            in_use, failed_returns = current.get(zone, (SLICE_COUNT, 0))
+            before = self.slices_in_use.get(zone, SLICE_COUNT)
+            if in_use != before:
+                self._note_location(zone, before, in_use, failed_returns)
+        self.slices_in_use = {zone: in_use for zone, (in_use, _) in current.items()}
+
+    def _note_location(self, zone: int, before: int, in_use: int, failed_returns: int) -> None:
+        has_plan = self.plan_id.planner != ""
+        names = self.gateway.settings["zones"]
+        name = names[zone] if 0 <= zone < len(names) else str(zone)
+        location = self.follower.plan.locations.get(zone) if has_plan else None
+        why = location.reason if location else ""
+        if in_use in (0, SLICE_COUNT) or before == 0:
+            suffix = f" ({why})" if why else "" if has_plan else " (without a plan)"
+            logger.info("location {}: {} of {} slices at home{}", name, in_use, SLICE_COUNT, suffix)
+        if self.gateway.recorder:
+            self.gateway.recorder.away(name, in_use, SLICE_COUNT, failed_returns, why, not has_plan)
+
+    # --- connections ---
+
+    def _on_message(self, connection: Connection, message: Any) -> None:
+        """Runs in a connection's thread."""
+        if message.HasField("reply"):
+            self.gateway.post(self._on_reply, codec.decode_reply(message.reply))
+
+    def _on_reply(self, reply: PlanReply) -> None:
+        if self.follower.receive_reply(reply, self.gateway.monotonic_time):
+            self._apply()
--- a/lilacloft/gateway/discovery.py
+++ b/lilacloft/gateway/discovery.py
@@ -102,7 +102,7 @@
             )
         gateway.router.endpoints_changed(mode, endpoints)
         if gateway.agent:
-            gateway.agent.told([endpoint.backend.name for endpoint in endpoints])
+            gateway.agent.backends_changed([endpoint.backend.name for endpoint in endpoints])
         for backend, address in addresses:
             if backend.status:
                 gateway.back.place(backend, address)
--- a/lilacloft/gateway/dispatcher.py
+++ b/lilacloft/gateway/dispatcher.py
@@ -181,7 +181,7 @@
         if gateway.recorder:
             gateway.recorder.ended(call, sent.backend, end, duration, reply.note, reply.queued, reply.load)
         if gateway.agent:
-            gateway.agent.ended(call, sent.backend, OUTCOMES[end], duration, reply.note)
+            gateway.agent.attempt_ended(call, sent.backend, OUTCOMES[end], duration, reply.note)
 
     def _send_answer(self, call: Call, end: End, body: bytes) -> None:
         if end is End.UNCHANGED:
--- a/lilacloft/handover/process.py
+++ b/lilacloft/handover/process.py
@@ -87,10 +87,11 @@
         plan = self.options.plan
         if not plan or not plan.get("planners"):
             return None
-        from lilacloft.plan.agent import Agent
+
+        from lilacloft.control.gateway_agent import GatewayAgent
 
         name = str(self.config.get("name", "gateway"))
-        return Agent(gateway, name, plan["planners"], plan.get("zones", {}).get("leave", "never"))
+        return GatewayAgent(gateway, name, plan["planners"], plan.get("zones", {}).get("leave", "never"))
 
     def recorder(self, gateway: Gateway) -> Any:
         """Return what records events, if the settings name a folder for them."""
--- a/rigs/failover.py
+++ b/rigs/failover.py
@@ -229,7 +229,7 @@
     """What the planners decided of locations, with its times in the fleet's time."""
     lines = []
     for plane in fleet.planners:
-        zones = plane.core.zones
+        zones = plane.planner.locations.decider
         for zone, state in (zones.states if zones else {}).items():
             offset = fleet.events.now - START - plane.now()
             lines += [
@@ -280,8 +280,8 @@
     decided = [
         f"{plane.name} {zone}: {text}"
         for plane in fleet.planners
-        if plane.core.zones
-        for zone, state in plane.core.zones.states.items()
+        if plane.planner.locations.decider
+        for zone, state in plane.planner.locations.decider.states.items()
         for _, text in state.history
     ]
     return [*decided, *(str(breach) for breach in result.breaches)]
--- a/tests/test_failover_world.py
+++ b/tests/test_failover_world.py
@@ -124,7 +124,11 @@
     fleet = WatchedPlanes(build_world(SIZE, span=14.0), 2, faults, leave="past")
     fleet.watch()
     assert not fleet.run().breaches
-    assert all(not state.history for plane in fleet.planners for state in plane.core.zones.states.values())
+    assert all(
+        not state.history
+        for plane in fleet.planners
+        for state in plane.planner.locations.decider.states.values()
+    )
 
 
 def test_the_same_seed_is_the_same_run():
