--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -516,7 +516,8 @@
     code, told = world.stop()
     assert code == 0 and "done=2" in told and "reqs=2" in told
     world.start()
-    tag = world.asker().ask()
+    waiting = world.asker()  # kept, else it closes at once
+    tag = waiting.ask()
     world.process.kill()
     world.process.wait()
     world.start()  # at once under the same name and address
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -118,7 +118,8 @@
     sock.sendall(booked_answer(items[1]))
     assert asker.answer() == [tag, b"200", b"", b"booked"]
     assert_nothing_more_sent(world.caches[0], items[1])
-    tag = world.asker().ask(b"book", body=b"seat")
+    waiting = world.asker()  # kept, else it closes at once
+    tag = waiting.ask(b"book", body=b"seat")
     world.caches[0].next()
 
 
