--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -40,7 +40,7 @@
     def arrived(self, call: Call) -> None:
         """A request was read. One whose client has cancelled it or left since is not decided on: that it has
         is queued behind."""
-        if call.client.end is not None or call.client.open.get(call.tag) is not call:
+        if call.client.close_reason is not None or call.client.open.get(call.tag) is not call:
             return
         gateway = self.gateway
         client_timeout = gateway.vhosts[call.vhost]["client_timeout"]
--- a/lilacloft/gateway/dispatcher.py
+++ b/lilacloft/gateway/dispatcher.py
@@ -13,7 +13,7 @@
 from lilacloft.gateway.wire_messages import TICKS_PER_MILLISECOND, attempt_milliseconds, encode_dispatch
 from lilacloft.invariants import History
 from lilacloft.net.back import NO_REPLY, Reply, Sent
-from lilacloft.net.conn import OUTCOMES, End
+from lilacloft.net.close_reasons import OUTCOMES, CloseReason
 from lilacloft.net.front import Call
 from lilacloft.routing.host import AttemptResult, Dispatch
 from lilacloft.routing.model import Backend, Idempotency, Outcome, Request
@@ -94,10 +94,10 @@
         if sent is None:
             return
         if self._withdraw_from_store(sent):
-            self.report_end(sent, End.UNWRITTEN)
+            self.report_end(sent, CloseReason.UNWRITTEN)
         elif sent.conn is not None:
             confirmed_at = self.gateway.back.give_up(sent)
-            self.loop.defer(self.attempt_cancelled, sent, End.CALLED_OFF, confirmed_at)
+            self.loop.defer(self.attempt_cancelled, sent, CloseReason.CALLED_OFF, confirmed_at)
 
     def withdraw(self, request: Request, attempt: int) -> None:
         """Take an attempt back, given by its number within its request, if it has not gone out."""
@@ -115,7 +115,7 @@
         """Take back an attempt that has not gone out and report its end; False where it may have."""
         withdrawn = self._withdraw_from_store(sent) or self.gateway.back.take_back(sent)
         if withdrawn:
-            self.report_end(sent, End.UNWRITTEN)
+            self.report_end(sent, CloseReason.UNWRITTEN)
         return withdrawn
 
     def _withdraw_from_store(self, sent: Sent) -> bool:
@@ -145,7 +145,7 @@
 
     # --- ends ---
 
-    def attempt_ended(self, sent: Sent, end: End, reply: Reply = NO_REPLY) -> None:
+    def attempt_ended(self, sent: Sent, end: CloseReason, reply: Reply = NO_REPLY) -> None:
         """An attempt or a health check is over. That its reply waited in the event loop's queue since it was
         read counts against no backend."""
         self.gateway.counters.ends[end.name] += 1
@@ -172,7 +172,7 @@
             self.gateway.recorder.checked(backend, outcome, reply.load)
         self.gateway.router.health_checked(backend, outcome, reply.load)
 
-    def _notify_end(self, sent: Sent, end: End, duration: Ticks, reply: Reply) -> None:
+    def _notify_end(self, sent: Sent, end: CloseReason, duration: Ticks, reply: Reply) -> None:
         """Tell the store, the records and the planners' agent of an attempt's end."""
         gateway, call = self.gateway, sent.call
         if gateway.guard:
@@ -182,13 +182,13 @@
         if gateway.agent:
             gateway.agent.ended(call, sent.backend, OUTCOMES[end], duration, reply.note)
 
-    def _send_answer(self, call: Call, end: End, body: bytes) -> None:
-        if end is End.UNCHANGED:
+    def _send_answer(self, call: Call, end: CloseReason, body: bytes) -> None:
+        if end is CloseReason.UNCHANGED:
             self.answers.send(call, AnswerKind.SERVED, (("ok304", 1),))
         else:
             self.answers.send(call, AnswerKind.SERVED, (), body)
 
-    def attempt_cancelled(self, sent: Sent, end: End, confirmed_at: Ticks) -> None:
+    def attempt_cancelled(self, sent: Sent, end: CloseReason, confirmed_at: Ticks) -> None:
         """An attempt was ended by this gateway. Its request may be sent again only once it is certain that
         the backend knows, else two attempts could be out at once; so its end is reported at `confirmed_at`,
         or now where nothing will be sent any more."""
@@ -201,13 +201,13 @@
         """The time of an attempt or a health check is up."""
         if sent.conn is not None:
             self.gateway.back.give_up(sent)
-            self.attempt_ended(sent, End.TIME_UP)
+            self.attempt_ended(sent, CloseReason.TIME_UP)
 
     def is_obsolete(self, call: ScheduledCall) -> bool:
         """Is a timer the time-out of an attempt that is over? Then it need not wake the event loop."""
         return call.callback == self.attempt_timed_out and call.arguments[0].conn is None
 
-    def report_end(self, sent: Sent, end: End) -> None:
+    def report_end(self, sent: Sent, end: CloseReason) -> None:
         """Report the end of an attempt or a health check without an answer, after the current callback."""
         self.loop.defer(self.attempt_ended, sent, end)
 
@@ -215,7 +215,7 @@
         """End an attempt before it begins, as it would break an invariant."""
         sent = Sent(call, backend, call.request.attempts - 1, call.name.encode(), b"", self.clock.time)
         call.sent = sent
-        self.report_end(sent, End.UNWRITTEN)
+        self.report_end(sent, CloseReason.UNWRITTEN)
 
     def _trace(self, call: Call, what: str, detail: str) -> None:
         self.gateway.trace.add(self.clock.monotonic_time, call.name, what, detail)
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -32,7 +32,7 @@
 from lilacloft.gateway.reporting import Reporter
 from lilacloft.invariants import Invariants
 from lilacloft.net.back import Back
-from lilacloft.net.conn import Conn
+from lilacloft.net.connection import Connection
 from lilacloft.net.front import Front
 from lilacloft.routing.host import Dispatch, HealthChange, Timer
 from lilacloft.routing.model import Backend, Request
@@ -180,9 +180,9 @@
             self.maintenance_interval / TICKS_PER_SECOND,
         )
 
-    def write_soon(self, conn: Conn) -> None:
+    def write_soon(self, conn: Connection) -> None:
         """Try again to write to a connection, for which no thread could be started."""
-        self.call_at(self.time + WRITE_RETRY_DELAY, conn.write_on)
+        self.call_at(self.time + WRITE_RETRY_DELAY, conn.resume_writing)
 
     def connection_closing(self, names: list[str]) -> None:
         """Check that this gateway may close a connection, on which requests of these names are open. Any
--- a/lilacloft/gateway/lifecycle.py
+++ b/lilacloft/gateway/lifecycle.py
@@ -76,7 +76,7 @@
         yet."""
         gateway = self.gateway
         return bool(gateway.open_requests) or any(
-            client.open or client.waits() for client in list(gateway.front.clients)
+            client.open or client.unsent_bytes() for client in list(gateway.front.clients)
         )
 
     def _arrivals_are_over(self) -> bool:
--- a/lilacloft/gateway/reporting.py
+++ b/lilacloft/gateway/reporting.py
@@ -77,7 +77,7 @@
             "names": len(gateway.front.names),
             "clients": len(gateway.front.clients),
             "parting": len(gateway.front.parting),
-            "unwritten": sum(client.waits() for client in list(gateway.front.clients)),
+            "unwritten": sum(client.unsent_bytes() for client in list(gateway.front.clients)),
             "out": sum(sent.call is not None for sent in in_flight),
             "checks": sum(sent.call is None for sent in in_flight),
             "reqs": sum(len(backend.requests) for backend in backends),
--- a/lilacloft/net/back.py
+++ b/lilacloft/net/back.py
@@ -15,21 +15,22 @@
 from loguru import logger
 
 from lilacloft.invariants import Begun, Invariants
-from lilacloft.net.conn import Conn, End
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import Connection
 from lilacloft.net.resp import Buffer, GarbledError, encode, fields, listed
 from lilacloft.routing.model import Backend
 from lilacloft.routing.retries import last_send_time
 from lilacloft.settings import NS, TENTHS
 
 WORDS = {
-    b"data": End.DATA,
-    b"unchanged": End.UNCHANGED,
-    b"absent": End.ABSENT,
-    b"full": End.FULL,
-    b"failed": End.FAILED,
-    b"moot": End.MOOT,
+    b"data": CloseReason.DATA,
+    b"unchanged": CloseReason.UNCHANGED,
+    b"absent": CloseReason.ABSENT,
+    b"full": CloseReason.FULL,
+    b"failed": CloseReason.FAILED,
+    b"moot": CloseReason.MOOT,
 }
-HEALTH = {b"well": End.DATA, b"ill": End.FAILED}  # the answers to checks
+HEALTH = {b"well": CloseReason.DATA, b"ill": CloseReason.FAILED}  # the answers to checks
 NOTES = {
     name: place
     for place, name in enumerate(
@@ -51,7 +52,9 @@
 
 
 # ends of a connection of which its cache may not know yet
-ENDED_BY_US = frozenset((End.GARBLED, End.CHOKED, End.SILENT, End.FAULT, End.BROKEN))
+ENDED_BY_US = frozenset(
+    (CloseReason.GARBLED, CloseReason.CHOKED, CloseReason.SILENT, CloseReason.FAULT, CloseReason.BROKEN)
+)
 TOO_OLD = 10  # tenths of a millisecond after which the time limit in a dispatch is written anew
 
 
@@ -155,7 +158,7 @@
         return gone is not None and now >= last_send_time(gone)
 
 
-class Line(Conn):
+class Line(Connection):
     """A connection to a cache, with what is out on it by id."""
 
     def __init__(self, pool: Pool, *args: Any, **more: Any) -> None:
@@ -170,7 +173,7 @@
     def write_soon(self) -> None:
         self.pool.back.post(self.pool.back.write_soon, self)
 
-    def refreshed(self, place: int, message: memoryview) -> memoryview:
+    def refresh_message(self, place: int, message: memoryview) -> memoryview:
         """A dispatch with the time that is left by now. The owner hears of what is dropped."""
         for sent in list(self.out.values()):
             if sent.place != place:
@@ -200,12 +203,12 @@
             for line in self.lines
             if len(line.out) < self.back.streams
             and not line.shunned
-            and line.end is None
+            and line.close_reason is None
             and sent.name not in line.out
             and not (sent.call and line in sent.call.lines)
         ]
         best = min(fitting, key=lambda line: (len(line.out), -line.used), default=None)
-        broke = sent.call and sent.call.lines and sent.call.lines[-1].end is not None
+        broke = sent.call and sent.call.lines and sent.call.lines[-1].close_reason is not None
         if (best and not best.out and not broke) or len(self.lines) >= self.back.share():
             return best
         if not self.back.has_room():
@@ -216,7 +219,7 @@
                 self.back.answer,
                 self.back.gone,
                 address=self.address,
-                patience=self.back.patience / TENTHS,
+                connect_timeout=self.back.patience / TENTHS,
             )
             line.start()
         except (OSError, RuntimeError) as wrong:  # no descriptor or no thread to be had: it passes
@@ -234,7 +237,7 @@
         for line in list(self.lines):
             line.shunned = True
             if not line.out:
-                line.close(End.RETIRED)
+                line.close(CloseReason.RETIRED)
 
 
 class Back:
@@ -257,7 +260,7 @@
         self.most = most  # connections in all
         self.names = config["stats"]["names"]
         self.invariants = Invariants(config)
-        self.write_soon: Callable[[Conn], None] = Conn.write_on
+        self.write_soon: Callable[[Connection], None] = Connection.resume_writing
         self.closes: Counter[str] = Counter()  # connections, by how they ended
         self.pools: dict[Backend, Pool] = {}
         self.checks = 0
@@ -289,12 +292,12 @@
     def has_room(self) -> bool:
         """May one more connection be made? Where there are as many as may be, the longest idle one ends for
         it: with many caches, a pool's least share comes to more than there is for all."""
-        lines = [line for pool in self.pools.values() for line in pool.lines if line.end is None]
+        lines = [line for pool in self.pools.values() for line in pool.lines if line.close_reason is None]
         if len(lines) < self.most:
             return True
         idle = [line for line in lines if not line.out]
         if idle:
-            min(idle, key=lambda line: line.used).close(End.RETIRED)
+            min(idle, key=lambda line: line.used).close(CloseReason.RETIRED)
         return bool(idle)
 
     # --- sending ---
@@ -308,14 +311,14 @@
         drained = self.invariants.drained.get(sent.backend.name)
         return self.invariants.begins(sent.begun(drained.steady if drained else 0))
 
-    def dispatch(self, sent: Sent) -> End | None:
+    def dispatch(self, sent: Sent) -> CloseReason | None:
         """Send; tells at once how it ended where there was no way to."""
         if not self.may_begin(sent):
-            return End.UNWRITTEN
+            return CloseReason.UNWRITTEN
         pool = self.pools.get(sent.backend)
         line = pool.line(sent) if pool else None
         if line is None:
-            return End.NO_LINE
+            return CloseReason.NO_LINE
         sent.conn = line
         line.out[sent.name] = sent
         line.used = self.now()
@@ -325,7 +328,7 @@
         self.counts["dispatches" if sent.call else "checks"] += 1
         return None
 
-    def check(self, backend: Backend) -> tuple[Sent, End | None]:
+    def check(self, backend: Backend) -> tuple[Sent, CloseReason | None]:
         """Ask for a load report, or where there are none whether it is well."""
         self.checks += 1
         name = b"%d" % self.checks
@@ -345,7 +348,7 @@
     def unsent(self, sent: Sent) -> None:
         """A dispatch has lapsed in the backlog of its connection."""
         if self.take_back(sent):
-            self.ended(sent, End.UNWRITTEN)
+            self.ended(sent, CloseReason.UNWRITTEN)
 
     def give_up(self, sent: Sent) -> int:
         """Nobody waits for it any more: it must be given up before anything else goes out for its req. Tells
@@ -358,16 +361,16 @@
             return now
         self._off(line, sent)
         sure = now + self.slack if line.heard else max(now + self.slack, line.made + self.patience)
-        if line.end is not None:
+        if line.close_reason is not None:
             return sure
         if sent.call:
             self.counts["undone"] += 1
-            if not line.went(line.send(encode(b"undo", sent.name))):
-                line.close(End.CHOKED)  # the undo did not get out, so the connection's end says it
+            if not line.has_sent(line.send(encode(b"undo", sent.name))):
+                line.close(CloseReason.CHOKED)  # the undo did not get out, so the connection's end says it
         if line.heard < sent.at and self.now() - sent.at > self.patience:
             line.shunned = True  # silent all the while: whatever comes next deserves a new one
             if not line.out:
-                line.close(End.SILENT)
+                line.close(CloseReason.SILENT)
         return sure
 
     def _off(self, line: Line, sent: Sent) -> None:
@@ -375,7 +378,7 @@
         sent.conn, sent.data = None, b""  # its timer may hold it for long
         line.used = self.now()
         if line.shunned and not line.out:
-            line.close(End.RETIRED)
+            line.close(CloseReason.RETIRED)
 
     # --- what comes in ---
 
@@ -411,8 +414,10 @@
             self.counts["unknown"] += 1
             return
         end = (WORDS if sent.call else HEALTH).get(word)
-        if end is None or (end is End.UNCHANGED and not sent.call.got):
-            line.close(End.GARBLED)  # no answer to what was asked: what is out ends with the connection
+        if end is None or (end is CloseReason.UNCHANGED and not sent.call.got):
+            line.close(
+                CloseReason.GARBLED
+            )  # no answer to what was asked: what is out ends with the connection
             return
         self.counts["answers"] += 1
         self._off(line, sent)
@@ -422,17 +427,17 @@
         """A connection has ended; so has all that was out on it."""
         if line in line.pool.lines:
             line.pool.lines.remove(line)
-        self.closes[(line.end or End.FAULT).name] += 1
+        self.closes[(line.close_reason or CloseReason.FAULT).name] += 1
         out, line.out = line.out, {}
         for sent in out.values():  # first of all: a report may call back others that were out here
             sent.conn = None
         for sent in out.values():
-            written = line.went(sent.place) and not sent.lapsed
-            end = line.end or End.FAULT
-            if end in (End.CLOSED, End.RESET) and line.buffer.partial():
-                end = End.GARBLED  # cut off within an answer, and nothing more of it will come
-            if not written and end not in (End.REFUSED, End.UNMADE):
-                end = End.UNWRITTEN
+            written = line.has_sent(sent.place) and not sent.lapsed
+            end = line.close_reason or CloseReason.FAULT
+            if end in (CloseReason.CLOSED, CloseReason.RESET) and line.buffer.partial():
+                end = CloseReason.GARBLED  # cut off within an answer, and nothing more of it will come
+            if not written and end not in (CloseReason.REFUSED, CloseReason.UNMADE):
+                end = CloseReason.UNWRITTEN
             if end in ENDED_BY_US:  # as in give_up
                 self.parted(sent, end, self.now() + self.slack)
             else:
@@ -444,16 +449,16 @@
         now, still = self.now(), time.monotonic() - self.patience / TENTHS
         for pool in self.pools.values():
             for line in pool.lines:
-                if line.waits():
-                    line.write_on()
+                if line.unsent_bytes():
+                    line.resume_writing()
                 if line.buffer.partial() and line.came < still:
-                    line.close(End.GARBLED)
+                    line.close(CloseReason.GARBLED)
                 if not line.out and now - line.used >= self.idle:
-                    line.close(End.RETIRED)
+                    line.close(CloseReason.RETIRED)
 
     def give_back(self, backend: Backend) -> None:
         """The module wants the idle connections of a be closed."""
         pool = self.pools.get(backend)
         for line in pool.lines if pool else ():
             if not line.out:
-                line.close(End.RETIRED)
+                line.close(CloseReason.RETIRED)
--- /dev/null
+++ b/lilacloft/net/close_reasons.py
@@ -0,0 +1,65 @@
+"""The reasons for which a connection, or an attempt on one, ends, and the outcome that each one counts as."""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+
+from lilacloft.net import transient
+
+
+class CloseReason(Enum):
+    """Every reason for which a connection, or an attempt on one, can end.
+
+    The names of the members are stored and handed over between processes."""
+
+    # of a connection
+    REFUSED = auto()  # the peer's port is closed
+    UNMADE = auto()  # not connected in time, or no route
+    CLOSED = auto()  # the peer closed it in order
+    RESET = auto()  # the peer reset it
+    BROKEN = auto()  # the network path failed; the peer may not have noticed yet
+    GARBLED = auto()  # the input cannot be parsed
+    CHOKED = auto()  # the peer does not read
+    SILENT = auto()  # closed by us: nothing came in while attempts timed out
+    RETIRED = auto()  # closed by us: idle, or its backend is no longer listed
+    FAULT = auto()  # an exception of our own
+    # of an attempt only
+    NO_LINE = auto()  # no connection is available for it
+    UNWRITTEN = auto()  # its connection ended before its last byte was written
+    DATA = auto()
+    UNCHANGED = auto()
+    ABSENT = auto()
+    FULL = auto()
+    FAILED = auto()
+    MOOT = auto()
+    TIME_UP = auto()
+    CALLED_OFF = auto()
+
+
+OUTCOMES = {  # the only mapping from reasons to the router's outcomes
+    CloseReason.REFUSED: "unreached",
+    CloseReason.UNMADE: "unreached",
+    CloseReason.NO_LINE: "unsent",  # our own limit: no fault of a backend
+    CloseReason.UNWRITTEN: "unsent",
+    CloseReason.CLOSED: "reset",
+    CloseReason.RESET: "reset",
+    CloseReason.BROKEN: "reset",
+    CloseReason.GARBLED: "spoilt",
+    CloseReason.CHOKED: "reset",
+    CloseReason.SILENT: "timeout",
+    CloseReason.RETIRED: "reset",
+    CloseReason.FAULT: "reset",
+    CloseReason.DATA: "done",
+    CloseReason.UNCHANGED: "done",
+    CloseReason.ABSENT: "miss",
+    CloseReason.FULL: "full",
+    CloseReason.FAILED: "error",
+    CloseReason.MOOT: "unsent",
+    CloseReason.TIME_UP: "timeout",
+    CloseReason.CALLED_OFF: "cancelled",
+}
+
+
+def close_reason_of(error: OSError) -> CloseReason:
+    """The reason for which a connection ends on which a system call has failed permanently."""
+    return CloseReason.RESET if transient.ended_by_peer(error) else CloseReason.BROKEN
--- /dev/null
+++ b/lilacloft/net/connection.py
@@ -0,0 +1,258 @@
+"""A connection: its socket, its input buffer and its reading thread.
+
+Each connection reads in a thread of its own and passes whole messages to a callback. It does not interpret
+messages, does not block those who send, and is closed exactly once, for one reason.
+"""
+
+from __future__ import annotations
+
+import _thread
+import contextlib
+import select
+import socket
+import threading
+import time
+from collections.abc import Callable
+
+from loguru import logger
+
+from lilacloft.net import transient
+from lilacloft.net.close_reasons import CloseReason, close_reason_of
+from lilacloft.net.connection_state import ConnectionState
+from lilacloft.net.polling import poll_events
+from lilacloft.net.resp import FROM_CACHE, LARGEST, MIDDLE, Buffer, GarbledError
+from lilacloft.net.tcp_info import bytes_received, since_last_data
+from lilacloft.net.write_backlog import BufferedSender
+
+CONNECT_RETRY_TIME = 0.05  # seconds in which a connect that fails for a local reason is retried
+SOCKET_OPTION_ATTEMPTS = 3
+DRAIN_TIME = 0.5  # seconds for which input after our close is discarded, so that no reset is sent
+DRAIN_BYTES = 1 << 20  # and the most that is discarded
+DRAIN_READ_SIZE = 1 << 16  # bytes
+READER_WAKEUP_TIME = 3.0  # seconds within which a reader gets to process what the kernel delivered to it
+
+
+class Connection(BufferedSender):
+    """One connection, made of an accepted socket, or of an address to connect to within a timeout.
+
+    Where a process may hand its connections to another (`movable`, for all of them), a reader waits without
+    consuming input, and reads and passes on only under its gate. While gate and lock are both acquired
+    (`pause_reading`, `pause_writing`) the connection does not change: what the kernel has received is unread,
+    and what was read is in `Buffer.held` and the backlog."""
+
+    movable = False
+
+    def __init__(
+        self,
+        on_message: Callable[[Connection, list[bytes]], None],
+        on_closed: Callable[[Connection], None],
+        sock: socket.socket | None = None,
+        address: tuple[str, int] = ("", 0),
+        connect_timeout: float = 0.0,
+        sizes: tuple[int, ...] = FROM_CACHE,
+        small: int = MIDDLE,
+    ) -> None:
+        """Both callbacks are called by the reading thread. `connect_timeout`: seconds; `sizes`, `small`: the
+        limits of the input buffer (lilacloft/net/resp.py)."""
+        super().__init__(
+            sock or socket.socket(socket.AF_INET, socket.SOCK_STREAM),
+            ConnectionState.CONNECTING if sock is None else ConnectionState.OPEN,
+        )
+        self.on_message, self.on_closed = on_message, on_closed
+        self.address, self.connect_timeout = address, connect_timeout
+        self.buffer = Buffer(sizes, small)
+        self.came = self.begun = time.monotonic()  # when input came last; when the current message began
+        self.received = 0  # bytes read so far
+        self.passed_on = 0  # of those, the bytes whose messages were passed on, or are buffered in part
+        self.gate = threading.Lock()  # acquired while the reader reads, and to pause it
+
+    def start(self) -> None:
+        """Start the reading thread. Raises RuntimeError where no thread is available."""
+        # not threading.Thread: its start waits until the new thread has run
+        _thread.start_new_thread(self._run, ())
+
+    # --- pausing ---
+
+    def pause_reading(self) -> None:
+        """Pause the reader between two messages."""
+        self.gate.acquire()
+
+    def pause_writing(self) -> None:
+        """Pause all sending."""
+        self.lock.acquire()
+
+    def resume(self, writing_paused: bool = True) -> None:
+        """Resume reading, and writing where that was paused as well."""
+        if writing_paused:
+            self.lock.release()
+        self.gate.release()
+
+    # --- what subclasses do ---
+
+    def apply_backpressure(self) -> None:
+        """Called after each read, outside the gate: may block until the peer reads as well."""
+
+    def wait_for_answers(self, reason: CloseReason) -> None:
+        """The input has ended: block as long as answers to earlier input are outstanding."""
+
+    def close_after_answers(self, reason: CloseReason) -> None:
+        """Close the connection: no answer is outstanding any more."""
+        self.close(reason)
+
+    # --- unread input ---
+
+    def unread(self) -> bool:
+        """Is there input, or an end of input, that was not read or not processed yet?
+
+        Called under the lock."""
+        if self.state is ConnectionState.CLOSED:
+            return False
+        return (
+            self.received != self.passed_on
+            or self._has_delivered_bytes()
+            or bool(poll_events(self.sock, select.POLLIN))
+        )
+
+    def mark_passed_on(self) -> None:
+        """The current message is passed on; what follows it in the buffer is not."""
+        self.passed_on = self.received - self.buffer.behind()
+
+    def _has_delivered_bytes(self) -> bool:
+        """Has the kernel delivered bytes to a reader that got no processor since?
+
+        Only the kernel's own count shows that; it is trusted for `READER_WAKEUP_TIME`, as it includes urgent
+        data too, which no reader receives."""
+        return bytes_received(self.sock) > self.passed_on and since_last_data(self.sock) < READER_WAKEUP_TIME
+
+    # --- connecting ---
+
+    def _connect(self) -> None:
+        """Connect and send what was queued meanwhile; closes the connection where that fails."""
+        self._set_socket_options()  # before anything is sent: a small write must not be delayed
+        try:
+            self._connect_in_time()
+        except ConnectionRefusedError:
+            return self.close(CloseReason.REFUSED)
+        except OSError as error:
+            return self.close(CloseReason.NO_LINE if transient.own_fault(error) else CloseReason.UNMADE)
+        self.sock.settimeout(None)
+        with self.lock:
+            self._advance(ConnectionState.OPEN)
+            self._flush()
+            self._start_writer()
+        return None
+
+    def _connect_in_time(self) -> None:
+        """Connect within the timeout; a transient local failure is retried. Raises OSError."""
+        started_at = time.monotonic()
+        while True:
+            time_left = started_at + self.connect_timeout - time.monotonic()
+            self.sock.settimeout(max(transient.PAUSE, time_left))
+            try:
+                return self.sock.connect(self.address)
+            except OSError as error:
+                retry_until = started_at + CONNECT_RETRY_TIME
+                if time.monotonic() >= retry_until or not transient.connect_passes(error):
+                    raise
+            time.sleep(transient.PAUSE)
+
+    def _set_socket_options(self) -> None:
+        """Turn off Nagle's algorithm and size the send buffer."""
+        for _ in range(SOCKET_OPTION_ATTEMPTS):  # a broken socket reports its error when it is read
+            with contextlib.suppress(OSError):
+                self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, LARGEST)
+                return
+
+    # --- the reading thread ---
+
+    def _run(self) -> None:
+        """The reading thread: whatever fails, it closes the connection in order."""
+        reason = CloseReason.FAULT
+        try:
+            if self.state is ConnectionState.CONNECTING:
+                self._connect()
+            elif self.close_reason is None:
+                self._set_socket_options()
+            reason = self._read_all()
+            if self.close_reason is None and reason in (CloseReason.CLOSED, CloseReason.GARBLED):
+                with self.lock:
+                    self._advance(ConnectionState.HALF_CLOSED)
+                self.wait_for_answers(reason)
+        except Exception:
+            logger.exception("a connection's thread failed")
+        try:
+            self.close_after_answers(reason)
+            if self.state is ConnectionState.DRAINING:
+                self._discard_input()
+        finally:
+            with self.lock:
+                self._leave()
+            self.on_closed(self)
+
+    def _read_all(self) -> CloseReason:
+        """Read and pass on messages until nothing more can be read; returns why."""
+        try:
+            while self.close_reason is None:
+                if self.movable and not self._wait_for_input():
+                    continue
+                with self.gate:
+                    if not self._read_once():
+                        return CloseReason.CLOSED
+                self.apply_backpressure()
+        except GarbledError:
+            return CloseReason.GARBLED
+        except OSError as error:
+            return close_reason_of(error)
+        return CloseReason.FAULT  # not used: it is closed already
+
+    def _wait_for_input(self) -> bool:
+        """Wait for input without consuming any; False after a transient failure."""
+        try:
+            self.sock.recv(1, socket.MSG_PEEK)
+        except OSError as error:
+            if not transient.passes(error):
+                raise
+            time.sleep(transient.PAUSE)
+            return False
+        return True
+
+    def _read_once(self) -> bool:
+        """Read once, and pass on each message that is complete then; False at the end of the stream."""
+        fresh = not self.buffer.partial()
+        try:
+            count = self.buffer.fill(self.sock)
+        except OSError as error:
+            if self.close_reason is not None or not transient.passes(error):
+                raise
+            time.sleep(transient.PAUSE)
+            return True
+        if not count:
+            return False
+        self.received += count
+        self.came = time.monotonic()
+        if self.close_reason is not None:
+            return True  # it was sent before the peer saw our close
+        try:
+            while (items := self.buffer.take()) is not None:
+                fresh = True
+                self.on_message(self, items)
+        except GarbledError:
+            with self.lock:
+                self._advance(ConnectionState.UNREADABLE)
+            raise
+        if fresh:
+            self.begun = self.came
+        self.passed_on = self.received
+        return True
+
+    def _discard_input(self) -> None:
+        """After `half_close`: read and discard what still comes in."""
+        until, bytes_left = time.monotonic() + DRAIN_TIME, DRAIN_BYTES
+        with contextlib.suppress(OSError):
+            while bytes_left > 0 and (time_left := until - time.monotonic()) > 0:
+                self.sock.settimeout(time_left)
+                data = self.sock.recv(DRAIN_READ_SIZE)
+                if not data:
+                    break
+                bytes_left -= len(data)
--- a/lilacloft/net/front.py
+++ b/lilacloft/net/front.py
@@ -19,7 +19,10 @@
 from loguru import logger
 
 from lilacloft.net import transient
-from lilacloft.net.conn import PARTING, Conn, End, State, polled
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import DRAIN_TIME, Connection
+from lilacloft.net.connection_state import ConnectionState
+from lilacloft.net.polling import poll_events
 from lilacloft.net.resp import FROM_CLIENT, LARGEST, SMALL, GarbledError, encode, fields, listed
 from lilacloft.net.tcp_info import since_last_data, since_opened
 from lilacloft.settings import NS, TENTHS
@@ -37,7 +40,7 @@
 DIGITS = frozenset("0123456789.")
 
 
-class Client(Conn):
+class Client(Connection):
     """A client's connection."""
 
     def __init__(self, front: Front, sock: socket.socket) -> None:
@@ -54,13 +57,13 @@
         self.unread_since = (0.0, 0)  # when it was last read from, and since when something lies unread since
         front.holding[self] = None
 
-    def released(self) -> None:
+    def on_descriptor_closed(self) -> None:
         self.front.given_back(self)
 
-    def rest(self) -> None:
+    def apply_backpressure(self) -> None:
         """Stop reading while the other side does not read either, and look whether it has gone meanwhile."""
         told = False
-        while self.held_back(LARGEST, LOOK):
+        while self.wait_for_backlog(LARGEST, LOOK):
             self.departed()
             if self.input_ended is not None and not told:
                 told = True  # what waits is given up at once, not when all before its end has been read
@@ -73,12 +76,12 @@
         The kernel knows of an end of input before anybody has read up to it, but not since when; it came no
         earlier than the last byte. What lies unread, or in its reader's hand, may be a cancel, since it was
         first seen there, or since the last byte came."""
-        if self.end is not None:
+        if self.close_reason is not None:
             return 0
         if self.input_ended is not None:
             return self.input_ended
         seen = self._look()
-        if self.end is not None or seen & (select.POLLERR | select.POLLHUP | select.POLLNVAL):
+        if self.close_reason is not None or seen & (select.POLLERR | select.POLLHUP | select.POLLNVAL):
             return 0
         if not seen and not self._in_hand():
             return None
@@ -97,7 +100,7 @@
         process got no processor lately: else no reader has had it for long."""
         if self.received != self.passed_on:
             return True
-        return self.front.owner.paused_since() is not None and self._given()
+        return self.front.owner.paused_since() is not None and self._has_delivered_bytes()
 
     def last_byte(self) -> int:
         """When the last byte came in, by the steady clock: now, where the kernel does not tell."""
@@ -117,7 +120,7 @@
         if stood is None:
             return last
         now = time.monotonic_ns() // NS
-        if not (self.buffer.partial() or polled(self.sock, select.POLLIN)):
+        if not (self.buffer.partial() or poll_events(self.sock, select.POLLIN)):
             self.emptied = now
             return last
         since = self.opened if self.opened > stood - NOTICED else stood
@@ -129,7 +132,7 @@
     def _look(self) -> int:
         """What the kernel has to tell of its input, and of a break."""
         try:
-            return polled(self.sock, select.POLLIN | select.POLLRDHUP)
+            return poll_events(self.sock, select.POLLIN | select.POLLRDHUP)
         except ValueError:
             return select.POLLNVAL  # given back
 
@@ -137,7 +140,7 @@
         """Take a req and its name, unless the connection has its end: that one crossed our close, and its
         client asks again elsewhere under the same name. ValueError where another is open under it."""
         with self.lock:
-            if self.end is not None:
+            if self.close_reason is not None:
                 self._crossed(call)
                 return False
             if self.front.names.setdefault(call.name, call) is not call:
@@ -150,7 +153,7 @@
         """A req is read on a connection that has its end. Its client sends it again, where it was written up
         to 50 ms before ours; one that had come earlier is lost by us."""
         self.front.counts["crossed"] += 1
-        if self.end is End.RETIRED and call.at < int((self.ended - CROSSES) * TENTHS):
+        if self.close_reason is CloseReason.RETIRED and call.at < int((self.closed_at - CROSSES) * TENTHS):
             self.front.owner.connection_closing([call.name])
 
     def retire(self, how: int = socket.SHUT_WR, halfway: bool = False) -> bool:
@@ -158,47 +161,47 @@
         and all has gone out; who stands still within a message is owed nothing for that, unless more of it
         has come. Under the lock that a req is taken under, so that none is half taken."""
         with self.lock:
-            owed = self.open or self.taken > self.settled or self.waits() or self.unread()
+            owed = self.open or self.taken > self.settled or self.unsent_bytes() or self.unread()
             if not halfway:
                 owed = owed or self.buffer.partial()
-            if self.state is not State.OPEN or owed:
+            if self.state is not ConnectionState.OPEN or owed:
                 return False
-            self._finish(End.RETIRED, how)
+            self._finish(CloseReason.RETIRED, how)
             return True
 
-    def _finish(self, end: End, how: int = socket.SHUT_RDWR) -> None:
-        if self.end is None and end in (End.RETIRED, End.FAULT) and self.open:
+    def _finish(self, end: CloseReason, how: int = socket.SHUT_RDWR) -> None:
+        if self.close_reason is None and end in (CloseReason.RETIRED, CloseReason.FAULT) and self.open:
             self.front.owner.connection_closing([call.name for call in self.open.values()])
         super()._finish(end, how)
 
-    def linger(self, end: End) -> None:
+    def wait_for_answers(self, end: CloseReason) -> None:
         """The other side may have closed only its half; or what came is nonsense: then what is open is given
         up at once, and what can be written in good time is."""
         owner = self.front.owner
-        if end is End.CLOSED and self.input_ended is None:
+        if end is CloseReason.CLOSED and self.input_ended is None:
             self.input_ended = self.last_byte()
-        if self.end is None and (self.taken > self.settled or self.waits()):
+        if self.close_reason is None and (self.taken > self.settled or self.unsent_bytes()):
             seen, until = threading.Event(), time.monotonic() + OWED / 2
-            if end is End.GARBLED:
+            if end is CloseReason.GARBLED:
                 self.front.post(owner.requests.client_sent_malformed, self)
             else:
                 self.front.post(owner.requests.client_half_closed, self, self.input_ended)
             self.front.post(seen.set)  # until the owner has come to all that was read
             seen.wait()
-            while self.end is None and (self.taken > self.settled or self.waits()):
-                if end is End.GARBLED and time.monotonic() > until:
+            while self.close_reason is None and (self.taken > self.settled or self.unsent_bytes()):
+                if end is CloseReason.GARBLED and time.monotonic() > until:
                     break
                 # no input is asked for: only a break, which alone tells that it has left
-                if end is End.CLOSED and polled(self.sock, 0, unknown=0):
-                    self.close(End.RESET)
+                if end is CloseReason.CLOSED and poll_events(self.sock, 0, unknown=0):
+                    self.close(CloseReason.RESET)
                     break
                 with self.lock:
                     self.drained.wait(LOOK)
 
-    def farewell(self, end: End) -> None:
-        if end is End.GARBLED:  # more of it may lie unread: a close now would take the answers along
+    def close_after_answers(self, end: CloseReason) -> None:
+        if end is CloseReason.GARBLED:  # more of it may lie unread: a close now would take the answers along
             self.front.parts(self)
-            self.part(end)
+            self.half_close(end)
         else:
             self.close(end)
 
@@ -306,12 +309,12 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
-        if Conn.movable:
+        if Connection.movable:
             self.sock.setblocking(False)  # another process of this gateway may have taken what was ready
         while True:
             try:
-                if Conn.movable:
-                    polled(self.sock, select.POLLIN, None)
+                if Connection.movable:
+                    poll_events(self.sock, select.POLLIN, None)
                 with self.gate:
                     self._take(self.sock.accept()[0])
             except BlockingIOError:
@@ -377,7 +380,7 @@
         if len(self.clients) >= self.most and not self._make_room():
             return False
         for client in list(self.parting)[:excess]:  # the longest ago first
-            client.cut()
+            client.finish_half_close()
         with self.returned:
             return self.returned.wait_for(lambda: len(self.holding) < self.most, LOOK)
 
@@ -390,7 +393,7 @@
     def _make_room(self) -> bool:
         """Close a connection: one that has brought nothing of use first, else that idle for longest; the
         protocol lets us where no req is open."""
-        idle = [client for client in list(self.clients) if not client.open and client.end is None]
+        idle = [client for client in list(self.clients) if not client.open and client.close_reason is None]
         idle.sort(key=lambda client: (client.taken > 0, client.used))
         closed = 0
         for client in idle:
@@ -439,7 +442,7 @@
                 client.offences = 0
                 if taken:
                     self.counts["reqs"] += 1
-                    client.passes_on()  # first: the owner may come to it before this thread goes on
+                    client.mark_passed_on()  # first: the owner may come to it before this thread goes on
                     self.post(self.owner.requests.arrived, call)
         elif verb == b"FORGET":
             self.counts["forgotten"] += 1
@@ -485,7 +488,7 @@
     def gone(self, client: Client) -> None:
         self.clients.pop(client, None)
         self.parting.pop(client, None)
-        self.closes[(client.end or End.FAULT).name] += 1
+        self.closes[(client.close_reason or CloseReason.FAULT).name] += 1
         if client.open:
             self.post(self.owner.requests.client_disconnected, client)
 
@@ -500,41 +503,41 @@
             halfway = not client.said or client.buffer.partial()
             still = now - (client.begun if halfway else client.used)
             if (
-                client.end is None
+                client.close_reason is None
                 and not client.open
                 and still > (OWED - 2 * every if halfway else IDLE + every)
             ):
                 # who stands still halfway is owed an end now, and its answers; not whose rest lies there
                 self._let_go(client, socket.SHUT_WR if client.taken else socket.SHUT_RDWR, halfway)
         for client, since in list(self.parting.items()):
-            if now - since > PARTING:
-                client.cut()
-        waits = {client: client.waits() for client in list(self.clients)}
+            if now - since > DRAIN_TIME:
+                client.finish_half_close()
+        waits = {client: client.unsent_bytes() for client in list(self.clients)}
         total = sum(waits.values())
         for client in sorted(waits, key=lambda client: -waits[client]):
             if not waits[client] or client.written != client.moved[0]:
                 client.moved = (client.written, now)
             if waits[client]:
-                client.write_on()
+                client.resume_writing()
             if now - client.moved[1] > longest or total > most:
                 total -= waits[client]
-                self.counts["choked"] += client.end is None
-                client.close(End.CHOKED)
+                self.counts["choked"] += client.close_reason is None
+                client.close(CloseReason.CHOKED)
 
     def unread(self) -> bool:
         """Does a connection wait to be let in, or a message to be read?"""
-        if not self.shut and polled(self.sock, select.POLLIN):
+        if not self.shut and poll_events(self.sock, select.POLLIN):
             return True
         for client in list(self.clients):
             with client.lock:
-                if client.state is State.OPEN and client.unread():
+                if client.state is ConnectionState.OPEN and client.unread():
                     return True
         return False
 
     def shut_door(self) -> None:
         """Nobody is let in any more; not where another process may let them in at the same door."""
         self.shut = True
-        if not Conn.movable:
+        if not Connection.movable:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)  # wakes who accepts
 
--- /dev/null
+++ b/lilacloft/net/polling.py
@@ -0,0 +1,26 @@
+"""Polling of a single socket."""
+
+from __future__ import annotations
+
+import select
+import socket
+
+from lilacloft.net import transient
+
+
+def poll_events(
+    sock: socket.socket, events: int, milliseconds: int | None = 0, unknown: int = select.POLLIN
+) -> int:
+    """The bits of `events` that are pending on a socket, within a timeout (None: without limit).
+
+    Returns `unknown` where the poll failed with a transient error. Raises ValueError where the socket's
+    descriptor is closed, and OSError where the poll failed permanently."""
+    poller = select.poll()
+    poller.register(sock, events)
+    try:
+        found = poller.poll(milliseconds)
+    except OSError as error:
+        if not transient.passes(error):
+            raise
+        return unknown
+    return found[0][1] if found else 0
--- /dev/null
+++ b/lilacloft/net/write_backlog.py
@@ -0,0 +1,178 @@
+"""Sending on a connection without blocking: what the socket does not accept at once waits in a backlog.
+
+A writing thread is started for the backlog and ends when the backlog is empty.
+"""
+
+from __future__ import annotations
+
+import _thread
+import select
+import socket
+import threading
+import time
+from collections import deque
+from dataclasses import dataclass
+
+from loguru import logger
+
+from lilacloft.net import transient
+from lilacloft.net.close_reasons import CloseReason, close_reason_of
+from lilacloft.net.connection_state import ConnectionLifecycle, ConnectionState
+from lilacloft.net.polling import poll_events
+
+
+@dataclass(eq=False, slots=True)
+class PendingMessage:
+    """A message, or the remainder of one, that the socket has not accepted yet."""
+
+    position: int  # where it ends in the stream, in bytes
+    unsent: memoryview
+    started: bool = False  # was any byte of it sent?
+
+
+class BufferedSender(ConnectionLifecycle):
+    """The sending side of a connection."""
+
+    def __init__(self, sock: socket.socket, state: ConnectionState) -> None:
+        super().__init__(sock, state)
+        self.backlog: deque[PendingMessage] = deque()
+        self.queued = self.written = 0  # bytes since the start; withdrawn messages count in both
+        self.reached = 0  # position in the stream up to which all that was not withdrawn was sent
+        self.writing = False  # is there a writing thread?
+        self.drained = threading.Condition(self.lock)
+
+    def send(self, data: bytes) -> int:
+        """Send in order, without blocking; returns the position in the stream where the message ends."""
+        with self.lock:
+            self.queued += len(data)
+            if self.close_reason is None:
+                unsent = memoryview(data)
+                if self.state is not ConnectionState.CONNECTING and not self.backlog and not self.writing:
+                    unsent = self._send_now(unsent, self.queued)
+                if unsent:
+                    started = len(unsent) < len(data)
+                    self.backlog.append(PendingMessage(self.queued, unsent, started))
+                    self._start_writer()
+            return self.queued
+
+    def withdraw(self, position: int) -> bool:
+        """Remove the message that ends at a position, if none of it was sent; False where some was."""
+        with self.lock:
+            for message in self.backlog:
+                if message.position == position and not message.started:
+                    self.backlog.remove(message)
+                    self.written += len(message.unsent)  # the positions of later messages stay as they are
+                    return True
+        return False
+
+    def has_sent(self, position: int) -> bool:
+        """Was everything sent up to a position in the stream?"""
+        return self.reached >= position
+
+    def unsent_bytes(self) -> int:
+        """How many bytes were not sent yet."""
+        return self.queued - self.written
+
+    def wait_for_backlog(self, limit: int, timeout: float) -> bool:
+        """Wait until no more than `limit` bytes are unsent, for `timeout` seconds at most.
+
+        Returns whether more than that are still unsent."""
+        with self.lock:
+            if self.unsent_bytes() > limit and self.close_reason is None:
+                self.drained.wait(timeout)
+            return self.unsent_bytes() > limit and self.close_reason is None
+
+    def resume_writing(self) -> None:
+        """Start a writing thread if the backlog needs one: there may have been none available before."""
+        with self.lock:
+            self._start_writer()
+
+    def write_soon(self) -> None:
+        """No thread was available for the backlog: arrange for a call of `resume_writing` shortly.
+
+        Called under the lock."""
+
+    def refresh_message(self, position: int, message: memoryview) -> memoryview:
+        """What is to be sent in place of a message that had to wait, and that ends at a position.
+
+        Never longer than the message, and empty where it is not to be sent any more. Called under the lock,
+        by whichever thread is about to send."""
+        return message
+
+    def _send_now(self, unsent: memoryview, position: int) -> memoryview:
+        """Send what the socket accepts at once of a message that ends at `position`; returns the rest."""
+        try:
+            count = self.sock.send(unsent, socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)
+        except BlockingIOError:
+            return unsent
+        except OSError as error:
+            if transient.passes(error):
+                return unsent
+            self._finish(close_reason_of(error))
+            return unsent[:0]
+        self.written += count
+        self.reached = position - len(unsent) + count
+        return unsent[count:]
+
+    def _flush(self) -> None:
+        """Send what the socket accepts at once of the backlog. Called under the lock."""
+        while self.backlog and self.close_reason is None:
+            message = self.backlog.popleft()
+            if not message.started and not self._start_message(message):
+                continue
+            size = len(message.unsent)
+            message.unsent = self._send_now(message.unsent, message.position)
+            if message.unsent:
+                message.started = message.started or len(message.unsent) < size
+                self.backlog.appendleft(message)
+                return
+
+    def _start_message(self, message: PendingMessage) -> bool:
+        """Refresh a message that had to wait, before its first byte; False where it is dropped.
+
+        What the refreshed message is shorter by counts as written, so that the positions of all that follows
+        stay as they are."""
+        fresh = self.refresh_message(message.position, message.unsent)
+        self.written += len(message.unsent) - len(fresh)
+        message.unsent = fresh
+        return bool(fresh)
+
+    def _start_writer(self) -> None:
+        """Start a writing thread if there is a backlog and none is running. Called under the lock."""
+        connecting = self.state is ConnectionState.CONNECTING
+        if not connecting and self.backlog and not self.writing and self.close_reason is None:
+            self.writing = True
+            self.threads += 1
+            try:
+                _thread.start_new_thread(self._write, ())
+            except RuntimeError as error:  # no thread available: transient, `resume_writing` tries again
+                logger.error("no writing thread: {}", error)
+                self.writing = False
+                self.threads -= 1
+                self.write_soon()
+
+    def _write(self) -> None:
+        """The writing thread: runs until the backlog is empty."""
+        while True:
+            with self.lock:
+                if not self.backlog or self.close_reason is not None:
+                    self.writing = False
+                    self.drained.notify_all()
+                    self._leave()
+                    return
+            try:
+                # polled outside the lock; sent under it, so that writing can be paused
+                poll_events(self.sock, select.POLLOUT, None)
+                with self.lock:
+                    before = self.written
+                    self._flush()
+                    stuck = self.written == before
+                if stuck:  # the socket is writable, and the system lacks some resource
+                    time.sleep(transient.PAUSE)
+            except Exception:
+                logger.exception("a connection's writing thread failed")
+                self.close(CloseReason.FAULT)
+
+    def _discard_backlog(self) -> None:
+        self.backlog.clear()
+        self.drained.notify_all()
--- a/lilacloft/record/writer.py
+++ b/lilacloft/record/writer.py
@@ -18,7 +18,7 @@
 from loguru import logger
 
 from lilacloft import __version__
-from lilacloft.net.conn import OUTCOMES, End
+from lilacloft.net.close_reasons import OUTCOMES, CloseReason
 from lilacloft.record import kinds
 from lilacloft.record.book import Book, Queue
 from lilacloft.record.summary import Summary, plain
@@ -157,7 +157,7 @@
         self.summary.sent(self.names[call.vhost], backend.name)
 
     def ended(
-        self, call: Any, backend: Any, end: End, took: int, note: int, waited: int, load: list[float]
+        self, call: Any, backend: Any, end: CloseReason, took: int, note: int, waited: int, load: list[float]
     ) -> None:
         request = call.request
         source = request.source.name if request.expects_fill and request.source is not None else None
--- a/lilacloft/store/guard.py
+++ b/lilacloft/store/guard.py
@@ -17,7 +17,7 @@
 from loguru import logger
 
 from lilacloft.net.back import Sent
-from lilacloft.net.conn import OUTCOMES, End
+from lilacloft.net.close_reasons import OUTCOMES, CloseReason
 from lilacloft.routing import snapshot
 from lilacloft.routing.model import Backend, Request
 from lilacloft.store import kinds, learned
@@ -171,14 +171,14 @@
         again, self.again = self.again, []
         for sent in again:
             if sent.call.client in self.owner.front.clients:
-                self.owner.report_end(sent, End.UNWRITTEN)
+                self.owner.report_end(sent, CloseReason.UNWRITTEN)
 
     def go_on(self, wrote: bool) -> None:
         """This process is the gateway after all; the other one may have written meanwhile."""
         self.relay = None
         again, self.again = self.again, []
         for sent in again:
-            self.owner.report_end(sent, End.UNWRITTEN)
+            self.owner.report_end(sent, CloseReason.UNWRITTEN)
         over, self.over = self.over, []
         if wrote:
             self.keeper.lost(over)
@@ -237,7 +237,7 @@
                 Backend("earlier", zone=-1, cell=intent.cell),
             )
 
-    def dispatch(self, sent: Sent, until: int) -> End | None:
+    def dispatch(self, sent: Sent, until: int) -> CloseReason | None:
         """Send, or hold until the intent is down. By a time it will have had its own."""
         call, vhost, token = sent.call, self.owner.vhosts[sent.call.vhost], self._token(sent)
         verdict = self.keeper.asks(
@@ -258,7 +258,7 @@
             self.owner.call_at(self.owner.time + (self.keeper.wait() or 0), self.keeper.tick)
             return None
         self.knows(call, call.request)  # it may have become known only since the req came
-        return End.UNWRITTEN
+        return CloseReason.UNWRITTEN
 
     def drop(self, sent: Sent) -> bool:
         """The module takes a dispatch back: was it held? Then it never ran."""
@@ -268,7 +268,7 @@
         self.keeper.left(token)
         return True
 
-    def ended(self, sent: Sent, end: End) -> None:
+    def ended(self, sent: Sent, end: CloseReason) -> None:
         """A dispatch is over."""
         token = self.tokens.pop(sent, None)
         if token is not None and self.held.pop(token, None) is None:
@@ -325,7 +325,7 @@
         sent, until = self.held.pop(token)
         over = sent.call.sent is not sent or sent.call.request.finished or self.owner.time >= until
         if over or sent.expired():
-            return self.owner.report_end(sent, End.UNWRITTEN)
+            return self.owner.report_end(sent, CloseReason.UNWRITTEN)
         sent.at = self.owner.time  # that it waited for the disk is no fault of its cache
         # the loop lets the times of what is not on a connection go: this one may be gone already
         self.owner.call_at(until, self.owner.attempt_timed_out, sent)
@@ -337,4 +337,4 @@
     def refuse(self, token: str) -> None:
         sent, _ = self.held.pop(token)
         self.knows(sent.call, sent.call.request)  # the same: else it would be denied, as if it had never run
-        self.owner.report_end(sent, End.UNWRITTEN)
+        self.owner.report_end(sent, CloseReason.UNWRITTEN)
--- a/lilacloft/upgrade/carry.py
+++ b/lilacloft/upgrade/carry.py
@@ -12,9 +12,12 @@
 from typing import Any
 
 from lilacloft.net.back import Line, Pool, Sent
-from lilacloft.net.conn import Conn, End, State, Waiting
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import Connection
+from lilacloft.net.connection_state import ConnectionState
 from lilacloft.net.front import Call, Client
 from lilacloft.net.tcp_info import bytes_received
+from lilacloft.net.write_backlog import PendingMessage
 from lilacloft.routing.model import Backend, Request
 from lilacloft.routing.snapshot import give, recall, take
 from lilacloft.upgrade import form
@@ -40,7 +43,7 @@
 class Ended:
     """Stands for a connection that carried a req before and has ended: its next dispatch takes a new one."""
 
-    end = End.RESET
+    close_reason = CloseReason.RESET
 
 
 ENDED = Ended()
@@ -51,10 +54,10 @@
     return not (
         client.open
         or client.buffer.partial()
-        or client.waits()
-        or client.state is not State.OPEN
+        or client.unsent_bytes()
+        or client.state is not ConnectionState.OPEN
         or client.taken > client.settled
-        or client.end is not None
+        or client.close_reason is not None
     )
 
 
@@ -67,11 +70,11 @@
     return list(found)
 
 
-def stream(conn: Conn, sock: int) -> dict[str, Any]:
+def stream(conn: Connection, sock: int) -> dict[str, Any]:
     return {
         "sock": sock,
         "held": conn.buffer.held(),
-        "backlog": [(waiting.place, bytes(waiting.rest)) for waiting in conn.backlog],
+        "backlog": [(waiting.position, bytes(waiting.unsent)) for waiting in conn.backlog],
         "queued": conn.queued,
         "written": conn.written,
         "came": conn.came,
@@ -85,22 +88,22 @@
     return form.Client(**stream(client, sock), **told)
 
 
-def tell(owner: Any, mode: str, places: Iterable[tuple[str, int]]) -> tuple[form.State, list[Conn]]:
+def tell(owner: Any, mode: str, places: Iterable[tuple[str, int]]) -> tuple[form.State, list[Connection]]:
     """The state of an owner at rest, and the connections that go over, in the order of their descriptors. In
     mode `whole` all that can go over does; in mode `drain` what nothing is open on."""
     whole = mode == "whole"
     clients = [
         client
         for client in owner.front.clients
-        if client.state is not State.UNREADABLE and (whole or free(client))
+        if client.state is not ConnectionState.UNREADABLE and (whole or free(client))
     ]
     carried = [
         line
         for line in lines(owner)
-        if line.state is not State.CONNECTING
-        and (whole or not (line.out or line.buffer.partial() or line.waits()))
+        if line.state is not ConnectionState.CONNECTING
+        and (whole or not (line.out or line.buffer.partial() or line.unsent_bytes()))
     ]
-    conns: list[Conn] = [*clients, *carried]
+    conns: list[Connection] = [*clients, *carried]
     number = {conn: place for place, conn in enumerate(conns)}
     line_number = {line: place for place, line in enumerate(carried)}
     calls = [call for call in owner.open_requests.values() if call.client in number] if whole else []
@@ -246,7 +249,7 @@
     def __init__(self, owner: Any) -> None:
         self.owner = owner
         self.state = form.State()
-        self.conns: list[Conn] = []  # to be started once this process is the gateway
+        self.conns: list[Connection] = []  # to be started once this process is the gateway
         self.again: list[Sent] = []  # dispatches whose connection had not come up: they go out anew
 
     def warm(self, rows: list[form.Listed], table: Iterable[list[form.ObjectPart]]) -> None:
@@ -325,9 +328,9 @@
         front.clients[client] = None
         return client
 
-    def _stream(self, conn: Conn, told: form.Stream) -> None:
+    def _stream(self, conn: Connection, told: form.Stream) -> None:
         conn.buffer.feed(told.held)
-        conn.backlog.extend(Waiting(at, memoryview(rest), begun=True) for at, rest in told.backlog)
+        conn.backlog.extend(PendingMessage(at, memoryview(rest), started=True) for at, rest in told.backlog)
         conn.queued, conn.written, conn.came, conn.begun = told.queued, told.written, told.came, told.begun
         conn.received = conn.passed_on = told.passed_on if told.passed_on >= 0 else bytes_received(conn.sock)
         conn.reached = min((at - len(rest) for at, rest in told.backlog), default=told.queued)
@@ -383,7 +386,7 @@
             if call.request.send_by:
                 owner.call_at(call.request.send_by, owner.send_deadline_passed, call)
         if told.over:
-            owner.call_at(told.over[1], owner.attempt_ended, sent, End[told.over[0]])
+            owner.call_at(told.over[1], owner.attempt_ended, sent, CloseReason[told.over[0]])
             return
         if told.line is None:
             self.again.append(sent)
@@ -391,8 +394,8 @@
             sent.conn = carried[told.line]
             sent.conn.out[sent.name] = sent
             for waiting in sent.conn.backlog:
-                if waiting.place == sent.place:
-                    waiting.begun = len(waiting.rest) < len(sent.data)
+                if waiting.position == sent.place:
+                    waiting.started = len(waiting.unsent) < len(sent.data)
         if told.until is not None:
             owner.call_at(told.until, owner.attempt_timed_out, sent)
 
@@ -401,7 +404,7 @@
         self.owner.record_pause(self.state.steady)
         for conn in self.conns:
             with conn.lock:
-                conn._write_on()
+                conn._start_writer()
             conn.start()
         guard = self.owner.guard
         if guard:
@@ -413,7 +416,7 @@
         for sent in self.again:
             sent.at = self.owner.time
             if sent.expired():
-                end: End | None = End.UNWRITTEN
+                end: CloseReason | None = CloseReason.UNWRITTEN
             elif guard:
                 end = guard.dispatch(sent, sent.call.request.deadline)
             else:
--- a/lilacloft/upgrade/offer.py
+++ b/lilacloft/upgrade/offer.py
@@ -400,7 +400,7 @@
         for call in list(self.owner.open_requests.values()):
             self.owner.router.reject(call.request, RejectReason.ENDING)
         for client in list(self.owner.front.clients):
-            client.hold()  # nothing more is read, so what is unread goes over with the connection
+            client.pause_reading()  # nothing more is read, so what is unread goes over with the connection
             self.rest.held[client] = False
 
     def end(self) -> None:
--- a/lilacloft/upgrade/process.py
+++ b/lilacloft/upgrade/process.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from lilacloft.errors import NotWantedError, UnusableError
-from lilacloft.net.conn import Conn
+from lilacloft.net.connection import Connection
 from lilacloft.settings import TENTHS
 from lilacloft.upgrade import form
 from lilacloft.upgrade.channel import BrokenError
@@ -41,7 +41,7 @@
     socket is given, at which nobody was let in since a time of the steady clock in seconds
     (`unserved_since`). Raises NotWantedError where the other process goes on as the gateway, OSError where
     a path cannot be had."""
-    Conn.movable = bool(handover) or takeover >= 0
+    Connection.movable = bool(handover) or takeover >= 0
     if takeover >= 0:
         return _follow(Taking(takeover), config, make, handover, (limits, status, mode), record, store, plan)
     owner = make(config, socket.socket(fileno=listener) if listener >= 0 else None, False)
--- a/lilacloft/upgrade/rest.py
+++ b/lilacloft/upgrade/rest.py
@@ -11,7 +11,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from lilacloft.net.conn import Conn, End, State
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import Connection
+from lilacloft.net.connection_state import ConnectionState
 from lilacloft.net.front import Client
 from lilacloft.routing import snapshot
 from lilacloft.upgrade import carry, form
@@ -25,10 +27,10 @@
 
     def __init__(self, owner: Any) -> None:
         self.owner = owner
-        self.held: dict[Conn, bool] = {}  # at rest: is also its writing held?
+        self.held: dict[Connection, bool] = {}  # at rest: is also its writing held?
         self.doors = False  # are accepting and the change log held?
         self.arrivals = 0  # of reqs, when the table was told
-        self.moved: list[Conn] = []  # gone over; held for good, unless the new process dies
+        self.moved: list[Connection] = []  # gone over; held for good, unless the new process dies
         self.touched: list[tuple[str, int]] = []  # places of the table that may change after they were told
 
     # --- before ---
@@ -66,11 +68,17 @@
         self.doors = True
         while True:
             for conn in (*list(owner.front.clients), *carry.lines(owner)):
-                if conn not in self.held and conn.end is None and conn.state is not State.UNREADABLE:
-                    conn.hold()
+                if (
+                    conn not in self.held
+                    and conn.close_reason is None
+                    and conn.state is not ConnectionState.UNREADABLE
+                ):
+                    conn.pause_reading()
                     self.held[conn] = False
             for client in [
-                one for one in self.held if isinstance(one, Client) and one.state is State.UNREADABLE
+                one
+                for one in self.held
+                if isinstance(one, Client) and one.state is ConnectionState.UNREADABLE
             ]:
                 self.loosen(client)  # nonsense: what it has open is given up, and its end comes here
                 owner.run_callback(owner.requests.client_sent_malformed, (client,))
@@ -80,14 +88,14 @@
             now = {
                 conn
                 for conn in (*list(owner.front.clients), *carry.lines(owner))
-                if not (isinstance(conn, Client) and conn.state is State.UNREADABLE)
+                if not (isinstance(conn, Client) and conn.state is ConnectionState.UNREADABLE)
             }
             for conn in list(self.held):
                 if conn in now and not self.held[conn]:
-                    conn.still()
+                    conn.pause_writing()
                     self.held[conn] = True
             # one that ended meanwhile is heard of first: its reader needs its gate for that
-            ended = [conn for conn in now if conn.end is not None]
+            ended = [conn for conn in now if conn.close_reason is not None]
             for conn in [*ended, *(conn for conn in self.held if conn not in now)]:
                 self.loosen(conn)
             if not ended and all(self.held.get(conn) for conn in now) and owner.queue.empty():
@@ -108,11 +116,11 @@
             owner.update_clock()
             owner.run_callback(event.callback, event.arguments)
 
-    def loosen(self, conn: Conn) -> None:
+    def loosen(self, conn: Connection) -> None:
         if conn in self.held:
-            conn.free(self.held.pop(conn))
+            conn.resume(self.held.pop(conn))
 
-    def _unstill(self, conn: Conn) -> None:
+    def _unstill(self, conn: Connection) -> None:
         if self.held[conn]:
             self.held[conn] = False
             conn.lock.release()
@@ -128,7 +136,7 @@
 
     # --- after ---
 
-    def moves(self, conns: list[Conn]) -> None:
+    def moves(self, conns: list[Connection]) -> None:
         """These belong to the new process from here on. They stay at rest here."""
         owner = self.owner
         for conn in conns:
@@ -151,7 +159,7 @@
             entry for entry in owner.timers if entry[2] in (owner.run_maintenance, owner.heartbeat)
         ]
 
-    def back(self, conns: list[Conn]) -> None:
+    def back(self, conns: list[Connection]) -> None:
         """The new process had these and has died: what was open on them is lost, as with any process that
         dies. The reqs end first, so that none goes out again; then the connections."""
         owner = self.owner
@@ -164,7 +172,7 @@
         for client in clients:
             owner.run_callback(owner.requests.client_disconnected, (client,))
         for conn in conns:
-            conn.close(End.RESET)
+            conn.close(CloseReason.RESET)
             if self.held.pop(conn, None) is not None or conn in self.moved:
                 conn.gate.release()
         self.moved = [conn for conn in self.moved if conn not in conns]
@@ -177,8 +185,8 @@
                 continue
             was = client in self.held  # no more is read there in any case
             if not was:
-                client.hold()
-            client.still()
+                client.pause_reading()
+            client.pause_writing()
             self.held[client] = True
             if carry.free(client):
                 out.append((client, carry.client_told(client, 0)))
--- a/rigs/failing.py
+++ b/rigs/failing.py
@@ -19,7 +19,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from lilacloft.net import back, conn, front
+from lilacloft.net import back, connection, front, polling, write_backlog
 
 # errors that pass by themselves, by call, as the manual pages have them
 PASSING: Mapping[str, tuple[int, ...]] = {
@@ -135,10 +135,10 @@
 @contextlib.contextmanager
 def put_under(failures: Failures) -> Iterator[Failures]:
     """Let all connections made from now on, and the calls around them, ask before each call."""
-    begun, opened = conn.Conn.__init__, front.Front.__init__
+    begun, opened = connection.Connection.__init__, front.Front.__init__
     polls = _delegating(select, poll=lambda: FailingPoll(failures))
 
-    def begin(self: conn.Conn, *told: Any, **more: Any) -> None:
+    def begin(self: connection.Connection, *told: Any, **more: Any) -> None:
         if more.get("sock") is None and "address" in more:
             failures.before("socket")
         begun(self, *told, **more)
@@ -149,7 +149,7 @@
         self.sock = FailingSocket(self.sock, failures)  # type: ignore[assignment]
 
     def start_thread(*told: Any) -> int:
-        writes = told[0].__name__ == conn.Conn._write.__name__
+        writes = told[0].__name__ == connection.Connection._write.__name__
         try:
             failures.before("thread that writes" if writes else "thread")
         except OSError as wrong:
@@ -157,16 +157,16 @@
         return _thread.start_new_thread(*told)
 
     threads = _delegating(_thread, start_new_thread=start_thread)
-    modules = vars(conn), vars(front), vars(back)
+    modules = tuple(map(vars, (connection, write_backlog, polling, front, back)))
     before = [
         (names, name, names[name]) for names in modules for name in ("select", "_thread") if name in names
     ]
-    conn.Conn.__init__, front.Front.__init__ = begin, open_door  # type: ignore[method-assign]
+    connection.Connection.__init__, front.Front.__init__ = begin, open_door  # type: ignore[method-assign]
     for names, name, _ in before:
         names[name] = polls if name == "select" else threads
     try:
         yield failures
     finally:
-        conn.Conn.__init__, front.Front.__init__ = begun, opened  # type: ignore[method-assign]
+        connection.Connection.__init__, front.Front.__init__ = begun, opened  # type: ignore[method-assign]
         for names, name, was in before:
             names[name] = was
--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -9,7 +9,7 @@
 import time
 
 from lilacloft.gateway.gateway import Gateway
-from lilacloft.net.conn import End
+from lilacloft.net.close_reasons import CloseReason
 from lilacloft.upgrade import carry
 from lilacloft.upgrade.rest import Rest
 from rigs.stands import World
@@ -100,7 +100,7 @@
         self.thread.join(5)
         self.owner.feed.move(("127.0.0.1", 1))  # its thread lives on, and its port is another test's soon
         for client in [*self.owner.front.clients, *self.owner.front.parting]:
-            client.close(End.RETIRED)
+            client.close(CloseReason.RETIRED)
         self.owner.front.shut_door()
         self.owner.front.sock.close()
         for stand in [*self.caches, self.parent, self.origin, self.log]:
@@ -123,5 +123,5 @@
     finally:
         world.does(rest.release)
         for conn in told.conns:
-            conn.close(End.RETIRED)
+            conn.close(CloseReason.RETIRED)
         successor.front.sock.close()
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -21,7 +21,7 @@
 from lilacloft.config.reader import load
 from lilacloft.gateway.gateway import Gateway
 from lilacloft.net import feed
-from lilacloft.net.conn import OUTCOMES, End
+from lilacloft.net.close_reasons import OUTCOMES, CloseReason
 from lilacloft.plan import form as plan_form
 from lilacloft.plan import words
 from lilacloft.plan.follow import Effect
@@ -207,13 +207,13 @@
         one.arrived("clip")
         one.answered("clip", kind, took, tries)
     one.left("clip")
-    for note, end in enumerate([End.DATA] * 11):
+    for note, end in enumerate([CloseReason.DATA] * 11):
         one.sent("clip", "s-1")
         one.ended("clip", "s-1", None, end.name, OUTCOMES[end], 300, note == 2, note, 0)
-    for end in End:
+    for end in CloseReason:
         if OUTCOMES.get(end) not in (None, "done"):
             one.ended("clip", "s-1", "s-9", end.name, OUTCOMES[end], 300, False, 0, 0)
-    one.ended("clip", "s-1", "s-9", End.DATA.name, "done", 300, False, 2, 120)
+    one.ended("clip", "s-1", "s-9", CloseReason.DATA.name, "done", 300, False, 2, 120)
     one.checked("s-1", 0.75)
     one.lagged(42)
     one.counted({"unusable": 1})
@@ -263,7 +263,7 @@
 
 def end_names() -> Plain:
     """Every end of a connection or dispatch by the name that is stored and handed over, with its outcome."""
-    return {end.name: OUTCOMES[end] for end in End if end in OUTCOMES}
+    return {end.name: OUTCOMES[end] for end in CloseReason if end in OUTCOMES}
 
 
 # --- handover between processes ---
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lilacloft.net.conn import Conn
+from lilacloft.net.connection import Connection
 from rigs.inprocess import InProcessWorld
 from rigs.stands import World, made
 
@@ -26,14 +26,14 @@
 @pytest.fixture
 def late(monkeypatch):
     """Connections to caches come up when the test says so."""
-    comes, begun, connect = threading.Event(), threading.Semaphore(0), Conn._connect
+    comes, begun, connect = threading.Event(), threading.Semaphore(0), Connection._connect
 
     def held(self):
         begun.release()
         assert comes.wait(10)
         connect(self)
 
-    monkeypatch.setattr(Conn, "_connect", held)
+    monkeypatch.setattr(Connection, "_connect", held)
     comes.begun = begun
     yield comes
     comes.set()
--- a/tests/test_carried.py
+++ b/tests/test_carried.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from lilacloft.net.conn import Conn
+from lilacloft.net.connection import Connection
 from lilacloft.routing import snapshot
 from lilacloft.routing.concurrency import AdaptiveLimit
 from lilacloft.routing.host import Endpoint
@@ -268,7 +268,7 @@
 
 def test_what_waits_at_a_handover_keeps_the_window_of_its_effect(in_process, late, monkeypatch):
     """The check of its first byte needs it there as well, beside the module's own bound."""
-    monkeypatch.setattr(Conn, "movable", True)
+    monkeypatch.setattr(Connection, "movable", True)
     world = in_process(silent, changes=limits(connectTimeoutNs=10**10))
     world.asker().ask(b"pay", replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     until(lambda: world.held()["out"] == 1)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -7,7 +7,9 @@
 
 import pytest
 
-from lilacloft.net.conn import Conn, End, State
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import Connection
+from lilacloft.net.connection_state import ConnectionState
 from lilacloft.net.resp import LARGEST, encode
 from lilacloft.routing import retries
 from lilacloft.settings import TENTHS
@@ -97,7 +99,9 @@
     asker = world.asker()
     tag = asker.ask()
     halves(asker)
-    until(lambda: any(client.state is State.HALF_CLOSED for client in list(world.owner.front.clients)))
+    until(
+        lambda: any(client.state is ConnectionState.HALF_CLOSED for client in list(world.owner.front.clients))
+    )
     late.set()
     assert asker.answer() == [tag, b"200", b"", CLIP] and asker.answer() is None
     world.rests(but=("checks",))
@@ -173,14 +177,14 @@
 def stuck_in_a_message(world, asker):
     """Its reading thread cannot go on: it is held within a message."""
     client, go, in_it = the_client(world), threading.Event(), threading.Event()
-    takes = client.takes
+    takes = client.on_message
 
     def held(client, items):
         in_it.set()
         assert go.wait(10)
         takes(client, items)
 
-    client.takes = held
+    client.on_message = held
     asker.send(b"ALIVE", b"99", b"")
     assert in_it.wait(5)
     return go.set
@@ -191,15 +195,15 @@
     for number in range(8):
         asker.ask(key=100 + number, allow=3000)
     client, stopped = the_client(world), threading.Event()
-    until(lambda: client.settled == 8 and client.waits() > LARGEST)
-    held_back = client.held_back
+    until(lambda: client.settled == 8 and client.unsent_bytes() > LARGEST)
+    held_back = client.wait_for_backlog
 
     def seen(most, span):
         if waits := held_back(most, span):
             stopped.set()
         return waits
 
-    client.held_back = seen
+    client.wait_for_backlog = seen
     asker.send(b"ALIVE", b"99", b"")  # the last that is read, unless it has stopped before
     assert stopped.wait(5)
     return lambda: None
@@ -261,7 +265,7 @@
     in_process, late, leaves, monkeypatch
 ):
     """It waited for its connection at the handover; an idle one is there when the next process begins."""
-    monkeypatch.setattr(Conn, "movable", True)
+    monkeypatch.setattr(Connection, "movable", True)
     world = in_process(silent, changes=limits(connectTimeoutNs=10**10))
     late.set()
     stays, goes = world.asker(), world.asker()
@@ -276,7 +280,7 @@
         gone(leaves, goes)
         told.start()
         nothing_comes(world)
-        assert [event.arguments[1] for event in told.owner.loop.deferred] == [End.UNWRITTEN]
+        assert [event.arguments[1] for event in told.owner.loop.deferred] == [CloseReason.UNWRITTEN]
 
 
 def test_how_long_a_client_has_been_gone_is_reckoned_by_the_clock_within_a_long_event(in_process):
@@ -322,7 +326,8 @@
     asker = Asker(world.port)
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client, number = the_client(world), 0
-    while not client.waits():  # one by one, until something has to wait: far from where the reader stops
+    # one by one, until something has to wait: far from where the reader stops
+    while not client.unsent_bytes():
         number += 1
         asker.ask(key=100 + number, allow=3000)
         until(lambda: client.settled == number)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 
 from lilacloft.net.back import Back, Line, Sent
 from lilacloft.net.budgets import RESERVED, budgets
-from lilacloft.net.conn import End
+from lilacloft.net.close_reasons import CloseReason
 from lilacloft.routing.model import Backend
 from lilacloft.settings import settings
 from rigs.inprocess import waits_for
@@ -46,13 +46,17 @@
         if number < 4:
             assert back.dispatch(sents[-1]) is None
     lines = [sent.conn for sent in sents[:4]]
-    assert back.dispatch(sents[4]) is End.NO_LINE, "all four have something out"
+    assert back.dispatch(sents[4]) is CloseReason.NO_LINE, "all four have something out"
     for number in (2, 0):  # the third rests first, then the first one
         now[0] += 1
         back._off(lines[number], sents[number])
-    assert back.dispatch(sents[4]) is None and lines[2].end is End.RETIRED and lines[0].end is None
-    assert back.dispatch(sents[5]) is None and lines[0].end is End.RETIRED
-    assert [line.end for line in (lines[1], lines[3])] == [None, None]
+    assert (
+        back.dispatch(sents[4]) is None
+        and lines[2].close_reason is CloseReason.RETIRED
+        and lines[0].close_reason is None
+    )
+    assert back.dispatch(sents[5]) is None and lines[0].close_reason is CloseReason.RETIRED
+    assert [line.close_reason for line in (lines[1], lines[3])] == [None, None]
 
 
 class Again(Log):
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -20,11 +20,13 @@
 from lilacloft.gateway import lifecycle
 from lilacloft.gateway.gateway import Gateway
 from lilacloft.gateway.lifecycle import Phase
-from lilacloft.net import conn as conns
+from lilacloft.net import connection as connections
 from lilacloft.net import feed as feeds
 from lilacloft.net import front as fronts
 from lilacloft.net.back import Back, Line, Sent
-from lilacloft.net.conn import Conn, End, State
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import Connection
+from lilacloft.net.connection_state import ConnectionState
 from lilacloft.net.feed import Feed
 from lilacloft.net.front import Client, Front
 from lilacloft.net.resp import encode
@@ -214,13 +216,13 @@
     until(lambda: client.settled == 8)
     asker.sock.sendall(b"*5\r\n$4\r\nEX")
     until(lambda: client.buffer.partial())
-    assert client.waits() > 0
+    assert client.unsent_bytes() > 0
     client.begun -= 60  # seconds ago
     world.does(world.owner.run_maintenance)
     answers = [asker.answer() for _ in tags]
     assert {answer[0] for answer in answers} == set(tags)
     assert all(answer[1] == b"200" and len(answer[3]) == 240_000 for answer in answers)
-    until(lambda: not client.waits())
+    until(lambda: not client.unsent_bytes())
     world.does(world.owner.run_maintenance)
     assert asker.answer() is None, "in order, once all has gone out"
     asker.sock.close()
@@ -253,20 +255,20 @@
     assert asker.answer()[1] == b"200"
     client = next(iter(world.owner.front.clients))
     assert world.owner.front._let_go(client) and asker.answer() is None
-    until(lambda: client.state is State.CLOSED)
+    until(lambda: client.state is ConnectionState.CLOSED)
     world.rests(but=("checks",))
     asker.sock.close()
 
 
 def test_no_small_write_is_ever_held_back(in_process, monkeypatch):
     """Each first byte, to clients and caches, goes out with TCP_NODELAY set."""
-    plain, sends = [], Conn._try
+    plain, sends = [], Connection._send_now
 
     def seen(self, rest, place):
         plain.append((type(self), self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)))
         return sends(self, rest, place)
 
-    monkeypatch.setattr(Conn, "_try", seen)
+    monkeypatch.setattr(Connection, "_send_now", seen)
     asker = in_process(serves(b"ok")).asker()
     asker.ask()
     assert asker.answer()[1] == b"200"
@@ -485,19 +487,19 @@
     line = out[0].conn
     mine = [sent for sent in out if sent.conn is line]
     until(lambda: line.writing)
-    waiting = [sent for sent in mine if not line.went(sent.place)]
+    waiting = [sent for sent in mine if not line.has_sent(sent.place)]
     assert len(waiting) > 4
     for sent in waiting[3:]:
         assert back.take_back(sent)
-    assert line.waits() > 0
+    assert line.unsent_bytes() > 0
     for peer in peers:
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
     for _ in peers:
         what, *told = events.get(timeout=5)
         what(*told)
-    assert {ends[sent.name] for sent in waiting[:3]} == {End.UNWRITTEN}
-    assert ends[mine[0].name] is End.RESET
+    assert {ends[sent.name] for sent in waiting[:3]} == {CloseReason.UNWRITTEN}
+    assert ends[mine[0].name] is CloseReason.RESET
     server.close()
 
 
@@ -636,7 +638,7 @@
     until(lambda: world.owner.queue.qsize() >= many + 2)
     go.set()
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
-    until(lambda: line.state is State.CLOSED)
+    until(lambda: line.state is ConnectionState.CLOSED)
     other = asker.ask(key=1)
     _, sock, items = world.caches[2 - place].next()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"more"))
@@ -656,7 +658,7 @@
     told = encode(items[1], b"data", b"remark=TCP_HIT", b"bytes")
     sock.sendall(told if whole else told[:-4])
     sock.shutdown(socket.SHUT_RDWR)
-    until(lambda: line.state is State.CLOSED)
+    until(lambda: line.state is ConnectionState.CLOSED)
     go.set()
     if not whole:
         _, sock, items = world.caches[0].next()
@@ -694,7 +696,7 @@
     world.caches[0].next()
     first = waiting(world).conn
     assert asker.answer()[:2] == [tag, b"503"] and time.monotonic() - begun < 0.65
-    until(lambda: first.state is State.CLOSED)
+    until(lambda: first.state is ConnectionState.CLOSED)
     over.set()
     world.rests()
     asker.send(b"ALIVE", b"9", b"")
@@ -856,7 +858,7 @@
 
 def test_no_thread_and_no_descriptor_for_one_connection_ends_that_one_alone(in_process, monkeypatch):
     """A client is closed unserved, a cache's connection is not made; both pass, and nothing stays held."""
-    world, start, refused = in_process(serves(b"ok")), Conn.start, []
+    world, start, refused = in_process(serves(b"ok")), Connection.start, []
 
     def starts(self):
         if not refused:
@@ -864,7 +866,7 @@
             raise RuntimeError("can't start new thread")
         start(self)
 
-    monkeypatch.setattr(Conn, "start", starts)
+    monkeypatch.setattr(Connection, "start", starts)
     first = world.asker()
     assert first.answer() is None and refused == [Client]
     refused.clear()
@@ -876,7 +878,7 @@
             raise RuntimeError("can't start new thread")
         start(self)
 
-    monkeypatch.setattr(Conn, "start", no_line)
+    monkeypatch.setattr(Connection, "start", no_line)
     other = world.asker()
     tag = other.ask()
     told = other.answer()
@@ -961,8 +963,8 @@
 
 def test_whom_we_told_our_end_count_among_the_clients_that_descriptors_are_there_for(in_process, monkeypatch):
     """They keep theirs until they close as well, and may not: the longest ago are cut off for who comes."""
-    monkeypatch.setattr(fronts, "PARTING", 60.0)
-    monkeypatch.setattr(conns, "PARTING", 60.0)
+    monkeypatch.setattr(fronts, "DRAIN_TIME", 60.0)
+    monkeypatch.setattr(connections, "DRAIN_TIME", 60.0)
     world = in_process(serves(b"ok"))
     front = world.owner.front
     front.most = 4
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -152,7 +152,7 @@
     world.caches[0].next()
     failing.next("thread that writes", *[errno.EAGAIN] * 2)
     tags = [b"1"] + [asker.ask(key=key) for key in range(2, 9)]
-    until(lambda: client.waits() and not failing.due["thread that writes"])
+    until(lambda: client.unsent_bytes() and not failing.due["thread that writes"])
     answers = [asker.answer() for _ in tags]
     assert sorted(answer[0] for answer in answers) == sorted(tags)
     assert all(answer[1] == b"200" and answer[3] == body for answer in answers)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -16,7 +16,7 @@
 from lilacloft.gateway.answers import AnswerKind
 from lilacloft.gateway.gateway import Gateway
 from lilacloft.net.back import Back, Reply, Sent
-from lilacloft.net.conn import End
+from lilacloft.net.close_reasons import CloseReason
 from lilacloft.net.front import STREAMS, Client, Front
 from lilacloft.net.resp import Buffer, fields
 from lilacloft.routing.model import Backend, Request
@@ -350,14 +350,14 @@
     while not line.writing and time.monotonic() < until:
         time.sleep(0.005)
     back.give_up(out[-1])
-    assert line.end is None, "what has not begun to go out is taken back"
+    assert line.close_reason is None, "what has not begun to go out is taken back"
     out[0].call = out[1].call = types.SimpleNamespace(lines=[])
     back.give_up(out[0])
-    assert line.end is End.CHOKED
+    assert line.close_reason is CloseReason.CHOKED
     what, *told = events.get(timeout=5)
     what(*told)
-    assert [end for sent, end in ends if sent is out[1]][0] in (End.CHOKED, End.UNWRITTEN)
-    assert ends[-1] == (out[-2], End.UNWRITTEN) and len(ends) == 28
+    assert [end for sent, end in ends if sent is out[1]][0] in (CloseReason.CHOKED, CloseReason.UNWRITTEN)
+    assert ends[-1] == (out[-2], CloseReason.UNWRITTEN) and len(ends) == 28
     peer.close()
     server.close()
 
@@ -401,10 +401,10 @@
     assert back.give_up(second) == 50 + slack
     call.lines.clear()
     back.dispatch(third)
-    third.conn.close(End.GARBLED)
+    third.conn.close(CloseReason.GARBLED)
     what, *args = events.get(timeout=5)
     what(*args)
-    assert told == [(third, End.GARBLED, 50 + slack)]
+    assert told == [(third, CloseReason.GARBLED, 50 + slack)]
     peer.close()
     server.close()
 
@@ -570,8 +570,8 @@
     monkeypatch.setattr(owner.front, "close", lambda _: False)
     owner.update_clock()
     sent = Sent(call, backend, 0, b"1", b"", owner.time - 3000)
-    owner.attempt_ended(sent, End.DATA, Reply(note=1, read_at=owner.monotonic_time - 2000))
-    owner.attempt_ended(sent, End.TIME_UP)
+    owner.attempt_ended(sent, CloseReason.DATA, Reply(note=1, read_at=owner.monotonic_time - 2000))
+    owner.attempt_ended(sent, CloseReason.TIME_UP)
     assert told == [1000, 3000]
     seen = []
     owner.run_callback(lambda: 1 // 0, ())
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -9,9 +9,10 @@
 import pytest
 
 from lilacloft.gateway.lifecycle import Phase
-from lilacloft.net import conn
-from lilacloft.net.conn import End, polled
+from lilacloft.net import connection
+from lilacloft.net.close_reasons import CloseReason
 from lilacloft.net.front import Front
+from lilacloft.net.polling import poll_events
 from lilacloft.net.resp import FROM_CLIENT, Buffer, encode, listed
 from lilacloft.settings import NS
 from rigs.inprocess import forgets, limits, until, waits_for
@@ -59,7 +60,7 @@
         self.sock, self.reader = sock, reader
 
     def recv_into(self, view):
-        polled(self.sock, select.POLLIN, None)
+        poll_events(self.sock, select.POLLIN, None)
         self.reader.stops("unread")
         count = self.sock.recv_into(view)
         self.reader.stops("read")
@@ -151,7 +152,7 @@
 
 
 def test_urgent_data_which_no_reader_is_given_keeps_no_idle_connection(in_process, monkeypatch):
-    monkeypatch.setattr(conn, "IN_HAND", 0.1)
+    monkeypatch.setattr(connection, "READER_WAKEUP_TIME", 0.1)
     world = in_process(serves())
     asker = world.asker()
     asks(asker)
@@ -222,7 +223,7 @@
     asker.sock.sendall(REQUEST)
     assert reader.at.wait(5)
     time.sleep(waits)
-    client.part(End.RETIRED)
+    client.half_close(CloseReason.RETIRED)
     reader.go.set()
     until(lambda: world.owner.front.counts["crossed"] == 1)
     assert world.owner.invariants.violations()["unanswered"] == lost
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,7 +11,8 @@
 import pytest
 
 from lilacloft.net import back, feed
-from lilacloft.net.conn import OUTCOMES, Conn, End
+from lilacloft.net.close_reasons import OUTCOMES, CloseReason
+from lilacloft.net.connection import Connection
 from lilacloft.net.resp import FROM_CACHE, FROM_CLIENT, LARGEST, Buffer, GarbledError, encode, fields, listed
 from lilacloft.routing.model import Backend
 from lilacloft.settings import settings
@@ -197,23 +198,23 @@
 @pytest.mark.parametrize(
     "end, does",
     [
-        (End.CLOSED, lambda conn, sock: sock.close()),
-        (End.RESET, lambda conn, sock: reset(sock)),
-        (End.GARBLED, lambda conn, sock: sock.sendall(b"HTTP/1.1 200 OK\r\n")),
-        (End.FAULT, lambda conn, sock: sock.sendall(encode(b"1", b"data"))),
-        (End.CHOKED, lambda conn, sock: conn.close(End.CHOKED)),
-        (End.SILENT, lambda conn, sock: conn.close(End.SILENT)),
-        (End.RETIRED, lambda conn, sock: conn.close(End.RETIRED)),
+        (CloseReason.CLOSED, lambda conn, sock: sock.close()),
+        (CloseReason.RESET, lambda conn, sock: reset(sock)),
+        (CloseReason.GARBLED, lambda conn, sock: sock.sendall(b"HTTP/1.1 200 OK\r\n")),
+        (CloseReason.FAULT, lambda conn, sock: sock.sendall(encode(b"1", b"data"))),
+        (CloseReason.CHOKED, lambda conn, sock: conn.close(CloseReason.CHOKED)),
+        (CloseReason.SILENT, lambda conn, sock: conn.close(CloseReason.SILENT)),
+        (CloseReason.RETIRED, lambda conn, sock: conn.close(CloseReason.RETIRED)),
     ],
 )
 def test_each_end_of_a_connection_is_told_once(end, does):
     gone, stand = queue.SimpleQueue(), Stand(lambda stand, sock, items: does(conn, sock))
-    conn = Conn(fails, gone.put, address=("127.0.0.1", stand.port), patience=5)
+    conn = Connection(fails, gone.put, address=("127.0.0.1", stand.port), connect_timeout=5)
     conn.start()
     conn.send(encode(b"go"))
-    assert gone.get(timeout=5).end is end
-    conn.close(End.CLOSED)
-    assert conn.end is end and conn.sock.fileno() >= -1 and gone.empty()
+    assert gone.get(timeout=5).close_reason is end
+    conn.close(CloseReason.CLOSED)
+    assert conn.close_reason is end and conn.sock.fileno() >= -1 and gone.empty()
     stand.close()
 
 
@@ -221,18 +222,18 @@
     gone = queue.SimpleQueue()
     with socket.socket() as server:
         server.bind(("127.0.0.1", 0))
-        Conn(fails, gone.put, address=server.getsockname(), patience=5).start()
-        assert gone.get(timeout=5).end is End.REFUSED
+        Connection(fails, gone.put, address=server.getsockname(), connect_timeout=5).start()
+        assert gone.get(timeout=5).close_reason is CloseReason.REFUSED
         server.listen(0)  # one fits; of the next, nothing is heard
         full = []
         for _ in range(3):
             full.append(socket.socket())
             full[-1].setblocking(False)
             full[-1].connect_ex(server.getsockname())
-        conn = Conn(fails, gone.put, address=server.getsockname(), patience=0.2)
+        conn = Connection(fails, gone.put, address=server.getsockname(), connect_timeout=0.2)
         place = conn.send(b"never out")
         conn.start()
-        assert gone.get(timeout=5).end is End.UNMADE and place > conn.written
+        assert gone.get(timeout=5).close_reason is CloseReason.UNMADE and place > conn.written
         for sock in full:
             sock.close()
 
@@ -246,18 +247,18 @@
     pool = found.pools[backend]
     pool.lines = [back.Line(pool, print, print, address=pool.address) for _ in range(2)]
     call = SimpleNamespace(lines=list(pool.lines))
-    assert found.dispatch(back.Sent(call, backend, 2, b"r", b"", 0)) is End.NO_LINE
-    assert OUTCOMES[End.NO_LINE] == "unsent"
+    assert found.dispatch(back.Sent(call, backend, 2, b"r", b"", 0)) is CloseReason.NO_LINE
+    assert OUTCOMES[CloseReason.NO_LINE] == "unsent"
     assert found.dispatch(back.Sent(SimpleNamespace(lines=[]), backend, 0, b"s", b"", 0)) is None
 
 
 def test_what_is_not_taken_at_once_goes_out_later_whole_and_in_order():
     """A sender never waits for a peer that does not read; what has not begun to go out can be taken back."""
     ours, theirs = socket.socketpair()
-    conn = Conn(fails, lambda conn: None, ours)
+    conn = Connection(fails, lambda conn: None, ours)
     parts = [bytes([n]) * 100_000 for n in range(30)]
     places = [conn.send(part) for part in parts]
-    assert conn.waits() > 0 and conn.written < places[-1]
+    assert conn.unsent_bytes() > 0 and conn.written < places[-1]
     assert conn.withdraw(places[-1]) and not conn.withdraw(places[0])
     want, got = b"".join(parts[:-1]), bytearray()
     theirs.settimeout(5)
@@ -265,10 +266,18 @@
         got += theirs.recv(1 << 20)
     assert bytes(got) == want
     with conn.lock:
-        assert conn.drained.wait_for(lambda: not conn.waits(), 5)
+        assert conn.drained.wait_for(lambda: not conn.unsent_bytes(), 5)
 
 
 def test_every_end_has_its_outcome():
-    assert set(OUTCOMES) == set(End)
+    assert set(OUTCOMES) == set(CloseReason)
     proof = {end for end, outcome in OUTCOMES.items() if outcome in ("unreached", "miss", "full", "unsent")}
-    assert proof == {End.REFUSED, End.UNMADE, End.NO_LINE, End.UNWRITTEN, End.ABSENT, End.FULL, End.MOOT}
+    assert proof == {
+        CloseReason.REFUSED,
+        CloseReason.UNMADE,
+        CloseReason.NO_LINE,
+        CloseReason.UNWRITTEN,
+        CloseReason.ABSENT,
+        CloseReason.FULL,
+        CloseReason.MOOT,
+    }
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -71,8 +71,8 @@
     for _, sock, items in dispatches:
         assert_in_time(items, asked)
     (line,) = world.does(lambda: [line for pool in world.owner.back.pools.values() for line in pool.lines])
-    assert line.waits() == 0
-    assert line.went(line.queued)
+    assert line.unsent_bytes() == 0
+    assert line.has_sent(line.queued)
     asker.send(b"FORGET", tags[0])
     assert world.caches[0].next(b"undo")[2][1] in [items[1] for _, _, items in dispatches]
     forgets(asker)
@@ -97,7 +97,7 @@
     time.sleep(0.5)
     with line.lock:
         line.writing = False
-        line._write_on()
+        line._start_writer()
     assert_in_time(world.caches[0].next()[2], asked)
     forgets(asker)
     forgets(first)
