--- a/lilacloft/gateway/context.py
+++ b/lilacloft/gateway/context.py
@@ -10,11 +10,11 @@
 from lilacloft.gateway.counters import Counters
 from lilacloft.gateway.event_loop import EventLoop
 from lilacloft.invariants import Invariants
-from lilacloft.net.back import Back
 from lilacloft.net.budgets import Budgets
 from lilacloft.net.feed import Feed
 from lilacloft.net.front import Call, Front
 from lilacloft.net.trace import Trace
+from lilacloft.net.upstream import Upstream
 from lilacloft.routing.model import Backend, Request
 from lilacloft.routing.router import Router
 from lilacloft.routing.units import Ticks
@@ -24,7 +24,7 @@
     """The shared parts. Everything but the queue and the trace belongs to the event loop's thread."""
 
     front: Front  # the clients' connections
-    back: Back  # the connections to caches, parents and the origin
+    back: Upstream  # the connections to caches, parents and the origin
     feed: Feed  # the change log
     router: Router  # the decisions
     invariants: Invariants
--- a/lilacloft/gateway/discovery.py
+++ b/lilacloft/gateway/discovery.py
@@ -99,7 +99,7 @@
             gateway.agent.told([endpoint.backend.name for endpoint in endpoints])
         for backend, address in addresses:
             if backend.status:
-                gateway.back.place(backend, address)
+                gateway.back.add_backend(backend, address)
         self._drop_unlisted()
 
     def _drop_unlisted(self) -> None:
@@ -107,7 +107,7 @@
         gateway = self.gateway
         for name, backend in list(gateway.backends.items()):
             if not backend.status:
-                gateway.back.drop(backend)
+                gateway.back.remove_backend(backend)
                 if not backend.requests:
                     del gateway.backends[name]
                     self.stamps.forget(name)
@@ -120,4 +120,4 @@
             if backend:
                 backend.started = started
             if pool:
-                pool.life = started
+                pool.backend_started = started
--- a/lilacloft/gateway/dispatcher.py
+++ b/lilacloft/gateway/dispatcher.py
@@ -12,9 +12,10 @@
 from lilacloft.gateway.event_loop import ScheduledCall
 from lilacloft.gateway.wire_messages import TICKS_PER_MILLISECOND, attempt_milliseconds, encode_dispatch
 from lilacloft.invariants import History
-from lilacloft.net.back import NO_REPLY, Reply, Sent
+from lilacloft.net.attempt import Attempt
 from lilacloft.net.close_reasons import OUTCOMES, CloseReason
 from lilacloft.net.front import Call
+from lilacloft.net.upstream_answers import NO_REPLY, Reply
 from lilacloft.routing.host import AttemptResult, Dispatch
 from lilacloft.routing.model import Backend, Idempotency, Outcome, Request
 from lilacloft.routing.units import Ticks
@@ -54,19 +55,19 @@
         if dispatch.request.send_by:
             self.loop.call_at(dispatch.request.send_by, self.send_deadline_passed, call)
 
-    def _make_attempt(self, call: Call, dispatch: Dispatch, source: Backend | None, until: Ticks) -> Sent:
+    def _make_attempt(self, call: Call, dispatch: Dispatch, source: Backend | None, until: Ticks) -> Attempt:
         """Return an attempt with its message; `until`: when it times out, in the gateway's time."""
         request, clock = dispatch.request, self.clock
-        return Sent(
+        return Attempt(
             call,
             dispatch.backend,
             request.attempts - 1,
             call.name.encode(),
             encode_dispatch(call, dispatch, self.gateway.vhosts[request.vhost]["name"], source),
             clock.time,
-            made=clock.monotonic_time,
-            limit=TICKS_PER_MILLISECOND * attempt_milliseconds(dispatch),
-            until=clock.to_monotonic(until),
+            encoded_at=clock.monotonic_time,
+            time_limit=TICKS_PER_MILLISECOND * attempt_milliseconds(dispatch),
+            deadline=clock.to_monotonic(until),
             send_by=clock.to_monotonic(request.send_by),
             window_over=self.idempotency_deadline(call.history),
         )
@@ -84,7 +85,9 @@
         if end is not None:
             self.report_end(sent, end)
         else:
-            self.loop.call_at(self.clock.time + self.gateway.back.patience, self.attempt_timed_out, sent)
+            self.loop.call_at(
+                self.clock.time + self.gateway.back.connect_timeout, self.attempt_timed_out, sent
+            )
 
     # --- taking back ---
 
@@ -95,8 +98,8 @@
             return
         if self._withdraw_from_store(sent):
             self.report_end(sent, CloseReason.UNWRITTEN)
-        elif sent.conn is not None:
-            confirmed_at = self.gateway.back.give_up(sent)
+        elif sent.connection is not None:
+            confirmed_at = self.gateway.back.cancel(sent)
             self.loop.defer(self.attempt_cancelled, sent, CloseReason.CALLED_OFF, confirmed_at)
 
     def withdraw(self, request: Request, attempt: int) -> None:
@@ -105,20 +108,20 @@
         if sent is not None:
             self._withdraw_unsent(sent)
 
-    def _find_attempt(self, request: Request, attempt: int) -> Sent | None:
+    def _find_attempt(self, request: Request, attempt: int) -> Attempt | None:
         """Return a request's attempt if it is out."""
         call = self.gateway.open_requests.get(request)
         sent = call.sent if call else None
         return sent if sent is not None and sent.seq == attempt else None
 
-    def _withdraw_unsent(self, sent: Sent) -> bool:
+    def _withdraw_unsent(self, sent: Attempt) -> bool:
         """Take back an attempt that has not gone out and report its end; False where it may have."""
-        withdrawn = self._withdraw_from_store(sent) or self.gateway.back.take_back(sent)
+        withdrawn = self._withdraw_from_store(sent) or self.gateway.back.withdraw(sent)
         if withdrawn:
             self.report_end(sent, CloseReason.UNWRITTEN)
         return withdrawn
 
-    def _withdraw_from_store(self, sent: Sent) -> bool:
+    def _withdraw_from_store(self, sent: Attempt) -> bool:
         """Take back an attempt that waits for the disk; False where it does not."""
         guard = self.gateway.guard
         return bool(guard and guard.drop(sent))
@@ -130,7 +133,7 @@
             return
         if sent is not None and self._withdraw_unsent(sent):
             return
-        if sent is None or sent.conn is None:
+        if sent is None or sent.connection is None:
             self.gateway.router.send_by_passed(call.request)
 
     def forget_if_finished(self, call: Call) -> None:
@@ -145,7 +148,7 @@
 
     # --- ends ---
 
-    def attempt_ended(self, sent: Sent, end: CloseReason, reply: Reply = NO_REPLY) -> None:
+    def attempt_ended(self, sent: Attempt, end: CloseReason, reply: Reply = NO_REPLY) -> None:
         """An attempt or a health check is over. That its reply waited in the event loop's queue since it was
         read counts against no backend."""
         self.gateway.counters.ends[end.name] += 1
@@ -156,7 +159,7 @@
         waited_here = max(0, self.clock.monotonic_time - reply.read_at) if reply.read_at else 0
         duration = max(0, self.clock.time - sent.at - waited_here)
         call.sent, call.last = None, outcome
-        if sent.made:  # else a check kept it back
+        if sent.encoded_at:  # else a check kept it back
             self.gateway.invariants.ended(call.history, outcome)
         self._trace(call, "ended", end.name)
         self._notify_end(sent, end, duration, reply)
@@ -172,7 +175,7 @@
             self.gateway.recorder.checked(backend, outcome, reply.load)
         self.gateway.router.health_checked(backend, outcome, reply.load)
 
-    def _notify_end(self, sent: Sent, end: CloseReason, duration: Ticks, reply: Reply) -> None:
+    def _notify_end(self, sent: Attempt, end: CloseReason, duration: Ticks, reply: Reply) -> None:
         """Tell the store, the records and the planners' agent of an attempt's end."""
         gateway, call = self.gateway, sent.call
         if gateway.guard:
@@ -188,7 +191,7 @@
         else:
             self.answers.send(call, AnswerKind.SERVED, (), body)
 
-    def attempt_cancelled(self, sent: Sent, end: CloseReason, confirmed_at: Ticks) -> None:
+    def attempt_cancelled(self, sent: Attempt, end: CloseReason, confirmed_at: Ticks) -> None:
         """An attempt was ended by this gateway. Its request may be sent again only once it is certain that
         the backend knows, else two attempts could be out at once; so its end is reported at `confirmed_at`,
         or now where nothing will be sent any more."""
@@ -197,23 +200,23 @@
         else:
             self.loop.call_at(confirmed_at, self.attempt_ended, sent, end)
 
-    def attempt_timed_out(self, sent: Sent) -> None:
+    def attempt_timed_out(self, sent: Attempt) -> None:
         """The time of an attempt or a health check is up."""
-        if sent.conn is not None:
-            self.gateway.back.give_up(sent)
+        if sent.connection is not None:
+            self.gateway.back.cancel(sent)
             self.attempt_ended(sent, CloseReason.TIME_UP)
 
     def is_obsolete(self, call: ScheduledCall) -> bool:
         """Is a timer the time-out of an attempt that is over? Then it need not wake the event loop."""
-        return call.callback == self.attempt_timed_out and call.arguments[0].conn is None
+        return call.callback == self.attempt_timed_out and call.arguments[0].connection is None
 
-    def report_end(self, sent: Sent, end: CloseReason) -> None:
+    def report_end(self, sent: Attempt, end: CloseReason) -> None:
         """Report the end of an attempt or a health check without an answer, after the current callback."""
         self.loop.defer(self.attempt_ended, sent, end)
 
     def _report_unsendable(self, call: Call, backend: Backend) -> None:
         """End an attempt before it begins, as it would break an invariant."""
-        sent = Sent(call, backend, call.request.attempts - 1, call.name.encode(), b"", self.clock.time)
+        sent = Attempt(call, backend, call.request.attempts - 1, call.name.encode(), b"", self.clock.time)
         call.sent = sent
         self.report_end(sent, CloseReason.UNWRITTEN)
 
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -31,9 +31,9 @@
 from lilacloft.gateway.lifecycle import Lifecycle, Phase
 from lilacloft.gateway.reporting import Reporter
 from lilacloft.invariants import Invariants
-from lilacloft.net.back import Back
 from lilacloft.net.connection import Connection
 from lilacloft.net.front import Front
+from lilacloft.net.upstream import Upstream, UpstreamCallbacks
 from lilacloft.routing.host import Dispatch, HealthChange, Timer
 from lilacloft.routing.model import Backend, Request
 from lilacloft.routing.router import Router
@@ -88,18 +88,17 @@
 
     def _connect_backends(self) -> None:
         """Make the side of the caches, parents and origin, and the checks on what goes there."""
-        self.back = Back(
+        callbacks = UpstreamCallbacks(
             self.loop.post,
             self.now,
             self.dispatcher.attempt_ended,
             self.dispatcher.attempt_cancelled,
-            self.settings,
-            self.budgets.caches,
         )
+        self.back = Upstream(callbacks, self.settings, self.budgets.caches)
         self.back.write_soon = self.write_soon
         self.invariants = self.back.invariants = Invariants(self.settings, self.reporter.report_violation)
         longest = int(MAX_MAINTENANCE_INTERVAL * TICKS_PER_SECOND)
-        self.maintenance_interval = min(self.back.patience, longest)
+        self.maintenance_interval = min(self.back.connect_timeout, longest)
 
     def _bind_interface(self) -> None:
         """Name here what the store, the handover, the planners' agent and the records use of the parts."""
@@ -173,7 +172,7 @@
     def run_maintenance(self) -> None:
         """Close connections that are idle, or stand still within a message."""
         self.call_at(self.time + self.maintenance_interval, self.run_maintenance)
-        self.back.sweep()
+        self.back.close_stalled()
         self.front.sweep(
             self.max_client_timeout / TICKS_PER_SECOND,
             self.budgets.unwritten,
--- a/lilacloft/gateway/reload.py
+++ b/lilacloft/gateway/reload.py
@@ -26,7 +26,7 @@
     except (KeyError, ValueError, TypeError, AttributeError) as wrong:
         logger.error("the old configuration stays: it cannot be used: {!r}", wrong)
         return
-    gateway.budgets, gateway.front.most, gateway.back.most = found, found.clients, found.caches
+    gateway.budgets, gateway.front.most, gateway.back.max_connections = found, found.clients, found.caches
     gateway.limits = config["limits"]
     gateway.feed.move(changelog)
     logger.info(
--- a/lilacloft/gateway/reporting.py
+++ b/lilacloft/gateway/reporting.py
@@ -12,7 +12,7 @@
 from lilacloft.gateway.clock import monotonic_ticks
 from lilacloft.gateway.context import GatewayContext
 from lilacloft.invariants import Promise
-from lilacloft.net.back import Sent
+from lilacloft.net.attempt import Attempt
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
 MAX_INSPECTED = 64  # open requests that are logged at once
@@ -85,7 +85,7 @@
             "limits": gateway.router.link_limit.in_flight + sum(limit.in_flight for limit in limits),
         }
 
-    def _in_flight(self) -> list[Sent]:
+    def _in_flight(self) -> list[Attempt]:
         """Return the attempts and health checks that are out on connections."""
-        lines = [line for pool in self.gateway.back.pools.values() for line in pool.lines]
-        return [sent for line in lines for sent in line.out.values()]
+        lines = [line for pool in self.gateway.back.pools.values() for line in pool.connections]
+        return [sent for line in lines for sent in line.in_flight.values()]
--- /dev/null
+++ b/lilacloft/net/upstream.py
@@ -0,0 +1,271 @@
+"""The gateway's connections to caches, parents and origin: attempts, health checks, and their answers.
+
+All but the reading of answers runs in the event loop's thread. Which backend is used, and for how long, is
+decided elsewhere (lilacloft/routing). Two attempts of a request are never in flight at once.
+"""
+
+from __future__ import annotations
+
+import time
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from lilacloft.invariants import Invariants
+from lilacloft.net.attempt import Attempt
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import Connection
+from lilacloft.net.resp import encode
+from lilacloft.net.upstream_answers import ANSWER_STATUS, HEALTH_STATUS, Reply, parse_reply
+from lilacloft.net.upstream_pool import UpstreamConnection, UpstreamPool
+from lilacloft.routing.model import Backend
+from lilacloft.routing.units import Ticks
+from lilacloft.settings import TENTHS
+
+# reasons for which a connection ends without its backend knowing yet
+BACKEND_MAY_NOT_KNOW = frozenset(
+    (
+        CloseReason.GARBLED,
+        CloseReason.CHOKED,
+        CloseReason.SILENT,
+        CloseReason.FAULT,
+        CloseReason.BROKEN,
+    )
+)
+MIN_CONNECTIONS_PER_POOL = 2
+
+
+@dataclass(frozen=True, slots=True)
+class UpstreamCallbacks:
+    """What the upstream side calls."""
+
+    post: Callable[..., None]  # has a function called in the event loop's thread; any thread may call it
+    now: Callable[[], Ticks]  # the gateway's time
+    attempt_ended: Callable[..., None]  # with the attempt, the reason and, where there is one, the Reply
+    attempt_cancelled: Callable[..., None]  # with the attempt, the reason and when the backend knows of it
+
+
+class Upstream:
+    """The pools of all backends."""
+
+    def __init__(self, callbacks: UpstreamCallbacks, config: dict[str, Any], max_connections: int) -> None:
+        limits = config["limits"]
+        self.post, self.now = callbacks.post, callbacks.now
+        self.attempt_ended = callbacks.attempt_ended
+        self.attempt_cancelled = callbacks.attempt_cancelled
+        self.answer_slack: Ticks = config["rules"]["answer_slack"]
+        self.attempts_per_connection: int = limits["streams_per_conn"] or 1
+        self.connect_timeout: Ticks = limits["connect_timeout"]
+        keepalive = limits["keepalive"]
+        self.idle_timeout = max(keepalive - self.connect_timeout, keepalive // 2)  # before backends close
+        self.max_connections = max_connections  # of all pools
+        self.load_names = config["stats"]["names"]
+        self.invariants = Invariants(config)
+        self.write_soon: Callable[[Connection], None] = Connection.resume_writing
+        self.closes: Counter[str] = Counter()  # closed connections, by the reason's name
+        self.pools: dict[Backend, UpstreamPool] = {}
+        self.checks = 0
+        self.counts = dict.fromkeys(
+            ("connections", "unmade", "dispatches", "undone", "checks", "answers", "unknown"), 0
+        )
+
+    # --- the backends ---
+
+    def add_backend(self, backend: Backend, address: tuple[str, int]) -> None:
+        """A backend is listed at an address; where that is a new one, or it has restarted, a new pool is
+        used."""
+        pool = self.pools.get(backend)
+        if pool and (pool.address != address or pool.backend_started != backend.started):
+            pool.retire()
+            pool = None
+        if not pool:
+            self.pools[backend] = UpstreamPool(backend, address, self)
+
+    def remove_backend(self, backend: Backend) -> None:
+        """A backend is no longer listed."""
+        pool = self.pools.pop(backend, None)
+        if pool:
+            pool.retire()
+
+    def connections_per_pool(self) -> int:
+        """How many connections one pool may have."""
+        return max(MIN_CONNECTIONS_PER_POOL, self.max_connections // max(1, len(self.pools)))
+
+    def make_room(self) -> bool:
+        """May one more connection be made? At the limit the one idle for longest is closed for it: with many
+        backends the pools' minimum may exceed the limit for all."""
+        connections = [
+            connection
+            for pool in self.pools.values()
+            for connection in pool.connections
+            if connection.close_reason is None
+        ]
+        if len(connections) < self.max_connections:
+            return True
+        idle = [connection for connection in connections if not connection.in_flight]
+        if idle:
+            min(idle, key=lambda connection: connection.last_used_at).close(CloseReason.RETIRED)
+        return bool(idle)
+
+    # --- sending ---
+
+    def may_send(self, attempt: Attempt) -> bool:
+        """Check an attempt just before its first byte, with its time limit brought up to date.
+
+        Any thread may call this."""
+        if attempt.call is None or not attempt.deadline:
+            return True
+        attempt.refresh()
+        drained = self.invariants.drained.get(attempt.backend.name)
+        return self.invariants.begins(attempt.begun(drained.steady if drained else 0))
+
+    def dispatch(self, attempt: Attempt) -> CloseReason | None:
+        """Send an attempt; returns why it ended at once where it could not be sent."""
+        if not self.may_send(attempt):
+            return CloseReason.UNWRITTEN
+        pool = self.pools.get(attempt.backend)
+        connection = pool.connection_for(attempt) if pool else None
+        if connection is None:
+            return CloseReason.NO_LINE
+        attempt.connection = connection
+        connection.in_flight[attempt.name] = attempt
+        connection.last_used_at = self.now()
+        if attempt.call:
+            attempt.call.lines.append(connection)
+        attempt.position = connection.send(attempt.data)
+        self.counts["dispatches" if attempt.call else "checks"] += 1
+        return None
+
+    def check(self, backend: Backend) -> tuple[Attempt, CloseReason | None]:
+        """Send a health check, which requests a load report where the settings name any.
+
+        Returns the attempt and the result of `dispatch`."""
+        self.checks += 1
+        name = b"%d" % self.checks
+        message = encode(b"top" if self.load_names else b"ping", name)
+        attempt = Attempt(None, backend, 0, name, message, self.now())
+        return attempt, self.dispatch(attempt)
+
+    # --- cancelling ---
+
+    def withdraw(self, attempt: Attempt) -> bool:
+        """Withdraw an attempt of which nothing was sent, so that it never ran; False where some was."""
+        connection = attempt.connection
+        if connection is None or not (connection.withdraw(attempt.position) or attempt.expired_unsent):
+            return False
+        self._detach(connection, attempt)
+        if attempt.call and connection in attempt.call.lines:
+            attempt.call.lines.remove(connection)  # it never carried this request
+        return True
+
+    def expired_in_backlog(self, attempt: Attempt) -> None:
+        """An attempt expired in the backlog of its connection: report its end."""
+        if self.withdraw(attempt):
+            self.attempt_ended(attempt, CloseReason.UNWRITTEN)
+
+    def cancel(self, attempt: Attempt) -> Ticks:
+        """Cancel an attempt, before anything else is sent for its request.
+
+        Returns from when on that may be: messages on two connections may be read in either order, and those
+        on a new connection only once the backend has accepted it."""
+        connection, now = attempt.connection, self.now()
+        if connection is None:
+            return now
+        if self.withdraw(attempt):
+            return now
+        self._detach(connection, attempt)
+        confirmed_at = now + self.answer_slack
+        if not connection.last_read_at:
+            confirmed_at = max(confirmed_at, connection.created_at + self.connect_timeout)
+        if connection.close_reason is not None:
+            return confirmed_at
+        if attempt.call:
+            self._send_undo(connection, attempt)
+        if connection.last_read_at < attempt.at and self.now() - attempt.at > self.connect_timeout:
+            connection.retiring = True  # nothing came in meanwhile: the next attempt uses a new one
+            if not connection.in_flight:
+                connection.close(CloseReason.SILENT)
+        return confirmed_at
+
+    def _send_undo(self, connection: UpstreamConnection, attempt: Attempt) -> None:
+        """Send the cancellation; a connection that does not take it at once is closed instead."""
+        self.counts["undone"] += 1
+        if not connection.has_sent(connection.send(encode(b"undo", attempt.name))):
+            connection.close(CloseReason.CHOKED)
+
+    def _detach(self, connection: UpstreamConnection, attempt: Attempt) -> None:
+        """An attempt is no longer in flight on its connection."""
+        del connection.in_flight[attempt.name]
+        attempt.connection, attempt.data = None, b""  # its timer may keep it for long
+        connection.last_used_at = self.now()
+        if connection.retiring and not connection.in_flight:
+            connection.close(CloseReason.RETIRED)
+
+    # --- answers, in the connections' threads ---
+
+    def read_answer(self, connection: UpstreamConnection, items: list[bytes]) -> None:
+        """Parse one answer and pass it to the event loop. Raises GarbledError."""
+        reply = parse_reply(items, self.load_names)
+        self.post(self.answered, connection, items[0], items[1], reply)
+
+    def connection_closed(self, connection: UpstreamConnection) -> None:
+        """Pass the end of a connection to the event loop."""
+        self.post(self.connection_lost, connection)
+
+    # --- answers, in the event loop's thread ---
+
+    def answered(self, connection: UpstreamConnection, name: bytes, word: bytes, reply: Reply) -> None:
+        """Find the attempt or health check that an answer ends, and report its end."""
+        connection.last_read_at = self.now()
+        attempt = connection.in_flight.get(name)
+        if attempt is None:
+            self.counts["unknown"] += 1
+            return
+        reason = (ANSWER_STATUS if attempt.call else HEALTH_STATUS).get(word)
+        if reason is None or (reason is CloseReason.UNCHANGED and not attempt.call.got):
+            connection.close(CloseReason.GARBLED)  # no answer to this message: the attempts in flight end too
+            return
+        self.counts["answers"] += 1
+        self._detach(connection, attempt)
+        self.attempt_ended(attempt, reason, reply)
+
+    def connection_lost(self, connection: UpstreamConnection) -> None:
+        """A connection has ended, and with it all attempts in flight on it."""
+        if connection in connection.pool.connections:
+            connection.pool.connections.remove(connection)
+        self.closes[(connection.close_reason or CloseReason.FAULT).name] += 1
+        in_flight, connection.in_flight = connection.in_flight, {}
+        for attempt in in_flight.values():  # first of all: a report may cancel others that were in flight
+            attempt.connection = None
+        for attempt in in_flight.values():
+            reason = self._reason_of_loss(connection, attempt)
+            if reason in BACKEND_MAY_NOT_KNOW:  # as in `cancel`
+                self.attempt_cancelled(attempt, reason, self.now() + self.answer_slack)
+            else:
+                self.attempt_ended(attempt, reason)
+
+    @staticmethod
+    def _reason_of_loss(connection: UpstreamConnection, attempt: Attempt) -> CloseReason:
+        """Why an attempt ends with its connection."""
+        written = connection.has_sent(attempt.position) and not attempt.expired_unsent
+        reason = connection.close_reason or CloseReason.FAULT
+        if reason in (CloseReason.CLOSED, CloseReason.RESET) and connection.buffer.partial():
+            reason = CloseReason.GARBLED  # closed within an answer, the rest of which will not come
+        if not written and reason not in (CloseReason.REFUSED, CloseReason.UNMADE):
+            reason = CloseReason.UNWRITTEN
+        return reason
+
+    # --- maintenance ---
+
+    def close_stalled(self) -> None:
+        """Close connections that stalled within an answer, and those idle for long; resume writing."""
+        now, stalled_since = self.now(), time.monotonic() - self.connect_timeout / TENTHS
+        for pool in self.pools.values():
+            for connection in pool.connections:
+                if connection.unsent_bytes():
+                    connection.resume_writing()
+                if connection.buffer.partial() and connection.came < stalled_since:
+                    connection.close(CloseReason.GARBLED)
+                if not connection.in_flight and now - connection.last_used_at >= self.idle_timeout:
+                    connection.close(CloseReason.RETIRED)
--- /dev/null
+++ b/lilacloft/net/upstream_pool.py
@@ -0,0 +1,144 @@
+"""The connections to one backend, and how one of them is chosen for an attempt."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from loguru import logger
+
+from lilacloft.net.attempt import Attempt
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import Connection
+from lilacloft.routing.model import Backend
+from lilacloft.routing.units import Ticks
+from lilacloft.settings import TENTHS
+
+
+class PoolOwner(Protocol):
+    """What a pool uses of the side that all pools belong to (lilacloft/net/upstream.py)."""
+
+    post: Callable[..., None]  # has a function called in the event loop's thread
+    now: Callable[[], Ticks]
+    write_soon: Callable[[Connection], None]
+    attempts_per_connection: int
+    connect_timeout: Ticks
+    counts: dict[str, int]
+
+    def connections_per_pool(self) -> int:
+        """How many connections one pool may have."""
+
+    def make_room(self) -> bool:
+        """May one more connection be made?"""
+
+    def may_send(self, attempt: Attempt) -> bool:
+        """May the first byte of an attempt be sent?"""
+
+    def expired_in_backlog(self, attempt: Attempt) -> None:
+        """An attempt expired in the backlog of its connection."""
+
+    def read_answer(self, connection: UpstreamConnection, items: list[bytes]) -> None:
+        """Handle a message of a connection, in its thread."""
+
+    def connection_closed(self, connection: UpstreamConnection) -> None:
+        """Handle the end of a connection, in its thread."""
+
+
+class UpstreamConnection(Connection):
+    """A connection to a backend, with the attempts in flight on it."""
+
+    def __init__(self, pool: UpstreamPool, *args: Any, **more: Any) -> None:
+        super().__init__(*args, **more)
+        self.pool = pool
+        self.in_flight: dict[bytes, Attempt] = {}  # by id
+        self.last_read_at: Ticks = 0  # 0: nothing was read yet
+        self.last_used_at: Ticks = 0  # when an attempt was last in flight on it
+        self.created_at: Ticks = 0
+        self.retiring = False  # accepts no new attempts
+
+    def write_soon(self) -> None:
+        """Have writing resumed shortly, by the event loop's thread."""
+        self.pool.upstream.post(self.pool.upstream.write_soon, self)
+
+    def refresh_message(self, position: int, message: memoryview) -> memoryview:
+        """A dispatch with the time that is left by now; empty where it has expired, which is reported."""
+        upstream = self.pool.upstream
+        for attempt in list(self.in_flight.values()):
+            if attempt.position != position:
+                continue
+            attempt.expired_unsent = attempt.expired() or not upstream.may_send(attempt)
+            if attempt.expired_unsent:
+                upstream.post(upstream.expired_in_backlog, attempt)
+                return message[:0]
+            return memoryview(attempt.data)
+        return message
+
+
+class UpstreamPool:
+    """The connections to one run of a backend's process at one address."""
+
+    def __init__(self, backend: Backend, address: tuple[str, int], upstream: PoolOwner) -> None:
+        self.backend, self.address, self.upstream = backend, address, upstream
+        self.backend_started = backend.started
+        self.connections: list[UpstreamConnection] = []
+
+    def connection_for(self, attempt: Attempt) -> UpstreamConnection | None:
+        """A connection for an attempt: the one idle for the shortest time, else a new one, else the one with
+        the fewest attempts in flight, as they would all fail with it; None where there is none.
+
+        Where the last connection of the same request broke, a new one: idle ones may be broken as well."""
+        best = self._least_loaded(attempt)
+        call = attempt.call
+        broke = call and call.lines and call.lines[-1].close_reason is not None
+        if best and not best.in_flight and not broke:
+            return best
+        if len(self.connections) >= self.upstream.connections_per_pool():
+            return best
+        if not self.upstream.make_room():
+            return best
+        return self._open() or best
+
+    def retire(self) -> None:
+        """The backend is no longer listed, or has restarted: no new attempts, and a close once idle."""
+        for connection in list(self.connections):
+            connection.retiring = True
+            if not connection.in_flight:
+                connection.close(CloseReason.RETIRED)
+
+    def _least_loaded(self, attempt: Attempt) -> UpstreamConnection | None:
+        """The connection with the fewest attempts in flight of those that may carry an attempt.
+
+        None that carried its request before, nor carries another under its id: an id must stand for one
+        dispatch there."""
+        fitting = [
+            connection
+            for connection in self.connections
+            if len(connection.in_flight) < self.upstream.attempts_per_connection
+            and not connection.retiring
+            and connection.close_reason is None
+            and attempt.name not in connection.in_flight
+            and not (attempt.call and connection in attempt.call.lines)
+        ]
+        return min(fitting, key=lambda one: (len(one.in_flight), -one.last_used_at), default=None)
+
+    def _open(self) -> UpstreamConnection | None:
+        """Begin to connect; None where no descriptor or no thread is available, which is transient."""
+        upstream = self.upstream
+        try:
+            connection = UpstreamConnection(
+                self,
+                upstream.read_answer,
+                upstream.connection_closed,
+                address=self.address,
+                connect_timeout=upstream.connect_timeout / TENTHS,
+            )
+            connection.start()
+        except (OSError, RuntimeError) as error:
+            if not upstream.counts["unmade"]:
+                logger.error("no connection to {}: {}", self.backend.name, error)
+            upstream.counts["unmade"] += 1
+            return None
+        self.connections.append(connection)
+        upstream.counts["connections"] += 1
+        connection.last_used_at = connection.created_at = upstream.now()
+        return connection
--- a/lilacloft/routing/units.py
+++ b/lilacloft/routing/units.py
@@ -6,3 +6,4 @@
 
 Ticks: TypeAlias = int  # a time or a duration, in tenths of a millisecond
 TICKS_PER_SECOND = 10_000
+TICKS_PER_MILLISECOND = 10
--- a/lilacloft/store/guard.py
+++ b/lilacloft/store/guard.py
@@ -16,7 +16,7 @@
 import msgspec
 from loguru import logger
 
-from lilacloft.net.back import Sent
+from lilacloft.net.attempt import Attempt
 from lilacloft.net.close_reasons import OUTCOMES, CloseReason
 from lilacloft.routing import snapshot
 from lilacloft.routing.model import Backend, Request
@@ -90,9 +90,9 @@
             },
             found.base,
         )
-        self.held: dict[str, tuple[Sent, int]] = {}
-        self.tokens: dict[Sent, str] = {}
-        self.again: list[Sent] = []  # were held when all was brought to rest
+        self.held: dict[str, tuple[Attempt, int]] = {}
+        self.tokens: dict[Attempt, str] = {}
+        self.again: list[Attempt] = []  # were held when all was brought to rest
         self.over: list[tuple[str, bytes]] = []  # tokens and keys of what went over
         self.asked: dict[int, int] = {}  # tickets of the process before, by ours
         self.answer: Callable[[int], None] | None = None  # tells it which of them are down
@@ -192,7 +192,7 @@
         self.store.follow()
         self.owner.post(self.keeper.follow, self._found().intents)
 
-    def resumed(self, sents: Iterable[Sent]) -> None:
+    def resumed(self, sents: Iterable[Attempt]) -> None:
         """Dispatches that are out on connections which have come over; where the process before had no store
         they are kept from now on. What went over in the keeper and is not among them has lost its connection
         on the way, and may have run."""
@@ -237,7 +237,7 @@
                 Backend("earlier", zone=-1, cell=intent.cell),
             )
 
-    def dispatch(self, sent: Sent, until: int) -> CloseReason | None:
+    def dispatch(self, sent: Attempt, until: int) -> CloseReason | None:
         """Send, or hold until the intent is down. By a time it will have had its own."""
         call, vhost, token = sent.call, self.owner.vhosts[sent.call.vhost], self._token(sent)
         verdict = self.keeper.asks(
@@ -260,7 +260,7 @@
         self.knows(call, call.request)  # it may have become known only since the req came
         return CloseReason.UNWRITTEN
 
-    def drop(self, sent: Sent) -> bool:
+    def drop(self, sent: Attempt) -> bool:
         """The module takes a dispatch back: was it held? Then it never ran."""
         token = self.tokens.get(sent, "")
         if self.held.pop(token, None) is None:
@@ -268,7 +268,7 @@
         self.keeper.left(token)
         return True
 
-    def ended(self, sent: Sent, end: CloseReason) -> None:
+    def ended(self, sent: Attempt, end: CloseReason) -> None:
         """A dispatch is over."""
         token = self.tokens.pop(sent, None)
         if token is not None and self.held.pop(token, None) is None:
@@ -286,7 +286,7 @@
         self.keeper.told(number, self.listing.base)
 
     @staticmethod
-    def _token(sent: Sent) -> str:
+    def _token(sent: Attempt) -> str:
         return f"{sent.call.name} {sent.seq}"
 
     def _key(self, call: Any) -> bytes:
--- a/lilacloft/upgrade/carry.py
+++ b/lilacloft/upgrade/carry.py
@@ -11,12 +11,13 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from lilacloft.net.back import Line, Pool, Sent
+from lilacloft.net.attempt import Attempt
 from lilacloft.net.close_reasons import CloseReason
 from lilacloft.net.connection import Connection
 from lilacloft.net.connection_state import ConnectionState
 from lilacloft.net.front import Call, Client
 from lilacloft.net.tcp_info import bytes_received
+from lilacloft.net.upstream_pool import UpstreamConnection, UpstreamPool
 from lilacloft.net.write_backlog import PendingMessage
 from lilacloft.routing.model import Backend, Request
 from lilacloft.routing.snapshot import give, recall, take
@@ -61,11 +62,13 @@
     )
 
 
-def lines(owner: Any) -> list[Line]:
+def lines(owner: Any) -> list[UpstreamConnection]:
     """All connections to bes, also those of bes that are listed no more but still answer something."""
-    found = dict.fromkeys(line for pool in owner.back.pools.values() for line in pool.lines)
+    found = dict.fromkeys(line for pool in owner.back.pools.values() for line in pool.connections)
     found.update(
-        (call.sent.conn, None) for call in owner.open_requests.values() if call.sent and call.sent.conn
+        (call.sent.connection, None)
+        for call in owner.open_requests.values()
+        if call.sent and call.sent.connection
     )
     return list(found)
 
@@ -101,7 +104,7 @@
         line
         for line in lines(owner)
         if line.state is not ConnectionState.CONNECTING
-        and (whole or not (line.out or line.buffer.partial() or line.unsent_bytes()))
+        and (whole or not (line.in_flight or line.buffer.partial() or line.unsent_bytes()))
     ]
     conns: list[Connection] = [*clients, *carried]
     number = {conn: place for place, conn in enumerate(conns)}
@@ -127,11 +130,11 @@
                 backend=line.pool.backend.name,
                 host=line.pool.address[0],
                 port=line.pool.address[1],
-                life=line.pool.life,
-                heard=line.heard,
-                used=line.used,
-                made=line.made,
-                shunned=line.shunned,
+                life=line.pool.backend_started,
+                heard=line.last_read_at,
+                used=line.last_used_at,
+                made=line.created_at,
+                shunned=line.retiring,
                 **stream(line, number[line]),
             )
             for line in carried
@@ -215,7 +218,7 @@
         )
 
 
-def sents(owner: Any, calls: dict[Call, int], places: dict[Line, int]) -> Iterable[form.Sent]:
+def sents(owner: Any, calls: dict[Call, int], places: dict[UpstreamConnection, int]) -> Iterable[form.Sent]:
     """What is out: dispatches by their calls, checks by their connections; with the times due for them."""
     until, over = {}, {}
     for when, _, what, told in owner.timers:
@@ -225,9 +228,9 @@
             over[told[0]] = (told[1].name, when)
     held = set(owner.guard.again) if owner.guard else ()  # they go out anew
     out = [call.sent for call in calls if call.sent is not None]
-    out += [sent for line in places for sent in line.out.values() if sent.call is None]
+    out += [sent for line in places for sent in line.in_flight.values() if sent.call is None]
     for sent in out:
-        if sent.conn is None and sent not in over and sent not in held:
+        if sent.connection is None and sent not in over and sent not in held:
             continue  # told in this very turn: nothing is owed for it
         yield form.Sent(
             call=calls.get(sent.call) if sent.call else None,
@@ -236,8 +239,8 @@
             name=sent.name,
             data=sent.data,
             at=sent.at,
-            line=places.get(sent.conn) if sent.conn else None,
-            place=sent.place,
+            line=places.get(sent.connection) if sent.connection else None,
+            place=sent.position,
             until=until.get(sent),
             over=over.get(sent),
         )
@@ -250,7 +253,7 @@
         self.owner = owner
         self.state = form.State()
         self.conns: list[Connection] = []  # to be started once this process is the gateway
-        self.again: list[Sent] = []  # dispatches whose connection had not come up: they go out anew
+        self.again: list[Attempt] = []  # dispatches whose connection had not come up: they go out anew
 
     def warm(self, rows: list[form.Listed], table: Iterable[list[form.ObjectPart]]) -> None:
         """Make what can be made while the old process still serves: the list, and most of the table."""
@@ -336,20 +339,20 @@
         conn.reached = min((at - len(rest) for at, rest in told.backlog), default=told.queued)
         self.conns.append(conn)
 
-    def _line(self, told: form.Line, sock: Any) -> Line:
+    def _line(self, told: form.Line, sock: Any) -> UpstreamConnection:
         back, backend = self.owner.back, self.owner.backends[told.backend]
         pool, address = back.pools.get(backend), (told.host, told.port)
-        if pool is None or (pool.address, pool.life) != (address, told.life):
-            pool = Pool(backend, address, back)  # of an earlier life, or gone: nothing new goes there
-        line = Line(pool, back.answer, back.gone, sock=sock, address=address)
-        pool.lines.append(line)
-        line.heard, line.used, line.made = told.heard, told.used, told.made
-        line.shunned = told.shunned or back.pools.get(backend) is not pool
+        if pool is None or (pool.address, pool.backend_started) != (address, told.life):
+            pool = UpstreamPool(backend, address, back)  # of an earlier life, or gone: nothing new goes there
+        line = UpstreamConnection(pool, back.read_answer, back.connection_closed, sock=sock, address=address)
+        pool.connections.append(line)
+        line.last_read_at, line.last_used_at, line.created_at = told.heard, told.used, told.made
+        line.retiring = told.shunned or back.pools.get(backend) is not pool
         self._stream(line, told)
         return line
 
     def _call(
-        self, told: form.Call, request: Request, clients: dict[int, Client], carried: list[Line]
+        self, told: form.Call, request: Request, clients: dict[int, Client], carried: list[UpstreamConnection]
     ) -> Call:
         call = Call.__new__(Call)
         for name in CALL_FIELDS:
@@ -365,22 +368,22 @@
         self.owner.open_requests[request] = call
         return call
 
-    def _sent(self, told: form.Sent, calls: list[Call], carried: list[Line]) -> None:
+    def _sent(self, told: form.Sent, calls: list[Call], carried: list[UpstreamConnection]) -> None:
         owner = self.owner
         call = None if told.call is None else calls[told.call]
-        sent = Sent(
+        sent = Attempt(
             call,
             owner.backends[told.backend],
             told.seq,
             told.name,
             told.data,
             told.at,
-            made=owner.to_monotonic(told.at),
-            until=owner.to_monotonic(told.until or call.request.deadline) if call else 0,
+            encoded_at=owner.to_monotonic(told.at),
+            deadline=owner.to_monotonic(told.until or call.request.deadline) if call else 0,
             send_by=owner.to_monotonic(call.request.send_by) if call else 0,
             window_over=owner.idempotency_deadline(call.history) if call else 0,
         )
-        sent.place = told.place
+        sent.position = told.place
         if call:
             call.sent = sent
             if call.request.send_by:
@@ -391,10 +394,10 @@
         if told.line is None:
             self.again.append(sent)
         else:
-            sent.conn = carried[told.line]
-            sent.conn.out[sent.name] = sent
-            for waiting in sent.conn.backlog:
-                if waiting.position == sent.place:
+            sent.connection = carried[told.line]
+            sent.connection.in_flight[sent.name] = sent
+            for waiting in sent.connection.backlog:
+                if waiting.position == sent.position:
                     waiting.started = len(waiting.unsent) < len(sent.data)
         if told.until is not None:
             owner.call_at(told.until, owner.attempt_timed_out, sent)
--- a/lilacloft/upgrade/rest.py
+++ b/lilacloft/upgrade/rest.py
@@ -143,8 +143,8 @@
             self.held.pop(conn, None)
             if isinstance(conn, Client):
                 owner.front.clients.pop(conn, None)
-            elif conn in conn.pool.lines:
-                conn.pool.lines.remove(conn)
+            elif conn in conn.pool.connections:
+                conn.pool.connections.remove(conn)
         self.moved += conns
 
     def forgets(self) -> None:
--- a/rigs/failing.py
+++ b/rigs/failing.py
@@ -19,7 +19,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from lilacloft.net import back, connection, front, polling, write_backlog
+from lilacloft.net import connection, front, polling, upstream, write_backlog
 
 # errors that pass by themselves, by call, as the manual pages have them
 PASSING: Mapping[str, tuple[int, ...]] = {
@@ -157,7 +157,7 @@
         return _thread.start_new_thread(*told)
 
     threads = _delegating(_thread, start_new_thread=start_thread)
-    modules = tuple(map(vars, (connection, write_backlog, polling, front, back)))
+    modules = tuple(map(vars, (connection, write_backlog, polling, front, upstream)))
     before = [
         (names, name, names[name]) for names in modules for name in ("select", "_thread") if name in names
     ]
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -334,7 +334,11 @@
     late.clear()
     for cache in world.caches:
         cache.break_off()  # so that new connections are needed
-    until(lambda: not any(pool.lines for pool in world.does(lambda: list(world.owner.back.pools.values()))))
+    until(
+        lambda: not any(
+            pool.connections for pool in world.does(lambda: list(world.owner.back.pools.values()))
+        )
+    )
     asker.ask(key=1, allow=3000)
     until(lambda: world.held()["out"] == 1)
     nothing_seen(world)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,9 +12,11 @@
 
 import pytest
 
-from lilacloft.net.back import Back, Line, Sent
+from lilacloft.net.attempt import Attempt
 from lilacloft.net.budgets import RESERVED, budgets
 from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.upstream import Upstream, UpstreamCallbacks
+from lilacloft.net.upstream_pool import UpstreamConnection
 from lilacloft.routing.model import Backend
 from lilacloft.settings import settings
 from rigs.inprocess import waits_for
@@ -34,22 +36,22 @@
 
 def test_with_more_caches_than_connections_the_longest_idle_one_ends_for_a_new_one(monkeypatch):
     """Two a pool at least, and thirty pools, were more than the descriptors there were."""
-    monkeypatch.setattr(Line, "start", lambda self: None)
+    monkeypatch.setattr(UpstreamConnection, "start", lambda self: None)
     now = [1]
-    back = Back(print, lambda: now[0], print, print, settings(ENV), 4)
+    back = Upstream(UpstreamCallbacks(print, lambda: now[0], print, print), settings(ENV), 4)
     backends, sents = [Backend(f"c{number}") for number in range(6)], []
     call = lambda: SimpleNamespace(lines=[])  # noqa: E731
     for number, backend in enumerate(backends):
         now[0] += 1
-        back.place(backend, ("127.0.0.1", 9))
-        sents.append(Sent(call(), backend, 0, b"%d" % number, b"x", now[0]))
+        back.add_backend(backend, ("127.0.0.1", 9))
+        sents.append(Attempt(call(), backend, 0, b"%d" % number, b"x", now[0]))
         if number < 4:
             assert back.dispatch(sents[-1]) is None
-    lines = [sent.conn for sent in sents[:4]]
+    lines = [sent.connection for sent in sents[:4]]
     assert back.dispatch(sents[4]) is CloseReason.NO_LINE, "all four have something out"
     for number in (2, 0):  # the third rests first, then the first one
         now[0] += 1
-        back._off(lines[number], sents[number])
+        back._detach(lines[number], sents[number])
     assert (
         back.dispatch(sents[4]) is None
         and lines[2].close_reason is CloseReason.RETIRED
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -23,13 +23,15 @@
 from lilacloft.net import connection as connections
 from lilacloft.net import feed as feeds
 from lilacloft.net import front as fronts
-from lilacloft.net.back import Back, Line, Sent
+from lilacloft.net.attempt import Attempt
 from lilacloft.net.close_reasons import CloseReason
 from lilacloft.net.connection import Connection
 from lilacloft.net.connection_state import ConnectionState
 from lilacloft.net.feed import Feed
 from lilacloft.net.front import Client, Front
 from lilacloft.net.resp import encode
+from lilacloft.net.upstream import Upstream, UpstreamCallbacks
+from lilacloft.net.upstream_pool import UpstreamConnection
 from lilacloft.routing.model import Backend
 from lilacloft.settings import settings
 from rigs.inprocess import InProcessWorld, closes, forgets, halves, limits, resets, until, waits_for
@@ -175,7 +177,7 @@
 
 
 def test_an_idle_connection_is_closed_before_the_cache_would_also_after_a_long_connect_time_out(in_process):
-    assert in_process(silent, changes=LONG).owner.back.idle <= 10_000 / 2
+    assert in_process(silent, changes=LONG).owner.back.idle_timeout <= 10_000 / 2
 
 
 @pytest.mark.parametrize("how", [socket.SHUT_WR, socket.SHUT_RDWR])
@@ -272,7 +274,7 @@
     asker = in_process(serves(b"ok")).asker()
     asker.ask()
     assert asker.answer()[1] == b"200"
-    assert {kind for kind, _ in plain} == {Client, Line} and all(set_ for _, set_ in plain)
+    assert {kind for kind, _ in plain} == {Client, UpstreamConnection} and all(set_ for _, set_ in plain)
 
 
 # --- the end of the process ---
@@ -471,26 +473,27 @@
     never went out passed for one that may have run, and was not sent again where it safely may be."""
     events, server = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0))
     ends, config = {}, settings(ENV)
-    back = Back(
+    callbacks = UpstreamCallbacks(
         lambda *event: events.put(event),
         lambda: 0,
         lambda sent, end, *_: ends.update({sent.name: end}),
         lambda sent, end, sure: ends.update({sent.name: end}),
-        config,
-        2,
     )
+    back = Upstream(callbacks, config, 2)
     backend = Backend("s-1", status=1)
-    back.place(backend, server.getsockname())
-    out = [Sent(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)]
+    back.add_backend(backend, server.getsockname())
+    out = [
+        Attempt(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)
+    ]
     assert not any(back.dispatch(sent) for sent in out)
     peers = [server.accept()[0] for _ in range(2)]
-    line = out[0].conn
-    mine = [sent for sent in out if sent.conn is line]
+    line = out[0].connection
+    mine = [sent for sent in out if sent.connection is line]
     until(lambda: line.writing)
-    waiting = [sent for sent in mine if not line.has_sent(sent.place)]
+    waiting = [sent for sent in mine if not line.has_sent(sent.position)]
     assert len(waiting) > 4
     for sent in waiting[3:]:
-        assert back.take_back(sent)
+        assert back.withdraw(sent)
     assert line.unsent_bytes() > 0
     for peer in peers:
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -630,7 +633,7 @@
     tag = asker.ask(key=1)
     place = next(number for number, cache in enumerate(world.caches, 1) if waits_for(cache))
     sent = waiting(world)
-    line, many, go = sent.conn, world.owner.queue.qsize(), world.stall()
+    line, many, go = sent.connection, world.owner.queue.qsize(), world.stall()
     world.log.add(2, 2, record(place, world.caches[place - 1].port, state=2))
     until(lambda: world.owner.feed.last == 2)
     sock = world.caches[place - 1].socks[0]
@@ -654,7 +657,7 @@
     asker = world.asker()
     tag = asker.ask(key=1)
     _, sock, items = world.caches[0].next()
-    line, go = waiting(world).conn, world.stall()
+    line, go = waiting(world).connection, world.stall()
     told = encode(items[1], b"data", b"remark=TCP_HIT", b"bytes")
     sock.sendall(told if whole else told[:-4])
     sock.shutdown(socket.SHUT_RDWR)
@@ -694,7 +697,7 @@
     begun = time.monotonic()
     tag = asker.ask(key=1, allow=600)
     world.caches[0].next()
-    first = waiting(world).conn
+    first = waiting(world).connection
     assert asker.answer()[:2] == [tag, b"503"] and time.monotonic() - begun < 0.65
     until(lambda: first.state is ConnectionState.CLOSED)
     over.set()
@@ -873,7 +876,7 @@
     refused_line = []
 
     def no_line(self):
-        if type(self) is Line and not refused_line:
+        if type(self) is UpstreamConnection and not refused_line:
             refused_line.append(self)
             raise RuntimeError("can't start new thread")
         start(self)
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -61,7 +61,7 @@
 
     for error in BROKEN:
         world = in_process(silent, changes=changes)
-        world.owner.back.share = lambda: 1
+        world.owner.back.connections_per_pool = lambda: 1
         asker = world.asker()
         asker.ask(key=1, allow=3000)
         _, sock, items = world.caches[0].next()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -15,10 +15,12 @@
 from lilacloft.__main__ import main
 from lilacloft.gateway.answers import AnswerKind
 from lilacloft.gateway.gateway import Gateway
-from lilacloft.net.back import Back, Reply, Sent
+from lilacloft.net.attempt import Attempt
 from lilacloft.net.close_reasons import CloseReason
 from lilacloft.net.front import STREAMS, Client, Front
 from lilacloft.net.resp import Buffer, fields
+from lilacloft.net.upstream import Upstream, UpstreamCallbacks
+from lilacloft.net.upstream_answers import Reply
 from lilacloft.routing.model import Backend, Request
 from lilacloft.settings import settings
 from rigs.stands import ENV, Asker, Log, Stand, World, encode, made, record, serves
@@ -338,21 +340,23 @@
     events, server = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0))
     config = settings(ENV)
     note = lambda *told: ends.append(told[:2])  # noqa: E731
-    back = Back(lambda *event: events.put(event), lambda: 0, note, note, config, 2)
+    back = Upstream(UpstreamCallbacks(lambda *event: events.put(event), lambda: 0, note, note), config, 2)
     backend, ends = Backend("s-1", status=1), []
-    back.place(backend, server.getsockname())
-    out = [Sent(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)]
+    back.add_backend(backend, server.getsockname())
+    out = [
+        Attempt(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)
+    ]
     assert not any(back.dispatch(sent) for sent in out)
-    line = out[0].conn
-    out = [sent for sent in out if sent.conn is line]
+    line = out[0].connection
+    out = [sent for sent in out if sent.connection is line]
     peer, _ = server.accept()
     until = time.monotonic() + 5
     while not line.writing and time.monotonic() < until:
         time.sleep(0.005)
-    back.give_up(out[-1])
+    back.cancel(out[-1])
     assert line.close_reason is None, "what has not begun to go out is taken back"
     out[0].call = out[1].call = types.SimpleNamespace(lines=[])
-    back.give_up(out[0])
+    back.cancel(out[0])
     assert line.close_reason is CloseReason.CHOKED
     what, *told = events.get(timeout=5)
     what(*told)
@@ -385,23 +389,25 @@
     events, server, time_now = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0)), [0]
     told, config, backend = [], settings(ENV), Backend("s-1", status=1)
     post, now = (lambda *event: events.put(event)), (lambda: time_now[0])
-    back = Back(post, now, print, lambda *what: told.append(what), config, 2)
+    back = Upstream(UpstreamCallbacks(post, now, print, lambda *what: told.append(what)), config, 2)
     slack, patience = config["rules"]["answer_slack"], config["limits"]["connect_timeout"]
-    back.place(backend, server.getsockname())
+    back.add_backend(backend, server.getsockname())
     call = types.SimpleNamespace(lines=[], departed=lambda: None)
-    first, second, third = (Sent(call, backend, 0, b"%d" % n, encode(b"do", b"%d" % n), 0) for n in range(3))
+    first, second, third = (
+        Attempt(call, backend, 0, b"%d" % n, encode(b"do", b"%d" % n), 0) for n in range(3)
+    )
     back.dispatch(first)
     peer, _ = server.accept()
     peer.recv(100)
-    assert back.give_up(first) == patience, "it has brought nothing yet"
+    assert back.cancel(first) == patience, "it has brought nothing yet"
     call.lines.clear()
     back.dispatch(second)
-    line = second.conn
-    line.heard, time_now[0] = 1, 50
-    assert back.give_up(second) == 50 + slack
+    line = second.connection
+    line.last_read_at, time_now[0] = 1, 50
+    assert back.cancel(second) == 50 + slack
     call.lines.clear()
     back.dispatch(third)
-    third.conn.close(CloseReason.GARBLED)
+    third.connection.close(CloseReason.GARBLED)
     what, *args = events.get(timeout=5)
     what(*args)
     assert told == [(third, CloseReason.GARBLED, 50 + slack)]
@@ -569,7 +575,7 @@
     )
     monkeypatch.setattr(owner.front, "close", lambda _: False)
     owner.update_clock()
-    sent = Sent(call, backend, 0, b"1", b"", owner.time - 3000)
+    sent = Attempt(call, backend, 0, b"1", b"", owner.time - 3000)
     owner.attempt_ended(sent, CloseReason.DATA, Reply(note=1, read_at=owner.monotonic_time - 2000))
     owner.attempt_ended(sent, CloseReason.TIME_UP)
     assert told == [1000, 3000]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,10 +10,13 @@
 
 import pytest
 
-from lilacloft.net import back, feed
+from lilacloft.net import feed
+from lilacloft.net.attempt import Attempt
 from lilacloft.net.close_reasons import OUTCOMES, CloseReason
 from lilacloft.net.connection import Connection
 from lilacloft.net.resp import FROM_CACHE, FROM_CLIENT, LARGEST, Buffer, GarbledError, encode, fields, listed
+from lilacloft.net.upstream import Upstream, UpstreamCallbacks
+from lilacloft.net.upstream_pool import UpstreamConnection
 from lilacloft.routing.model import Backend
 from lilacloft.settings import settings
 from rigs.stands import ENV, Log, Stand, framed, record
@@ -242,14 +245,14 @@
     """An id means one dispatch on a connection; with as many connections as a pool may have, all used by
     the same req, there is no way, and no cache is to blame for it."""
     backend, config = Backend("c"), settings(ENV)
-    found = back.Back(print, lambda: 0, print, print, config, 2)
-    found.place(backend, ("127.0.0.1", 9))
+    found = Upstream(UpstreamCallbacks(print, lambda: 0, print, print), config, 2)
+    found.add_backend(backend, ("127.0.0.1", 9))
     pool = found.pools[backend]
-    pool.lines = [back.Line(pool, print, print, address=pool.address) for _ in range(2)]
-    call = SimpleNamespace(lines=list(pool.lines))
-    assert found.dispatch(back.Sent(call, backend, 2, b"r", b"", 0)) is CloseReason.NO_LINE
+    pool.connections = [UpstreamConnection(pool, print, print, address=pool.address) for _ in range(2)]
+    call = SimpleNamespace(lines=list(pool.connections))
+    assert found.dispatch(Attempt(call, backend, 2, b"r", b"", 0)) is CloseReason.NO_LINE
     assert OUTCOMES[CloseReason.NO_LINE] == "unsent"
-    assert found.dispatch(back.Sent(SimpleNamespace(lines=[]), backend, 0, b"s", b"", 0)) is None
+    assert found.dispatch(Attempt(SimpleNamespace(lines=[]), backend, 0, b"s", b"", 0)) is None
 
 
 def test_what_is_not_taken_at_once_goes_out_later_whole_and_in_order():
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -59,7 +59,7 @@
         settings["classes"][0]["promiseNs"] = 3 * 10**9  # so that nothing is called back meanwhile
 
     world = in_process(silent, changes=changes)
-    world.owner.back.share = lambda: 1
+    world.owner.back.connections_per_pool = lambda: 1
     asker = world.asker()
     asked = time.monotonic()
     tags = [asker.ask(key=key, allow=ALLOW) for key in range(1, 5)]
@@ -70,7 +70,9 @@
     dispatches = [world.caches[0].next() for _ in tags]
     for _, sock, items in dispatches:
         assert_in_time(items, asked)
-    (line,) = world.does(lambda: [line for pool in world.owner.back.pools.values() for line in pool.lines])
+    (line,) = world.does(
+        lambda: [line for pool in world.owner.back.pools.values() for line in pool.connections]
+    )
     assert line.unsent_bytes() == 0
     assert line.has_sent(line.queued)
     asker.send(b"FORGET", tags[0])
@@ -82,11 +84,13 @@
 def test_behind_a_cache_that_did_not_read(in_process):
     """Its socket is full, and takes bytes again half a second later."""
     world = in_process(silent)
-    world.owner.back.share = lambda: 1
+    world.owner.back.connections_per_pool = lambda: 1
     first = world.asker()
     first.ask(allow=ALLOW)
     _, sock, items = world.caches[0].next()
-    (line,) = world.does(lambda: [line for pool in world.owner.back.pools.values() for line in pool.lines])
+    (line,) = world.does(
+        lambda: [line for pool in world.owner.back.pools.values() for line in pool.connections]
+    )
     line.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     with line.lock:  # as if the socket took nothing: what is sent now waits, until the thread that writes may
         line.writing = True
