--- a/lilacloft/gateway/answers.py
+++ b/lilacloft/gateway/answers.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 
 from lilacloft.gateway.context import GatewayContext
-from lilacloft.net.front import Call
+from lilacloft.net.client_request import ClientRequest
 
 
 class AnswerKind(StrEnum):
@@ -27,10 +27,12 @@
     def __init__(self, gateway: GatewayContext) -> None:
         self.gateway = gateway
 
-    def send(self, call: Call, kind: AnswerKind, fields: AnswerFields = (), body: bytes = b"") -> None:
+    def send(
+        self, call: ClientRequest, kind: AnswerKind, fields: AnswerFields = (), body: bytes = b""
+    ) -> None:
         """Send a request's final answer, unless it has had one or its client has left."""
         gateway = self.gateway
-        if not gateway.front.close(call):
+        if not gateway.front.close_request(call):
             return
         gateway.counters.answers[kind] += 1
         gateway.invariants.answers(call.history, gateway.clock.time)
--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -12,7 +12,8 @@
 from lilacloft.gateway.lifecycle import Lifecycle
 from lilacloft.gateway.wire_messages import TICKS_PER_MILLISECOND
 from lilacloft.invariants import Effect, History
-from lilacloft.net.front import Call, Client
+from lilacloft.net.client_connection import ClientConnection
+from lilacloft.net.client_request import ClientRequest
 from lilacloft.routing.model import RejectReason, Request
 from lilacloft.routing.units import Ticks
 
@@ -37,7 +38,7 @@
 
     # --- from clients' connections ---
 
-    def arrived(self, call: Call) -> None:
+    def arrived(self, call: ClientRequest) -> None:
         """A request was read. One whose client has cancelled it or left since is not decided on: that it has
         is queued behind."""
         if call.client.close_reason is not None or call.client.open.get(call.tag) is not call:
@@ -57,7 +58,7 @@
             gateway.recorder.arrived(call)
         gateway.router.request_arrived(request)
 
-    def _make_request(self, call: Call, arrived_at: Ticks, deadline: Ticks) -> Request:
+    def _make_request(self, call: ClientRequest, arrived_at: Ticks, deadline: Ticks) -> Request:
         """Return the request for the decisions; during a shutdown it has no more time than the process."""
         lifecycle = self.lifecycle
         if lifecycle.shutdown_started:
@@ -74,7 +75,7 @@
             is_write=bool(call.body),
         )
 
-    def request_history(self, call: Call, request: Request) -> History:
+    def request_history(self, call: ClientRequest, request: Request) -> History:
         """Return what the invariants know of a request that has arrived, or was handed over."""
         history = History(
             call.name,
@@ -87,7 +88,7 @@
         history.ran, history.first_executed_by = request.first_executed_at, request.first_executed_by
         return history
 
-    def cancelled(self, call: Call) -> None:
+    def cancelled(self, call: ClientRequest) -> None:
         """A client has cancelled a request or left; it is closed at its connection already."""
         gateway = self.gateway
         call.client.settled += 1
@@ -101,13 +102,13 @@
         gateway.router.client_disconnected(call.request)
         self.dispatcher.forget_if_finished(call)
 
-    def client_sent_malformed(self, client: Client) -> None:
+    def client_sent_malformed(self, client: ClientConnection) -> None:
         """A client sent malformed data: its open requests are rejected, with answers."""
         for call in list(client.open.values()):
             if call.request is not None:
                 self.gateway.router.reject(call.request, RejectReason.GARBLED)
 
-    def client_half_closed(self, client: Client, at: Ticks) -> None:
+    def client_half_closed(self, client: ClientConnection, at: Ticks) -> None:
         """A client's input ended at a time by the monotonic clock. It may have closed only its half, or have
         left: requests that wait are sent for a short grace only, those that are out are answered."""
         clock = self.clock
@@ -117,10 +118,10 @@
                 until = self.gateway.router.client_half_closed(call.request, closed_at)
                 self.loop.call_at(until, self.dispatcher.send_deadline_passed, call)
 
-    def client_disconnected(self, client: Client) -> None:
+    def client_disconnected(self, client: ClientConnection) -> None:
         """A client's connection has ended."""
         for call in list(client.open.values()):
-            if self.gateway.front.close(call):
+            if self.gateway.front.close_request(call):
                 self.cancelled(call)
 
     # --- from the decisions ---
--- a/lilacloft/gateway/context.py
+++ b/lilacloft/gateway/context.py
@@ -11,8 +11,9 @@
 from lilacloft.gateway.event_loop import EventLoop
 from lilacloft.invariants import Invariants
 from lilacloft.net.budgets import Budgets
+from lilacloft.net.client_request import ClientRequest
+from lilacloft.net.downstream import Downstream
 from lilacloft.net.feed import Feed
-from lilacloft.net.front import Call, Front
 from lilacloft.net.trace import Trace
 from lilacloft.net.upstream import Upstream
 from lilacloft.routing.model import Backend, Request
@@ -23,7 +24,7 @@
 class GatewayContext:
     """The shared parts. Everything but the queue and the trace belongs to the event loop's thread."""
 
-    front: Front  # the clients' connections
+    front: Downstream  # the clients' connections
     back: Upstream  # the connections to caches, parents and the origin
     feed: Feed  # the change log
     router: Router  # the decisions
@@ -43,7 +44,7 @@
         self.counters = Counters()
         self.loop = EventLoop(self.clock, self.counters, self.granularity, configuration.answer_slack)
         self.trace = Trace()
-        self.open_requests: dict[Request, Call] = {}  # also finished ones whose attempt is still out
+        self.open_requests: dict[Request, ClientRequest] = {}  # also finished ones whose attempt is still out
         self.backends: dict[str, Backend] = {}  # by name
         self.guard: Any = None  # lilacloft.store.guard.Guard: keeps effects over a crash, if anything does
         self.recorder: Any = None  # lilacloft.record.writer.Recorder, if there are records
--- a/lilacloft/gateway/dispatcher.py
+++ b/lilacloft/gateway/dispatcher.py
@@ -13,8 +13,8 @@
 from lilacloft.gateway.wire_messages import TICKS_PER_MILLISECOND, attempt_milliseconds, encode_dispatch
 from lilacloft.invariants import History
 from lilacloft.net.attempt import Attempt
+from lilacloft.net.client_request import ClientRequest
 from lilacloft.net.close_reasons import OUTCOMES, CloseReason
-from lilacloft.net.front import Call
 from lilacloft.net.upstream_answers import NO_REPLY, Reply
 from lilacloft.routing.host import AttemptResult, Dispatch
 from lilacloft.routing.model import Backend, Idempotency, Outcome, Request
@@ -41,9 +41,9 @@
             return
         until = min(self.clock.time + dispatch.timeout, dispatch.request.deadline)
         sent = self._make_attempt(call, dispatch, source, until)
-        call.sent = sent
-        if call.last:
-            gateway.counters.retries[call.last] += 1
+        call.attempt = sent
+        if call.last_outcome:
+            gateway.counters.retries[call.last_outcome] += 1
         self._trace(call, "sent", f"{backend.name} {sent.seq}")
         if gateway.recorder:
             gateway.recorder.sent(call, backend, source)
@@ -55,7 +55,9 @@
         if dispatch.request.send_by:
             self.loop.call_at(dispatch.request.send_by, self.send_deadline_passed, call)
 
-    def _make_attempt(self, call: Call, dispatch: Dispatch, source: Backend | None, until: Ticks) -> Attempt:
+    def _make_attempt(
+        self, call: ClientRequest, dispatch: Dispatch, source: Backend | None, until: Ticks
+    ) -> Attempt:
         """Return an attempt with its message; `until`: when it times out, in the gateway's time."""
         request, clock = dispatch.request, self.clock
         return Attempt(
@@ -111,7 +113,7 @@
     def _find_attempt(self, request: Request, attempt: int) -> Attempt | None:
         """Return a request's attempt if it is out."""
         call = self.gateway.open_requests.get(request)
-        sent = call.sent if call else None
+        sent = call.attempt if call else None
         return sent if sent is not None and sent.seq == attempt else None
 
     def _withdraw_unsent(self, sent: Attempt) -> bool:
@@ -126,9 +128,9 @@
         guard = self.gateway.guard
         return bool(guard and guard.drop(sent))
 
-    def send_deadline_passed(self, call: Call) -> None:
+    def send_deadline_passed(self, call: ClientRequest) -> None:
         """Give a request up at once where it is not out at a backend: nothing may be sent for it any more."""
-        sent = call.sent
+        sent = call.attempt
         if call.request.finished:
             return
         if sent is not None and self._withdraw_unsent(sent):
@@ -136,15 +138,15 @@
         if sent is None or sent.connection is None:
             self.gateway.router.send_by_passed(call.request)
 
-    def forget_if_finished(self, call: Call) -> None:
+    def forget_if_finished(self, call: ClientRequest) -> None:
         """Forget a finished request once no attempt of it is out. One that has not gone out is taken back,
         also where the settings let no attempt be cancelled."""
         if not call.request.finished:
             return
-        if call.sent is None:
+        if call.attempt is None:
             self.gateway.open_requests.pop(call.request, None)
         else:
-            self._withdraw_unsent(call.sent)
+            self._withdraw_unsent(call.attempt)
 
     # --- ends ---
 
@@ -158,7 +160,7 @@
             return
         waited_here = max(0, self.clock.monotonic_time - reply.read_at) if reply.read_at else 0
         duration = max(0, self.clock.time - sent.at - waited_here)
-        call.sent, call.last = None, outcome
+        call.attempt, call.last_outcome = None, outcome
         if sent.encoded_at:  # else a check kept it back
             self.gateway.invariants.ended(call.history, outcome)
         self._trace(call, "ended", end.name)
@@ -185,7 +187,7 @@
         if gateway.agent:
             gateway.agent.ended(call, sent.backend, OUTCOMES[end], duration, reply.note)
 
-    def _send_answer(self, call: Call, end: CloseReason, body: bytes) -> None:
+    def _send_answer(self, call: ClientRequest, end: CloseReason, body: bytes) -> None:
         if end is CloseReason.UNCHANGED:
             self.answers.send(call, AnswerKind.SERVED, (("ok304", 1),))
         else:
@@ -214,11 +216,11 @@
         """Report the end of an attempt or a health check without an answer, after the current callback."""
         self.loop.defer(self.attempt_ended, sent, end)
 
-    def _report_unsendable(self, call: Call, backend: Backend) -> None:
+    def _report_unsendable(self, call: ClientRequest, backend: Backend) -> None:
         """End an attempt before it begins, as it would break an invariant."""
         sent = Attempt(call, backend, call.request.attempts - 1, call.name.encode(), b"", self.clock.time)
-        call.sent = sent
+        call.attempt = sent
         self.report_end(sent, CloseReason.UNWRITTEN)
 
-    def _trace(self, call: Call, what: str, detail: str) -> None:
+    def _trace(self, call: ClientRequest, what: str, detail: str) -> None:
         self.gateway.trace.add(self.clock.monotonic_time, call.name, what, detail)
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -32,7 +32,7 @@
 from lilacloft.gateway.reporting import Reporter
 from lilacloft.invariants import Invariants
 from lilacloft.net.connection import Connection
-from lilacloft.net.front import Front
+from lilacloft.net.downstream import Downstream, DownstreamLimits, ListenEndpoint
 from lilacloft.net.upstream import Upstream, UpstreamCallbacks
 from lilacloft.routing.host import Dispatch, HealthChange, Timer
 from lilacloft.routing.model import Backend, Request
@@ -68,14 +68,12 @@
         self.dispatcher = AttemptDispatcher(self, self.answers)
         self._connect_backends()
         self.requests = ClientRequests(self, self.lifecycle, self.answers, self.dispatcher)
-        self.front = Front(
+        self.front = Downstream(
             self.loop.post,
             self,
-            parse_address(configuration.listen),
             self.vhosts,
-            self.budgets.clients,
-            configuration.max_transfer_size,
-            sock,
+            DownstreamLimits(self.budgets.clients, configuration.max_transfer_size),
+            ListenEndpoint(parse_address(configuration.listen), sock),
         )
         self.discovery = Discovery(self)
         self._bind_interface()
@@ -173,7 +171,7 @@
         """Close connections that are idle, or stand still within a message."""
         self.call_at(self.time + self.maintenance_interval, self.run_maintenance)
         self.back.close_stalled()
-        self.front.sweep(
+        self.front.close_stalled(
             self.max_client_timeout / TICKS_PER_SECOND,
             self.budgets.unwritten,
             self.maintenance_interval / TICKS_PER_SECOND,
--- a/lilacloft/gateway/lifecycle.py
+++ b/lilacloft/gateway/lifecycle.py
@@ -87,19 +87,19 @@
 
     def _close_listener(self) -> None:
         """Accept no more clients, unless a connection or a message is still unread."""
-        if not self.gateway.front.unread():
+        if not self.gateway.front.has_unread():
             self.enter(Phase.CLOSING)
             self.listener_closed_at = self.gateway.clock.time
-            self.gateway.front.shut_door()
+            self.gateway.front.stop_accepting()
 
     def _clients_are_closed(self, is_busy: bool) -> bool:
         """Close our halves of connections on which nothing is owed; is that done, and had clients the time to
         close theirs? Requests that cross our close are sent again elsewhere, and answers on their way still
         arrive."""
         gateway = self.gateway
-        remain = gateway.front.part_all()
+        remain = gateway.front.close_idle()
         had_time = gateway.clock.time > self.listener_closed_at + CLIENT_CLOSE_GRACE * TICKS_PER_SECOND
-        if not is_busy and (not remain or (had_time and not gateway.front.unread())):
+        if not is_busy and (not remain or (had_time and not gateway.front.has_unread())):
             return True
         next_look = gateway.clock.time + max(gateway.granularity, MIN_CLOSING_INTERVAL)
         gateway.loop.call_at(next_look, lambda: None)  # wakes the loop, which asks again
--- a/lilacloft/gateway/reload.py
+++ b/lilacloft/gateway/reload.py
@@ -26,7 +26,8 @@
     except (KeyError, ValueError, TypeError, AttributeError) as wrong:
         logger.error("the old configuration stays: it cannot be used: {!r}", wrong)
         return
-    gateway.budgets, gateway.front.most, gateway.back.max_connections = found, found.clients, found.caches
+    gateway.budgets = found
+    gateway.front.max_clients, gateway.back.max_connections = found.clients, found.caches
     gateway.limits = config["limits"]
     gateway.feed.move(changelog)
     logger.info(
--- a/lilacloft/gateway/reporting.py
+++ b/lilacloft/gateway/reporting.py
@@ -74,9 +74,9 @@
         limits = [backend.concurrency_limit for backend in backends if backend.concurrency_limit]
         return {
             "calls": len(gateway.open_requests),
-            "names": len(gateway.front.names),
+            "names": len(gateway.front.requests_by_name),
             "clients": len(gateway.front.clients),
-            "parting": len(gateway.front.parting),
+            "parting": len(gateway.front.draining),
             "unwritten": sum(client.unsent_bytes() for client in list(gateway.front.clients)),
             "out": sum(sent.call is not None for sent in in_flight),
             "checks": sum(sent.call is None for sent in in_flight),
--- a/lilacloft/gateway/wire_messages.py
+++ b/lilacloft/gateway/wire_messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lilacloft.net.front import Call
+from lilacloft.net.client_request import ClientRequest
 from lilacloft.net.resp import encode, listed
 from lilacloft.routing.host import Dispatch
 from lilacloft.routing.model import Backend
@@ -11,7 +11,7 @@
 DISPATCH = b"do"
 
 
-def encode_dispatch(call: Call, dispatch: Dispatch, vhost: str, source: Backend | None) -> bytes:
+def encode_dispatch(call: ClientRequest, dispatch: Dispatch, vhost: str, source: Backend | None) -> bytes:
     """Return an attempt's message. `vhost`: the virtual host's name; `source`: the backend that fills a miss,
     None where nobody else does."""
     request = dispatch.request
--- a/lilacloft/net/attempt.py
+++ b/lilacloft/net/attempt.py
@@ -56,7 +56,7 @@
 
     def begun(self, drained: Ticks) -> Begun:
         """What the invariants check as its first byte is sent; `drained`: since when its backend drains."""
-        left = self.call.left or self.call.client.input_ended or 0
+        left = self.call.cancelled_at or self.call.client.input_ended or 0
         return Begun(
             self.name.decode(),
             time.monotonic_ns() // NS,
--- /dev/null
+++ b/lilacloft/net/client_request.py
@@ -0,0 +1,99 @@
+"""A client's request as it was read, and its parsing."""
+
+from __future__ import annotations
+
+from typing import Any, Protocol
+
+from lilacloft.net.resp import fields
+from lilacloft.routing.units import Ticks
+
+HEX_DIGITS = frozenset("0123456789abcdef")
+DECIMAL_CHARACTERS = frozenset("0123456789.")
+MAX_NUMBER_LENGTH = 11  # characters
+MAX_NUMBER = 1 << 31
+MAX_GROUP = 255
+NAME_DIGITS = KEY_DIGITS = VERSION_DIGITS = 16
+IDEMPOTENCY_KEY_DIGITS = 32
+
+
+class RequestingClient(Protocol):
+    """What a request uses of its client's connection (lilacloft/net/client_connection.py)."""
+
+    open: dict[bytes, ClientRequest]
+    input_ended: Ticks | None
+
+    def departed(self) -> Ticks | None:
+        """Since when the client may have disconnected."""
+
+
+class ClientRequest:
+    """A client's request: the fields that are sent on unchanged, and where the answer goes.
+
+    The names of the fields that are handed over between processes are in lilacloft/upgrade/carry.py."""
+
+    __slots__ = [
+        "client",
+        "tag",
+        "name",
+        "vhost",
+        "key",
+        "part",
+        "group",
+        "kbytes",
+        "allow",
+        "replay",
+        "got",
+        "body",
+        "at",
+        "request",
+        "attempt",
+        "connections",
+        "cancelled_at",
+        "history",
+        "last_outcome",
+    ]
+
+    def __init__(self, client: RequestingClient, items: list[bytes], vhost: int, at: Ticks) -> None:
+        """Parse a message of verb, tag, virtual host, fields and, optionally, a body.
+
+        `vhost`: the index of the virtual host; `at`: when the message arrived, by the monotonic clock. Raises
+        ValueError, KeyError or GarbledError where a field is missing or unusable."""
+        pairs, body = fields(items[3]), items[4] if len(items) > 4 else b""
+        self.client, self.tag, self.vhost, self.body, self.at = client, items[1], vhost, body, at
+        self.name = parse_hex(pairs["ref"], NAME_DIGITS)
+        self.allow = parse_integer(pairs["allow"], 1, MAX_NUMBER)
+        self.key = parse_hex(pairs["lookup"], KEY_DIGITS)
+        self.part = parse_integer(pairs["nth"], 0, MAX_NUMBER)
+        self.group = parse_integer(pairs["batch"], 0, MAX_GROUP)
+        size = pairs.get("room", "0")  # clients that do not send sizes leave them to the router's estimate
+        if set(size) - DECIMAL_CHARACTERS:
+            raise ValueError("not a number")
+        self.kbytes = float(size)
+        self.replay = parse_hex(pairs["replay"], IDEMPOTENCY_KEY_DIGITS) if "replay" in pairs else None
+        self.got = parse_hex(pairs["got"], VERSION_DIGITS) if "got" in pairs else None
+        self.request: Any = None  # the router's Request, once the gateway has made it
+        self.attempt: Any = None  # the Attempt in flight
+        self.connections: list[Any] = []  # the upstream connections that its attempts used
+        self.cancelled_at: Ticks = 0  # when its client cancelled it, by the monotonic clock; 0: not
+        self.history: Any = None  # what the invariants check, once the gateway has made it
+        self.last_outcome = ""  # of its last attempt
+
+    def departed(self) -> Ticks | None:
+        """Since when, by the monotonic clock, nobody may be waiting for the answer: 0 where the request is
+        settled or cancelled, None where its client is connected. Any thread may call this."""
+        return self.client.departed() if self.client.open.get(self.tag) is self else 0
+
+
+def parse_hex(text: str, digits: int) -> str:
+    """Check that a text is of so many hexadecimal digits. Raises ValueError."""
+    if len(text) != digits or set(text) - HEX_DIGITS:
+        raise ValueError("not hexadecimal digits")
+    return text
+
+
+def parse_integer(text: str, least: int, most: int) -> int:
+    """Parse an integer between two limits, both included. Raises ValueError."""
+    is_number = text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_LENGTH
+    if not (is_number and least <= int(text) <= most):
+        raise ValueError("not a number in range")
+    return int(text)
--- /dev/null
+++ b/lilacloft/net/downstream.py
@@ -0,0 +1,387 @@
+"""The clients' side: the listening socket, the clients' connections, and the handling of their messages.
+
+Requests are passed to the gateway in the event loop's thread. Messages that are no request are answered as
+failed in the thread that read them, so that many of them do not load the event loop.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import select
+import socket
+import threading
+import time
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from loguru import logger
+
+from lilacloft.net import transient
+from lilacloft.net.client_connection import POLL_INTERVAL, STALL_TIMEOUT, ClientConnection, GatewaySide
+from lilacloft.net.client_request import ClientRequest
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import DRAIN_TIME, Connection
+from lilacloft.net.connection_state import ConnectionState
+from lilacloft.net.polling import poll_events
+from lilacloft.net.resp import GarbledError, encode, listed
+from lilacloft.routing.units import Ticks
+
+IDLE_TIMEOUT = 4.0  # seconds after which clients close idle connections themselves
+THREAD_RETRY_TIME = 1.0  # seconds in which the start of a client's thread is retried
+MAX_OPEN_REQUESTS = 32  # on one connection
+COUNT_NAMES = (  # stored
+    "connections",
+    "not_taken",
+    "turned_away",
+    "closed_idle",
+    "crossed",
+    "choked",
+    "reqs",
+    "unusable",
+    "forgotten",
+    "checks",
+)
+ERROR, OVERLOADED = b"500", b"503"
+
+
+@dataclass(frozen=True, slots=True)
+class ListenEndpoint:
+    """Where clients connect: an address, or a socket that is bound already."""
+
+    address: tuple[str, int]
+    sock: socket.socket | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class DownstreamLimits:
+    """The limits of the clients' side."""
+
+    max_clients: int
+    max_kbytes: float  # the most that can be sent within the longest client timeout: no object is larger
+
+
+class Downstream:
+    """All clients' connections."""
+
+    def __init__(
+        self,
+        post: Callable[..., None],
+        gateway: GatewaySide,
+        vhosts: list[dict[str, Any]],
+        limits: DownstreamLimits,
+        endpoint: ListenEndpoint,
+    ) -> None:
+        """`post` has a function called in the event loop's thread; any thread may call it."""
+        self.post, self.gateway = post, gateway
+        self.max_kbytes = limits.max_kbytes
+        self.requests_by_name: dict[str, ClientRequest] = {}  # open ones: readers add, the event loop removes
+        self.vhosts = {vhost["name"].encode(): index for index, vhost in enumerate(vhosts)}
+        self.vhosts_with_keys = {index for index, vhost in enumerate(vhosts) if vhost["effect"] == "uniqued"}
+        self.max_clients = limits.max_clients
+        self.clients: dict[ClientConnection, None] = {}
+        self.draining: dict[ClientConnection, float] = {}  # our half is closed, and since when
+        self.unclosed: dict[ClientConnection, None] = {}  # whose descriptors are not closed yet
+        self.descriptor_freed = threading.Condition()
+        self.is_closed = False  # no more clients are accepted
+        self.counts = dict.fromkeys(COUNT_NAMES, 0)
+        self.closes: Counter[str] = Counter()  # closed connections, by the reason's name
+        self.gate = threading.Lock()  # acquired while a client is accepted, and to pause that
+        self.sock = endpoint.sock or transient.retried(
+            lambda: socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        )
+        if endpoint.sock is None:
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self.sock.bind(endpoint.address)
+
+    # --- accepting ---
+
+    def start(self) -> None:
+        """Listen, and accept clients in a thread of its own."""
+        self.sock.listen(socket.SOMAXCONN)  # where the queue is full, clients retry after a second
+        threading.Thread(target=self._accept, daemon=True).start()
+
+    def stop_accepting(self) -> None:
+        """Accept no more clients. The socket stays open where another process may accept on it."""
+        self.is_closed = True
+        if not Connection.movable:
+            with contextlib.suppress(OSError):
+                self.sock.shutdown(socket.SHUT_RDWR)  # wakes the accepting thread
+
+    def _accept(self) -> None:
+        """The accepting thread."""
+        if Connection.movable:
+            self.sock.setblocking(False)  # another process of this gateway may have accepted the client
+        while True:
+            try:
+                if Connection.movable:
+                    poll_events(self.sock, select.POLLIN, None)
+                with self.gate:
+                    self._accept_client(self.sock.accept()[0])
+            except BlockingIOError:
+                continue
+            except OSError as error:
+                if self.is_closed:
+                    return
+                self._accept_failed(error)
+            except Exception:
+                logger.exception("the accepting thread failed")
+
+    def _accept_failed(self, error: OSError) -> None:
+        """Wait after a transient failure: the client has disconnected, or a resource is short."""
+        if not self.counts["not_taken"]:
+            logger.error("accept: {}", error)
+        self.counts["not_taken"] += 1
+        if transient.only_this_client(error):
+            time.sleep(transient.PAUSE)
+            return
+        if transient.descriptors_are_short(error):
+            self._make_room()
+        time.sleep(POLL_INTERVAL)
+
+    def _accept_client(self, sock: socket.socket) -> None:
+        """Start a client's connection, if a descriptor and a thread are available for it."""
+        if not self._descriptor_available():
+            self.counts["turned_away"] += 1
+            sock.close()
+            return
+        client = ClientConnection(self, sock)
+        client.note_connect_time()
+        self.clients[client] = None
+        if self._start_thread(client):
+            self.counts["connections"] += 1
+            return
+        self.counts["not_taken"] += 1
+        self.clients.pop(client, None)
+        self.descriptor_closed(client)
+        sock.close()
+
+    @staticmethod
+    def _start_thread(client: ClientConnection) -> bool:
+        """Start a client's thread, with retries, as what the client has sent already must not be lost."""
+        until = time.monotonic() + THREAD_RETRY_TIME
+        while True:
+            try:
+                client.start()
+            except RuntimeError as error:
+                if time.monotonic() >= until:
+                    logger.error("no thread for a client: {}", error)
+                    return False
+                time.sleep(POLL_INTERVAL)
+            else:
+                return True
+
+    # --- descriptors ---
+
+    def descriptor_closed(self, client: ClientConnection) -> None:
+        """A client's descriptor was closed."""
+        with self.descriptor_freed:
+            self.unclosed.pop(client, None)
+            self.descriptor_freed.notify_all()
+
+    def _descriptor_available(self) -> bool:
+        """Is there a descriptor for one more client, if necessary after others were closed?
+
+        A closed connection keeps its descriptor until its threads no longer use it, so many connects at once
+        may have to wait."""
+        excess = len(self.unclosed) + 1 - self.max_clients
+        if excess <= 0:
+            return True
+        if len(self.clients) >= self.max_clients and not self._make_room():
+            return False
+        for client in list(self.draining)[:excess]:  # the oldest first
+            client.finish_half_close()
+        with self.descriptor_freed:
+            return self.descriptor_freed.wait_for(
+                lambda: len(self.unclosed) < self.max_clients, POLL_INTERVAL
+            )
+
+    def _make_room(self) -> bool:
+        """Close connections without open requests, which the protocol allows: first those that never sent a
+        request, then those idle for longest."""
+        idle = [client for client in list(self.clients) if not client.open and client.close_reason is None]
+        idle.sort(key=lambda client: (client.taken > 0, client.used))
+        closed = 0
+        for client in idle:
+            if closed > len(idle) // MAX_OPEN_REQUESTS:  # several at once, as each search goes through all
+                break
+            # a client that never sent a request has no answer that closing both halves could discard
+            closed += self._close_if_idle(client, socket.SHUT_WR if client.taken else socket.SHUT_RDWR)
+        return closed > 0
+
+    def _close_if_idle(
+        self, client: ClientConnection, how: int = socket.SHUT_WR, stalled: bool = False
+    ) -> bool:
+        """Close our half of a connection, or both (`how`), if it is idle; returns whether it was."""
+        if not client.close_if_idle(how, stalled):
+            return False
+        if how == socket.SHUT_WR:
+            self.add_draining(client)
+        self.clients.pop(client, None)
+        self.counts["closed_idle"] += 1
+        return True
+
+    def add_draining(self, client: ClientConnection) -> None:
+        """Our half of a connection is closed, or about to be."""
+        self.draining[client] = time.monotonic()
+        self.clients.pop(client, None)
+
+    # --- messages, in the connections' threads ---
+
+    def handle_message(self, client: ClientConnection, items: list[bytes]) -> None:
+        """Handle one message, which may have been unread for long. Raises GarbledError."""
+        at = client.arrived_at()
+        client.used = time.monotonic()
+        client.said += 1
+        verb, tag = items[0], items[1] if len(items) > 1 else b""
+        if not tag.isdigit() or tag.startswith(b"0"):
+            raise GarbledError("no tag")
+        if verb == b"EXEC":
+            self._handle_request(client, items, at)
+        elif verb == b"FORGET":
+            self._handle_cancellation(client, tag, at)
+        elif verb == b"ALIVE":
+            self.counts["checks"] += 1
+            self.answer(client, tag, b"not_serving" if self.gateway.is_shutting_down else b"serving")
+        else:
+            self._reject(client, tag, ERROR)
+
+    def connection_closed(self, client: ClientConnection) -> None:
+        """A connection has ended: count it, and report its open requests."""
+        self.clients.pop(client, None)
+        self.draining.pop(client, None)
+        self.closes[(client.close_reason or CloseReason.FAULT).name] += 1
+        if client.open:
+            self.post(self.gateway.requests.client_disconnected, client)
+
+    def _handle_request(self, client: ClientConnection, items: list[bytes], at: Ticks) -> None:
+        """Pass a request on, or answer it with an error where it is unusable."""
+        tag = items[1]
+        if tag in client.open:
+            raise GarbledError("a tag that is open already")  # its answer could not be told from the other's
+        try:
+            request = self._parse_request(client, items, at)
+            accepted = client.accept_request(request)
+        except (ValueError, KeyError, GarbledError):
+            self._reject(client, tag, ERROR)
+        except OverflowError:
+            self._reject(client, tag, OVERLOADED)
+        else:
+            client.offences = 0
+            if accepted:
+                self.counts["reqs"] += 1
+                client.mark_passed_on()  # first: the event loop may handle it before this thread goes on
+                self.post(self.gateway.requests.arrived, request)
+
+    def _parse_request(self, client: ClientConnection, items: list[bytes], at: Ticks) -> ClientRequest:
+        """Parse a request. Raises ValueError, KeyError or GarbledError where it is unusable, OverflowError
+        where too many are open."""
+        if not 4 <= len(items) <= 5:
+            raise ValueError("not a request")
+        if len(client.open) >= MAX_OPEN_REQUESTS:
+            raise OverflowError("too many open requests")
+        vhost = self.vhosts[items[2]]
+        request = ClientRequest(client, items, vhost, at)
+        if vhost in self.vhosts_with_keys and request.replay is None:
+            raise ValueError("no idempotency key")
+        if not request.kbytes <= self.max_kbytes:
+            raise ValueError("larger than can be sent")
+        return request
+
+    def _handle_cancellation(self, client: ClientConnection, tag: bytes, at: Ticks) -> None:
+        """Close a request at once, as its client no longer counts it as open."""
+        self.counts["forgotten"] += 1
+        request = client.open.get(tag)
+        if request is not None and self.close_request(request):
+            request.cancelled_at = at
+            self.post(self.gateway.requests.cancelled, request)
+
+    def _reject(self, client: ClientConnection, tag: bytes, status: bytes) -> None:
+        """Answer an unusable message; raises GarbledError after `MAX_OPEN_REQUESTS` of them in a row."""
+        self.counts["unusable"] += 1
+        client.offences += 1
+        self.answer(client, tag, status)
+        if client.offences >= MAX_OPEN_REQUESTS:
+            raise GarbledError("too many unusable messages")
+
+    # --- requests and answers, in any thread ---
+
+    def close_request(self, request: ClientRequest) -> bool:
+        """A request is no longer open; returns whether it was. Its reader and the event loop may both call
+        this."""
+        tag, open_requests = request.tag, request.client.open
+        if open_requests.get(tag) is not request or open_requests.pop(tag, None) is None:
+            return False
+        if self.requests_by_name.get(request.name) is request:
+            del self.requests_by_name[request.name]
+        return True
+
+    @staticmethod
+    def answer(
+        client: ClientConnection,
+        tag: bytes,
+        status: bytes,
+        pairs: tuple[tuple[str, object], ...] = (),
+        body: bytes = b"",
+    ) -> None:
+        """Send an answer: its status, fields and body, the last two optional."""
+        if pairs or body:
+            client.send(encode(tag, status, listed(pairs) if pairs else b"", body))
+        else:
+            client.send(encode(tag, status))
+
+    # --- maintenance, in the event loop's thread ---
+
+    def close_stalled(self, write_timeout: float, max_unsent: int, interval: float) -> None:
+        """Close connections that stalled; called every `interval` seconds.
+
+        Those that send no whole message in time or are idle; those that read nothing for `write_timeout`
+        seconds; and, while more than `max_unsent` bytes wait in all, those with the most of them."""
+        now = time.monotonic()
+        self._close_idle_or_partial(now, interval)
+        for client, since in list(self.draining.items()):
+            if now - since > DRAIN_TIME:
+                client.finish_half_close()
+        self._close_unreading(now, write_timeout, max_unsent)
+
+    def _close_idle_or_partial(self, now: float, interval: float) -> None:
+        """Close those idle for long, and those that stalled within a message, unless more of it has come."""
+        for client in list(self.clients):
+            stalled = not client.said or client.buffer.partial()
+            idle_time = now - (client.begun if stalled else client.used)
+            limit = STALL_TIMEOUT - 2 * interval if stalled else IDLE_TIMEOUT + interval
+            if client.close_reason is None and not client.open and idle_time > limit:
+                self._close_if_idle(client, socket.SHUT_WR if client.taken else socket.SHUT_RDWR, stalled)
+
+    def _close_unreading(self, now: float, write_timeout: float, max_unsent: int) -> None:
+        """Close those that do not read, and resume writing to the others."""
+        unsent = {client: client.unsent_bytes() for client in list(self.clients)}
+        total = sum(unsent.values())
+        for client in sorted(unsent, key=lambda client: -unsent[client]):
+            if not unsent[client] or client.written != client.moved[0]:
+                client.moved = (client.written, now)
+            if unsent[client]:
+                client.resume_writing()
+            if now - client.moved[1] > write_timeout or total > max_unsent:
+                total -= unsent[client]
+                self.counts["choked"] += client.close_reason is None
+                client.close(CloseReason.CHOKED)
+
+    # --- shutting down, in the event loop's thread ---
+
+    def has_unread(self) -> bool:
+        """Is there a client to accept, or a message to read?"""
+        if not self.is_closed and poll_events(self.sock, select.POLLIN):
+            return True
+        for client in list(self.clients):
+            with client.lock:
+                if client.state is ConnectionState.OPEN and client.unread():
+                    return True
+        return False
+
+    def close_idle(self) -> bool:
+        """Close all idle connections; returns whether any connections are left."""
+        for client in list(self.clients):
+            self._close_if_idle(client)
+        return bool(self.clients or self.draining)
--- a/lilacloft/net/upstream.py
+++ b/lilacloft/net/upstream.py
@@ -132,7 +132,7 @@
         connection.in_flight[attempt.name] = attempt
         connection.last_used_at = self.now()
         if attempt.call:
-            attempt.call.lines.append(connection)
+            attempt.call.connections.append(connection)
         attempt.position = connection.send(attempt.data)
         self.counts["dispatches" if attempt.call else "checks"] += 1
         return None
@@ -155,8 +155,8 @@
         if connection is None or not (connection.withdraw(attempt.position) or attempt.expired_unsent):
             return False
         self._detach(connection, attempt)
-        if attempt.call and connection in attempt.call.lines:
-            attempt.call.lines.remove(connection)  # it never carried this request
+        if attempt.call and connection in attempt.call.connections:
+            attempt.call.connections.remove(connection)  # it never carried this request
         return True
 
     def expired_in_backlog(self, attempt: Attempt) -> None:
--- a/lilacloft/net/upstream_pool.py
+++ b/lilacloft/net/upstream_pool.py
@@ -89,7 +89,7 @@
         Where the last connection of the same request broke, a new one: idle ones may be broken as well."""
         best = self._least_loaded(attempt)
         call = attempt.call
-        broke = call and call.lines and call.lines[-1].close_reason is not None
+        broke = call and call.connections and call.connections[-1].close_reason is not None
         if best and not best.in_flight and not broke:
             return best
         if len(self.connections) >= self.upstream.connections_per_pool():
@@ -117,7 +117,7 @@
             and not connection.retiring
             and connection.close_reason is None
             and attempt.name not in connection.in_flight
-            and not (attempt.call and connection in attempt.call.lines)
+            and not (attempt.call and connection in attempt.call.connections)
         ]
         return min(fitting, key=lambda one: (len(one.in_flight), -one.last_used_at), default=None)
 
--- a/lilacloft/store/guard.py
+++ b/lilacloft/store/guard.py
@@ -323,7 +323,7 @@
 
     def release(self, token: str) -> None:
         sent, until = self.held.pop(token)
-        over = sent.call.sent is not sent or sent.call.request.finished or self.owner.time >= until
+        over = sent.call.attempt is not sent or sent.call.request.finished or self.owner.time >= until
         if over or sent.expired():
             return self.owner.report_end(sent, CloseReason.UNWRITTEN)
         sent.at = self.owner.time  # that it waited for the disk is no fault of its cache
--- a/lilacloft/upgrade/carry.py
+++ b/lilacloft/upgrade/carry.py
@@ -12,10 +12,11 @@
 from typing import Any
 
 from lilacloft.net.attempt import Attempt
+from lilacloft.net.client_connection import ClientConnection
+from lilacloft.net.client_request import ClientRequest
 from lilacloft.net.close_reasons import CloseReason
 from lilacloft.net.connection import Connection
 from lilacloft.net.connection_state import ConnectionState
-from lilacloft.net.front import Call, Client
 from lilacloft.net.tcp_info import bytes_received
 from lilacloft.net.upstream_pool import UpstreamConnection, UpstreamPool
 from lilacloft.net.write_backlog import PendingMessage
@@ -50,7 +51,7 @@
 ENDED = Ended()
 
 
-def free(client: Client) -> bool:
+def free(client: ClientConnection) -> bool:
     """Is nothing open, half read or half written there? Then it can go over by itself."""
     return not (
         client.open
@@ -66,9 +67,9 @@
     """All connections to bes, also those of bes that are listed no more but still answer something."""
     found = dict.fromkeys(line for pool in owner.back.pools.values() for line in pool.connections)
     found.update(
-        (call.sent.connection, None)
+        (call.attempt.connection, None)
         for call in owner.open_requests.values()
-        if call.sent and call.sent.connection
+        if call.attempt and call.attempt.connection
     )
     return list(found)
 
@@ -86,7 +87,7 @@
     }
 
 
-def client_told(client: Client, sock: int) -> form.Client:
+def client_told(client: ClientConnection, sock: int) -> form.Client:
     told = {name: getattr(client, name) for name in CLIENT_FIELDS}
     return form.Client(**stream(client, sock), **told)
 
@@ -143,7 +144,7 @@
             form.Call(
                 client=number[call.client],
                 open=call.client.open.get(call.tag) is call,
-                lines=[line_number.get(line, -1) for line in call.lines],
+                lines=[line_number.get(line, -1) for line in call.connections],
                 **{name: getattr(call, name) for name in CALL_FIELDS},
             )
             for call in calls
@@ -154,7 +155,7 @@
     ), conns
 
 
-def kept(owner: Any, calls: Iterable[Call]) -> form.Kept | None:
+def kept(owner: Any, calls: Iterable[ClientRequest]) -> form.Kept | None:
     """What the store's keeper goes on with there."""
     if owner.guard is None:
         return None
@@ -218,7 +219,9 @@
         )
 
 
-def sents(owner: Any, calls: dict[Call, int], places: dict[UpstreamConnection, int]) -> Iterable[form.Sent]:
+def sents(
+    owner: Any, calls: dict[ClientRequest, int], places: dict[UpstreamConnection, int]
+) -> Iterable[form.Sent]:
     """What is out: dispatches by their calls, checks by their connections; with the times due for them."""
     until, over = {}, {}
     for when, _, what, told in owner.timers:
@@ -227,7 +230,7 @@
         elif what == owner.attempt_ended:
             over[told[0]] = (told[1].name, when)
     held = set(owner.guard.again) if owner.guard else ()  # they go out anew
-    out = [call.sent for call in calls if call.sent is not None]
+    out = [call.attempt for call in calls if call.attempt is not None]
     out += [sent for line in places for sent in line.in_flight.values() if sent.call is None]
     for sent in out:
         if sent.connection is None and sent not in over and sent not in held:
@@ -321,10 +324,10 @@
                     told.name, told.zone, told.kind, told.cell, 0, told.size, told.started
                 )
 
-    def client(self, told: form.Client, sock: Any) -> Client:
+    def client(self, told: form.Client, sock: Any) -> ClientConnection:
         """One client's connection."""
         front = self.owner.front
-        client = Client(front, sock)
+        client = ClientConnection(front, sock)
         for name in CLIENT_FIELDS:
             setattr(client, name, getattr(told, name))
         self._stream(client, told)
@@ -352,23 +355,27 @@
         return line
 
     def _call(
-        self, told: form.Call, request: Request, clients: dict[int, Client], carried: list[UpstreamConnection]
-    ) -> Call:
-        call = Call.__new__(Call)
+        self,
+        told: form.Call,
+        request: Request,
+        clients: dict[int, ClientConnection],
+        carried: list[UpstreamConnection],
+    ) -> ClientRequest:
+        call = ClientRequest.__new__(ClientRequest)
         for name in CALL_FIELDS:
             setattr(call, name, getattr(told, name))
-        call.client, call.request, call.sent = clients[told.client], request, None
-        call.left, call.last, call.history = 0, "", self.owner.request_history(call, request)
-        call.lines = [ENDED if line < 0 else carried[line] for line in told.lines]
+        call.client, call.request, call.attempt = clients[told.client], request, None
+        call.cancelled_at, call.last_outcome, call.history = 0, "", self.owner.request_history(call, request)
+        call.connections = [ENDED if line < 0 else carried[line] for line in told.lines]
         if told.open:
             call.client.open[call.tag] = call
-            self.owner.front.names[call.name] = call
+            self.owner.front.requests_by_name[call.name] = call
         else:
             request.finished = True
         self.owner.open_requests[request] = call
         return call
 
-    def _sent(self, told: form.Sent, calls: list[Call], carried: list[UpstreamConnection]) -> None:
+    def _sent(self, told: form.Sent, calls: list[ClientRequest], carried: list[UpstreamConnection]) -> None:
         owner = self.owner
         call = None if told.call is None else calls[told.call]
         sent = Attempt(
@@ -385,7 +392,7 @@
         )
         sent.position = told.place
         if call:
-            call.sent = sent
+            call.attempt = sent
             if call.request.send_by:
                 owner.call_at(call.request.send_by, owner.send_deadline_passed, call)
         if told.over:
@@ -412,9 +419,9 @@
         guard = self.owner.guard
         if guard:
             guard.resumed(
-                call.sent
+                call.attempt
                 for call in self.owner.open_requests.values()
-                if call.sent and call.sent not in self.again
+                if call.attempt and call.attempt not in self.again
             )
         for sent in self.again:
             sent.at = self.owner.time
--- a/lilacloft/upgrade/rest.py
+++ b/lilacloft/upgrade/rest.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from typing import Any
 
+from lilacloft.net.client_connection import ClientConnection
 from lilacloft.net.close_reasons import CloseReason
 from lilacloft.net.connection import Connection
 from lilacloft.net.connection_state import ConnectionState
-from lilacloft.net.front import Client
 from lilacloft.routing import snapshot
 from lilacloft.upgrade import carry, form
 
@@ -78,7 +78,7 @@
             for client in [
                 one
                 for one in self.held
-                if isinstance(one, Client) and one.state is ConnectionState.UNREADABLE
+                if isinstance(one, ClientConnection) and one.state is ConnectionState.UNREADABLE
             ]:
                 self.loosen(client)  # nonsense: what it has open is given up, and its end comes here
                 owner.run_callback(owner.requests.client_sent_malformed, (client,))
@@ -88,7 +88,7 @@
             now = {
                 conn
                 for conn in (*list(owner.front.clients), *carry.lines(owner))
-                if not (isinstance(conn, Client) and conn.state is ConnectionState.UNREADABLE)
+                if not (isinstance(conn, ClientConnection) and conn.state is ConnectionState.UNREADABLE)
             }
             for conn in list(self.held):
                 if conn in now and not self.held[conn]:
@@ -141,7 +141,7 @@
         owner = self.owner
         for conn in conns:
             self.held.pop(conn, None)
-            if isinstance(conn, Client):
+            if isinstance(conn, ClientConnection):
                 owner.front.clients.pop(conn, None)
             elif conn in conn.pool.connections:
                 conn.pool.connections.remove(conn)
@@ -154,7 +154,7 @@
         for request, call in list(owner.open_requests.items()):
             if call.client in gone:
                 del owner.open_requests[request]
-                owner.front.names.pop(call.name, None)
+                owner.front.requests_by_name.pop(call.name, None)
         owner.timers = [
             entry for entry in owner.timers if entry[2] in (owner.run_maintenance, owner.heartbeat)
         ]
@@ -163,7 +163,7 @@
         """The new process had these and has died: what was open on them is lost, as with any process that
         dies. The reqs end first, so that none goes out again; then the connections."""
         owner = self.owner
-        clients = [conn for conn in conns if isinstance(conn, Client)]
+        clients = [conn for conn in conns if isinstance(conn, ClientConnection)]
         for conn in conns:
             if conn in self.held:
                 self._unstill(conn)
@@ -177,7 +177,7 @@
                 conn.gate.release()
         self.moved = [conn for conn in self.moved if conn not in conns]
 
-    def free_later(self) -> list[tuple[Client, form.Client]]:
+    def free_later(self) -> list[tuple[ClientConnection, form.Client]]:
         """Clients' connections that nothing is open on any more, at rest from now on."""
         out = []
         for client in list(self.owner.front.clients):
--- a/rigs/broken.py
+++ b/rigs/broken.py
@@ -12,7 +12,7 @@
 
 from lilacloft.__main__ import main
 from lilacloft.invariants import Invariants
-from lilacloft.net.front import Front
+from lilacloft.net.downstream import Downstream
 from lilacloft.routing import retries
 from lilacloft.routing.model import BackendStatus
 from lilacloft.routing.router import Router
@@ -20,13 +20,13 @@
 
 
 def answers_twice() -> None:
-    once = Front.answer
+    once = Downstream.answer
 
     def twice(client: Any, *told: Any) -> None:
         once(client, *told)
         once(client, *told)
 
-    Front.answer = staticmethod(twice)
+    Downstream.answer = staticmethod(twice)
 
 
 def sends_again() -> None:
--- a/rigs/failing.py
+++ b/rigs/failing.py
@@ -19,7 +19,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from lilacloft.net import connection, front, polling, upstream, write_backlog
+from lilacloft.net import connection, downstream, polling, upstream, write_backlog
 
 # errors that pass by themselves, by call, as the manual pages have them
 PASSING: Mapping[str, tuple[int, ...]] = {
@@ -135,7 +135,7 @@
 @contextlib.contextmanager
 def put_under(failures: Failures) -> Iterator[Failures]:
     """Let all connections made from now on, and the calls around them, ask before each call."""
-    begun, opened = connection.Connection.__init__, front.Front.__init__
+    begun, opened = connection.Connection.__init__, downstream.Downstream.__init__
     polls = _delegating(select, poll=lambda: FailingPoll(failures))
 
     def begin(self: connection.Connection, *told: Any, **more: Any) -> None:
@@ -144,7 +144,7 @@
         begun(self, *told, **more)
         self.sock = FailingSocket(self.sock, failures)  # type: ignore[assignment]
 
-    def open_door(self: front.Front, *told: Any, **more: Any) -> None:
+    def open_door(self: downstream.Downstream, *told: Any, **more: Any) -> None:
         opened(self, *told, **more)
         self.sock = FailingSocket(self.sock, failures)  # type: ignore[assignment]
 
@@ -157,16 +157,16 @@
         return _thread.start_new_thread(*told)
 
     threads = _delegating(_thread, start_new_thread=start_thread)
-    modules = tuple(map(vars, (connection, write_backlog, polling, front, upstream)))
+    modules = tuple(map(vars, (connection, write_backlog, polling, downstream, upstream)))
     before = [
         (names, name, names[name]) for names in modules for name in ("select", "_thread") if name in names
     ]
-    connection.Connection.__init__, front.Front.__init__ = begin, open_door  # type: ignore[method-assign]
+    connection.Connection.__init__, downstream.Downstream.__init__ = begin, open_door  # type: ignore[method-assign]
     for names, name, _ in before:
         names[name] = polls if name == "select" else threads
     try:
         yield failures
     finally:
-        connection.Connection.__init__, front.Front.__init__ = begun, opened  # type: ignore[method-assign]
+        connection.Connection.__init__, downstream.Downstream.__init__ = begun, opened  # type: ignore[method-assign]
         for names, name, was in before:
             names[name] = was
--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -99,9 +99,9 @@
         self.owner.post(self.owner.end)
         self.thread.join(5)
         self.owner.feed.move(("127.0.0.1", 1))  # its thread lives on, and its port is another test's soon
-        for client in [*self.owner.front.clients, *self.owner.front.parting]:
+        for client in [*self.owner.front.clients, *self.owner.front.draining]:
             client.close(CloseReason.RETIRED)
-        self.owner.front.shut_door()
+        self.owner.front.stop_accepting()
         self.owner.front.sock.close()
         for stand in [*self.caches, self.parent, self.origin, self.log]:
             stand.break_off()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -40,7 +40,7 @@
     now = [1]
     back = Upstream(UpstreamCallbacks(print, lambda: now[0], print, print), settings(ENV), 4)
     backends, sents = [Backend(f"c{number}") for number in range(6)], []
-    call = lambda: SimpleNamespace(lines=[])  # noqa: E731
+    call = lambda: SimpleNamespace(connections=[])  # noqa: E731
     for number, backend in enumerate(backends):
         now[0] += 1
         back.add_backend(backend, ("127.0.0.1", 9))
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -21,14 +21,15 @@
 from lilacloft.gateway.gateway import Gateway
 from lilacloft.gateway.lifecycle import Phase
 from lilacloft.net import connection as connections
+from lilacloft.net import downstream
 from lilacloft.net import feed as feeds
-from lilacloft.net import front as fronts
 from lilacloft.net.attempt import Attempt
+from lilacloft.net.client_connection import ClientConnection
 from lilacloft.net.close_reasons import CloseReason
 from lilacloft.net.connection import Connection
 from lilacloft.net.connection_state import ConnectionState
+from lilacloft.net.downstream import Downstream
 from lilacloft.net.feed import Feed
-from lilacloft.net.front import Client, Front
 from lilacloft.net.resp import encode
 from lilacloft.net.upstream import Upstream, UpstreamCallbacks
 from lilacloft.net.upstream_pool import UpstreamConnection
@@ -47,7 +48,7 @@
 def waiting(world):
     """The dispatch that waits for its connection to come up."""
     (call,) = world.does(lambda: list(world.owner.open_requests.values()))
-    return call.sent
+    return call.attempt
 
 
 @pytest.mark.parametrize("drains", ["cache", "source"])
@@ -123,19 +124,19 @@
 
 def test_a_req_that_crosses_our_close_is_never_half_taken(in_process, monkeypatch):
     """Read after the close: not sent on, and its name is free for the try that comes again elsewhere."""
-    world, admit = in_process(silent), Client.admit
+    world, admit = in_process(silent), ClientConnection.accept_request
 
     def crossed(self, call):
-        assert self.front._let_go(self)
+        assert self.downstream._close_if_idle(self)
         return admit(self, call)
 
     asker = world.asker()
     asker.send(b"ALIVE", b"1", b"")
     assert asker.answer() == [b"1", b"serving"]
-    monkeypatch.setattr(Client, "admit", crossed)
+    monkeypatch.setattr(ClientConnection, "accept_request", crossed)
     asker.ask(ref="9b1f03aa5c7e2d41")
     assert asker.answer() is None
-    monkeypatch.setattr(Client, "admit", admit)
+    monkeypatch.setattr(ClientConnection, "accept_request", admit)
     again = world.asker()
     again.ask(key=2, ref="9b1f03aa5c7e2d41")
     assert world.caches[0].next()[2][2].find(b"thing=%016x" % 2) > 0
@@ -183,7 +184,12 @@
 @pytest.mark.parametrize("how", [socket.SHUT_WR, socket.SHUT_RDWR])
 def test_a_connection_with_something_unread_or_open_is_not_closed_as_idle(in_process, monkeypatch, how):
     """A close over unread bytes is a reset, and a req in the kernel's buffer would be lost with it."""
-    world, takes, go, in_it = in_process(serves(b"ok")), Front.takes, threading.Event(), threading.Event()
+    world, takes, go, in_it = (
+        in_process(serves(b"ok")),
+        Downstream.handle_message,
+        threading.Event(),
+        threading.Event(),
+    )
 
     def held(self, client, items):
         if items[0] == b"ALIVE":
@@ -191,17 +197,17 @@
             assert go.wait(5)
         takes(self, client, items)
 
-    monkeypatch.setattr(Front, "takes", held)
+    monkeypatch.setattr(Downstream, "handle_message", held)
     asker = world.asker()
     asker.send(b"ALIVE", b"99", b"")
     assert in_it.wait(5)
     client = next(iter(world.owner.front.clients))
     tag = asker.ask()
     until(lambda: unread(client))
-    assert not world.owner.front._let_go(client, how)
+    assert not world.owner.front._close_if_idle(client, how)
     go.set()
     assert asker.answer() == [b"99", b"serving"] and asker.answer() == [tag, b"200", b"", b"ok"]
-    until(lambda: world.owner.front._let_go(client, how))
+    until(lambda: world.owner.front._close_if_idle(client, how))
     assert asker.answer() is None
     asker.sock.close()
     world.rests(but=("checks",))
@@ -256,7 +262,7 @@
     asker.ask()
     assert asker.answer()[1] == b"200"
     client = next(iter(world.owner.front.clients))
-    assert world.owner.front._let_go(client) and asker.answer() is None
+    assert world.owner.front._close_if_idle(client) and asker.answer() is None
     until(lambda: client.state is ConnectionState.CLOSED)
     world.rests(but=("checks",))
     asker.sock.close()
@@ -274,7 +280,8 @@
     asker = in_process(serves(b"ok")).asker()
     asker.ask()
     assert asker.answer()[1] == b"200"
-    assert {kind for kind, _ in plain} == {Client, UpstreamConnection} and all(set_ for _, set_ in plain)
+    assert {kind for kind, _ in plain} == {ClientConnection, UpstreamConnection}
+    assert all(set_ for _, set_ in plain)
 
 
 # --- the end of the process ---
@@ -299,7 +306,7 @@
 
 def test_what_was_not_read_when_clients_come_no_more_is_read_and_answered(in_process, monkeypatch, soon):
     """A whole req in the kernel's buffer, which its reading thread has not come to."""
-    world, takes = in_process(serves(b"ok"), changes=patient), Front.takes
+    world, takes = in_process(serves(b"ok"), changes=patient), Downstream.handle_message
     go, in_it = threading.Event(), threading.Event()
 
     def held(self, client, items):
@@ -308,7 +315,7 @@
             assert go.wait(5)
         takes(self, client, items)
 
-    monkeypatch.setattr(Front, "takes", held)
+    monkeypatch.setattr(Downstream, "handle_message", held)
     asker = world.asker()
     asker.send(b"ALIVE", b"99", b"")
     assert in_it.wait(5)
@@ -327,7 +334,7 @@
 
 def test_who_waits_at_the_door_when_the_process_is_told_to_end_is_let_in(in_process, monkeypatch, soon):
     """A connection in the accept queue, with its req behind it."""
-    world, take = in_process(serves(b"ok"), changes=patient), Front._take
+    world, take = in_process(serves(b"ok"), changes=patient), Downstream._accept_client
     go, in_it = threading.Event(), threading.Event()
 
     def held(self, sock):
@@ -335,7 +342,7 @@
         assert go.wait(5)
         take(self, sock)
 
-    monkeypatch.setattr(Front, "_take", held)
+    monkeypatch.setattr(Downstream, "_accept_client", held)
     world.asker().sock.close()  # the accepting thread waits with the function that it had before
     first = world.asker()
     assert in_it.wait(5)
@@ -843,7 +850,7 @@
     go = world.stall()
     lies = crossing.ask(key=3)
     until(lambda: reader.open)  # taken, and the owner has not come to it
-    world.owner.front.most = 3
+    world.owner.front.max_clients = 3
     newcomer = world.asker()
     assert answered.answer() == [tag, b"200", b"", CLIP] and answered.answer() is None, "whole, then the end"
     go.set()
@@ -871,7 +878,7 @@
 
     monkeypatch.setattr(Connection, "start", starts)
     first = world.asker()
-    assert first.answer() is None and refused == [Client]
+    assert first.answer() is None and refused == [ClientConnection]
     refused.clear()
     refused_line = []
 
@@ -966,18 +973,18 @@
 
 def test_whom_we_told_our_end_count_among_the_clients_that_descriptors_are_there_for(in_process, monkeypatch):
     """They keep theirs until they close as well, and may not: the longest ago are cut off for who comes."""
-    monkeypatch.setattr(fronts, "DRAIN_TIME", 60.0)
+    monkeypatch.setattr(downstream, "DRAIN_TIME", 60.0)
     monkeypatch.setattr(connections, "DRAIN_TIME", 60.0)
     world = in_process(serves(b"ok"))
     front = world.owner.front
-    front.most = 4
+    front.max_clients = 4
     held = []
     for number in range(12):
         asker = world.asker()
         tag = asker.ask(key=number)
         assert asker.answer() == [tag, b"200", b"", b"ok"]
         held.append(asker)  # it rests, and does not close when it is told our end
-        assert len(front.clients) + len(front.parting) <= 4 + 1
+        assert len(front.clients) + len(front.draining) <= 4 + 1
     assert all(asker.answer() is None for asker in held[:8])
     asker = held[-1]
     tag = asker.ask(key=99)
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -11,7 +11,7 @@
 from lilacloft import serving
 from lilacloft.errors import UnusableError
 from lilacloft.gateway.lifecycle import Phase
-from lilacloft.net import front
+from lilacloft.net import downstream
 from lilacloft.net.resp import encode
 from lilacloft.routing.model import RejectReason
 from rigs.failing import BROKEN, Failures, put_under
@@ -194,7 +194,7 @@
         tag = asker.ask()
         assert asker.answer() == [tag, b"200", b"", b"ok"]
         asker.sock.close()
-    until(lambda: not world.owner.front.holding)
+    until(lambda: not world.owner.front.unclosed)
     assert not failing.due["close"]
     world.rests(but=("checks",))
 
@@ -223,7 +223,7 @@
             raise OSError(errors.pop(), "socket fails on purpose")
         return made(*told, **more)
 
-    monkeypatch.setattr(front, "socket", SimpleNamespace(**{**vars(socket), "socket": fails}))
+    monkeypatch.setattr(downstream, "socket", SimpleNamespace(**{**vars(socket), "socket": fails}))
     world = in_process(serves(b"ok"))
     asker = world.asker()
     tag = asker.ask()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -16,8 +16,9 @@
 from lilacloft.gateway.answers import AnswerKind
 from lilacloft.gateway.gateway import Gateway
 from lilacloft.net.attempt import Attempt
+from lilacloft.net.client_connection import ClientConnection
 from lilacloft.net.close_reasons import CloseReason
-from lilacloft.net.front import STREAMS, Client, Front
+from lilacloft.net.downstream import MAX_OPEN_REQUESTS, Downstream, DownstreamLimits, ListenEndpoint
 from lilacloft.net.resp import Buffer, fields
 from lilacloft.net.upstream import Upstream, UpstreamCallbacks
 from lilacloft.net.upstream_answers import Reply
@@ -197,7 +198,7 @@
         lambda asker: asker.sock.sendall(b"GET / HTTP/1.1\r\n"),
         lambda asker: asker.send(b"EXEC", b"-1", b"clip"),
         tag_again,
-        lambda asker: [asker.send(b"EXEC", b"9", b"nothing", b"-") for _ in range(STREAMS)],
+        lambda asker: [asker.send(b"EXEC", b"9", b"nothing", b"-") for _ in range(MAX_OPEN_REQUESTS)],
     ],
 )
 def test_a_client_that_writes_nonsense_gets_what_it_has_open_given_up_and_its_end(world, offends):
@@ -237,16 +238,22 @@
         paused_since=lambda: None,
     )
     posted, config = [], settings(ENV)
-    front = Front(lambda *event: posted.append(event[0]), owner, ("127.0.0.1", 0), config["vhosts"], 9, 1e6)
+    front = Downstream(
+        lambda *event: posted.append(event[0]),
+        owner,
+        config["vhosts"],
+        DownstreamLimits(9, 1e6),
+        ListenEndpoint(("127.0.0.1", 0)),
+    )
     here, there = socket.socketpair()
-    client = Client(front, here)
+    client = ClientConnection(front, here)
     told = b"ref=%016x,allow=1500,lookup=%016x,nth=0,batch=7,room=4"
-    for tag in range(1, 4 * STREAMS):
-        front.takes(client, [b"EXEC", b"%d" % tag, b"clip", told % (tag, tag), b""])
-        if tag >= STREAMS:
-            front.takes(client, [b"EXEC", b"9999", b"clip", told % (9999, 9999), b""])
-            front.takes(client, [b"FORGET", b"%d" % (tag - STREAMS + 1)])
-    assert posted.count("arrived") == 4 * STREAMS - 1 and len(client.open) == STREAMS - 1
+    for tag in range(1, 4 * MAX_OPEN_REQUESTS):
+        front.handle_message(client, [b"EXEC", b"%d" % tag, b"clip", told % (tag, tag), b""])
+        if tag >= MAX_OPEN_REQUESTS:
+            front.handle_message(client, [b"EXEC", b"9999", b"clip", told % (9999, 9999), b""])
+            front.handle_message(client, [b"FORGET", b"%d" % (tag - MAX_OPEN_REQUESTS + 1)])
+    assert posted.count("arrived") == 4 * MAX_OPEN_REQUESTS - 1 and len(client.open) == MAX_OPEN_REQUESTS - 1
     buffer, words = Buffer(), set()
     buffer.fill(there)
     while items := buffer.take():
@@ -261,9 +268,9 @@
     """Who has closed its half would lose the answer between its taking off and its writing."""
     owner, told = Gateway({**world().config, "listen": "127.0.0.1:0"}), []
     here, there = socket.socketpair()
-    client = Client(owner.front, here)
+    client = ClientConnection(owner.front, here)
     monkeypatch.setattr(owner.front, "answer", lambda *_: told.append(client.taken - client.settled))
-    owner.front.takes(
+    owner.front.handle_message(
         client, [b"EXEC", b"1", b"clip", b"ref=%016x,allow=9,lookup=%016x,nth=0,batch=7,room=4" % (1, 1), b""]
     )
     call = client.open[b"1"]
@@ -355,7 +362,7 @@
         time.sleep(0.005)
     back.cancel(out[-1])
     assert line.close_reason is None, "what has not begun to go out is taken back"
-    out[0].call = out[1].call = types.SimpleNamespace(lines=[])
+    out[0].call = out[1].call = types.SimpleNamespace(connections=[])
     back.cancel(out[0])
     assert line.close_reason is CloseReason.CHOKED
     what, *told = events.get(timeout=5)
@@ -392,7 +399,7 @@
     back = Upstream(UpstreamCallbacks(post, now, print, lambda *what: told.append(what)), config, 2)
     slack, patience = config["rules"]["answer_slack"], config["limits"]["connect_timeout"]
     back.add_backend(backend, server.getsockname())
-    call = types.SimpleNamespace(lines=[], departed=lambda: None)
+    call = types.SimpleNamespace(connections=[], departed=lambda: None)
     first, second, third = (
         Attempt(call, backend, 0, b"%d" % n, encode(b"do", b"%d" % n), 0) for n in range(3)
     )
@@ -400,12 +407,12 @@
     peer, _ = server.accept()
     peer.recv(100)
     assert back.cancel(first) == patience, "it has brought nothing yet"
-    call.lines.clear()
+    call.connections.clear()
     back.dispatch(second)
     line = second.connection
     line.last_read_at, time_now[0] = 1, 50
     assert back.cancel(second) == 50 + slack
-    call.lines.clear()
+    call.connections.clear()
     back.dispatch(third)
     third.connection.close(CloseReason.GARBLED)
     what, *args = events.get(timeout=5)
@@ -573,7 +580,7 @@
     call = types.SimpleNamespace(
         request=types.SimpleNamespace(finished=True), tag=b"1", client=None, name="1", history=None
     )
-    monkeypatch.setattr(owner.front, "close", lambda _: False)
+    monkeypatch.setattr(owner.front, "close_request", lambda _: False)
     owner.update_clock()
     sent = Attempt(call, backend, 0, b"1", b"", owner.time - 3000)
     owner.attempt_ended(sent, CloseReason.DATA, Reply(note=1, read_at=owner.monotonic_time - 2000))
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -11,7 +11,7 @@
 from lilacloft.gateway.lifecycle import Phase
 from lilacloft.net import connection
 from lilacloft.net.close_reasons import CloseReason
-from lilacloft.net.front import Front
+from lilacloft.net.downstream import Downstream
 from lilacloft.net.polling import poll_events
 from lilacloft.net.resp import FROM_CLIENT, Buffer, encode, listed
 from lilacloft.settings import NS
@@ -29,7 +29,7 @@
     def __init__(self, monkeypatch, when):
         self.go, self.at, self.when = threading.Event(), threading.Event(), when
         self.go.set()
-        fill, takes = Buffer.fill, Front.takes
+        fill, takes = Buffer.fill, Downstream.handle_message
         of_client = FROM_CLIENT[-1]
         monkeypatch.setattr(
             Buffer,
@@ -42,7 +42,7 @@
             takes(front, *told)
             self.stops("taken")
 
-        monkeypatch.setattr(Front, "takes", held_takes)
+        monkeypatch.setattr(Downstream, "handle_message", held_takes)
 
     def stops(self, when):
         if when == self.when and not self.go.is_set():
@@ -81,7 +81,7 @@
 
 
 def swept(front):
-    front.sweep(10.0, 1 << 30, 0.5)
+    front.close_stalled(10.0, 1 << 30, 0.5)
 
 
 def crossed(world, reader, way, begins, rest):
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize("when", ["unread", "read", "parsed"])
 def test_what_a_reader_has_in_hand_is_answered(in_process, reader, when):
     world, reader.when = in_process(serves()), when
-    for way in (swept, Front._make_room, Front.part_all):
+    for way in (swept, Downstream._make_room, Downstream.close_idle):
         assert crossed(world, reader, way, asks, REQUEST) == [b"99", b"200"], way
     world.rests()
 
@@ -145,7 +145,7 @@
 
     def closes():
         client.begun -= 10
-        world.owner.front.sweep(10.0, 1 << 30, 0.5)
+        world.owner.front.close_stalled(10.0, 1 << 30, 0.5)
 
     world.does(closes)
     assert ends(asker)
@@ -236,7 +236,7 @@
     world = in_process(silent)
     asker = world.asker()
     client = only_client(world)
-    client.last_byte = lambda: time.monotonic_ns() // NS - 800
+    client.last_byte_at = lambda: time.monotonic_ns() // NS - 800
     reader.when = "taken"
     reader.hold()
     asker.ask(key=1)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -249,10 +249,10 @@
     found.add_backend(backend, ("127.0.0.1", 9))
     pool = found.pools[backend]
     pool.connections = [UpstreamConnection(pool, print, print, address=pool.address) for _ in range(2)]
-    call = SimpleNamespace(lines=list(pool.connections))
+    call = SimpleNamespace(connections=list(pool.connections))
     assert found.dispatch(Attempt(call, backend, 2, b"r", b"", 0)) is CloseReason.NO_LINE
     assert OUTCOMES[CloseReason.NO_LINE] == "unsent"
-    assert found.dispatch(Attempt(SimpleNamespace(lines=[]), backend, 0, b"s", b"", 0)) is None
+    assert found.dispatch(Attempt(SimpleNamespace(connections=[]), backend, 0, b"s", b"", 0)) is None
 
 
 def test_what_is_not_taken_at_once_goes_out_later_whole_and_in_order():
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -7,7 +7,7 @@
 import threading
 import time
 
-from lilacloft.net.front import Front
+from lilacloft.net.downstream import Downstream
 from lilacloft.net.resp import fields
 from lilacloft.settings import NS
 from rigs.inprocess import forgets, limits, until
@@ -151,8 +151,8 @@
 
 def test_of_requests_at_a_door_whose_last_process_was_seen_to_end_late(in_process, monkeypatch):
     """The kernel knows since when their connection is up, whatever the supervisor says of the door."""
-    served, take = threading.Event(), Front._take
-    monkeypatch.setattr(Front, "_take", lambda self, sock: (served.wait(5), take(self, sock)))
+    served, take = threading.Event(), Downstream._accept_client
+    monkeypatch.setattr(Downstream, "_accept_client", lambda self, sock: (served.wait(5), take(self, sock)))
     world = in_process(serves())
     owner = world.owner
     asker = world.asker()
@@ -225,14 +225,14 @@
     client.buffer.feed(b"*")  # more has come behind what was read
     stood = time.monotonic_ns() // NS - 2_000
     monkeypatch.setattr(world.owner, "paused_since", lambda: stood)
-    monkeypatch.setattr(client, "last_byte", lambda: stood + 1_900)
+    monkeypatch.setattr(client, "last_byte_at", lambda: stood + 1_900)
     for opened, since in (
         (stood - 50_000, stood),
         (stood - 1_500, stood - 1_500),
         (stood + 500, stood + 500),
     ):
-        client.opened = opened
+        client.connected_at = opened
         assert client.arrived_at() == since
-    client.opened, client.emptied = stood - 1_500, stood + 700
+    client.connected_at, client.emptied_at = stood - 1_500, stood + 700
     assert client.arrived_at() == stood + 700
     asker.sock.close()
