--- a/lilacloft/net/client_connection.py
+++ b/lilacloft/net/client_connection.py
@@ -14,7 +14,7 @@
 from lilacloft.net.connection import Connection
 from lilacloft.net.connection_state import ConnectionState
 from lilacloft.net.polling import poll_events
-from lilacloft.net.resp import FROM_CLIENT, LARGEST, SMALL
+from lilacloft.net.resp import FROM_CLIENT, LARGEST, SMALL, Buffer
 from lilacloft.net.tcp_info import since_last_data, since_opened
 from lilacloft.routing.units import Ticks
 from lilacloft.settings import NS, TENTHS
@@ -90,7 +90,10 @@
 
     def __init__(self, downstream: ConnectionOwner, sock: socket.socket) -> None:
         super().__init__(
-            downstream.handle_message, downstream.connection_closed, sock, sizes=FROM_CLIENT, small=SMALL
+            downstream.handle_message,
+            downstream.connection_closed,
+            sock,
+            buffer=Buffer(FROM_CLIENT, SMALL),
         )
         self.downstream = downstream
         self.said = self.offences = 0  # messages so far; unusable ones since the last request
@@ -197,9 +200,9 @@
             self.input_ended = since
         else:
             came, before = self.unread_since
-            if came == self.came:  # nothing was read meanwhile
+            if came == self.last_input_at:  # nothing was read meanwhile
                 since = min(since, before)
-            self.unread_since = (self.came, since)
+            self.unread_since = (self.last_input_at, since)
         return since
 
     def _poll_input(self) -> int:
--- a/lilacloft/net/connection.py
+++ b/lilacloft/net/connection.py
@@ -13,6 +13,7 @@
 import threading
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from loguru import logger
 
@@ -32,6 +33,17 @@
 READER_WAKEUP_TIME = 3.0  # seconds within which a reader gets to process what the kernel delivered to it
 
 
+@dataclass(frozen=True, slots=True)
+class ConnectTarget:
+    """Where to connect, and within how long."""
+
+    address: tuple[str, int]
+    timeout: float  # seconds
+
+
+NO_TARGET = ConnectTarget(("", 0), 0.0)  # of an accepted socket
+
+
 class Connection(BufferedSender):
     """One connection, made of an accepted socket, or of an address to connect to within a timeout.
 
@@ -47,21 +59,20 @@
         on_message: Callable[[Connection, list[bytes]], None],
         on_closed: Callable[[Connection], None],
         sock: socket.socket | None = None,
-        address: tuple[str, int] = ("", 0),
-        connect_timeout: float = 0.0,
-        sizes: tuple[int, ...] = FROM_CACHE,
-        small: int = MIDDLE,
+        target: ConnectTarget | None = None,
+        buffer: Buffer | None = None,
     ) -> None:
-        """Both callbacks are called by the reading thread. `connect_timeout`: seconds; `sizes`, `small`: the
-        limits of the input buffer (lilacloft/net/resp.py)."""
+        """Both callbacks are called by the reading thread. Needs a connected `sock` or a `target`; `buffer`:
+        for the input, by default one for backends' messages."""
         super().__init__(
             sock or socket.socket(socket.AF_INET, socket.SOCK_STREAM),
             ConnectionState.CONNECTING if sock is None else ConnectionState.OPEN,
         )
         self.on_message, self.on_closed = on_message, on_closed
-        self.address, self.connect_timeout = address, connect_timeout
-        self.buffer = Buffer(sizes, small)
-        self.came = self.begun = time.monotonic()  # when input came last; when the current message began
+        self.target = target or NO_TARGET
+        self.buffer = buffer or Buffer(FROM_CACHE, MIDDLE)
+        # monotonic clock, seconds; the latter: when the first input of the current message came
+        self.last_input_at = self.message_started_at = time.monotonic()
         self.received = 0  # bytes read so far
         self.passed_on = 0  # of those, the bytes whose messages were passed on, or are buffered in part
         self.gate = threading.Lock()  # acquired while the reader reads, and to pause it
@@ -146,10 +157,10 @@
         """Connect within the timeout; a transient local failure is retried. Raises OSError."""
         started_at = time.monotonic()
         while True:
-            time_left = started_at + self.connect_timeout - time.monotonic()
+            time_left = started_at + self.target.timeout - time.monotonic()
             self.sock.settimeout(max(transient.PAUSE, time_left))
             try:
-                return self.sock.connect(self.address)
+                return self.sock.connect(self.target.address)
             except OSError as error:
                 retry_until = started_at + CONNECT_RETRY_TIME
                 if time.monotonic() >= retry_until or not transient.connect_passes(error):
@@ -230,7 +241,7 @@
         if not count:
             return False
         self.received += count
-        self.came = time.monotonic()
+        self.last_input_at = time.monotonic()
         if self.close_reason is not None:
             return True  # it was sent before the peer saw our close
         try:
@@ -242,7 +253,7 @@
                 self._advance(ConnectionState.UNREADABLE)
             raise
         if fresh:
-            self.begun = self.came
+            self.message_started_at = self.last_input_at
         self.passed_on = self.received
         return True
 
--- a/lilacloft/net/downstream.py
+++ b/lilacloft/net/downstream.py
@@ -349,7 +349,7 @@
         """Close those idle for long, and those that stalled within a message, unless more of it has come."""
         for client in list(self.clients):
             stalled = not client.said or client.buffer.partial()
-            idle_time = now - (client.begun if stalled else client.used)
+            idle_time = now - (client.message_started_at if stalled else client.used)
             limit = STALL_TIMEOUT - 2 * interval if stalled else IDLE_TIMEOUT + interval
             if client.close_reason is None and not client.open and idle_time > limit:
                 self._close_if_idle(client, socket.SHUT_WR if client.taken else socket.SHUT_RDWR, stalled)
--- a/lilacloft/net/upstream.py
+++ b/lilacloft/net/upstream.py
@@ -265,7 +265,7 @@
             for connection in pool.connections:
                 if connection.unsent_bytes():
                     connection.resume_writing()
-                if connection.buffer.partial() and connection.came < stalled_since:
+                if connection.buffer.partial() and connection.last_input_at < stalled_since:
                     connection.close(CloseReason.GARBLED)
                 if not connection.in_flight and now - connection.last_used_at >= self.idle_timeout:
                     connection.close(CloseReason.RETIRED)
--- a/lilacloft/net/upstream_pool.py
+++ b/lilacloft/net/upstream_pool.py
@@ -9,7 +9,7 @@
 
 from lilacloft.net.attempt import Attempt
 from lilacloft.net.close_reasons import CloseReason
-from lilacloft.net.connection import Connection
+from lilacloft.net.connection import Connection, ConnectTarget
 from lilacloft.routing.model import Backend
 from lilacloft.routing.units import Ticks
 from lilacloft.settings import TENTHS
@@ -129,8 +129,7 @@
                 self,
                 upstream.read_answer,
                 upstream.connection_closed,
-                address=self.address,
-                connect_timeout=upstream.connect_timeout / TENTHS,
+                target=ConnectTarget(self.address, upstream.connect_timeout / TENTHS),
             )
             connection.start()
         except (OSError, RuntimeError) as error:
--- a/lilacloft/net/write_backlog.py
+++ b/lilacloft/net/write_backlog.py
@@ -37,7 +37,7 @@
         super().__init__(sock, state)
         self.backlog: deque[PendingMessage] = deque()
         self.queued = self.written = 0  # bytes since the start; withdrawn messages count in both
-        self.reached = 0  # position in the stream up to which all that was not withdrawn was sent
+        self.sent_position = 0  # position in the stream up to which all that was not withdrawn was sent
         self.writing = False  # is there a writing thread?
         self.drained = threading.Condition(self.lock)
 
@@ -67,7 +67,7 @@
 
     def has_sent(self, position: int) -> bool:
         """Was everything sent up to a position in the stream?"""
-        return self.reached >= position
+        return self.sent_position >= position
 
     def unsent_bytes(self) -> int:
         """How many bytes were not sent yet."""
@@ -111,7 +111,7 @@
             self._finish(close_reason_of(error))
             return unsent[:0]
         self.written += count
-        self.reached = position - len(unsent) + count
+        self.sent_position = position - len(unsent) + count
         return unsent[count:]
 
     def _flush(self) -> None:
--- a/lilacloft/upgrade/carry.py
+++ b/lilacloft/upgrade/carry.py
@@ -81,8 +81,8 @@
         "backlog": [(waiting.position, bytes(waiting.unsent)) for waiting in conn.backlog],
         "queued": conn.queued,
         "written": conn.written,
-        "came": conn.came,
-        "begun": conn.begun,
+        "came": conn.last_input_at,
+        "begun": conn.message_started_at,
         "passed_on": conn.passed_on,
     }
 
@@ -337,9 +337,10 @@
     def _stream(self, conn: Connection, told: form.Stream) -> None:
         conn.buffer.feed(told.held)
         conn.backlog.extend(PendingMessage(at, memoryview(rest), started=True) for at, rest in told.backlog)
-        conn.queued, conn.written, conn.came, conn.begun = told.queued, told.written, told.came, told.begun
+        conn.queued, conn.written = told.queued, told.written
+        conn.last_input_at, conn.message_started_at = told.came, told.begun
         conn.received = conn.passed_on = told.passed_on if told.passed_on >= 0 else bytes_received(conn.sock)
-        conn.reached = min((at - len(rest) for at, rest in told.backlog), default=told.queued)
+        conn.sent_position = min((at - len(rest) for at, rest in told.backlog), default=told.queued)
         self.conns.append(conn)
 
     def _line(self, told: form.Line, sock: Any) -> UpstreamConnection:
@@ -347,7 +348,7 @@
         pool, address = back.pools.get(backend), (told.host, told.port)
         if pool is None or (pool.address, pool.backend_started) != (address, told.life):
             pool = UpstreamPool(backend, address, back)  # of an earlier life, or gone: nothing new goes there
-        line = UpstreamConnection(pool, back.read_answer, back.connection_closed, sock=sock, address=address)
+        line = UpstreamConnection(pool, back.read_answer, back.connection_closed, sock=sock)
         pool.connections.append(line)
         line.last_read_at, line.last_used_at, line.created_at = told.heard, told.used, told.made
         line.retiring = told.shunned or back.pools.get(backend) is not pool
--- a/rigs/failing.py
+++ b/rigs/failing.py
@@ -139,7 +139,7 @@
     polls = _delegating(select, poll=lambda: FailingPoll(failures))
 
     def begin(self: connection.Connection, *told: Any, **more: Any) -> None:
-        if more.get("sock") is None and "address" in more:
+        if more.get("sock") is None and "target" in more:
             failures.before("socket")
         begun(self, *told, **more)
         self.sock = FailingSocket(self.sock, failures)  # type: ignore[assignment]
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -225,7 +225,7 @@
     asker.sock.sendall(b"*5\r\n$4\r\nEX")
     until(lambda: client.buffer.partial())
     assert client.unsent_bytes() > 0
-    client.begun -= 60  # seconds ago
+    client.message_started_at -= 60  # seconds ago
     world.does(world.owner.run_maintenance)
     answers = [asker.answer() for _ in tags]
     assert {answer[0] for answer in answers} == set(tags)
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -97,7 +97,7 @@
 
     def closes():
         client.used -= 10
-        client.begun -= 10
+        client.message_started_at -= 10
         way(world.owner.front)
 
     world.does(closes)
@@ -144,7 +144,7 @@
     until(client.buffer.partial)
 
     def closes():
-        client.begun -= 10
+        client.message_started_at -= 10
         world.owner.front.close_stalled(10.0, 1 << 30, 0.5)
 
     world.does(closes)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,7 +13,7 @@
 from lilacloft.net import feed
 from lilacloft.net.attempt import Attempt
 from lilacloft.net.close_reasons import OUTCOMES, CloseReason
-from lilacloft.net.connection import Connection
+from lilacloft.net.connection import Connection, ConnectTarget
 from lilacloft.net.resp import FROM_CACHE, FROM_CLIENT, LARGEST, Buffer, GarbledError, encode, fields, listed
 from lilacloft.net.upstream import Upstream, UpstreamCallbacks
 from lilacloft.net.upstream_pool import UpstreamConnection
@@ -212,7 +212,7 @@
 )
 def test_each_end_of_a_connection_is_told_once(end, does):
     gone, stand = queue.SimpleQueue(), Stand(lambda stand, sock, items: does(conn, sock))
-    conn = Connection(fails, gone.put, address=("127.0.0.1", stand.port), connect_timeout=5)
+    conn = Connection(fails, gone.put, target=ConnectTarget(("127.0.0.1", stand.port), 5))
     conn.start()
     conn.send(encode(b"go"))
     assert gone.get(timeout=5).close_reason is end
@@ -225,7 +225,7 @@
     gone = queue.SimpleQueue()
     with socket.socket() as server:
         server.bind(("127.0.0.1", 0))
-        Connection(fails, gone.put, address=server.getsockname(), connect_timeout=5).start()
+        Connection(fails, gone.put, target=ConnectTarget(server.getsockname(), 5)).start()
         assert gone.get(timeout=5).close_reason is CloseReason.REFUSED
         server.listen(0)  # one fits; of the next, nothing is heard
         full = []
@@ -233,7 +233,7 @@
             full.append(socket.socket())
             full[-1].setblocking(False)
             full[-1].connect_ex(server.getsockname())
-        conn = Connection(fails, gone.put, address=server.getsockname(), connect_timeout=0.2)
+        conn = Connection(fails, gone.put, target=ConnectTarget(server.getsockname(), 0.2))
         place = conn.send(b"never out")
         conn.start()
         assert gone.get(timeout=5).close_reason is CloseReason.UNMADE and place > conn.written
@@ -248,7 +248,9 @@
     found = Upstream(UpstreamCallbacks(print, lambda: 0, print, print), config, 2)
     found.add_backend(backend, ("127.0.0.1", 9))
     pool = found.pools[backend]
-    pool.connections = [UpstreamConnection(pool, print, print, address=pool.address) for _ in range(2)]
+    pool.connections = [
+        UpstreamConnection(pool, print, print, target=ConnectTarget(pool.address, 0.0)) for _ in range(2)
+    ]
     call = SimpleNamespace(connections=list(pool.connections))
     assert found.dispatch(Attempt(call, backend, 2, b"r", b"", 0)) is CloseReason.NO_LINE
     assert OUTCOMES[CloseReason.NO_LINE] == "unsent"
