--- a/lilacloft/gateway/context.py
+++ b/lilacloft/gateway/context.py
@@ -10,11 +10,12 @@
 from lilacloft.gateway.counters import Counters
 from lilacloft.gateway.event_loop import EventLoop
 from lilacloft.invariants import Invariants
-from lilacloft.net.back import Back
+from lilacloft.net.client_request import ClientRequest
 from lilacloft.net.discovery_watch import DiscoveryWatch
-from lilacloft.net.front import Call, Front
+from lilacloft.net.downstream import Downstream
 from lilacloft.net.request_trace import Trace
 from lilacloft.net.resource_limits import Budgets
+from lilacloft.net.upstream import Upstream
 from lilacloft.routing.model import Backend, Request
 from lilacloft.routing.router import Router
 from lilacloft.routing.units import Ticks
@@ -23,8 +24,8 @@
 class GatewayContext:
     """The shared parts. Everything but the queue and the trace belongs to the event loop's thread."""
 
-    front: Front  # the clients' connections
-    back: Back  # the connections to caches, parents and the origin
+    front: Downstream  # the clients' connections
+    back: Upstream  # the connections to caches, parents and the origin
     feed: DiscoveryWatch  # the change log
     router: Router  # the decisions
     invariants: Invariants
@@ -43,7 +44,7 @@
         self.counters = Counters()
         self.loop = EventLoop(self.clock, self.counters, self.granularity, configuration.answer_slack)
         self.trace = Trace()
-        self.open_requests: dict[Request, Call] = {}  # also finished ones whose attempt is still out
+        self.open_requests: dict[Request, ClientRequest] = {}  # also finished ones whose attempt is still out
         self.backends: dict[str, Backend] = {}  # by name
         self.guard: Any = None  # lilacloft.store.gateway_store.GatewayStore, if effects outlive a crash
         self.recorder: Any = None  # lilacloft.record.writer.Recorder, if there are records
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -31,9 +31,9 @@
 from lilacloft.gateway.lifecycle import Lifecycle, Phase
 from lilacloft.gateway.reporting import Reporter
 from lilacloft.invariants import Invariants
-from lilacloft.net.back import Back
-from lilacloft.net.conn import Conn
-from lilacloft.net.front import Front
+from lilacloft.net.connection import Connection
+from lilacloft.net.downstream import Downstream, DownstreamLimits, ListenEndpoint
+from lilacloft.net.upstream import Upstream, UpstreamCallbacks
 from lilacloft.routing.host import Dispatch, HealthChange, Timer
 from lilacloft.routing.model import Backend, Request
 from lilacloft.routing.router import Router
@@ -68,14 +68,12 @@
         self.dispatcher = AttemptDispatcher(self, self.answers)
         self._connect_backends()
         self.requests = ClientRequests(self, self.lifecycle, self.answers, self.dispatcher)
-        self.front = Front(
+        self.front = Downstream(
             self.loop.post,
             self,
-            parse_address(configuration.listen),
             self.vhosts,
-            self.budgets.clients,
-            configuration.max_transfer_size,
-            sock,
+            DownstreamLimits(self.budgets.clients, configuration.max_transfer_size),
+            ListenEndpoint(parse_address(configuration.listen), sock),
         )
         self.discovery = Discovery(self)
         self._bind_interface()
@@ -88,18 +86,17 @@
 
     def _connect_backends(self) -> None:
         """Make the side of the caches, parents and origin, and the checks on what goes there."""
-        self.back = Back(
+        callbacks = UpstreamCallbacks(
             self.loop.post,
             self.now,
             self.dispatcher.attempt_ended,
             self.dispatcher.attempt_cancelled,
-            self.settings,
-            self.budgets.caches,
         )
+        self.back = Upstream(callbacks, self.settings, self.budgets.caches)
         self.back.write_soon = self.write_soon
         self.invariants = self.back.invariants = Invariants(self.settings, self.reporter.report_violation)
         longest = int(MAX_MAINTENANCE_INTERVAL * TICKS_PER_SECOND)
-        self.maintenance_interval = min(self.back.patience, longest)
+        self.maintenance_interval = min(self.back.connect_timeout, longest)
 
     def _bind_interface(self) -> None:
         """Name here what the store, the handover, the planners' agent and the records use of the parts."""
@@ -173,16 +170,16 @@
     def run_maintenance(self) -> None:
         """Close connections that are idle, or stand still within a message."""
         self.call_at(self.time + self.maintenance_interval, self.run_maintenance)
-        self.back.sweep()
-        self.front.sweep(
+        self.back.close_stalled()
+        self.front.close_stalled(
             self.max_client_timeout / TICKS_PER_SECOND,
             self.budgets.unwritten,
             self.maintenance_interval / TICKS_PER_SECOND,
         )
 
-    def write_soon(self, conn: Conn) -> None:
+    def write_soon(self, conn: Connection) -> None:
         """Try again to write to a connection, for which no thread could be started."""
-        self.call_at(self.time + WRITE_RETRY_DELAY, conn.write_on)
+        self.call_at(self.time + WRITE_RETRY_DELAY, conn.resume_writing)
 
     def connection_closing(self, names: list[str]) -> None:
         """Check that this gateway may close a connection, on which requests of these names are open. Any
--- a/lilacloft/handover/process.py
+++ b/lilacloft/handover/process.py
@@ -17,7 +17,7 @@
 from lilacloft.handover.receiver import NO_DESCRIPTOR, HandoverReceiver
 from lilacloft.handover.sender import HandoverSender
 from lilacloft.handover.upgrade_listener import bind_upgrade_socket
-from lilacloft.net.conn import Conn
+from lilacloft.net.connection import Connection
 from lilacloft.routing.units import TICKS_PER_SECOND
 
 if TYPE_CHECKING:
@@ -122,7 +122,7 @@
     it takes over. Raises NotWantedError if the sender goes on as the gateway, OSError if the path for upgrade
     requests cannot be had, UnusableError if a store cannot be used.
     """
-    Conn.movable = bool(options.handover) or options.takeover >= 0
+    Connection.movable = bool(options.handover) or options.takeover >= 0
     assembly = _Assembly(config, options)
     if options.takeover >= 0:
         return _prepare_takeover(HandoverReceiver(options.takeover), make_gateway, assembly)
--- a/lilacloft/handover/quiesce.py
+++ b/lilacloft/handover/quiesce.py
@@ -13,8 +13,10 @@
 from lilacloft.handover import messages
 from lilacloft.handover.connections import all_connections, is_idle, is_unreadable_client
 from lilacloft.handover.state_export import export_client
-from lilacloft.net.conn import Conn, End, State
-from lilacloft.net.front import Client
+from lilacloft.net.client_connection import ClientConnection
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import Connection
+from lilacloft.net.connection_state import ConnectionState
 from lilacloft.routing.model import PartKey
 from lilacloft.routing.snapshot import export_object_parts
 
@@ -27,7 +29,7 @@
 class IdleClient(NamedTuple):
     """A client's connection that was brought to rest by itself, and its state."""
 
-    connection: Client
+    connection: ClientConnection
     state: messages.ClientConnectionState
 
 
@@ -40,10 +42,10 @@
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.quiesced: dict[Conn, bool] = {}
+        self.quiesced: dict[Connection, bool] = {}
         self.is_accept_held = False  # are accepting connections and discovery at rest?
         self.requests_before_table = 0  # count of requests when the object parts were listed
-        self.transferred: list[Conn] = []  # stay at rest, unless the receiver dies
+        self.transferred: list[Connection] = []  # stay at rest, unless the receiver dies
         self.parts_in_use: list[PartKey] = []  # may change after they were exported
 
     # --- while the gateway serves ---
@@ -107,8 +109,12 @@
     def _hold_reading(self) -> None:
         """Let the readers of all connections wait between two messages."""
         for conn in all_connections(self.gateway):
-            if conn not in self.quiesced and conn.end is None and conn.state is not State.UNREADABLE:
-                conn.hold()
+            if (
+                conn not in self.quiesced
+                and conn.close_reason is None
+                and conn.state is not ConnectionState.UNREADABLE
+            ):
+                conn.pause_reading()
                 self.quiesced[conn] = False
 
     def _end_unreadable_clients(self) -> None:
@@ -130,10 +136,10 @@
         current = {conn for conn in all_connections(self.gateway) if not is_unreadable_client(conn)}
         for conn in list(self.quiesced):
             if conn in current and not self.quiesced[conn]:
-                conn.still()
+                conn.pause_writing()
                 self.quiesced[conn] = True
         # one that ended meanwhile is resumed, as its reader needs the gate to report the end
-        ended = [conn for conn in current if conn.end is not None]
+        ended = [conn for conn in current if conn.close_reason is not None]
         for conn in [*ended, *(conn for conn in self.quiesced if conn not in current)]:
             self.resume_connection(conn)
         is_quiet = not ended and all(self.quiesced.get(conn) for conn in current)
@@ -141,12 +147,12 @@
 
     # --- back to work ---
 
-    def resume_connection(self, conn: Conn) -> None:
+    def resume_connection(self, conn: Connection) -> None:
         """Let a connection go on, if it is at rest."""
         if conn in self.quiesced:
-            conn.free(self.quiesced.pop(conn))
+            conn.resume(self.quiesced.pop(conn))
 
-    def _resume_writing(self, conn: Conn) -> None:
+    def _resume_writing(self, conn: Connection) -> None:
         if self.quiesced[conn]:
             self.quiesced[conn] = False
             conn.lock.release()
@@ -162,15 +168,15 @@
 
     # --- after the transfer ---
 
-    def mark_transferred(self, connections: list[Conn]) -> None:
+    def mark_transferred(self, connections: list[Connection]) -> None:
         """Give connections to the receiver. They stay at rest here."""
         gateway = self.gateway
         for conn in connections:
             self.quiesced.pop(conn, None)
-            if isinstance(conn, Client):
+            if isinstance(conn, ClientConnection):
                 gateway.front.clients.pop(conn, None)
-            elif conn in conn.pool.lines:
-                conn.pool.lines.remove(conn)
+            elif conn in conn.pool.connections:
+                conn.pool.connections.remove(conn)
         self.transferred += connections
 
     def forget_transferred_requests(self) -> None:
@@ -180,12 +186,12 @@
         for request, call in list(gateway.open_requests.items()):
             if call.client in transferred:
                 del gateway.open_requests[request]
-                gateway.front.names.pop(call.name, None)
+                gateway.front.requests_by_name.pop(call.name, None)
         gateway.timers = [
             entry for entry in gateway.timers if entry[2] in (gateway.run_maintenance, gateway.heartbeat)
         ]
 
-    def close_lost(self, connections: list[Conn]) -> None:
+    def close_lost(self, connections: list[Connection]) -> None:
         """Close connections that the receiver had when it died.
 
         What was open on them is lost, as with any process that dies. The requests end first, so that none is
@@ -197,10 +203,10 @@
                 self._resume_writing(conn)
             elif conn in self.transferred:
                 conn.lock.release()
-        for client in [conn for conn in connections if isinstance(conn, Client)]:
+        for client in [conn for conn in connections if isinstance(conn, ClientConnection)]:
             gateway.run_callback(gateway.requests.client_disconnected, (client,))
         for conn in connections:
-            conn.close(End.RESET)
+            conn.close(CloseReason.RESET)
             if self.quiesced.pop(conn, None) is not None or conn in self.transferred:
                 conn.gate.release()
         self.transferred = [conn for conn in self.transferred if conn not in connections]
@@ -213,8 +219,8 @@
                 continue
             was_quiesced = client in self.quiesced  # nothing more is read there in any case
             if not was_quiesced:
-                client.hold()
-            client.still()
+                client.pause_reading()
+            client.pause_writing()
             self.quiesced[client] = True
             if is_idle(client):
                 found.append(IdleClient(client, export_client(client, 0)))
--- a/lilacloft/handover/sender.py
+++ b/lilacloft/handover/sender.py
@@ -31,7 +31,7 @@
 from lilacloft.handover.resources import current_usage
 from lilacloft.handover.state_export import export_backends, export_gateway
 from lilacloft.handover.upgrade_listener import UpgradeListener, UpgradeRefusedError
-from lilacloft.net.conn import Conn
+from lilacloft.net.connection import Connection
 from lilacloft.routing.model import RejectReason
 from lilacloft.routing.units import TICKS_PER_SECOND
 
@@ -73,7 +73,7 @@
         self.command: list[str] = []  # starts the receiver
         self.receiver = ReceiverProcess(status)
         self.reporter = PhaseReporter(gateway)
-        self.connections: list[Conn] = []  # are transferred
+        self.connections: list[Connection] = []  # are transferred
         self.exported_counts: GroupedCounts = {}
         self.receiver_serves = False
         self.was_reloaded = False  # SIGHUP came during the handover
@@ -374,7 +374,7 @@
         for call in list(self.gateway.open_requests.values()):
             self.gateway.router.reject(call.request, RejectReason.ENDING)
         for client in list(self.gateway.front.clients):
-            client.hold()  # what is unread goes over with the connection
+            client.pause_reading()  # what is unread goes over with the connection
             self.quiescer.quiesced[client] = False
 
     def exit(self) -> None:
--- a/lilacloft/handover/state_export.py
+++ b/lilacloft/handover/state_export.py
@@ -17,9 +17,12 @@
 from lilacloft.handover.connections import backend_connections, carries_nothing, is_idle
 from lilacloft.handover.counters import export_counters
 from lilacloft.handover.phases import HandoverMode
-from lilacloft.net.back import Line, Sent
-from lilacloft.net.conn import Conn, State
-from lilacloft.net.front import Call, Client
+from lilacloft.net.attempt import Attempt
+from lilacloft.net.client_connection import ClientConnection
+from lilacloft.net.client_request import ClientRequest
+from lilacloft.net.connection import Connection
+from lilacloft.net.connection_state import ConnectionState
+from lilacloft.net.upstream_pool import UpstreamConnection
 from lilacloft.routing.model import PartKey
 from lilacloft.routing.snapshot import export_state
 from lilacloft.routing.units import Ticks
@@ -60,17 +63,17 @@
     """The state of a gateway, and the connections that go over in the order of their descriptors."""
 
     state: messages.GatewayState
-    connections: list[Conn]
+    connections: list[Connection]
 
 
 @dataclass(frozen=True)
 class _Selection:
     """What goes over, each with its index."""
 
-    descriptors: dict[Conn, int]
-    clients: list[Client]
-    lines: dict[Line, int]
-    calls: dict[Call, int]
+    descriptors: dict[Connection, int]
+    clients: list[ClientConnection]
+    lines: dict[UpstreamConnection, int]
+    calls: dict[ClientRequest, int]
 
 
 def export_gateway(gateway: Gateway, mode: str, part_keys: Iterable[PartKey]) -> ExportedGateway:
@@ -124,7 +127,7 @@
         )
 
 
-def export_client(client: Client, descriptor: int) -> messages.ClientConnectionState:
+def export_client(client: ClientConnection, descriptor: int) -> messages.ClientConnectionState:
     """Export a client's connection. `descriptor`: its index among the descriptors."""
     own = {field: getattr(client, attribute) for field, attribute in CLIENT_ATTRIBUTES.items()}
     return messages.ClientConnectionState(**_export_connection(client, descriptor), **own)
@@ -135,12 +138,12 @@
     clients = [
         client
         for client in gateway.front.clients
-        if client.state is not State.UNREADABLE and (is_whole or is_idle(client))
+        if client.state is not ConnectionState.UNREADABLE and (is_whole or is_idle(client))
     ]
     lines = [
         line
         for line in backend_connections(gateway)
-        if line.state is not State.CONNECTING and (is_whole or carries_nothing(line))
+        if line.state is not ConnectionState.CONNECTING and (is_whole or carries_nothing(line))
     ]
     descriptors = _indices([*clients, *lines])
     calls = (
@@ -153,40 +156,40 @@
     return {item: index for index, item in enumerate(items)}
 
 
-def _export_connection(conn: Conn, descriptor: int) -> dict[str, Any]:
+def _export_connection(conn: Connection, descriptor: int) -> dict[str, Any]:
     """Return the fields of a ConnectionState."""
     return {
         "descriptor": descriptor,
         "partial_message": conn.buffer.unread(),
-        "unsent": [(waiting.place, bytes(waiting.rest)) for waiting in conn.backlog],
+        "unsent": [(waiting.position, bytes(waiting.unsent)) for waiting in conn.backlog],
         "queued_bytes": conn.queued,
         "written_bytes": conn.written,
-        "last_read_at": conn.came,
-        "message_began_at": conn.begun,
+        "last_read_at": conn.last_input_at,
+        "message_began_at": conn.message_started_at,
         "consumed_bytes": conn.passed_on,
     }
 
 
-def _export_backend_connection(line: Line, descriptor: int) -> messages.BackendConnectionState:
+def _export_backend_connection(line: UpstreamConnection, descriptor: int) -> messages.BackendConnectionState:
     host, port = line.pool.address
     return messages.BackendConnectionState(
         backend=line.pool.backend.name,
         host=host,
         port=port,
-        backend_started=line.pool.life,
-        last_answer_at=line.heard,
-        last_used_at=line.used,
-        created_at=line.made,
-        is_retired=line.shunned,
+        backend_started=line.pool.backend_started,
+        last_answer_at=line.last_read_at,
+        last_used_at=line.last_used_at,
+        created_at=line.created_at,
+        is_retired=line.retiring,
         **_export_connection(line, descriptor),
     )
 
 
-def _export_request(call: Call, selected: _Selection) -> messages.ClientRequestState:
+def _export_request(call: ClientRequest, selected: _Selection) -> messages.ClientRequestState:
     return messages.ClientRequestState(
         client=selected.descriptors[call.client],
         is_open=call.client.open.get(call.tag) is call,
-        connections=[selected.lines.get(line, NO_CONNECTION) for line in call.lines],
+        connections=[selected.lines.get(line, NO_CONNECTION) for line in call.connections],
         **{field: getattr(call, attribute) for field, attribute in REQUEST_ATTRIBUTES.items()},
     )
 
@@ -195,8 +198,8 @@
 class _AttemptTimers:
     """What the gateway's timers will do with attempts."""
 
-    deadlines: dict[Sent, Ticks]
-    pending_ends: dict[Sent, tuple[str, Ticks]]  # name of the end, and when it is reported
+    deadlines: dict[Attempt, Ticks]
+    pending_ends: dict[Attempt, tuple[str, Ticks]]  # name of the end, and when it is reported
 
     @classmethod
     def of(cls, gateway: Gateway) -> _AttemptTimers:
@@ -214,10 +217,10 @@
     """Export attempts of the requests that go over, and health checks on the connections that do."""
     timers = _AttemptTimers.of(gateway)
     held = set(gateway.guard.withdrawn) if gateway.guard else ()  # wait for the store, and are sent again
-    in_flight = [call.sent for call in selected.calls if call.sent is not None]
-    in_flight += [sent for line in selected.lines for sent in line.out.values() if sent.call is None]
+    in_flight = [call.attempt for call in selected.calls if call.attempt is not None]
+    in_flight += [sent for line in selected.lines for sent in line.in_flight.values() if sent.call is None]
     for sent in in_flight:
-        if sent.conn is None and sent not in timers.pending_ends and sent not in held:
+        if sent.connection is None and sent not in timers.pending_ends and sent not in held:
             continue  # its end was reported in this very turn
         yield messages.AttemptState(
             request=selected.calls.get(sent.call) if sent.call else None,
@@ -226,8 +229,8 @@
             name=sent.name,
             data=sent.data,
             sent_at=sent.at,
-            connection=selected.lines.get(sent.conn) if sent.conn else None,
-            stream_end=sent.place,
+            connection=selected.lines.get(sent.connection) if sent.connection else None,
+            stream_end=sent.position,
             deadline=timers.deadlines.get(sent),
             pending_end=timers.pending_ends.get(sent),
         )
@@ -239,7 +242,7 @@
     return messages.ClockOffsetState(stamps.lag, stamps.at, starts)
 
 
-def _export_store(gateway: Gateway, calls: Iterable[Call]) -> messages.StoreState | None:
+def _export_store(gateway: Gateway, calls: Iterable[ClientRequest]) -> messages.StoreState | None:
     """Export what the store's writer continues with; None if the gateway has no store."""
     if gateway.guard is None:
         return None
--- a/lilacloft/handover/state_restore.py
+++ b/lilacloft/handover/state_restore.py
@@ -14,10 +14,14 @@
 from lilacloft.handover.counters import add_counters
 from lilacloft.handover.framing import FormatError, to_plain
 from lilacloft.handover.state_export import CLIENT_ATTRIBUTES, REQUEST_ATTRIBUTES
-from lilacloft.net.back import Line, Pool, Sent
-from lilacloft.net.conn import Conn, End, Waiting
-from lilacloft.net.front import Call, Client
+from lilacloft.net.attempt import Attempt
+from lilacloft.net.client_connection import ClientConnection
+from lilacloft.net.client_request import ClientRequest
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import Connection
 from lilacloft.net.tcp_info import bytes_received
+from lilacloft.net.upstream_pool import UpstreamConnection, UpstreamPool
+from lilacloft.net.write_backlog import PendingMessage
 from lilacloft.routing.host import ListMode
 from lilacloft.routing.model import Backend, BackendStatus, Request
 from lilacloft.routing.snapshot import restore_object_parts, restore_state
@@ -29,7 +33,7 @@
 class EndedConnection:
     """Stands for a connection that carried a request and has ended: the next attempt takes another."""
 
-    end = End.RESET
+    close_reason = CloseReason.RESET
 
 
 ENDED_CONNECTION = EndedConnection()
@@ -42,8 +46,8 @@
         """`gateway`: made from the configuration, and not running."""
         self.gateway = gateway
         self.state = messages.GatewayState()
-        self.connections: list[Conn] = []  # are started once this process is the gateway
-        self.unsent_attempts: list[Sent] = []  # their connections had not come up: they are sent again
+        self.connections: list[Connection] = []  # are started once this process is the gateway
+        self.unsent_attempts: list[Attempt] = []  # their connections had not come up: they are sent again
 
     # --- before the state ---
 
@@ -145,10 +149,10 @@
 
     # --- connections ---
 
-    def restore_client(self, state: messages.ClientConnectionState, sock: socket.socket) -> Client:
+    def restore_client(self, state: messages.ClientConnectionState, sock: socket.socket) -> ClientConnection:
         """Restore a client's connection, which is not started yet."""
         front = self.gateway.front
-        client = Client(front, sock)
+        client = ClientConnection(front, sock)
         for field, attribute in CLIENT_ATTRIBUTES.items():
             setattr(client, attribute, getattr(state, field))
         self._restore_connection(client, state)
@@ -157,66 +161,78 @@
 
     def _restore_backend_connection(
         self, state: messages.BackendConnectionState, sock: socket.socket
-    ) -> Line:
+    ) -> UpstreamConnection:
         back, backend = self.gateway.back, self.gateway.backends[state.backend]
         pool = back.pools.get(backend)
         address = (state.host, state.port)
-        if pool is None or (pool.address, pool.life) != (address, state.backend_started):
-            pool = Pool(backend, address, back)  # of an earlier start, or unlisted: it gets nothing new
-        line = Line(pool, back.answer, back.gone, sock=sock, address=address)
-        pool.lines.append(line)
-        line.heard = state.last_answer_at
-        line.used = state.last_used_at
-        line.made = state.created_at
-        line.shunned = state.is_retired or back.pools.get(backend) is not pool
+        if pool is None or (pool.address, pool.backend_started) != (address, state.backend_started):
+            pool = UpstreamPool(
+                backend, address, back
+            )  # of an earlier start, or unlisted: it gets nothing new
+        line = UpstreamConnection(pool, back.read_answer, back.connection_closed, sock=sock)
+        pool.connections.append(line)
+        line.last_read_at = state.last_answer_at
+        line.last_used_at = state.last_used_at
+        line.created_at = state.created_at
+        line.retiring = state.is_retired or back.pools.get(backend) is not pool
         self._restore_connection(line, state)
         return line
 
-    def _restore_connection(self, conn: Conn, state: messages.ConnectionState) -> None:
+    def _restore_connection(self, conn: Connection, state: messages.ConnectionState) -> None:
         """Restore what clients' connections and those to backends have in common."""
         conn.buffer.append(state.partial_message)
-        conn.backlog.extend(Waiting(end, memoryview(rest), begun=True) for end, rest in state.unsent)
+        conn.backlog.extend(PendingMessage(end, memoryview(rest), started=True) for end, rest in state.unsent)
         conn.queued = state.queued_bytes
         conn.written = state.written_bytes
-        conn.came = state.last_read_at
-        conn.begun = state.message_began_at
+        conn.last_input_at = state.last_read_at
+        conn.message_started_at = state.message_began_at
         is_counted = state.consumed_bytes >= 0
         conn.received = conn.passed_on = state.consumed_bytes if is_counted else bytes_received(conn.sock)
-        conn.reached = min((end - len(rest) for end, rest in state.unsent), default=state.queued_bytes)
+        conn.sent_position = min((end - len(rest) for end, rest in state.unsent), default=state.queued_bytes)
         self.connections.append(conn)
 
     # --- requests and attempts ---
 
     def _restore_request(
-        self, state: messages.ClientRequestState, request: Request, client: Client, lines: list[Line]
-    ) -> Call:
+        self,
+        state: messages.ClientRequestState,
+        request: Request,
+        client: ClientConnection,
+        lines: list[UpstreamConnection],
+    ) -> ClientRequest:
         """Restore an open request as its client sent it. `lines`: the connections to backends, by index."""
-        call = Call.__new__(Call)
+        call = ClientRequest.__new__(ClientRequest)
         for field, attribute in REQUEST_ATTRIBUTES.items():
             setattr(call, attribute, getattr(state, field))
-        call.client, call.request, call.sent = client, request, None
-        call.left, call.last, call.history = 0, "", self.gateway.request_history(call, request)
-        call.lines = [ENDED_CONNECTION if index < 0 else lines[index] for index in state.connections]
+        call.client, call.request, call.attempt = client, request, None
+        call.cancelled_at, call.last_outcome, call.history = (
+            0,
+            "",
+            self.gateway.request_history(call, request),
+        )
+        call.connections = [ENDED_CONNECTION if index < 0 else lines[index] for index in state.connections]
         if state.is_open:
             client.open[call.tag] = call
-            self.gateway.front.names[call.name] = call
+            self.gateway.front.requests_by_name[call.name] = call
         else:
             request.finished = True
         self.gateway.open_requests[request] = call
         return call
 
-    def _restore_attempt(self, state: messages.AttemptState, calls: list[Call], lines: list[Line]) -> None:
+    def _restore_attempt(
+        self, state: messages.AttemptState, calls: list[ClientRequest], lines: list[UpstreamConnection]
+    ) -> None:
         """Restore an attempt or a health check, and the timers that wait for it."""
         gateway = self.gateway
         call = None if state.request is None else calls[state.request]
         sent = self._make_attempt(state, call)
         if call:
-            call.sent = sent
+            call.attempt = sent
             if call.request.send_by:
                 gateway.call_at(call.request.send_by, gateway.send_deadline_passed, call)
         if state.pending_end:
             end, due_at = state.pending_end
-            gateway.call_at(due_at, gateway.attempt_ended, sent, End[end])
+            gateway.call_at(due_at, gateway.attempt_ended, sent, CloseReason[end])
             return
         if state.connection is None:
             self.unsent_attempts.append(sent)
@@ -225,31 +241,31 @@
         if state.deadline is not None:
             gateway.call_at(state.deadline, gateway.attempt_timed_out, sent)
 
-    def _make_attempt(self, state: messages.AttemptState, call: Call | None) -> Sent:
+    def _make_attempt(self, state: messages.AttemptState, call: ClientRequest | None) -> Attempt:
         gateway = self.gateway
-        sent = Sent(
+        sent = Attempt(
             call,
             gateway.backends[state.backend],
             state.seq,
             state.name,
             state.data,
             state.sent_at,
-            made=gateway.to_monotonic(state.sent_at),
-            until=gateway.to_monotonic(state.deadline or call.request.deadline) if call else 0,
+            encoded_at=gateway.to_monotonic(state.sent_at),
+            deadline=gateway.to_monotonic(state.deadline or call.request.deadline) if call else 0,
             send_by=gateway.to_monotonic(call.request.send_by) if call else 0,
             window_over=gateway.idempotency_deadline(call.history) if call else 0,
         )
-        sent.place = state.stream_end
+        sent.position = state.stream_end
         return sent
 
     @staticmethod
-    def _put_on_connection(sent: Sent, line: Line) -> None:
+    def _put_on_connection(sent: Attempt, line: UpstreamConnection) -> None:
         """Restore an attempt as in flight on a connection, where some of it may have to be written yet."""
-        sent.conn = line
-        line.out[sent.name] = sent
+        sent.connection = line
+        line.in_flight[sent.name] = sent
         for waiting in line.backlog:
-            if waiting.place == sent.place:
-                waiting.begun = len(waiting.rest) < len(sent.data)
+            if waiting.position == sent.position:
+                waiting.started = len(waiting.unsent) < len(sent.data)
 
     # --- this process is the gateway ---
 
@@ -259,22 +275,22 @@
         gateway.record_pause(self.state.monotonic_time)
         for conn in self.connections:
             with conn.lock:
-                conn._write_on()
+                conn._start_writer()
             conn.start()
         if gateway.guard:
             gateway.guard.adopt_attempts(
-                call.sent
+                call.attempt
                 for call in gateway.open_requests.values()
-                if call.sent and call.sent not in self.unsent_attempts
+                if call.attempt and call.attempt not in self.unsent_attempts
             )
         for sent in self.unsent_attempts:
             self._send_again(sent)
 
-    def _send_again(self, sent: Sent) -> None:
+    def _send_again(self, sent: Attempt) -> None:
         gateway = self.gateway
         sent.at = gateway.time
         if sent.expired():
-            end: End | None = End.UNWRITTEN
+            end: CloseReason | None = CloseReason.UNWRITTEN
         elif gateway.guard:
             end = gateway.guard.dispatch(sent, sent.call.request.deadline)
         else:
--- a/lilacloft/store/gateway_store.py
+++ b/lilacloft/store/gateway_store.py
@@ -15,8 +15,8 @@
 
 from loguru import logger
 
-from lilacloft.net.back import Sent
-from lilacloft.net.conn import OUTCOMES, End
+from lilacloft.net.attempt import Attempt
+from lilacloft.net.close_reasons import OUTCOMES, CloseReason
 from lilacloft.routing.model import Backend, Idempotency, IdempotencyScope, Outcome, Request
 from lilacloft.routing.units import Ticks
 from lilacloft.store import durability_snapshot
@@ -57,7 +57,7 @@
 class PendingAttempt(NamedTuple):
     """An attempt that waits for its intent."""
 
-    sent: Sent
+    sent: Attempt
     deadline: Ticks
 
 
@@ -87,8 +87,8 @@
         self.background = BackgroundRecords(gateway, self.gate, self.write_record, self.purge_lifetime)
         self.endpoint_rows = recover_endpoint_rows(recovered)
         self.pending: dict[str, PendingAttempt] = {}  # by token
-        self.tokens: dict[Sent, str] = {}
-        self.withdrawn: list[Sent] = []  # were pending when the gateway was quiesced
+        self.tokens: dict[Attempt, str] = {}
+        self.withdrawn: list[Attempt] = []  # were pending when the gateway was quiesced
         self.transferred: list[tuple[str, bytes]] = []  # tokens and keys of dispatches that were handed over
         self.relayed_tickets: dict[int, int] = {}  # tickets of the process before, by ours
         self.report_relayed: Callable[[int], None] | None = None  # tells it which of them are durable
@@ -173,14 +173,14 @@
         withdrawn, self.withdrawn = self.withdrawn, []
         for sent in withdrawn:
             if sent.call.client in self.gateway.front.clients:
-                self.gateway.report_end(sent, End.UNWRITTEN)
+                self.gateway.report_end(sent, CloseReason.UNWRITTEN)
 
     def resume(self, other_may_have_written: bool) -> None:
         """Go on as the gateway after a handover that failed."""
         self.relay = None
         withdrawn, self.withdrawn = self.withdrawn, []
         for sent in withdrawn:
-            self.gateway.report_end(sent, End.UNWRITTEN)
+            self.gateway.report_end(sent, CloseReason.UNWRITTEN)
         transferred, self.transferred = self.transferred, []
         if other_may_have_written:
             self.gate.dispatches_lost(transferred)
@@ -194,7 +194,7 @@
         self.store.catch_up()
         self.gateway.post(self.gate.merge_intents, self._recover_state().intents)
 
-    def adopt_attempts(self, attempts: Iterable[Sent]) -> None:
+    def adopt_attempts(self, attempts: Iterable[Attempt]) -> None:
         """Take over the attempts in flight on connections that were handed over.
 
         If the process before had no store, they are stored from now on. A handed-over dispatch without an
@@ -241,7 +241,7 @@
             request.first_executed_at = intent.sent_at
             request.first_executed_by = Backend(EARLIER_PROCESS, zone=-1, cell=intent.cell)
 
-    def dispatch(self, sent: Sent, deadline: Ticks) -> End | None:
+    def dispatch(self, sent: Attempt, deadline: Ticks) -> CloseReason | None:
         """Send an attempt, or delay it until its intent is durable; returns how it ended if it did at once.
 
         `deadline` is when it times out. A pending attempt is dropped early enough for its answer to go out.
@@ -263,9 +263,9 @@
             self.gateway.call_at(self.gateway.time + (self.gate.next_expiry() or 0), self.gate.expire_pending)
             return None
         self.note_earlier_execution(sent.call, sent.call.request)  # may be known only since its arrival
-        return End.UNWRITTEN
+        return CloseReason.UNWRITTEN
 
-    def withdraw(self, sent: Sent) -> bool:
+    def withdraw(self, sent: Attempt) -> bool:
         """Drop an attempt if it is pending; returns whether it was."""
         token = self.tokens.get(sent, "")
         if self.pending.pop(token, None) is None:
@@ -273,7 +273,7 @@
         self.gate.withdraw(token)
         return True
 
-    def attempt_ended(self, sent: Sent, end: End) -> None:
+    def attempt_ended(self, sent: Attempt, end: CloseReason) -> None:
         """Take in the end of an attempt."""
         token = self.tokens.pop(sent, None)
         if token is not None and self.pending.pop(token, None) is None:
@@ -292,7 +292,7 @@
         self.gate.events_applied(EventNumbers(number, self.endpoint_rows.complete_from))
 
     @staticmethod
-    def _token(sent: Sent) -> str:
+    def _token(sent: Attempt) -> str:
         return f"{sent.call.name} {sent.seq}"
 
     @staticmethod
@@ -327,9 +327,9 @@
         """Send a pending attempt, unless it is obsolete by now."""
         sent, deadline = self.pending.pop(token)
         request = sent.call.request
-        obsolete = sent.call.sent is not sent or request.finished or self.gateway.time >= deadline
+        obsolete = sent.call.attempt is not sent or request.finished or self.gateway.time >= deadline
         if obsolete or sent.expired():
-            return self.gateway.report_end(sent, End.UNWRITTEN)
+            return self.gateway.report_end(sent, CloseReason.UNWRITTEN)
         sent.at = self.gateway.time  # the wait for the disk does not count as the backend's
         # the event loop drops the timers of attempts without a connection: this one's may be gone
         self.gateway.call_at(deadline, self.gateway.attempt_timed_out, sent)
@@ -343,4 +343,4 @@
         sent = self.pending.pop(token).sent
         # an earlier execution may have become known meanwhile; without it the client would hear of none
         self.note_earlier_execution(sent.call, sent.call.request)
-        self.gateway.report_end(sent, End.UNWRITTEN)
+        self.gateway.report_end(sent, CloseReason.UNWRITTEN)
--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -12,7 +12,7 @@
 from lilacloft.handover.quiesce import Quiescer
 from lilacloft.handover.state_export import export_gateway
 from lilacloft.handover.state_restore import GatewayRestorer
-from lilacloft.net.conn import End
+from lilacloft.net.close_reasons import CloseReason
 from rigs.stands import World
 
 
@@ -100,9 +100,9 @@
         self.owner.post(self.owner.end)
         self.thread.join(5)
         self.owner.feed.move(("127.0.0.1", 1))  # its thread lives on, and its port is another test's soon
-        for client in [*self.owner.front.clients, *self.owner.front.parting]:
-            client.close(End.RETIRED)
-        self.owner.front.shut_door()
+        for client in [*self.owner.front.clients, *self.owner.front.draining]:
+            client.close(CloseReason.RETIRED)
+        self.owner.front.stop_accepting()
         self.owner.front.sock.close()
         for stand in [*self.caches, self.parent, self.origin, self.log]:
             stand.break_off()
@@ -126,5 +126,5 @@
     finally:
         world.does(quiescer.resume_all)
         for conn in restorer.connections:
-            conn.close(End.RETIRED)
+            conn.close(CloseReason.RETIRED)
         successor.front.sock.close()
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -20,14 +20,18 @@
 from lilacloft.gateway import lifecycle
 from lilacloft.gateway.gateway import Gateway
 from lilacloft.gateway.lifecycle import Phase
-from lilacloft.net import conn as conns
-from lilacloft.net import discovery_watch
-from lilacloft.net import front as fronts
-from lilacloft.net.back import Back, Line, Sent
-from lilacloft.net.conn import Conn, End, State
+from lilacloft.net import connection as connections
+from lilacloft.net import discovery_watch, downstream
+from lilacloft.net.attempt import Attempt
+from lilacloft.net.client_connection import ClientConnection
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.connection import Connection
+from lilacloft.net.connection_state import ConnectionState
 from lilacloft.net.discovery_watch import DiscoveryWatch
-from lilacloft.net.front import Client, Front
+from lilacloft.net.downstream import Downstream
 from lilacloft.net.resp import encode
+from lilacloft.net.upstream import Upstream, UpstreamCallbacks
+from lilacloft.net.upstream_pool import UpstreamConnection
 from lilacloft.routing.model import Backend
 from lilacloft.settings import settings
 from rigs.inprocess import InProcessWorld, closes, forgets, halves, limits, resets, until, waits_for
@@ -43,7 +47,7 @@
 def waiting(world):
     """The dispatch that waits for its connection to come up."""
     (call,) = world.does(lambda: list(world.owner.open_requests.values()))
-    return call.sent
+    return call.attempt
 
 
 @pytest.mark.parametrize("drains", ["cache", "source"])
@@ -119,19 +123,19 @@
 
 def test_a_req_that_crosses_our_close_is_never_half_taken(in_process, monkeypatch):
     """Read after the close: not sent on, and its name is free for the try that comes again elsewhere."""
-    world, admit = in_process(silent), Client.admit
+    world, admit = in_process(silent), ClientConnection.accept_request
 
     def crossed(self, call):
-        assert self.front._let_go(self)
+        assert self.downstream._close_if_idle(self)
         return admit(self, call)
 
     asker = world.asker()
     asker.send(b"ALIVE", b"1", b"")
     assert asker.answer() == [b"1", b"serving"]
-    monkeypatch.setattr(Client, "admit", crossed)
+    monkeypatch.setattr(ClientConnection, "accept_request", crossed)
     asker.ask(ref="9b1f03aa5c7e2d41")
     assert asker.answer() is None
-    monkeypatch.setattr(Client, "admit", admit)
+    monkeypatch.setattr(ClientConnection, "accept_request", admit)
     again = world.asker()
     again.ask(key=2, ref="9b1f03aa5c7e2d41")
     assert world.caches[0].next()[2][2].find(b"thing=%016x" % 2) > 0
@@ -173,13 +177,18 @@
 
 
 def test_an_idle_connection_is_closed_before_the_cache_would_also_after_a_long_connect_time_out(in_process):
-    assert in_process(silent, changes=LONG).owner.back.idle <= 10_000 / 2
+    assert in_process(silent, changes=LONG).owner.back.idle_timeout <= 10_000 / 2
 
 
 @pytest.mark.parametrize("how", [socket.SHUT_WR, socket.SHUT_RDWR])
 def test_a_connection_with_something_unread_or_open_is_not_closed_as_idle(in_process, monkeypatch, how):
     """A close over unread bytes is a reset, and a req in the kernel's buffer would be lost with it."""
-    world, takes, go, in_it = in_process(serves(b"ok")), Front.takes, threading.Event(), threading.Event()
+    world, takes, go, in_it = (
+        in_process(serves(b"ok")),
+        Downstream.handle_message,
+        threading.Event(),
+        threading.Event(),
+    )
 
     def held(self, client, items):
         if items[0] == b"ALIVE":
@@ -187,17 +196,17 @@
             assert go.wait(5)
         takes(self, client, items)
 
-    monkeypatch.setattr(Front, "takes", held)
+    monkeypatch.setattr(Downstream, "handle_message", held)
     asker = world.asker()
     asker.send(b"ALIVE", b"99", b"")
     assert in_it.wait(5)
     client = next(iter(world.owner.front.clients))
     tag = asker.ask()
     until(lambda: unread(client))
-    assert not world.owner.front._let_go(client, how)
+    assert not world.owner.front._close_if_idle(client, how)
     go.set()
     assert asker.answer() == [b"99", b"serving"] and asker.answer() == [tag, b"200", b"", b"ok"]
-    until(lambda: world.owner.front._let_go(client, how))
+    until(lambda: world.owner.front._close_if_idle(client, how))
     assert asker.answer() is None
     asker.sock.close()
     world.rests(but=("checks",))
@@ -214,13 +223,13 @@
     until(lambda: client.settled == 8)
     asker.sock.sendall(b"*5\r\n$4\r\nEX")
     until(lambda: client.buffer.has_partial())
-    assert client.waits() > 0
-    client.begun -= 60  # seconds ago
+    assert client.unsent_bytes() > 0
+    client.message_started_at -= 60  # seconds ago
     world.does(world.owner.run_maintenance)
     answers = [asker.answer() for _ in tags]
     assert {answer[0] for answer in answers} == set(tags)
     assert all(answer[1] == b"200" and len(answer[3]) == 240_000 for answer in answers)
-    until(lambda: not client.waits())
+    until(lambda: not client.unsent_bytes())
     world.does(world.owner.run_maintenance)
     assert asker.answer() is None, "in order, once all has gone out"
     asker.sock.close()
@@ -252,25 +261,26 @@
     asker.ask()
     assert asker.answer()[1] == b"200"
     client = next(iter(world.owner.front.clients))
-    assert world.owner.front._let_go(client) and asker.answer() is None
-    until(lambda: client.state is State.CLOSED)
+    assert world.owner.front._close_if_idle(client) and asker.answer() is None
+    until(lambda: client.state is ConnectionState.CLOSED)
     world.rests(but=("checks",))
     asker.sock.close()
 
 
 def test_no_small_write_is_ever_held_back(in_process, monkeypatch):
     """Each first byte, to clients and caches, goes out with TCP_NODELAY set."""
-    plain, sends = [], Conn._try
+    plain, sends = [], Connection._send_now
 
     def seen(self, rest, place):
         plain.append((type(self), self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)))
         return sends(self, rest, place)
 
-    monkeypatch.setattr(Conn, "_try", seen)
+    monkeypatch.setattr(Connection, "_send_now", seen)
     asker = in_process(serves(b"ok")).asker()
     asker.ask()
     assert asker.answer()[1] == b"200"
-    assert {kind for kind, _ in plain} == {Client, Line} and all(set_ for _, set_ in plain)
+    assert {kind for kind, _ in plain} == {ClientConnection, UpstreamConnection}
+    assert all(set_ for _, set_ in plain)
 
 
 # --- the end of the process ---
@@ -295,7 +305,7 @@
 
 def test_what_was_not_read_when_clients_come_no_more_is_read_and_answered(in_process, monkeypatch, soon):
     """A whole req in the kernel's buffer, which its reading thread has not come to."""
-    world, takes = in_process(serves(b"ok"), changes=patient), Front.takes
+    world, takes = in_process(serves(b"ok"), changes=patient), Downstream.handle_message
     go, in_it = threading.Event(), threading.Event()
 
     def held(self, client, items):
@@ -304,7 +314,7 @@
             assert go.wait(5)
         takes(self, client, items)
 
-    monkeypatch.setattr(Front, "takes", held)
+    monkeypatch.setattr(Downstream, "handle_message", held)
     asker = world.asker()
     asker.send(b"ALIVE", b"99", b"")
     assert in_it.wait(5)
@@ -323,7 +333,7 @@
 
 def test_who_waits_at_the_door_when_the_process_is_told_to_end_is_let_in(in_process, monkeypatch, soon):
     """A connection in the accept queue, with its req behind it."""
-    world, take = in_process(serves(b"ok"), changes=patient), Front._take
+    world, take = in_process(serves(b"ok"), changes=patient), Downstream._accept_client
     go, in_it = threading.Event(), threading.Event()
 
     def held(self, sock):
@@ -331,7 +341,7 @@
         assert go.wait(5)
         take(self, sock)
 
-    monkeypatch.setattr(Front, "_take", held)
+    monkeypatch.setattr(Downstream, "_accept_client", held)
     world.asker().sock.close()  # the accepting thread waits with the function that it had before
     first = world.asker()
     assert in_it.wait(5)
@@ -469,35 +479,36 @@
     never went out passed for one that may have run, and was not sent again where it safely may be."""
     events, server = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0))
     ends, config = {}, settings(ENV)
-    back = Back(
+    callbacks = UpstreamCallbacks(
         lambda *event: events.put(event),
         lambda: 0,
         lambda sent, end, *_: ends.update({sent.name: end}),
         lambda sent, end, sure: ends.update({sent.name: end}),
-        config,
-        2,
     )
+    back = Upstream(callbacks, config, 2)
     backend = Backend("s-1", status=1)
-    back.place(backend, server.getsockname())
-    out = [Sent(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)]
+    back.add_backend(backend, server.getsockname())
+    out = [
+        Attempt(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)
+    ]
     assert not any(back.dispatch(sent) for sent in out)
     peers = [server.accept()[0] for _ in range(2)]
-    line = out[0].conn
-    mine = [sent for sent in out if sent.conn is line]
+    line = out[0].connection
+    mine = [sent for sent in out if sent.connection is line]
     until(lambda: line.writing)
-    waiting = [sent for sent in mine if not line.went(sent.place)]
+    waiting = [sent for sent in mine if not line.has_sent(sent.position)]
     assert len(waiting) > 4
     for sent in waiting[3:]:
-        assert back.take_back(sent)
-    assert line.waits() > 0
+        assert back.withdraw(sent)
+    assert line.unsent_bytes() > 0
     for peer in peers:
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
     for _ in peers:
         what, *told = events.get(timeout=5)
         what(*told)
-    assert {ends[sent.name] for sent in waiting[:3]} == {End.UNWRITTEN}
-    assert ends[mine[0].name] is End.RESET
+    assert {ends[sent.name] for sent in waiting[:3]} == {CloseReason.UNWRITTEN}
+    assert ends[mine[0].name] is CloseReason.RESET
     server.close()
 
 
@@ -632,7 +643,7 @@
     tag = asker.ask(key=1)
     place = next(number for number, cache in enumerate(world.caches, 1) if waits_for(cache))
     sent = waiting(world)
-    line, many, go = sent.conn, world.owner.queue.qsize(), world.stall()
+    line, many, go = sent.connection, world.owner.queue.qsize(), world.stall()
     world.log.add(2, 2, record(place, world.caches[place - 1].port, state=2))
     until(lambda: world.owner.feed.last == 2)
     sock = world.caches[place - 1].socks[0]
@@ -640,7 +651,7 @@
     until(lambda: world.owner.queue.qsize() >= many + 2)
     go.set()
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
-    until(lambda: line.state is State.CLOSED)
+    until(lambda: line.state is ConnectionState.CLOSED)
     other = asker.ask(key=1)
     _, sock, items = world.caches[2 - place].next()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"more"))
@@ -656,11 +667,11 @@
     asker = world.asker()
     tag = asker.ask(key=1)
     _, sock, items = world.caches[0].next()
-    line, go = waiting(world).conn, world.stall()
+    line, go = waiting(world).connection, world.stall()
     told = encode(items[1], b"data", b"remark=TCP_HIT", b"bytes")
     sock.sendall(told if whole else told[:-4])
     sock.shutdown(socket.SHUT_RDWR)
-    until(lambda: line.state is State.CLOSED)
+    until(lambda: line.state is ConnectionState.CLOSED)
     go.set()
     if not whole:
         _, sock, items = world.caches[0].next()
@@ -696,9 +707,9 @@
     begun = time.monotonic()
     tag = asker.ask(key=1, allow=600)
     world.caches[0].next()
-    first = waiting(world).conn
+    first = waiting(world).connection
     assert asker.answer()[:2] == [tag, b"503"] and time.monotonic() - begun < 0.65
-    until(lambda: first.state is State.CLOSED)
+    until(lambda: first.state is ConnectionState.CLOSED)
     over.set()
     world.rests()
     asker.send(b"ALIVE", b"9", b"")
@@ -842,7 +853,7 @@
     go = world.stall()
     lies = crossing.ask(key=3)
     until(lambda: reader.open)  # taken, and the owner has not come to it
-    world.owner.front.most = 3
+    world.owner.front.max_clients = 3
     newcomer = world.asker()
     assert answered.answer() == [tag, b"200", b"", CLIP] and answered.answer() is None, "whole, then the end"
     go.set()
@@ -860,7 +871,7 @@
 
 def test_no_thread_and_no_descriptor_for_one_connection_ends_that_one_alone(in_process, monkeypatch):
     """A client is closed unserved, a cache's connection is not made; both pass, and nothing stays held."""
-    world, start, refused = in_process(serves(b"ok")), Conn.start, []
+    world, start, refused = in_process(serves(b"ok")), Connection.start, []
 
     def starts(self):
         if not refused:
@@ -868,19 +879,19 @@
             raise RuntimeError("can't start new thread")
         start(self)
 
-    monkeypatch.setattr(Conn, "start", starts)
+    monkeypatch.setattr(Connection, "start", starts)
     first = world.asker()
-    assert first.answer() is None and refused == [Client]
+    assert first.answer() is None and refused == [ClientConnection]
     refused.clear()
     refused_line = []
 
     def no_line(self):
-        if type(self) is Line and not refused_line:
+        if type(self) is UpstreamConnection and not refused_line:
             refused_line.append(self)
             raise RuntimeError("can't start new thread")
         start(self)
 
-    monkeypatch.setattr(Conn, "start", no_line)
+    monkeypatch.setattr(Connection, "start", no_line)
     other = world.asker()
     tag = other.ask()
     told = other.answer()
@@ -965,18 +976,18 @@
 
 def test_whom_we_told_our_end_count_among_the_clients_that_descriptors_are_there_for(in_process, monkeypatch):
     """They keep theirs until they close as well, and may not: the longest ago are cut off for who comes."""
-    monkeypatch.setattr(fronts, "PARTING", 60.0)
-    monkeypatch.setattr(conns, "PARTING", 60.0)
+    monkeypatch.setattr(downstream, "DRAIN_TIME", 60.0)
+    monkeypatch.setattr(connections, "DRAIN_TIME", 60.0)
     world = in_process(serves(b"ok"))
     front = world.owner.front
-    front.most = 4
+    front.max_clients = 4
     held = []
     for number in range(12):
         asker = world.asker()
         tag = asker.ask(key=number)
         assert asker.answer() == [tag, b"200", b"", b"ok"]
         held.append(asker)  # it rests, and does not close when it is told our end
-        assert len(front.clients) + len(front.parting) <= 4 + 1
+        assert len(front.clients) + len(front.draining) <= 4 + 1
     assert all(asker.answer() is None for asker in held[:8])
     asker = held[-1]
     tag = asker.ask(key=99)
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -11,7 +11,7 @@
 from lilacloft import serving
 from lilacloft.errors import UnusableError
 from lilacloft.gateway.lifecycle import Phase
-from lilacloft.net import front
+from lilacloft.net import downstream
 from lilacloft.net.resp import encode
 from lilacloft.routing.model import RejectReason
 from rigs.failing import BROKEN, Failures, put_under
@@ -61,7 +61,7 @@
 
     for error in BROKEN:
         world = in_process(silent, changes=changes)
-        world.owner.back.share = lambda: 1
+        world.owner.back.connections_per_pool = lambda: 1
         asker = world.asker()
         asker.ask(key=1, allow=3000)
         _, sock, items = world.caches[0].next()
@@ -152,7 +152,7 @@
     world.caches[0].next()
     failing.next("thread that writes", *[errno.EAGAIN] * 2)
     tags = [b"1"] + [asker.ask(key=key) for key in range(2, 9)]
-    until(lambda: client.waits() and not failing.due["thread that writes"])
+    until(lambda: client.unsent_bytes() and not failing.due["thread that writes"])
     answers = [asker.answer() for _ in tags]
     assert sorted(answer[0] for answer in answers) == sorted(tags)
     assert all(answer[1] == b"200" and answer[3] == body for answer in answers)
@@ -194,7 +194,7 @@
         tag = asker.ask()
         assert asker.answer() == [tag, b"200", b"", b"ok"]
         asker.sock.close()
-    until(lambda: not world.owner.front.holding)
+    until(lambda: not world.owner.front.unclosed)
     assert not failing.due["close"]
     world.rests(but=("checks",))
 
@@ -223,7 +223,7 @@
             raise OSError(errors.pop(), "socket fails on purpose")
         return made(*told, **more)
 
-    monkeypatch.setattr(front, "socket", SimpleNamespace(**{**vars(socket), "socket": fails}))
+    monkeypatch.setattr(downstream, "socket", SimpleNamespace(**{**vars(socket), "socket": fails}))
     world = in_process(serves(b"ok"))
     asker = world.asker()
     tag = asker.ask()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -15,10 +15,13 @@
 from lilacloft.__main__ import main
 from lilacloft.gateway.answers import AnswerKind
 from lilacloft.gateway.gateway import Gateway
-from lilacloft.net.back import Back, Reply, Sent
-from lilacloft.net.conn import End
-from lilacloft.net.front import STREAMS, Client, Front
+from lilacloft.net.attempt import Attempt
+from lilacloft.net.client_connection import ClientConnection
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.downstream import MAX_OPEN_REQUESTS, Downstream, DownstreamLimits, ListenEndpoint
 from lilacloft.net.resp import MessageBuffer, parse_fields
+from lilacloft.net.upstream import Upstream, UpstreamCallbacks
+from lilacloft.net.upstream_answers import Reply
 from lilacloft.routing.model import Backend, Request
 from lilacloft.settings import settings
 from rigs.stands import ENV, Asker, Log, Stand, World, encode, made, record, serves
@@ -195,7 +198,7 @@
         lambda asker: asker.sock.sendall(b"GET / HTTP/1.1\r\n"),
         lambda asker: asker.send(b"EXEC", b"-1", b"clip"),
         tag_again,
-        lambda asker: [asker.send(b"EXEC", b"9", b"nothing", b"-") for _ in range(STREAMS)],
+        lambda asker: [asker.send(b"EXEC", b"9", b"nothing", b"-") for _ in range(MAX_OPEN_REQUESTS)],
     ],
 )
 def test_a_client_that_writes_nonsense_gets_what_it_has_open_given_up_and_its_end(world, offends):
@@ -235,16 +238,22 @@
         paused_since=lambda: None,
     )
     posted, config = [], settings(ENV)
-    front = Front(lambda *event: posted.append(event[0]), owner, ("127.0.0.1", 0), config["vhosts"], 9, 1e6)
+    front = Downstream(
+        lambda *event: posted.append(event[0]),
+        owner,
+        config["vhosts"],
+        DownstreamLimits(9, 1e6),
+        ListenEndpoint(("127.0.0.1", 0)),
+    )
     here, there = socket.socketpair()
-    client = Client(front, here)
+    client = ClientConnection(front, here)
     told = b"ref=%016x,allow=1500,lookup=%016x,nth=0,batch=7,room=4"
-    for tag in range(1, 4 * STREAMS):
-        front.takes(client, [b"EXEC", b"%d" % tag, b"clip", told % (tag, tag), b""])
-        if tag >= STREAMS:
-            front.takes(client, [b"EXEC", b"9999", b"clip", told % (9999, 9999), b""])
-            front.takes(client, [b"FORGET", b"%d" % (tag - STREAMS + 1)])
-    assert posted.count("arrived") == 4 * STREAMS - 1 and len(client.open) == STREAMS - 1
+    for tag in range(1, 4 * MAX_OPEN_REQUESTS):
+        front.handle_message(client, [b"EXEC", b"%d" % tag, b"clip", told % (tag, tag), b""])
+        if tag >= MAX_OPEN_REQUESTS:
+            front.handle_message(client, [b"EXEC", b"9999", b"clip", told % (9999, 9999), b""])
+            front.handle_message(client, [b"FORGET", b"%d" % (tag - MAX_OPEN_REQUESTS + 1)])
+    assert posted.count("arrived") == 4 * MAX_OPEN_REQUESTS - 1 and len(client.open) == MAX_OPEN_REQUESTS - 1
     buffer, words = MessageBuffer(), set()
     buffer.read_from(there)
     while items := buffer.next_message():
@@ -259,9 +268,9 @@
     """Who has closed its half would lose the answer between its taking off and its writing."""
     owner, told = Gateway({**world().config, "listen": "127.0.0.1:0"}), []
     here, there = socket.socketpair()
-    client = Client(owner.front, here)
+    client = ClientConnection(owner.front, here)
     monkeypatch.setattr(owner.front, "answer", lambda *_: told.append(client.taken - client.settled))
-    owner.front.takes(
+    owner.front.handle_message(
         client, [b"EXEC", b"1", b"clip", b"ref=%016x,allow=9,lookup=%016x,nth=0,batch=7,room=4" % (1, 1), b""]
     )
     call = client.open[b"1"]
@@ -338,26 +347,28 @@
     events, server = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0))
     config = settings(ENV)
     note = lambda *told: ends.append(told[:2])  # noqa: E731
-    back = Back(lambda *event: events.put(event), lambda: 0, note, note, config, 2)
+    back = Upstream(UpstreamCallbacks(lambda *event: events.put(event), lambda: 0, note, note), config, 2)
     backend, ends = Backend("s-1", status=1), []
-    back.place(backend, server.getsockname())
-    out = [Sent(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)]
+    back.add_backend(backend, server.getsockname())
+    out = [
+        Attempt(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)
+    ]
     assert not any(back.dispatch(sent) for sent in out)
-    line = out[0].conn
-    out = [sent for sent in out if sent.conn is line]
+    line = out[0].connection
+    out = [sent for sent in out if sent.connection is line]
     peer, _ = server.accept()
     until = time.monotonic() + 5
     while not line.writing and time.monotonic() < until:
         time.sleep(0.005)
-    back.give_up(out[-1])
-    assert line.end is None, "what has not begun to go out is taken back"
-    out[0].call = out[1].call = types.SimpleNamespace(lines=[])
-    back.give_up(out[0])
-    assert line.end is End.CHOKED
+    back.cancel(out[-1])
+    assert line.close_reason is None, "what has not begun to go out is taken back"
+    out[0].call = out[1].call = types.SimpleNamespace(connections=[])
+    back.cancel(out[0])
+    assert line.close_reason is CloseReason.CHOKED
     what, *told = events.get(timeout=5)
     what(*told)
-    assert [end for sent, end in ends if sent is out[1]][0] in (End.CHOKED, End.UNWRITTEN)
-    assert ends[-1] == (out[-2], End.UNWRITTEN) and len(ends) == 28
+    assert [end for sent, end in ends if sent is out[1]][0] in (CloseReason.CHOKED, CloseReason.UNWRITTEN)
+    assert ends[-1] == (out[-2], CloseReason.UNWRITTEN) and len(ends) == 28
     peer.close()
     server.close()
 
@@ -385,26 +396,28 @@
     events, server, time_now = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0)), [0]
     told, config, backend = [], settings(ENV), Backend("s-1", status=1)
     post, now = (lambda *event: events.put(event)), (lambda: time_now[0])
-    back = Back(post, now, print, lambda *what: told.append(what), config, 2)
+    back = Upstream(UpstreamCallbacks(post, now, print, lambda *what: told.append(what)), config, 2)
     slack, patience = config["rules"]["answer_slack"], config["limits"]["connect_timeout"]
-    back.place(backend, server.getsockname())
-    call = types.SimpleNamespace(lines=[], departed=lambda: None)
-    first, second, third = (Sent(call, backend, 0, b"%d" % n, encode(b"do", b"%d" % n), 0) for n in range(3))
+    back.add_backend(backend, server.getsockname())
+    call = types.SimpleNamespace(connections=[], departed=lambda: None)
+    first, second, third = (
+        Attempt(call, backend, 0, b"%d" % n, encode(b"do", b"%d" % n), 0) for n in range(3)
+    )
     back.dispatch(first)
     peer, _ = server.accept()
     peer.recv(100)
-    assert back.give_up(first) == patience, "it has brought nothing yet"
-    call.lines.clear()
+    assert back.cancel(first) == patience, "it has brought nothing yet"
+    call.connections.clear()
     back.dispatch(second)
-    line = second.conn
-    line.heard, time_now[0] = 1, 50
-    assert back.give_up(second) == 50 + slack
-    call.lines.clear()
+    line = second.connection
+    line.last_read_at, time_now[0] = 1, 50
+    assert back.cancel(second) == 50 + slack
+    call.connections.clear()
     back.dispatch(third)
-    third.conn.close(End.GARBLED)
+    third.connection.close(CloseReason.GARBLED)
     what, *args = events.get(timeout=5)
     what(*args)
-    assert told == [(third, End.GARBLED, 50 + slack)]
+    assert told == [(third, CloseReason.GARBLED, 50 + slack)]
     peer.close()
     server.close()
 
@@ -568,11 +581,11 @@
     call = types.SimpleNamespace(
         request=types.SimpleNamespace(finished=True), tag=b"1", client=None, name="1", history=None
     )
-    monkeypatch.setattr(owner.front, "close", lambda _: False)
+    monkeypatch.setattr(owner.front, "close_request", lambda _: False)
     owner.update_clock()
-    sent = Sent(call, backend, 0, b"1", b"", owner.time - 3000)
-    owner.attempt_ended(sent, End.DATA, Reply(note=1, read_at=owner.monotonic_time - 2000))
-    owner.attempt_ended(sent, End.TIME_UP)
+    sent = Attempt(call, backend, 0, b"1", b"", owner.time - 3000)
+    owner.attempt_ended(sent, CloseReason.DATA, Reply(note=1, read_at=owner.monotonic_time - 2000))
+    owner.attempt_ended(sent, CloseReason.TIME_UP)
     assert told == [1000, 3000]
     seen = []
     owner.run_callback(lambda: 1 // 0, ())
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -9,9 +9,10 @@
 import pytest
 
 from lilacloft.gateway.lifecycle import Phase
-from lilacloft.net import conn
-from lilacloft.net.conn import End, polled
-from lilacloft.net.front import Front
+from lilacloft.net import connection
+from lilacloft.net.close_reasons import CloseReason
+from lilacloft.net.downstream import Downstream
+from lilacloft.net.polling import poll_events
 from lilacloft.net.resp import CLIENT_MESSAGE_SIZES, MessageBuffer, encode, encode_fields
 from lilacloft.settings import NS
 from rigs.inprocess import forgets, limits, until, waits_for
@@ -28,7 +29,7 @@
     def __init__(self, monkeypatch, when):
         self.go, self.at, self.when = threading.Event(), threading.Event(), when
         self.go.set()
-        read_from, takes = MessageBuffer.read_from, Front.takes
+        read_from, takes = MessageBuffer.read_from, Downstream.handle_message
         of_client = CLIENT_MESSAGE_SIZES[-1]
         monkeypatch.setattr(
             MessageBuffer,
@@ -43,7 +44,7 @@
             takes(front, *told)
             self.stops("taken")
 
-        monkeypatch.setattr(Front, "takes", held_takes)
+        monkeypatch.setattr(Downstream, "handle_message", held_takes)
 
     def stops(self, when):
         if when == self.when and not self.go.is_set():
@@ -61,7 +62,7 @@
         self.sock, self.reader = sock, reader
 
     def recv_into(self, view):
-        polled(self.sock, select.POLLIN, None)
+        poll_events(self.sock, select.POLLIN, None)
         self.reader.stops("unread")
         count = self.sock.recv_into(view)
         self.reader.stops("read")
@@ -82,7 +83,7 @@
 
 
 def swept(front):
-    front.sweep(10.0, 1 << 30, 0.5)
+    front.close_stalled(10.0, 1 << 30, 0.5)
 
 
 def crossed(world, reader, way, begins, rest):
@@ -98,7 +99,7 @@
 
     def closes():
         client.used -= 10
-        client.begun -= 10
+        client.message_started_at -= 10
         way(world.owner.front)
 
     world.does(closes)
@@ -123,7 +124,7 @@
 @pytest.mark.parametrize("when", ["unread", "read", "parsed"])
 def test_what_a_reader_has_in_hand_is_answered(in_process, reader, when):
     world, reader.when = in_process(serves()), when
-    for way in (swept, Front._make_room, Front.part_all):
+    for way in (swept, Downstream._make_room, Downstream.close_idle):
         assert crossed(world, reader, way, asks, REQUEST) == [b"99", b"200"], way
     world.rests()
 
@@ -145,15 +146,15 @@
     until(client.buffer.has_partial)
 
     def closes():
-        client.begun -= 10
-        world.owner.front.sweep(10.0, 1 << 30, 0.5)
+        client.message_started_at -= 10
+        world.owner.front.close_stalled(10.0, 1 << 30, 0.5)
 
     world.does(closes)
     assert ends(asker)
 
 
 def test_urgent_data_which_no_reader_is_given_keeps_no_idle_connection(in_process, monkeypatch):
-    monkeypatch.setattr(conn, "IN_HAND", 0.1)
+    monkeypatch.setattr(connection, "READER_WAKEUP_TIME", 0.1)
     world = in_process(serves())
     asker = world.asker()
     asks(asker)
@@ -224,7 +225,7 @@
     asker.sock.sendall(REQUEST)
     assert reader.at.wait(5)
     time.sleep(waits)
-    client.part(End.RETIRED)
+    client.half_close(CloseReason.RETIRED)
     reader.go.set()
     until(lambda: world.owner.front.counts["crossed"] == 1)
     assert world.owner.invariants.violations()["unanswered"] == lost
@@ -237,7 +238,7 @@
     world = in_process(silent)
     asker = world.asker()
     client = only_client(world)
-    client.last_byte = lambda: time.monotonic_ns() // NS - 800
+    client.last_byte_at = lambda: time.monotonic_ns() // NS - 800
     reader.when = "taken"
     reader.hold()
     asker.ask(key=1)
--- a/tests/test_state_transfer.py
+++ b/tests/test_state_transfer.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lilacloft.handover import framing, messages
-from lilacloft.net.conn import Conn
+from lilacloft.net.connection import Connection
 from lilacloft.routing import snapshot
 from lilacloft.routing.concurrency import AdaptiveLimit
 from lilacloft.routing.host import Endpoint
@@ -272,7 +272,7 @@
 
 def test_an_unsent_attempt_keeps_its_idempotency_window_after_a_handover(in_process, late, monkeypatch):
     """The check of its first byte needs it there as well, beside the module's own bound."""
-    monkeypatch.setattr(Conn, "movable", True)
+    monkeypatch.setattr(Connection, "movable", True)
     world = in_process(silent, changes=limits(connectTimeoutNs=10**10))
     waiting = world.asker()  # kept, else it closes at once
     waiting.ask(b"pay", replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -7,7 +7,7 @@
 import threading
 import time
 
-from lilacloft.net.front import Front
+from lilacloft.net.downstream import Downstream
 from lilacloft.net.resp import parse_fields
 from lilacloft.settings import NS
 from rigs.inprocess import forgets, limits, until
@@ -59,7 +59,7 @@
         settings["classes"][0]["promiseNs"] = 3 * 10**9  # so that nothing is called back meanwhile
 
     world = in_process(silent, changes=changes)
-    world.owner.back.share = lambda: 1
+    world.owner.back.connections_per_pool = lambda: 1
     asker = world.asker()
     asked = time.monotonic()
     tags = [asker.ask(key=key, allow=ALLOW) for key in range(1, 5)]
@@ -70,9 +70,11 @@
     dispatches = [world.caches[0].next() for _ in tags]
     for _, sock, items in dispatches:
         assert_in_time(items, asked)
-    (line,) = world.does(lambda: [line for pool in world.owner.back.pools.values() for line in pool.lines])
-    assert line.waits() == 0
-    assert line.went(line.queued)
+    (line,) = world.does(
+        lambda: [line for pool in world.owner.back.pools.values() for line in pool.connections]
+    )
+    assert line.unsent_bytes() == 0
+    assert line.has_sent(line.queued)
     asker.send(b"FORGET", tags[0])
     assert world.caches[0].next(b"undo")[2][1] in [items[1] for _, _, items in dispatches]
     forgets(asker)
@@ -82,11 +84,13 @@
 def test_behind_a_cache_that_did_not_read(in_process):
     """Its socket is full, and takes bytes again half a second later."""
     world = in_process(silent)
-    world.owner.back.share = lambda: 1
+    world.owner.back.connections_per_pool = lambda: 1
     first = world.asker()
     first.ask(allow=ALLOW)
     _, sock, items = world.caches[0].next()
-    (line,) = world.does(lambda: [line for pool in world.owner.back.pools.values() for line in pool.lines])
+    (line,) = world.does(
+        lambda: [line for pool in world.owner.back.pools.values() for line in pool.connections]
+    )
     line.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     with line.lock:  # as if the socket took nothing: what is sent now waits, until the thread that writes may
         line.writing = True
@@ -97,7 +101,7 @@
     time.sleep(0.5)
     with line.lock:
         line.writing = False
-        line._write_on()
+        line._start_writer()
     assert_in_time(world.caches[0].next()[2], asked)
     forgets(asker)
     forgets(first)
@@ -147,8 +151,8 @@
 
 def test_of_requests_at_a_door_whose_last_process_was_seen_to_end_late(in_process, monkeypatch):
     """The kernel knows since when their connection is up, whatever the supervisor says of the door."""
-    served, take = threading.Event(), Front._take
-    monkeypatch.setattr(Front, "_take", lambda self, sock: (served.wait(5), take(self, sock)))
+    served, take = threading.Event(), Downstream._accept_client
+    monkeypatch.setattr(Downstream, "_accept_client", lambda self, sock: (served.wait(5), take(self, sock)))
     world = in_process(serves())
     owner = world.owner
     asker = world.asker()
@@ -221,14 +225,14 @@
     client.buffer.append(b"*")  # more has come behind what was read
     stood = time.monotonic_ns() // NS - 2_000
     monkeypatch.setattr(world.owner, "paused_since", lambda: stood)
-    monkeypatch.setattr(client, "last_byte", lambda: stood + 1_900)
+    monkeypatch.setattr(client, "last_byte_at", lambda: stood + 1_900)
     for opened, since in (
         (stood - 50_000, stood),
         (stood - 1_500, stood - 1_500),
         (stood + 500, stood + 500),
     ):
-        client.opened = opened
+        client.connected_at = opened
         assert client.arrived_at() == since
-    client.opened, client.emptied = stood - 1_500, stood + 700
+    client.connected_at, client.emptied_at = stood - 1_500, stood + 700
     assert client.arrived_at() == stood + 700
     asker.sock.close()
