--- a/lilacloft/gateway/context.py
+++ b/lilacloft/gateway/context.py
@@ -46,6 +46,6 @@
         self.open_requests: dict[Request, Call] = {}  # also finished ones whose attempt is still out
         self.backends: dict[str, Backend] = {}  # by name
         self.guard: Any = None  # lilacloft.store.gateway_store.GatewayStore, if effects outlive a crash
-        self.recorder: Any = None  # lilacloft.record.writer.Recorder, if there are records
+        self.recorder: Any = None  # lilacloft.record.recorder.Recorder, if there are records
         self.agent: Any = None  # lilacloft.plan.agent.Agent, if there are planners
         self.upgrade: Any = None  # lilacloft.handover.sender.HandoverSender, if this process may be replaced
--- a/lilacloft/handover/process.py
+++ b/lilacloft/handover/process.py
@@ -97,7 +97,7 @@
         record = self.options.record
         if not record or "folder" not in record:
             return None
-        from lilacloft.record.writer import Recorder
+        from lilacloft.record.recorder import Recorder
 
         return Recorder(
             gateway,
--- a/lilacloft/record/metrics.py
+++ b/lilacloft/record/metrics.py
@@ -6,7 +6,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, write_to_textfile
 
-from lilacloft.record.kinds import Second
+from lilacloft.record.record_types import Second
 
 
 class Metrics:
--- a/lilacloft/record/reader.py
+++ b/lilacloft/record/reader.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from lilacloft.record import kinds
+from lilacloft.record import record_types
 
 LONGEST = 4 << 20  # bytes of a line
 
@@ -30,8 +30,8 @@
 class Run:
     """One process's life, as far as its files tell."""
 
-    head: kinds.Head
-    records: list[kinds.Record] = field(default_factory=list)
+    head: record_types.Head
+    records: list[record_types.Record] = field(default_factory=list)
     files: list[str] = field(default_factory=list)
     damage: list[Damage] = field(default_factory=list)
 
@@ -50,10 +50,10 @@
             yield number, data, not data.endswith(b"\n")
 
 
-def read_file(path: Path) -> tuple[kinds.Head | None, list[kinds.Record], list[Damage]]:
+def read_file(path: Path) -> tuple[record_types.Head | None, list[record_types.Record], list[Damage]]:
     """One file: its head, what can be read, and what cannot."""
-    head: kinds.Head | None = None
-    records: list[kinds.Record] = []
+    head: record_types.Head | None = None
+    records: list[record_types.Record] = []
     damage: list[Damage] = []
     try:
         for number, data, cut in lines(path):
@@ -61,13 +61,13 @@
                 damage.append(Damage(str(path), number, f"cut off after {len(data)} bytes"))
                 break
             try:
-                record = kinds.decode(data)
+                record = record_types.decode(data)
             except (msgspec.MsgspecError, RecursionError, UnicodeError) as wrong:
                 found = _kind(data)
-                if found is None or found in kinds.KINDS:
+                if found is None or found in record_types.KINDS:
                     damage.append(Damage(str(path), number, f"a line that cannot be read: {wrong}"))
                 continue  # a kind of a later version: skipped
-            if isinstance(record, kinds.Head):
+            if isinstance(record, record_types.Head):
                 head = head or record
             else:
                 records.append(record)
@@ -78,7 +78,7 @@
 
 def _kind(data: bytes) -> str | None:
     try:
-        found = kinds.loose(data).get("kind")
+        found = record_types.loose(data).get("kind")
     except (msgspec.MsgspecError, RecursionError, UnicodeError):
         return None
     return found if isinstance(found, str) else None
@@ -109,8 +109,8 @@
         if head is None:
             damage.append(Damage(str(path), 1, f"no head: {len(records)} records are passed over"))
             continue
-        if head.schema > kinds.SCHEMA:
-            text = f"schema {head.schema} is newer than {kinds.SCHEMA}: what is not known is skipped"
+        if head.schema > record_types.SCHEMA:
+            text = f"schema {head.schema} is newer than {record_types.SCHEMA}: what is not known is skipped"
             damage.append(Damage(str(path), 1, text))
         run = runs.setdefault((head.gateway, head.run), Run(head))
         run.records += records
--- a/lilacloft/record/writer.py
+++ b/lilacloft/record/recorder.py
@@ -19,8 +19,8 @@
 
 from lilacloft import __version__
 from lilacloft.net.conn import OUTCOMES, End
-from lilacloft.record import kinds
-from lilacloft.record.book import Book, Queue
+from lilacloft.record import record_types
+from lilacloft.record.file_rotation import Book, Queue
 from lilacloft.record.summary import Summary, plain
 from lilacloft.settings import NS
 
@@ -83,8 +83,8 @@
         self.woken = threading.Event()
         self.over = False
         told = plain(owner.vhosts)
-        self.head = kinds.Head(
-            schema=kinds.SCHEMA,
+        self.head = record_types.Head(
+            schema=record_types.SCHEMA,
             gateway=name,
             run=self.run,
             version=__version__,
@@ -109,14 +109,14 @@
     def start(self, why: str = "start") -> None:
         """The gateway serves."""
         if self.connect:  # now, not before: until now another process may have been the gateway
-            from lilacloft.record.tap import Tap
+            from lilacloft.record.live_stream import Tap
 
             try:
-                self.tap = Tap(self.connect, kinds.encode(self.head) + b"\n")
+                self.tap = Tap(self.connect, record_types.encode(self.head) + b"\n")
             except OSError as wrong:
                 logger.error("records' socket {}: {}", self.connect, wrong.strerror)
         self.thread.start()
-        self.note(kinds.Start(why=why, listed=len(self.owner.backends)))
+        self.note(record_types.Start(why=why, listed=len(self.owner.backends)))
         self._list(self.owner.backends.values(), 0, True)
         self._tick()
 
@@ -125,28 +125,28 @@
         self.note(
             self.summary.take(self.owner.monotonic_time, self._bes(), self.owner.router.link_limit.limit)
         )
-        self.note(kinds.Over(why=why))
+        self.note(record_types.Over(why=why))
         self.over = True
         self.woken.set()
         self.thread.join(1.0)
 
     # --- the owner's hooks ---
 
-    def note(self, record: kinds.Record) -> None:
+    def note(self, record: record_types.Record) -> None:
         """Give a record its number and times, and queue it."""
         steady, wall = time.monotonic_ns() // NS, time.time_ns() // NS
         apart = wall - steady
         if self.apart is not None and abs(apart - self.apart) > STEP:
             step, self.apart = apart - self.apart, apart
-            self._queue(kinds.Clock(step=step), wall, steady)
+            self._queue(record_types.Clock(step=step), wall, steady)
         self.apart = apart if self.apart is None else self.apart
         self._queue(record, wall, steady)
 
-    def _queue(self, record: kinds.Record, wall: int, steady: int) -> None:
+    def _queue(self, record: record_types.Record, wall: int, steady: int) -> None:
         with self.lock:  # an upgrade's phases come from its own thread
             self.number += 1
             record.number, record.wall, record.steady = self.number, wall, steady
-            kept = self.queue.put(kinds.encode(record) + b"\n", wall)
+            kept = self.queue.put(record_types.encode(record) + b"\n", wall)
         if not kept:
             self.woken.set()
 
@@ -182,11 +182,11 @@
 
     def phase(self, phase: str, why: str) -> None:
         """An upgrade has come to a phase; from whatever thread drives it."""
-        self.note(kinds.Upgrade(phase=phase, why=why))
+        self.note(record_types.Upgrade(phase=phase, why=why))
 
     def believed(self, backend: Any, what: str, why: str) -> None:
         self.note(
-            kinds.Belief(
+            record_types.Belief(
                 backend=backend.name,
                 what=what,
                 why=why,
@@ -199,7 +199,7 @@
         """Another plan holds, or none: what its effect is (lilacloft.plan.follow.Effect)."""
         name = effect.name
         self.note(
-            kinds.Planned(
+            record_types.Planned(
                 planner=name.planner,
                 epoch=name.epoch,
                 issued=name.number,
@@ -211,7 +211,7 @@
 
     def away(self, zone: str, back: int, slices: int, fails: int, why: str, alone: bool) -> None:
         """So much of a location is at home now."""
-        self.note(kinds.Away(zone=zone, back=back, of=slices, failed=fails, why=why, alone=alone))
+        self.note(record_types.Away(zone=zone, back=back, of=slices, failed=fails, why=why, alone=alone))
 
     def limited(self, backend: Any, was: float, limit: float, late: float) -> None:
         way = (
@@ -228,7 +228,7 @@
         what, told = event
         if what == "purge":
             key, group, at = told
-            return self.note(kinds.Purge(event=number, key=key, group=group, at=at * 10))
+            return self.note(record_types.Purge(event=number, key=key, group=group, at=at * 10))
         backends = [self.owner.backends[name] for name, *_ in told if name in self.owner.backends]
         gone = [row for row in told if row[0] not in self.owner.backends]
         return self._list(backends, number, what == "full", gone)
@@ -250,7 +250,7 @@
             (name, family[kind], zones[zone], 0, started * 10, float(size))
             for name, _, zone, kind, _, _, size, started in gone
         ]
-        self.note(kinds.Listed(event=number, whole=whole, backends=rows))
+        self.note(record_types.Listed(event=number, whole=whole, backends=rows))
 
     def _bes(self) -> dict[str, tuple[int, float, bool, int]]:
         return {
@@ -270,7 +270,7 @@
         self.summary.counted({**refused, "faults": owner.answer_counts["faults"]})
         if owner.feed.connects != self.connects:
             self.connects = owner.feed.connects
-            self.note(kinds.Log(up=True, event=owner.feed.last))
+            self.note(record_types.Log(up=True, event=owner.feed.last))
         if self.summary.due(owner.monotonic_time):
             second = self.summary.take(owner.monotonic_time, self._bes(), owner.router.link_limit.limit)
             self.note(second)
@@ -296,7 +296,7 @@
                 lines.insert(0, self._gap(owed, why, 0))
             self.head.file = self.book.number + 1
             self.head.wall, self.head.steady = time.time_ns() // NS, time.monotonic_ns() // NS
-            gone = self.book.write(lines, kinds.encode(self.head) + b"\n")
+            gone = self.book.write(lines, record_types.encode(self.head) + b"\n")
             if lines and bool(gone) != failing:  # nothing to write says nothing of the disk
                 failing = bool(gone)
                 (logger.error if failing else logger.info)(
@@ -313,4 +313,9 @@
     @staticmethod
     def _gap(count: int, why: str, since: int) -> bytes:
         wall, steady = time.time_ns() // NS, time.monotonic_ns() // NS
-        return kinds.encode(kinds.Lost(count=count, why=why, since=since, wall=wall, steady=steady)) + b"\n"
+        return (
+            record_types.encode(
+                record_types.Lost(count=count, why=why, since=since, wall=wall, steady=steady)
+            )
+            + b"\n"
+        )
--- a/lilacloft/record/summary.py
+++ b/lilacloft/record/summary.py
@@ -10,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lilacloft.record.kinds import Backend, Cut, Second, Vhost
+from lilacloft.record.record_types import Backend, Cut, Second, Vhost
 
 SPAN = 10_000  # of a summary
 QUIET = 100_000  # and while nothing happens
--- a/lilacloft/report/follow.py
+++ b/lilacloft/report/follow.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from lilacloft.record import kinds
+from lilacloft.record import record_types
 from lilacloft.record.reader import Damage, Run
 
 KEPT = 2000  # records of a run that are kept
@@ -22,7 +22,7 @@
 
     def __init__(self, paths: tuple[str, ...]) -> None:
         self.lock = threading.Lock()
-        self.runs: dict[tuple[str, str], tuple[kinds.Head, deque[kinds.Record]]] = {}
+        self.runs: dict[tuple[str, str], tuple[record_types.Head, deque[record_types.Record]]] = {}
         self.wrong: dict[str, Damage] = {}
         self.count = len(paths)
         for path in paths:
@@ -59,17 +59,17 @@
             time.sleep(AGAIN)
 
     def _lines(self, path: str, stream: object) -> None:
-        held: deque[kinds.Record] | None = None
+        held: deque[record_types.Record] | None = None
         for number, line in enumerate(stream, 1):  # type: ignore[call-overload]
             try:
-                record = kinds.decode(line)
+                record = record_types.decode(line)
             except msgspec.MsgspecError as wrong:
                 with self.lock:
                     self.wrong[path] = Damage(path, number, str(wrong))
                 continue
             with self.lock:
                 self.wrong.pop(path, None)
-                if isinstance(record, kinds.Head):
+                if isinstance(record, record_types.Head):
                     held = deque(maxlen=KEPT)
                     self.runs[record.gateway, record.run] = (record, held)
                 elif held is not None:
--- a/lilacloft/timeline/clocks.py
+++ b/lilacloft/timeline/clocks.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from lilacloft.record.kinds import Listed, Purge, Record
 from lilacloft.record.reader import Run
+from lilacloft.record.record_types import Listed, Purge, Record
 
 LEAST = 5.0  # ms: threads and queues differ by no less
 ALONE = 2000.0  # how far a clock may be off that nothing is known of
--- a/lilacloft/timeline/event_observations.py
+++ b/lilacloft/timeline/event_observations.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from lilacloft.record.kinds import Away, Belief, Cut, Listed, Planned, Purge, Second, Start
+from lilacloft.record.record_types import Away, Belief, Cut, Listed, Planned, Purge, Second, Start
 from lilacloft.timeline.observations import GatewayHistory, Observation
 
 FIRST_SIGN_WINDOW = 6000.0  # ms before an ejection in which its first sign is looked for
--- a/lilacloft/timeline/gaps.py
+++ b/lilacloft/timeline/gaps.py
@@ -6,9 +6,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from lilacloft.record.kinds import Clock as Step
-from lilacloft.record.kinds import Lost, Over, Record, Start
 from lilacloft.record.reader import Run
+from lilacloft.record.record_types import Clock as Step
+from lilacloft.record.record_types import Lost, Over, Record, Start
 from lilacloft.timeline.clocks import Clock, run_time
 
 SILENT = 13_000.0  # ms without a record: an idle gateway writes one every ten seconds
--- a/lilacloft/timeline/observations.py
+++ b/lilacloft/timeline/observations.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lilacloft.record.kinds import Listed, Second
 from lilacloft.record.reader import Run
+from lilacloft.record.record_types import Listed, Second
 from lilacloft.timeline.clocks import Clock, run_time
 from lilacloft.timeline.summary_columns import Columns
 
--- a/rigs/bulk.py
+++ b/rigs/bulk.py
@@ -18,7 +18,7 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from lilacloft.record import kinds
+from lilacloft.record import record_types
 
 START = 17_961_400_000_000  # Unix time in tenths of a millisecond
 
@@ -81,16 +81,16 @@
     lines: list[bytes] = []
     size, count = 0, 0
 
-    def add(record: kinds.Record, at: float) -> None:
+    def add(record: record_types.Record, at: float) -> None:
         nonlocal count
         count += 1
         own = int(at * 10_000 * (1 + fleet.drift[number]))
         record.number, record.wall, record.steady = count, wall + own, steady + own
-        lines.append(kinds.encode(record) + b"\n")
+        lines.append(record_types.encode(record) + b"\n")
 
     run = f"{wall:015}-{1000 + number}"
-    head = kinds.Head(
-        schema=kinds.SCHEMA,
+    head = record_types.Head(
+        schema=record_types.SCHEMA,
         gateway=name,
         run=run,
         zone=str(zone),
@@ -100,20 +100,22 @@
         wall=wall,
         steady=steady,
     )
-    add(kinds.Start(listed=len(mine) + 4), 0.0)
+    add(record_types.Start(listed=len(mine) + 4), 0.0)
     rows = [(backend, "small", str(zone), 1, 0, 5.0) for backend in mine]
     rows += [(backend, "parent", "hub", 1, 0, 5.0) for backend in fleet.parents]
-    add(kinds.Listed(event=0, whole=True, backends=rows), 0.0)
+    add(record_types.Listed(event=0, whole=True, backends=rows), 0.0)
     events = [
-        (at, kinds.Purge(event=place + 2, key=key, at=START + int(at * 10_000)))
+        (at, record_types.Purge(event=place + 2, key=key, at=START + int(at * 10_000)))
         for place, (key, at) in enumerate(fleet.purges)
     ]
     for backend, begin, end in fleet.silent:
         if backend in mine:
             seen = begin + chance.uniform(0.5, 2.0)
-            events.append((seen, kinds.Belief(backend=backend, what="left alone", why="3 symptoms in a row")))
+            events.append(
+                (seen, record_types.Belief(backend=backend, what="left alone", why="3 symptoms in a row"))
+            )
             again = end + chance.uniform(0.5, 6.0)
-            events.append((again, kinds.Belief(backend=backend, what="back", why="answers again")))
+            events.append((again, record_types.Belief(backend=backend, what="back", why="answers again")))
     events.sort(key=lambda event: event[0])
     for second in range(1, fleet.seconds + 1):
         while events and events[0][0] < second:
@@ -123,7 +125,7 @@
         gone = {backend for backend, begin, end in fleet.silent if begin <= second - 1 and second <= end}
         asked = chance.poisson(5, len(mine))
         backends = {
-            backend: kinds.Backend(
+            backend: record_types.Backend(
                 dispatches=int(sent),
                 done=0 if backend in gone else int(sent),
                 util=0.3,
@@ -136,14 +138,14 @@
         }
         for parent in fleet.parents:
             waits = int(chance.poisson(4))
-            backends[parent] = kinds.Backend(
+            backends[parent] = record_types.Backend(
                 fills=waits,
                 waits=waits,
                 waited=waits * int(chance.normal(4500 if slow else 400, 40)),
                 limit=40.0,
             )
         done = int(sum(backend.done for backend in backends.values()))
-        clip = kinds.Vhost(
+        clip = record_types.Vhost(
             requests=int(asked.sum()),
             done=done,
             late=done // 3 if slow else 0,
@@ -153,7 +155,7 @@
             value=2.0 * done,
             took=(slow_took if slow else took)[second % 4],
         )
-        add(kinds.Second(span=10_000, vhosts={"clip": clip}, backends=backends, link=40.0), second)
+        add(record_types.Second(span=10_000, vhosts={"clip": clip}, backends=backends, link=40.0), second)
     out.mkdir(parents=True, exist_ok=True)
     file, part = None, 0
     for line in lines:
@@ -161,7 +163,7 @@
             part += 1
             file = (out / f"{name}.{run}.{part:05}.jsonl").open("wb")
             head.file, size = part, 0
-            file.write(kinds.encode(head) + b"\n")
+            file.write(record_types.encode(head) + b"\n")
         file.write(line)
         size += len(line)
     return sum(map(len, lines))
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -34,12 +34,12 @@
 from lilacloft.plan.follow import Effect
 from lilacloft.plan.order import Name
 from lilacloft.plan.sights import Sight
-from lilacloft.record import kinds as records
-from lilacloft.record.book import Book
+from lilacloft.record import record_types as records
+from lilacloft.record.file_rotation import Book
 from lilacloft.record.reader import read as read_records
+from lilacloft.record.recorder import REFUSED, Recorder
+from lilacloft.record.recorder import Folder as RecordFolder
 from lilacloft.record.summary import Summary
-from lilacloft.record.writer import REFUSED, Recorder
-from lilacloft.record.writer import Folder as RecordFolder
 from lilacloft.routing import snapshot
 from lilacloft.routing.concurrency import AdaptiveLimit
 from lilacloft.routing.host import Endpoint
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -11,11 +11,11 @@
 import pytest
 
 from lilacloft.__main__ import main
-from lilacloft.record import kinds
-from lilacloft.record.book import AGAIN, Book, Queue
+from lilacloft.record import record_types
+from lilacloft.record.file_rotation import AGAIN, Book, Queue
+from lilacloft.record.live_stream import Tap
 from lilacloft.record.reader import read
 from lilacloft.record.summary import QUIET, SPAN, Summary
-from lilacloft.record.tap import Tap
 from rigs.stands import Replaced, serves
 
 HEAD = b"head\n"
@@ -165,12 +165,12 @@
 def written(folder, count=20):
     folder.mkdir(exist_ok=True)
     path = folder / "n0.000000000000001-1.00001.jsonl"
-    records = [kinds.Head(schema=1, gateway="n0", run="000000000000001-1")]
+    records = [record_types.Head(schema=1, gateway="n0", run="000000000000001-1")]
     records += [
-        kinds.Belief(number=number, wall=number, steady=number, backend="a", what="back")
+        record_types.Belief(number=number, wall=number, steady=number, backend="a", what="back")
         for number in range(1, count)
     ]
-    path.write_bytes(b"".join(kinds.encode(record) + b"\n" for record in records))
+    path.write_bytes(b"".join(record_types.encode(record) + b"\n" for record in records))
     return path
 
 
@@ -252,7 +252,9 @@
     folder = tmp_path / "rec"
     until(
         lambda: folder.exists()
-        and any(isinstance(record, kinds.Purge) for mine in records(folder).values() for record in mine)
+        and any(
+            isinstance(record, record_types.Purge) for mine in records(folder).values() for record in mine
+        )
     )
     assert world.upgrade(to=" ".join(world.command)) == (True, "")
     asker.ask(key=1)
@@ -261,22 +263,22 @@
     os.kill(world.pids[-1], 15)
     runs = until(
         lambda: (found := records(folder))
-        and all(any(isinstance(record, kinds.Over) for record in mine) for mine in found.values())
+        and all(any(isinstance(record, record_types.Over) for record in mine) for mine in found.values())
         and found
     )
     first, second = (runs[name] for name in sorted(runs))
-    assert [record.phase for record in first if isinstance(record, kinds.Upgrade)][-1] == "gone"
+    assert [record.phase for record in first if isinstance(record, record_types.Upgrade)][-1] == "gone"
     assert first[-1].why == "upgrade" and second[0].why == "upgrade" and second[-1].why == "stop"
     assert [record.number for record in first] == list(range(1, len(first) + 1))
     done = sum(
         vhost.done
         for mine in (first, second)
         for record in mine
-        if isinstance(record, kinds.Second)
+        if isinstance(record, record_types.Second)
         for vhost in record.vhosts.values()
     )
     assert done == 6
-    purge = next(record for record in first if isinstance(record, kinds.Purge))
+    purge = next(record for record in first if isinstance(record, record_types.Purge))
     assert (purge.event, purge.key) == (2, f"{9:016x}")
     told = (tmp_path / "out.prom").read_text()
     assert 'lilacloft_reqs_total{gateway="n0",outcome="done",vhost="clip"}' in told
@@ -336,7 +338,7 @@
             record
             for mine in records(tmp_path / "rec").values()
             for record in mine
-            if isinstance(record, kinds.Lost)
+            if isinstance(record, record_types.Lost)
         ]
     )
     assert lost[0].count >= 2 and "xist" in lost[0].why
@@ -354,9 +356,9 @@
 
 
 def test_the_encoding_is_one_json_object_a_line():
-    record = kinds.Belief(number=3, wall=5, steady=7, backend='a"\n', what="back")
-    data = kinds.encode(record)
-    assert b"\n" not in data and json.loads(data)["be"] == 'a"\n' and kinds.decode(data) == record
+    record = record_types.Belief(number=3, wall=5, steady=7, backend='a"\n', what="back")
+    data = record_types.encode(record)
+    assert b"\n" not in data and json.loads(data)["be"] == 'a"\n' and record_types.decode(data) == record
 
 
 def test_a_forwarder_writes_down_each_plan_that_holds_and_when_none_does():
@@ -366,7 +368,7 @@
     from lilacloft.plan.agent import Agent
     from lilacloft.plan.follow import Effect
     from lilacloft.plan.order import Name
-    from lilacloft.record.writer import Recorder
+    from lilacloft.record.recorder import Recorder
 
     written = []
     recorder = SimpleNamespace(note=written.append)
@@ -383,8 +385,8 @@
     held = [(one.planner, one.epoch, one.issued) for one in written]
     assert held == [("p1", 1, 4), ("p1", 1, 5), ("", 0, 0)]
     assert written[0].out == ["a", "b"] and written[0].limits == 1 and written[0].link == 3.25
-    assert all(isinstance(one, kinds.Planned) for one in written)
-    again = kinds.decode(kinds.encode(written[0]))
+    assert all(isinstance(one, record_types.Planned) for one in written)
+    again = record_types.decode(record_types.encode(written[0]))
     assert again == written[0]
 
 
@@ -394,7 +396,7 @@
     from lilacloft.failover.failover_state import FailoverDirective
     from lilacloft.plan.agent import Agent
     from lilacloft.plan.order import Name
-    from lilacloft.record.writer import Recorder
+    from lilacloft.record.recorder import Recorder
 
     written = []
     recorder = SimpleNamespace(note=written.append)
@@ -415,4 +417,4 @@
         ("there", 4, 1, "", True),
         ("there", 64, 0, "its caches fail", False),
     ]
-    assert kinds.decode(kinds.encode(written[1])) == written[1]
+    assert record_types.decode(record_types.encode(written[1])) == written[1]
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -14,7 +14,7 @@
 import pytest
 
 from lilacloft.__main__ import main
-from lilacloft.record import kinds
+from lilacloft.record import record_types
 from lilacloft.record.reader import Run, read
 from lilacloft.report.facts import facts
 from lilacloft.report.load import _many, load
@@ -37,7 +37,7 @@
     def __init__(self, name, off=0.0, gateways=2, run=1, steady=1_000_000):
         self.off, self.steady, self.jump = off, steady, 0.0
         self.run = Run(
-            kinds.Head(
+            record_types.Head(
                 schema=1,
                 gateway=name,
                 run=f"{UNIX + int(off * 10):015}-{run}",
@@ -55,10 +55,10 @@
         return self
 
     def start(self, at=0.0, why="start", backends=BES):
-        self.add(at, kinds.Start(why=why))
+        self.add(at, record_types.Start(why=why))
         return self.add(
             at,
-            kinds.Listed(
+            record_types.Listed(
                 event=0,
                 whole=True,
                 backends=[(backend, kind, "here", 1, 0, 5.0) for backend, kind in backends],
@@ -67,13 +67,13 @@
 
     def purge(self, at, key="k", true=None):
         true = at if true is None else true
-        return self.add(at, kinds.Purge(event=1, key=key, at=UNIX + int(true * SEC)))
+        return self.add(at, record_types.Purge(event=1, key=key, at=UNIX + int(true * SEC)))
 
     def seconds(self, begin, end, wait=400, asked=10, **backends):
         """Well, but for what is said of a be: `silent`, or answers late."""
         for second in range(begin + 1, end + 1):
             said = {
-                backend: kinds.Backend(
+                backend: record_types.Backend(
                     dispatches=asked,
                     done=0 if backends.get(backend) == "silent" else asked,
                     ends={"time_up": asked} if backends.get(backend) == "silent" else {},
@@ -83,20 +83,22 @@
             }
             for parent in ("p", "q"):
                 slow = backends.get(parent) == "slow"
-                said[parent] = kinds.Backend(fills=5, waits=5, waited=5 * (9000 if slow else wait))
+                said[parent] = record_types.Backend(fills=5, waits=5, waited=5 * (9000 if slow else wait))
             done = sum(backend.done for backend in said.values())
             self.add(
                 second,
-                kinds.Second(
+                record_types.Second(
                     span=SEC,
                     backends=said,
-                    vhosts={"clip": kinds.Vhost(requests=20, done=done, value=2.0 * done, dispatches=20)},
+                    vhosts={
+                        "clip": record_types.Vhost(requests=20, done=done, value=2.0 * done, dispatches=20)
+                    },
                 ),
             )
         return self
 
     def belief(self, at, backend, what="left alone", why="3 symptoms in a row"):
-        return self.add(at, kinds.Belief(backend=backend, what=what, why=why))
+        return self.add(at, record_types.Belief(backend=backend, what=what, why=why))
 
 
 def tell(*tellers):
@@ -106,8 +108,8 @@
         number = 0
         for record in one.run.records:
             number += 1 + one.skips[id(record)]
-            record.number = 0 if isinstance(record, kinds.Lost) else number
-            number -= isinstance(record, kinds.Lost)
+            record.number = 0 if isinstance(record, record_types.Lost) else number
+            number -= isinstance(record, record_types.Lost)
         runs.setdefault(one.run.head.gateway, []).append(one.run)
     return build_timeline(runs)
 
@@ -149,7 +151,7 @@
 def test_a_clock_that_jumps_back_moves_nothing_and_is_told():
     teller = Teller("n0").start().seconds(0, 12).purge(3.0)
     teller.jump = -5000.0
-    teller.add(12.5, kinds.Clock(step=-50_000))
+    teller.add(12.5, record_types.Clock(step=-50_000))
     teller.belief(12.6, "a").seconds(12, 16, a="silent").belief(17.0, "a", "back", "answers again")
     teller.seconds(16, 30)
     found = tell(teller, Teller("n1").start().seconds(0, 30).purge(3.0))
@@ -251,7 +253,7 @@
 
 def test_an_upgrade_in_the_middle_is_told_and_beliefs_go_on():
     first = Teller("n0").start().seconds(0, 10).purge(3.0).belief(10.4, "a").seconds(10, 12, a="silent")
-    first.add(12.01, kinds.Over(why="upgrade"))
+    first.add(12.01, record_types.Over(why="upgrade"))
     second = Teller("n0", run=2).start(12.02, "upgrade").seconds(12, 14, a="silent")
     second.belief(15.0, "a", "back", "answers again").seconds(14, 30).purge(25.0, "y")
     found = tell(first, second)
@@ -262,9 +264,9 @@
 
 def test_lost_rotated_away_and_silent_records_are_gaps_with_bounds():
     teller = Teller("n0")
-    teller.add(0.0, kinds.Log(up=True), 40)
-    teller.start().seconds(0, 5).add(6.5, kinds.Lost(count=7, why="the queue was full"))
-    teller.add(6.6, kinds.Log(up=True), 7).seconds(6, 10).seconds(29, 40)
+    teller.add(0.0, record_types.Log(up=True), 40)
+    teller.start().seconds(0, 5).add(6.5, record_types.Lost(count=7, why="the queue was full"))
+    teller.add(6.6, record_types.Log(up=True), 7).seconds(6, 10).seconds(29, 40)
     found = tell(teller, Teller("n1").start().seconds(0, 60))
     kinds_ = [gap.kind for gap in found.gaps]
     assert kinds_ == ["missing", "lost", "silent", "ended"]
@@ -328,10 +330,10 @@
 def test_drains_and_cold_returns_are_told_as_the_list_has_them():
     def told(name):
         one = Teller(name).start().seconds(0, 30)
-        one.add(5.0, kinds.Listed(event=2, backends=[("a", "small", "here", 2, 0, 5.0)]))
-        one.add(9.0, kinds.Listed(event=3, backends=[("a", "small", "here", 0, 0, 5.0)]))
+        one.add(5.0, record_types.Listed(event=2, backends=[("a", "small", "here", 2, 0, 5.0)]))
+        one.add(9.0, record_types.Listed(event=3, backends=[("a", "small", "here", 0, 0, 5.0)]))
         return one.add(
-            14.0, kinds.Listed(event=4, backends=[("a", "small", "here", 1, UNIX + 14 * SEC, 5.0)])
+            14.0, record_types.Listed(event=4, backends=[("a", "small", "here", 1, UNIX + 14 * SEC, 5.0)])
         )
 
     found = tell(told("n0"), told("n1"))
@@ -342,11 +344,11 @@
 def test_forwarders_whose_plans_ran_out_are_one_episode_until_a_plan_holds_again():
     def told(name, back):
         one = Teller(name).start().seconds(0, 30)
-        one.add(2.0, kinds.Planned(planner="p1", epoch=1, issued=4, out=["b"], limits=2, link=3.0))
-        one.add(8.0, kinds.Planned())  # its planners are gone: it is a gateway alone
-        return one.add(back, kinds.Planned(planner="p2", epoch=2, issued=1))
+        one.add(2.0, record_types.Planned(planner="p1", epoch=1, issued=4, out=["b"], limits=2, link=3.0))
+        one.add(8.0, record_types.Planned())  # its planners are gone: it is a gateway alone
+        return one.add(back, record_types.Planned(planner="p2", epoch=2, issued=1))
 
-    never = Teller("n2").start().seconds(0, 30).add(9.0, kinds.Planned())  # it never held one
+    never = Teller("n2").start().seconds(0, 30).add(9.0, record_types.Planned())  # it never held one
     found = tell(told("n0", 12.0), told("n1", 12.5), never)
     alone = [one for one in found.incidents if one.kind == "without a plan"]
     assert len(alone) == 1 and sorted({observation.gateway for observation in alone[0].observations}) == [
@@ -357,8 +359,8 @@
     assert all("plan 2.1 of p2 holds" in observation.actions for observation in alone[0].observations)
     # a restart ends the stretch: what came after, nobody has seen
     one = Teller("n3").start().seconds(0, 30)
-    one.add(2.0, kinds.Planned(planner="p1", epoch=1, issued=4)).add(5.0, kinds.Planned())
-    one.add(7.0, kinds.Start(why="start"))
+    one.add(2.0, record_types.Planned(planner="p1", epoch=1, issued=4)).add(5.0, record_types.Planned())
+    one.add(7.0, record_types.Start(why="start"))
     found = tell(one)
     observations = [
         observation
@@ -374,11 +376,13 @@
         one = Teller(name).start().seconds(0, 30)
         for at, back in ((5.0, 0), (11.0, 1), (11.5, 5), (12.0, 64)):
             why = "" if back else "its caches fail"
-            one.add(at + late, kinds.Away(zone="z1", back=back, of=64, why=why))
+            one.add(at + late, record_types.Away(zone="z1", back=back, of=64, why=why))
         return one
 
-    lone = Teller("n2").start().seconds(0, 30).add(5.5, kinds.Away(zone="z1", back=0, of=64, alone=True))
-    lone.add(9.0, kinds.Start(why="start"))  # another process: it has all at home until it is told
+    lone = (
+        Teller("n2").start().seconds(0, 30).add(5.5, record_types.Away(zone="z1", back=0, of=64, alone=True))
+    )
+    lone.add(9.0, record_types.Start(why="start"))  # another process: it has all at home until it is told
     found = [
         one for one in tell(told("n0", 0.0), told("n1", 0.4), lone).incidents if one.kind == "location left"
     ]
@@ -394,16 +398,16 @@
 def test_bad_clients_a_crowd_and_lost_answers_are_the_fleets():
     bad = Teller("n0").start().seconds(0, 20)
     for second in range(21, 26):
-        bad.add(second, kinds.Second(span=SEC, refused={"unusable": 90}))
+        bad.add(second, record_types.Second(span=SEC, refused={"unusable": 90}))
     assert kinds_of(tell(bad.seconds(25, 40))) == ["bad clients"]
     lost = Teller("n0").start().seconds(0, 20)
     for second in range(21, 26):
         lost.add(
             second,
-            kinds.Second(
+            record_types.Second(
                 span=SEC,
                 backends={
-                    backend: kinds.Backend(dispatches=10, done=6, ends={"time_up": 4})
+                    backend: record_types.Backend(dispatches=10, done=6, ends={"time_up": 4})
                     for backend in ("a", "b")
                 },
             ),
@@ -412,7 +416,10 @@
     crowd = Teller("n0").start().seconds(0, 20)
     for second in range(21, 26):
         crowd.add(
-            second, kinds.Second(span=SEC, vhosts={"clip": kinds.Vhost(requests=90, done=40, denied=50)})
+            second,
+            record_types.Second(
+                span=SEC, vhosts={"clip": record_types.Vhost(requests=90, done=40, denied=50)}
+            ),
         )
     assert kinds_of(tell(crowd.seconds(25, 40))) == ["crowd"]
 
@@ -537,7 +544,7 @@
         for mine in runs.values()
         for run in mine
         for record in run.records
-        if isinstance(record, kinds.Second)
+        if isinstance(record, record_types.Second)
         for name, vhost in record.vhosts.items()
         if name == "clip"
     )
