--- a/lilacloft/record/metrics.py
+++ b/lilacloft/record/metrics.py
@@ -6,7 +6,16 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, write_to_textfile
 
-from lilacloft.record.record_types import Second
+from lilacloft.record.record_types import SummaryRecord
+
+# The label of each outcome, and the attribute of VhostCounts that counts it.
+OUTCOMES = {
+    "done": "done",
+    "denied": "denied",
+    "aborted": "aborted",
+    "left": "abandoned",
+    "late": "late_answers",
+}
 
 
 class Metrics:
@@ -31,12 +40,12 @@
         self.alone = make(Gauge, "be_left_alone", "1 while it is left alone", "be")
         self.refused = make(Counter, "refused", "messages and connections refused", "cause")
 
-    def add(self, second: Second) -> None:
+    def add(self, second: SummaryRecord) -> None:
         """Count a summary."""
         me = self.gateway
         for name, vhost in second.vhosts.items():
-            for outcome in ("done", "denied", "aborted", "left", "late"):
-                self.requests.labels(me, name, outcome).inc(getattr(vhost, outcome))
+            for outcome, attribute in OUTCOMES.items():
+                self.requests.labels(me, name, outcome).inc(getattr(vhost, attribute))
             self.sent.labels(me, name).inc(vhost.dispatches)
             self.hits.labels(me, name).inc(vhost.hits)
             self.value.labels(me, name).inc(vhost.value)
@@ -44,9 +53,9 @@
             self.ends.labels(me, name, "done").inc(backend.done)
             for end, count in backend.ends.items():
                 self.ends.labels(me, name, end).inc(count)
-            if backend.util >= 0:
-                self.util.labels(me, name).set(backend.util)
-            self.flight.labels(me, name).set(backend.flight)
+            if backend.utilization >= 0:
+                self.util.labels(me, name).set(backend.utilization)
+            self.flight.labels(me, name).set(backend.in_flight)
             self.limit.labels(me, name).set(backend.limit)
             self.alone.labels(me, name).set(backend.ejected)
         for cause, count in second.refused.items():
--- a/lilacloft/record/reader.py
+++ b/lilacloft/record/reader.py
@@ -64,7 +64,7 @@
                 record = record_types.decode(data)
             except (msgspec.MsgspecError, RecursionError, UnicodeError) as wrong:
                 found = _kind(data)
-                if found is None or found in record_types.KINDS:
+                if found is None or found in record_types.KNOWN_KINDS:
                     damage.append(Damage(str(path), number, f"a line that cannot be read: {wrong}"))
                 continue  # a kind of a later version: skipped
             if isinstance(record, record_types.Head):
@@ -78,7 +78,7 @@
 
 def _kind(data: bytes) -> str | None:
     try:
-        found = record_types.loose(data).get("kind")
+        found = record_types.decode_fields(data).get("kind")
     except (msgspec.MsgspecError, RecursionError, UnicodeError):
         return None
     return found if isinstance(found, str) else None
@@ -109,9 +109,9 @@
         if head is None:
             damage.append(Damage(str(path), 1, f"no head: {len(records)} records are passed over"))
             continue
-        if head.schema > record_types.SCHEMA:
-            text = f"schema {head.schema} is newer than {record_types.SCHEMA}: what is not known is skipped"
-            damage.append(Damage(str(path), 1, text))
+        if head.schema > record_types.SCHEMA_VERSION:
+            versions = f"schema {head.schema} is newer than {record_types.SCHEMA_VERSION}"
+            damage.append(Damage(str(path), 1, f"{versions}: what is not known is skipped"))
         run = runs.setdefault((head.gateway, head.run), Run(head))
         run.records += records
         run.files.append(str(path))
--- a/lilacloft/record/record_types.py
+++ b/lilacloft/record/record_types.py
@@ -1,31 +1,60 @@
-"""The records, one JSON object a line, by kind. They hold facts and decide nothing.
+"""The types of records. A file of records has one JSON object a line; `kind` names its type.
 
-Every record has a number that grows by one within a run (a process's life), `wall` (Unix time by this
-machine's clock) and `steady` (the monotonic clock); both are whole tenths of a millisecond, and so are all
-spans. A file begins with its Head. Readers skip fields and kinds that they do not know; `schema` says which
-they are.
+Each record has a number that grows by one within a run (the life of one process), `wall` (Unix time by this
+machine's clock) and `steady` (its monotonic clock). Times and durations are whole tenths of a millisecond. A
+file begins with its `Head`. Readers skip fields and kinds that they do not know; `Head.schema` is the version
+of the form.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, get_args
 
 import msgspec
 from msgspec import Struct
 
-SCHEMA = 1
-# Names of the fields in the files, where they differ from the attributes here.
+SCHEMA_VERSION = 1
+# The stored name of each field that is named otherwise in the code.
 FIELDS_IN_FILES = {
+    "abandoned": "left",
     "backend": "be",
+    "backend_count": "listed",
     "backends": "bes",
-    "requests": "reqs",
+    "change": "what",
+    "connected": "up",
     "consecutive_failures": "strikes",
+    "denied_without_dispatch": "at_once",
+    "duration": "span",
+    "durations": "took",
     "ejected": "suspect",
+    "ejected_backends": "out",
+    "failed_returns": "failed",
+    "file_number": "file",
+    "in_flight": "flight",
+    "late_answers": "late",
+    "late_share": "late",
+    "limit_count": "limits",
+    "link_limit": "link",
+    "loop_lag": "lag",
+    "plan_number": "issued",
+    "previous_limit": "was",
+    "purged_at": "at",
+    "reason": "why",
+    "recovered": "grown",
+    "requests": "reqs",
+    "returned_slices": "back",
+    "source_wait_total": "waited",
+    "source_waits": "waits",
+    "total_slices": "of",
+    "utilization": "util",
+    "without_plan": "alone",
 }
+# Name, kind, location, status (0 removed, 1 ready, 2 draining), start time, capacity.
+BackendRow = tuple[str, str, str, int, int, float]
 
 
 class Record(Struct, kw_only=True, omit_defaults=True, tag_field="kind", rename=FIELDS_IN_FILES):
-    """What every record has."""
+    """The fields that all records have."""
 
     number: int = 0
     wall: int = 0
@@ -33,196 +62,186 @@
 
 
 class Head(Record, tag="head", rename=FIELDS_IN_FILES):
-    """The first of a file."""
+    """The first record of a file."""
 
     schema: int
     gateway: str
-    run: str  # of this process's life: its start and process id
+    run: str  # name of the run: start time and process id
     zone: str = ""
     version: str = ""
-    gateways: int = 1  # that the settings count
-    file: int = 0  # of this run
-    vhosts: dict[str, list[float]] = {}  # target, client timeout, value
+    gateways: int = 1  # number of gateways in the settings
+    file_number: int = 0  # within the run
+    vhosts: dict[str, list[float]] = {}  # by name: first-byte target, client timeout, value
 
 
 class Start(Record, tag="start", rename=FIELDS_IN_FILES):
-    """The process serves."""
+    """The process has begun to serve."""
 
-    why: str = "start"  # or `upgrade`: it has taken over from another
-    listed: int = 0
+    reason: str = "start"  # or `upgrade`: it has replaced another process
+    backend_count: int = 0
 
 
-class Over(Record, tag="over", rename=FIELDS_IN_FILES):
+class Stop(Record, tag="over", rename=FIELDS_IN_FILES):
     """The process ends in order."""
 
-    why: str = ""  # stop, upgrade
+    reason: str = ""  # stop, upgrade
 
 
 class Upgrade(Record, tag="upgrade", rename=FIELDS_IN_FILES):
-    """A phase of an upgrade, by the process that is replaced."""
+    """A phase of an upgrade, recorded by the process that is replaced."""
 
     phase: str
-    why: str = ""
+    reason: str = ""
 
 
-class Listed(Record, tag="listed", rename=FIELDS_IN_FILES):
-    """A list, or changes of it: name, kind, zone, status (0 gone, 1 ready, 2 draining), started, size."""
+class BackendList(Record, tag="listed", rename=FIELDS_IN_FILES):
+    """The list of backends, or a change of it."""
 
-    event: int  # the change log's number; 0: from the configuration or another process
+    event: int  # number in the change log; 0: from the configuration or another process
     whole: bool = False
-    backends: list[tuple[str, str, str, int, int, float]] = []
+    backends: list[BackendRow] = []
 
 
 class Purge(Record, tag="purge", rename=FIELDS_IN_FILES):
-    """A purge was told."""
+    """The change log reported a purge."""
 
     event: int
     key: str = ""
     group: int = 0
-    at: int = 0  # Unix time by whoever purged
+    purged_at: int = 0  # Unix time by the clock of whoever purged
 
 
-class Belief(Record, tag="belief", rename=FIELDS_IN_FILES):
-    """The gateway thinks otherwise of a be."""
+class HealthChange(Record, tag="belief", rename=FIELDS_IN_FILES):
+    """A backend was ejected or restored."""
 
     backend: str
-    what: str  # left alone, back
-    why: str = ""
+    change: str  # left alone, back
+    reason: str = ""
     consecutive_failures: int = 0
-    late: float = 0.0
+    late_share: float = 0.0
 
 
-class Cut(Record, tag="cut", rename=FIELDS_IN_FILES):
-    """The learned limit on a way was cut, or has grown back to what it was before it was first cut."""
+class LimitChange(Record, tag="cut", rename=FIELDS_IN_FILES):
+    """A learned concurrency limit was cut, or has recovered to its value before the first cut."""
 
-    backend: str
-    was: float
+    backend: str  # or `link`
+    previous_limit: float
     limit: float
-    late: float  # part of answers late on that way
-    grown: bool = False
+    late_share: float  # of the answers under this limit
+    recovered: bool = False
 
 
-class Planned(Record, tag="planned", rename=FIELDS_IN_FILES):
-    """Another plan holds at this forwarder, or none does and it is a gateway alone again."""
+class PlanChange(Record, tag="planned", rename=FIELDS_IN_FILES):
+    """Another plan is in effect at this gateway, or none."""
 
-    planner: str = ""  # empty: no plan holds
+    planner: str = ""  # empty: no plan is in effect
     epoch: int = 0
-    issued: int = 0  # the plan's number within its epoch (`number` is the record's own)
-    out: list[str] = []  # bes the plan leaves alone
-    limits: int = 0  # ways it sets a limit on
-    link: float = 0.0  # this forwarder's part of its location's link, dispatches; 0: none set
+    plan_number: int = 0  # within the epoch
+    ejected_backends: list[str] = []  # by the plan
+    limit_count: int = 0  # number of limits that the plan sets
+    link_limit: float = 0.0  # this gateway's share of its location's link, in dispatches; 0: none set
 
 
-class Away(Record, tag="away", rename=FIELDS_IN_FILES):
-    """More or less of a location is at home now: of so many slices, as the plan says, or as one goes on
-    alone."""
+class LocationFailover(Record, tag="away", rename=FIELDS_IN_FILES):
+    """The number of a location's slices that its own backends serve has changed."""
 
     zone: str
-    back: int
-    of: int
-    failed: int = 0  # returns that failed lately
-    why: str = ""  # as the plan has it
-    alone: bool = False  # no plan holds
+    returned_slices: int  # served by the location itself
+    total_slices: int
+    failed_returns: int = 0  # recently
+    reason: str = ""  # from the plan
+    without_plan: bool = False
 
 
-class Vhost(Struct, omit_defaults=True, rename=FIELDS_IN_FILES):
-    """One vhost in a summary's span."""
+class VhostCounts(Struct, omit_defaults=True, rename=FIELDS_IN_FILES):
+    """What happened to one virtual host's requests during a summary's period."""
 
     requests: int = 0
     done: int = 0
     denied: int = 0
     aborted: int = 0
-    left: int = 0
-    late: int = 0  # of the done: after their first-byte target
+    abandoned: int = 0  # the client disconnected
+    late_answers: int = 0  # of the done: after their first-byte target
     dispatches: int = 0
     hits: int = 0
-    fills: dict[str, int] = {}  # by note
-    at_once: int = 0  # of the denied: with nothing sent
-    value: float = 0.0  # of what was done in time
-    took: str = ""  # HdrHistogram of the done, tenths of a millisecond, encoded
+    fills: dict[str, int] = {}  # by the cache's note
+    denied_without_dispatch: int = 0
+    value: float = 0.0  # of the requests that were done in time
+    durations: str = ""  # of the done, in tenths of a millisecond: an encoded HdrHistogram
 
 
-class Backend(Struct, omit_defaults=True, rename=FIELDS_IN_FILES):
-    """One be in a summary's span: as the one asked, and as the source that fills waited for."""
+class BackendCounts(Struct, omit_defaults=True, rename=FIELDS_IN_FILES):
+    """One backend during a summary's period: its dispatches, and the fills for which it was the source."""
 
     dispatches: int = 0
     done: int = 0
-    late: int = 0
-    ends: dict[str, int] = {}  # other ends by name
-    fills: int = 0  # likely fills from it that ended
-    waited: int = 0  # in sum for it, by the caches' word or until the answer
-    waits: int = 0  # how many of those
-    flight: int = 0
-    util: float = -1.0  # told; -1: not told
+    late_answers: int = 0
+    ends: dict[str, int] = {}  # ends other than done, by name
+    fills: int = 0  # likely fills from this source that ended
+    source_wait_total: int = 0  # time that fills waited for this source, as caches report it or measured here
+    source_waits: int = 0  # number of these fills
+    in_flight: int = 0
+    utilization: float = -1.0  # as the backend reports it; -1: not reported
     limit: float = 0.0
     ejected: bool = False
     status: int = 1
 
 
-class Second(Record, tag="second", rename=FIELDS_IN_FILES):
-    """What happened since the last one; every second while anything does, every ten else."""
+class SummaryRecord(Record, tag="second", rename=FIELDS_IN_FILES):
+    """What happened since the last summary: each second while there is traffic, else every ten seconds."""
 
-    span: int
-    vhosts: dict[str, Vhost] = {}
-    backends: dict[str, Backend] = {}
-    link: float = 0.0  # the limit on likely fills
+    duration: int
+    vhosts: dict[str, VhostCounts] = {}
+    backends: dict[str, BackendCounts] = {}
+    link_limit: float = 0.0  # on likely fills
     refused: dict[str, int] = {}  # messages and connections refused, by cause
-    lag: int = 0  # the longest that the owner's thread was late
+    loop_lag: int = 0  # the largest lateness of the event loop
 
 
-class Lost(Record, tag="lost", rename=FIELDS_IN_FILES):
-    """Records that could not be written: the queue was full, or the disk."""
+class DroppedRecords(Record, tag="lost", rename=FIELDS_IN_FILES):
+    """Records could not be written because the queue was full or the disk failed."""
 
     count: int
-    why: str
-    since: int = 0  # wall
+    reason: str
+    since: int = 0  # Unix time
 
 
-class Clock(Record, tag="clock", rename=FIELDS_IN_FILES):
-    """The machine's clock was set: by how much it went against the steady one since the last record."""
+class ClockStep(Record, tag="clock", rename=FIELDS_IN_FILES):
+    """The machine's clock was set."""
 
-    step: int
+    step: int  # against the monotonic clock since the last record
 
 
-class Log(Record, tag="log", rename=FIELDS_IN_FILES):
-    """The connection to the change log came up, or ended."""
+class ChangeLogConnection(Record, tag="log", rename=FIELDS_IN_FILES):
+    """The connection to the change log was established or ended."""
 
-    up: bool
+    connected: bool
     event: int = 0
 
 
-Any_ = (
+AnyRecord = (
     Head
     | Start
-    | Over
+    | Stop
     | Upgrade
-    | Listed
+    | BackendList
     | Purge
-    | Belief
-    | Cut
-    | Planned
-    | Away
-    | Second
-    | Lost
-    | Clock
-    | Log
+    | HealthChange
+    | LimitChange
+    | PlanChange
+    | LocationFailover
+    | SummaryRecord
+    | DroppedRecords
+    | ClockStep
+    | ChangeLogConnection
 )
+KNOWN_KINDS = {record_type.__struct_config__.tag for record_type in get_args(AnyRecord)}
+
 encode = msgspec.json.Encoder().encode
-decode = msgspec.json.Decoder(Any_).decode
-loose = msgspec.json.Decoder(dict[str, Any]).decode
-KINDS = {
-    "head",
-    "start",
-    "over",
-    "upgrade",
-    "listed",
-    "purge",
-    "belief",
-    "cut",
-    "planned",
-    "away",
-    "second",
-    "lost",
-    "clock",
-    "log",
-}
+decode = msgspec.json.Decoder(AnyRecord).decode
+decode_fields = msgspec.json.Decoder(dict[str, Any]).decode
+
+
+def encode_line(record: Record) -> bytes:
+    """Return a record as a line of a file."""
+    return encode(record) + b"\n"
--- a/lilacloft/record/recorder.py
+++ b/lilacloft/record/recorder.py
@@ -84,7 +84,7 @@
         self.over = False
         told = plain(owner.vhosts)
         self.head = record_types.Head(
-            schema=record_types.SCHEMA,
+            schema=record_types.SCHEMA_VERSION,
             gateway=name,
             run=self.run,
             version=__version__,
@@ -116,7 +116,7 @@
             except OSError as wrong:
                 logger.error("records' socket {}: {}", self.connect, wrong.strerror)
         self.thread.start()
-        self.note(record_types.Start(why=why, listed=len(self.owner.backends)))
+        self.note(record_types.Start(reason=why, backend_count=len(self.owner.backends)))
         self._list(self.owner.backends.values(), 0, True)
         self._tick()
 
@@ -125,7 +125,7 @@
         self.note(
             self.summary.take(self.owner.monotonic_time, self._bes(), self.owner.router.link_limit.limit)
         )
-        self.note(record_types.Over(why=why))
+        self.note(record_types.Stop(reason=why))
         self.over = True
         self.woken.set()
         self.thread.join(1.0)
@@ -138,7 +138,7 @@
         apart = wall - steady
         if self.apart is not None and abs(apart - self.apart) > STEP:
             step, self.apart = apart - self.apart, apart
-            self._queue(record_types.Clock(step=step), wall, steady)
+            self._queue(record_types.ClockStep(step=step), wall, steady)
         self.apart = apart if self.apart is None else self.apart
         self._queue(record, wall, steady)
 
@@ -182,16 +182,16 @@
 
     def phase(self, phase: str, why: str) -> None:
         """An upgrade has come to a phase; from whatever thread drives it."""
-        self.note(record_types.Upgrade(phase=phase, why=why))
+        self.note(record_types.Upgrade(phase=phase, reason=why))
 
     def believed(self, backend: Any, what: str, why: str) -> None:
         self.note(
-            record_types.Belief(
+            record_types.HealthChange(
                 backend=backend.name,
-                what=what,
-                why=why,
+                change=what,
+                reason=why,
                 consecutive_failures=backend.consecutive_failures,
-                late=round(backend.late_fill_share, 3),
+                late_share=round(backend.late_fill_share, 3),
             )
         )
 
@@ -199,19 +199,28 @@
         """Another plan holds, or none: what its effect is (lilacloft.plan.follow.Effect)."""
         name = effect.name
         self.note(
-            record_types.Planned(
+            record_types.PlanChange(
                 planner=name.planner,
                 epoch=name.epoch,
-                issued=name.number,
-                out=sorted(effect.out),
-                limits=len(effect.ways),
-                link=round(effect.link, 3),
+                plan_number=name.number,
+                ejected_backends=sorted(effect.out),
+                limit_count=len(effect.ways),
+                link_limit=round(effect.link, 3),
             )
         )
 
     def away(self, zone: str, back: int, slices: int, fails: int, why: str, alone: bool) -> None:
         """So much of a location is at home now."""
-        self.note(record_types.Away(zone=zone, back=back, of=slices, failed=fails, why=why, alone=alone))
+        self.note(
+            record_types.LocationFailover(
+                zone=zone,
+                returned_slices=back,
+                total_slices=slices,
+                failed_returns=fails,
+                reason=why,
+                without_plan=alone,
+            )
+        )
 
     def limited(self, backend: Any, was: float, limit: float, late: float) -> None:
         way = (
@@ -228,7 +237,7 @@
         what, told = event
         if what == "purge":
             key, group, at = told
-            return self.note(record_types.Purge(event=number, key=key, group=group, at=at * 10))
+            return self.note(record_types.Purge(event=number, key=key, group=group, purged_at=at * 10))
         backends = [self.owner.backends[name] for name, *_ in told if name in self.owner.backends]
         gone = [row for row in told if row[0] not in self.owner.backends]
         return self._list(backends, number, what == "full", gone)
@@ -250,7 +259,7 @@
             (name, family[kind], zones[zone], 0, started * 10, float(size))
             for name, _, zone, kind, _, _, size, started in gone
         ]
-        self.note(record_types.Listed(event=number, whole=whole, backends=rows))
+        self.note(record_types.BackendList(event=number, whole=whole, backends=rows))
 
     def _bes(self) -> dict[str, tuple[int, float, bool, int]]:
         return {
@@ -270,7 +279,7 @@
         self.summary.counted({**refused, "faults": owner.answer_counts["faults"]})
         if owner.feed.connects != self.connects:
             self.connects = owner.feed.connects
-            self.note(record_types.Log(up=True, event=owner.feed.last))
+            self.note(record_types.ChangeLogConnection(connected=True, event=owner.feed.last))
         if self.summary.due(owner.monotonic_time):
             second = self.summary.take(owner.monotonic_time, self._bes(), owner.router.link_limit.limit)
             self.note(second)
@@ -294,7 +303,7 @@
             owed, why = self.book.owed()
             if owed:
                 lines.insert(0, self._gap(owed, why, 0))
-            self.head.file = self.book.number + 1
+            self.head.file_number = self.book.number + 1
             self.head.wall, self.head.steady = time.time_ns() // NS, time.monotonic_ns() // NS
             gone = self.book.write(lines, record_types.encode(self.head) + b"\n")
             if lines and bool(gone) != failing:  # nothing to write says nothing of the disk
@@ -315,7 +324,7 @@
         wall, steady = time.time_ns() // NS, time.monotonic_ns() // NS
         return (
             record_types.encode(
-                record_types.Lost(count=count, why=why, since=since, wall=wall, steady=steady)
+                record_types.DroppedRecords(count=count, reason=why, since=since, wall=wall, steady=steady)
             )
             + b"\n"
         )
--- a/lilacloft/record/summary.py
+++ b/lilacloft/record/summary.py
@@ -10,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lilacloft.record.record_types import Backend, Cut, Second, Vhost
+from lilacloft.record.record_types import BackendCounts, LimitChange, SummaryRecord, VhostCounts
 
 SPAN = 10_000  # of a summary
 QUIET = 100_000  # and while nothing happens
@@ -39,8 +39,8 @@
     def __init__(self, vhosts: Mapping[str, tuple[float, float, float]], now: int) -> None:
         """Vhosts by name, with target, client timeout and value."""
         self.told, self.since = vhosts, now
-        self.vhosts: dict[str, Vhost] = {}
-        self.backends: dict[str, Backend] = {}
+        self.vhosts: dict[str, VhostCounts] = {}
+        self.backends: dict[str, BackendCounts] = {}
         self.took: dict[str, HdrHistogram] = {}
         self.refused: dict[str, int] = {}
         self.seen: dict[str, int] = {}
@@ -72,7 +72,7 @@
         mine, name = self._be(backend), NOTES[note] if note < len(NOTES) else ""
         if outcome == "done":
             mine.done += 1
-            mine.late += late
+            mine.late_answers += late
             one = self._vhost(vhost)
             if name in HITS or (not name and source is None):
                 one.hits += 1
@@ -84,8 +84,8 @@
             theirs = self._be(source)
             theirs.fills += 1
             if outcome == "done" and name in ("", *FILLS):
-                theirs.waits += 1
-                theirs.waited += waited or took
+                theirs.source_waits += 1
+                theirs.source_wait_total += waited or took
 
     def answered(self, vhost: str, kind: str, took: int, tries: int) -> None:
         """A final answer: done, denied or aborted, so long after the req came."""
@@ -94,20 +94,20 @@
         target, _, value = self.told[vhost]
         if kind == "done":
             if took > target:
-                one.late += 1
+                one.late_answers += 1
             else:
                 one.value += value
             if vhost not in self.took:
                 self.took[vhost] = HdrHistogram(1, LARGEST, FIGURES)
             self.took[vhost].record_value(max(1, min(took, LARGEST)))
         elif kind == "denied" and not tries:
-            one.at_once += 1
+            one.denied_without_dispatch += 1
 
     def left(self, vhost: str) -> None:
-        self._vhost(vhost).left += 1
+        self._vhost(vhost).abandoned += 1
 
     def checked(self, backend: str, util: float) -> None:
-        self._be(backend).util = util
+        self._be(backend).utilization = util
 
     def lagged(self, late: int) -> None:
         self.lag = max(self.lag, late)
@@ -120,17 +120,25 @@
             if grown > 0:
                 self.refused[name] = self.refused.get(name, 0) + grown
 
-    def limited(self, way: str, was: float, limit: float, late: float) -> Cut | None:
+    def limited(self, way: str, was: float, limit: float, late: float) -> LimitChange | None:
         """A learned limit has changed. Each cut is a record; growth only where the limit is back to what it
         was before it was first cut, as it comes in steps with each answer."""
         if limit < was:
             self.cut.setdefault(way, was)
-            return Cut(backend=way, was=round(was, 2), limit=round(limit, 2), late=round(late, 3))
+            return LimitChange(
+                backend=way, previous_limit=round(was, 2), limit=round(limit, 2), late_share=round(late, 3)
+            )
         before = self.cut.get(way)
         if before is None or limit < before:
             return None
         del self.cut[way]
-        return Cut(backend=way, was=round(was, 2), limit=round(limit, 2), late=round(late, 3), grown=True)
+        return LimitChange(
+            backend=way,
+            previous_limit=round(was, 2),
+            limit=round(limit, 2),
+            late_share=round(late, 3),
+            recovered=True,
+        )
 
     # --- its end ---
 
@@ -143,34 +151,36 @@
         )
         return now - self.since >= (SPAN if busy else QUIET)
 
-    def take(self, now: int, backends: Mapping[str, tuple[int, float, bool, int]], link: float) -> Second:
+    def take(
+        self, now: int, backends: Mapping[str, tuple[int, float, bool, int]], link: float
+    ) -> SummaryRecord:
         """The record of what happened, and a new start. Bes by name as they are now: in flight, limit,
         suspect, status; those that nothing is known of are left out."""
         for name, (flight, limit, ejected, status) in backends.items():
             if flight or ejected or status != 1 or name in self.backends:
                 one = self._be(name)
-                one.flight, one.limit, one.ejected, one.status = flight, round(limit, 2), ejected, status
+                one.in_flight, one.limit, one.ejected, one.status = flight, round(limit, 2), ejected, status
         for vhost, took in self.took.items():
-            self.vhosts[vhost].took = took.encode().decode("ascii")
-        out = Second(
-            span=now - self.since,
+            self.vhosts[vhost].durations = took.encode().decode("ascii")
+        out = SummaryRecord(
+            duration=now - self.since,
             vhosts=self.vhosts,
             backends=self.backends,
-            link=round(link, 2),
+            link_limit=round(link, 2),
             refused=self.refused,
-            lag=self.lag,
+            loop_lag=self.lag,
         )
         self.vhosts, self.backends, self.took, self.refused, self.lag, self.since = {}, {}, {}, {}, 0, now
         return out
 
-    def _vhost(self, name: str) -> Vhost:
+    def _vhost(self, name: str) -> VhostCounts:
         if name not in self.vhosts:
-            self.vhosts[name] = Vhost(fills={})
+            self.vhosts[name] = VhostCounts(fills={})
         return self.vhosts[name]
 
-    def _be(self, name: str) -> Backend:
+    def _be(self, name: str) -> BackendCounts:
         if name not in self.backends:
-            self.backends[name] = Backend(ends={})
+            self.backends[name] = BackendCounts(ends={})
         return self.backends[name]
 
 
--- a/lilacloft/timeline/clocks.py
+++ b/lilacloft/timeline/clocks.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from lilacloft.record.reader import Run
-from lilacloft.record.record_types import Listed, Purge, Record
+from lilacloft.record.record_types import BackendList, Purge, Record
 
 LEAST = 5.0  # ms: threads and queues differ by no less
 ALONE = 2000.0  # how far a clock may be off that nothing is known of
@@ -54,8 +54,8 @@
     count: dict[tuple[object, ...], int] = defaultdict(int)
     for record in run.records:
         if isinstance(record, Purge):
-            key: tuple[object, ...] = ("purge", record.key, record.group, record.at)
-        elif isinstance(record, Listed) and record.event and not record.whole:
+            key: tuple[object, ...] = ("purge", record.key, record.group, record.purged_at)
+        elif isinstance(record, BackendList) and record.event and not record.whole:
             key = ("listed", *sorted((backend[0], backend[3], backend[4]) for backend in record.backends))
         else:
             continue
--- a/lilacloft/timeline/event_observations.py
+++ b/lilacloft/timeline/event_observations.py
@@ -5,7 +5,16 @@
 
 from __future__ import annotations
 
-from lilacloft.record.record_types import Away, Belief, Cut, Listed, Planned, Purge, Second, Start
+from lilacloft.record.record_types import (
+    BackendList,
+    HealthChange,
+    LimitChange,
+    LocationFailover,
+    PlanChange,
+    Purge,
+    Start,
+    SummaryRecord,
+)
 from lilacloft.timeline.observations import GatewayHistory, Observation
 
 FIRST_SIGN_WINDOW = 6000.0  # ms before an ejection in which its first sign is looked for
@@ -18,9 +27,9 @@
     out: list[Observation] = []
     open_: dict[str, Observation] = {}
     for at, uncertainty, record in seen.events:
-        if isinstance(record, Away):
+        if isinstance(record, LocationFailover):
             observation = open_.get(record.zone)
-            if observation is None and record.back < record.of:
+            if observation is None and record.returned_slices < record.total_slices:
                 observation = open_[record.zone] = Observation(
                     seen.gateway,
                     "location left",
@@ -28,19 +37,25 @@
                     at,
                     None,
                     uncertainty,
-                    record.why or "left without a plan",
+                    record.reason or "left without a plan",
                     [],
                     at,
                 )
                 out.append(observation)
             if observation is not None:
-                how = " without a plan" if record.alone else ""
-                why = f": {record.why}" if record.why and record.back in (0, record.of) else ""
-                observation.actions.append(f"{record.back} of {record.of} slices at home{how}{why}")
-                if record.back >= record.of:
+                how = " without a plan" if record.without_plan else ""
+                why = (
+                    f": {record.reason}"
+                    if record.reason and record.returned_slices in (0, record.total_slices)
+                    else ""
+                )
+                observation.actions.append(
+                    f"{record.returned_slices} of {record.total_slices} slices at home{how}{why}"
+                )
+                if record.returned_slices >= record.total_slices:
                     observation.end = at
                     del open_[record.zone]
-        elif isinstance(record, Start) and record.why != "upgrade":
+        elif isinstance(record, Start) and record.reason != "upgrade":
             for (
                 observation
             ) in open_.values():  # another process, which has all of it at home until it is told
@@ -56,7 +71,7 @@
     without_plan: Observation | None = None
     held = ""
     for at, uncertainty, record in seen.events:
-        if isinstance(record, Planned) and not record.planner and held:
+        if isinstance(record, PlanChange) and not record.planner and held:
             if without_plan is None:
                 without_plan = Observation(
                     seen.gateway,
@@ -70,13 +85,15 @@
                     at,
                 )
                 out.append(without_plan)
-        elif isinstance(record, Planned) and record.planner:
+        elif isinstance(record, PlanChange) and record.planner:
             if without_plan is not None:
                 without_plan.end = at
-                without_plan.actions.append(f"plan {record.epoch}.{record.issued} of {record.planner} holds")
+                without_plan.actions.append(
+                    f"plan {record.epoch}.{record.plan_number} of {record.planner} holds"
+                )
                 without_plan = None
             held = record.planner
-        elif isinstance(record, Start) and record.why != "upgrade":
+        elif isinstance(record, Start) and record.reason != "upgrade":
             if without_plan is not None:
                 without_plan.end = at
                 without_plan.actions.append("the gateway restarted")
@@ -90,39 +107,39 @@
     out: list[Observation] = []
     open_: dict[str, Observation] = {}
     for at, uncertainty, record in seen.events:
-        if isinstance(record, Belief) and record.what == "left alone":
+        if isinstance(record, HealthChange) and record.change == "left alone":
             if record.backend not in open_:
                 open_[record.backend] = _ejection(seen, at, uncertainty, record)
                 out.append(open_[record.backend])
-        elif isinstance(record, Belief):
+        elif isinstance(record, HealthChange):
             _close(open_, record.backend, at, "answers again")
-        elif isinstance(record, Listed):
+        elif isinstance(record, BackendList):
             for name, _, _, status, started, _ in record.backends:
                 observation = open_.get(name)
                 if observation and (not status or started / 10 > observation.begin):
                     _close(open_, name, at, "gone from the list" if not status else "started anew")
-        elif isinstance(record, Second):
+        elif isinstance(record, SummaryRecord):
             for name, observation in list(open_.items()):
                 backend = record.backends.get(name)
                 if backend:
-                    after = at - record.span / 10 > (observation.acted_at or at)
+                    after = at - record.duration / 10 > (observation.acted_at or at)
                     observation.answered += backend.done if after else 0
                     if backend.status == 1 and not backend.ejected and backend.done and after:
                         _close(open_, name, at, "answers again")  # its word of that is not here
-        elif isinstance(record, Cut):
+        elif isinstance(record, LimitChange):
             observation = open_.get(record.backend)
-            if observation and not record.grown:
-                observation.actions.append(f"limit {record.was:g} to {record.limit:g}")
-        elif isinstance(record, Start) and record.why != "upgrade":
+            if observation and not record.recovered:
+                observation.actions.append(f"limit {record.previous_limit:g} to {record.limit:g}")
+        elif isinstance(record, Start) and record.reason != "upgrade":
             for name in list(open_):
                 _close(open_, name, at, "the gateway restarted, and began without that belief")
     return out
 
 
-def _ejection(seen: GatewayHistory, at: float, uncertainty: float, record: Belief) -> Observation:
+def _ejection(seen: GatewayHistory, at: float, uncertainty: float, record: HealthChange) -> Observation:
     """Return the observation of an ejection. It begins between the last second in which the backend answered
     and the ejection."""
-    slow = "late" in record.why
+    slow = "late" in record.reason
     begin = at
     # not across a restart: what lies between nobody has seen
     starts = [when for when, _, one in seen.events if isinstance(one, Start) and when <= at]
@@ -132,7 +149,7 @@
         if backend is None or (not backend.done and not slow):
             begin = min(begin, span.begin)
             continue
-        if slow and backend.late > SLOW_LATE_SHARE * max(1, backend.done):
+        if slow and backend.late_answers > SLOW_LATE_SHARE * max(1, backend.done):
             begin = min(begin, span.begin)
             continue
         begin = min(at, span.end)
@@ -145,7 +162,7 @@
         begin,
         None,
         uncertainty + (at - begin) / 2,
-        record.why,
+        record.reason,
         actions,
         at,
     )
@@ -165,7 +182,7 @@
     born: dict[str, int] = {}
     drains: dict[str, Observation] = {}
     for at, uncertainty, record in seen.events:
-        if not isinstance(record, Listed):
+        if not isinstance(record, BackendList):
             continue
         for name, _, _, now, started, _ in record.backends:
             if now != 2 and name in drains:
@@ -195,10 +212,10 @@
             seen.gateway,
             "purge",
             record.key or f"group {record.group}",
-            record.at / 10,
+            record.purged_at / 10,
             at,
             uncertainty,
-            f"told {at - record.at / 10:.0f} ms after it",
+            f"told {at - record.purged_at / 10:.0f} ms after it",
             [],
             at,
         )
--- a/lilacloft/timeline/gaps.py
+++ b/lilacloft/timeline/gaps.py
@@ -7,8 +7,7 @@
 from dataclasses import dataclass
 
 from lilacloft.record.reader import Run
-from lilacloft.record.record_types import Clock as Step
-from lilacloft.record.record_types import Lost, Over, Record, Start
+from lilacloft.record.record_types import ClockStep, DroppedRecords, Record, Start, Stop
 from lilacloft.timeline.clocks import Clock, run_time
 
 SILENT = 13_000.0  # ms without a record: an idle gateway writes one every ten seconds
@@ -42,11 +41,11 @@
             clock = clocks[run.name]
             out += _within(gateway, run, clocks)
             end = _at(run, run.records[-1], clocks)
-            over = next((one for one in reversed(run.records) if isinstance(one, Over)), None)
+            over = next((one for one in reversed(run.records) if isinstance(one, Stop)), None)
             if place + 1 < len(mine):
                 after = mine[place + 1]
                 start = next((one for one in after.records if isinstance(one, Start)), None)
-                kind = "upgrade" if start and start.why == "upgrade" else "restart"
+                kind = "upgrade" if start and start.reason == "upgrade" else "restart"
                 ended = "ended in order" if over else "ended without a word"
                 why = "replaced by a new process" if kind == "upgrade" else f"{ended} and started again"
                 begin = _at(after, after.records[0], clocks)
@@ -62,7 +61,7 @@
                     )
                 )
             elif over is not None and last - end > ENDS:
-                why = f"ended in order ({over.why})"
+                why = f"ended in order ({over.reason})"
                 out.append(Gap(gateway, end, None, "ended", why, True, clock.uncertainty))
             elif over is None and last - end > ENDS:
                 out.append(
@@ -99,15 +98,20 @@
         left = after.number - before.number - 1
         if left > 0:
             lost = next(
-                (one for one in run.records if isinstance(one, Lost) and before.steady <= one.steady), None
+                (
+                    one
+                    for one in run.records
+                    if isinstance(one, DroppedRecords) and before.steady <= one.steady
+                ),
+                None,
             )
-            why = f"{left} records lost: {lost.why}" if lost else f"{left} records are not here"
+            why = f"{left} records lost: {lost.reason}" if lost else f"{left} records are not here"
             out.append(Gap(gateway, begin, end, "lost" if lost else "missing", why, False, uncertainty))
         elif end - begin > SILENT:
             why = "nothing was written: the process stood still"
             out.append(Gap(gateway, begin, end, "silent", why, False, uncertainty))
     for record in run.records:
-        if isinstance(record, Step):
+        if isinstance(record, ClockStep):
             at = _at(run, record, clocks)
             why = f"its clock was set by {record.step / 10:+.0f} ms; order is by the steady one"
             out.append(Gap(gateway, at, at, "clock", why, True, uncertainty))
--- a/lilacloft/timeline/observations.py
+++ b/lilacloft/timeline/observations.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from lilacloft.record.reader import Run
-from lilacloft.record.record_types import Listed, Second
+from lilacloft.record.record_types import BackendList, SummaryRecord
 from lilacloft.timeline.clocks import Clock, run_time
 from lilacloft.timeline.summary_columns import Columns
 
@@ -37,7 +37,7 @@
 
     begin: float
     end: float
-    second: Second
+    second: SummaryRecord
 
 
 class GatewayHistory:
@@ -58,9 +58,9 @@
             for record in run.records:
                 at = clock.true(run_time(run, record))
                 self.events.append((at, clock.uncertainty, record))
-                if isinstance(record, Second):
-                    self.spans.append(SummarySpan(at - record.span / 10, at, record))
-                elif isinstance(record, Listed):
+                if isinstance(record, SummaryRecord):
+                    self.spans.append(SummarySpan(at - record.duration / 10, at, record))
+                elif isinstance(record, BackendList):
                     self.kinds.update((name, kind) for name, kind, *_ in record.backends)
         self.events.sort(key=lambda event: event[0])
         self.spans.sort(key=lambda span: span.begin)
--- a/lilacloft/timeline/summary_columns.py
+++ b/lilacloft/timeline/summary_columns.py
@@ -11,9 +11,13 @@
 import numpy as np
 from numpy.typing import NDArray
 
-Row = tuple[float, float, Any]  # begin, end, the Second
+Row = tuple[float, float, Any]  # begin, end, the SummaryRecord
 VHOST = ("reqs", "done", "denied", "aborted", "left", "late", "dispatches", "hits")
-ATTRIBUTES = {"reqs": "requests"}  # of records, where a column is named otherwise
+ATTRIBUTES = {
+    "reqs": "requests",
+    "left": "abandoned",
+    "late": "late_answers",
+}  # of records, where a column is named otherwise
 BE = ("dispatches", "done", "late", "fills", "waited", "waits", "flight")
 
 
@@ -38,8 +42,8 @@
                 for field in VHOST:
                     mine[field][place] = getattr(vhost, ATTRIBUTES.get(field, field))
                 self.value[place] += vhost.value
-                if vhost.took:
-                    took.append((place, name, vhost.took))
+                if vhost.durations:
+                    took.append((place, name, vhost.durations))
             for name, backend in second.backends.items():
                 mine = self.backends.get(name)
                 if mine is None:
@@ -59,16 +63,16 @@
                 ) = (
                     backend.dispatches,
                     backend.done,
-                    backend.late,
+                    backend.late_answers,
                     backend.fills,
-                    backend.waited,
-                    backend.waits,
-                    backend.flight,
+                    backend.source_wait_total,
+                    backend.source_waits,
+                    backend.in_flight,
                 )
                 mine["suspect"][place] = backend.ejected
                 mine["ends"][place] = sum(backend.ends.values())
-                if backend.util >= 0:
-                    mine["util"][place] = backend.util
+                if backend.utilization >= 0:
+                    mine["util"][place] = backend.utilization
                 if backend.limit:
                     mine["limit"][place] = backend.limit
             self.refused[place] = sum(second.refused.values())
--- a/lilacloft/timeline/summary_observations.py
+++ b/lilacloft/timeline/summary_observations.py
@@ -59,10 +59,19 @@
 
     def waited(span: SummarySpan, source: str) -> float | None:
         backend = span.second.backends.get(source)
-        return backend.waited / backend.waits / 10 if backend and backend.waits else None
+        return (
+            backend.source_wait_total / backend.source_waits / 10
+            if backend and backend.source_waits
+            else None
+        )
 
     sources = sorted(
-        {name for span in seen.spans for name, backend in span.second.backends.items() if backend.waits}
+        {
+            name
+            for span in seen.spans
+            for name, backend in span.second.backends.items()
+            if backend.source_waits
+        }
     )
     base = {
         source: typical(wait for span in seen.spans if (wait := waited(span, source)) is not None)
@@ -142,7 +151,7 @@
 
     def late(span: SummarySpan, backend: str) -> float | None:
         one = span.second.backends.get(backend)
-        return one.late / one.done if one and one.done >= MIN_ANSWERS else None
+        return one.late_answers / one.done if one and one.done >= MIN_ANSWERS else None
 
     out = []
     for cache in caches:
@@ -181,11 +190,13 @@
 
     def requests(span: SummarySpan) -> float:
         return (
-            sum(vhost.requests for vhost in span.second.vhosts.values()) / max(1, span.second.span) * 10_000
+            sum(vhost.requests for vhost in span.second.vhosts.values())
+            / max(1, span.second.duration)
+            * 10_000
         )
 
     def refused(span: SummarySpan) -> float:
-        return span.second.refused.get("unusable", 0) / max(1, span.second.span) * 10_000
+        return span.second.refused.get("unusable", 0) / max(1, span.second.duration) * 10_000
 
     often, bad = typical(map(requests, seen.spans)), typical(map(refused, seen.spans))
 
--- a/rigs/bulk.py
+++ b/rigs/bulk.py
@@ -90,7 +90,7 @@
 
     run = f"{wall:015}-{1000 + number}"
     head = record_types.Head(
-        schema=record_types.SCHEMA,
+        schema=record_types.SCHEMA_VERSION,
         gateway=name,
         run=run,
         zone=str(zone),
@@ -100,22 +100,29 @@
         wall=wall,
         steady=steady,
     )
-    add(record_types.Start(listed=len(mine) + 4), 0.0)
+    add(record_types.Start(backend_count=len(mine) + 4), 0.0)
     rows = [(backend, "small", str(zone), 1, 0, 5.0) for backend in mine]
     rows += [(backend, "parent", "hub", 1, 0, 5.0) for backend in fleet.parents]
-    add(record_types.Listed(event=0, whole=True, backends=rows), 0.0)
+    add(record_types.BackendList(event=0, whole=True, backends=rows), 0.0)
     events = [
-        (at, record_types.Purge(event=place + 2, key=key, at=START + int(at * 10_000)))
+        (at, record_types.Purge(event=place + 2, key=key, purged_at=START + int(at * 10_000)))
         for place, (key, at) in enumerate(fleet.purges)
     ]
     for backend, begin, end in fleet.silent:
         if backend in mine:
             seen = begin + chance.uniform(0.5, 2.0)
             events.append(
-                (seen, record_types.Belief(backend=backend, what="left alone", why="3 symptoms in a row"))
+                (
+                    seen,
+                    record_types.HealthChange(
+                        backend=backend, change="left alone", reason="3 symptoms in a row"
+                    ),
+                )
             )
             again = end + chance.uniform(0.5, 6.0)
-            events.append((again, record_types.Belief(backend=backend, what="back", why="answers again")))
+            events.append(
+                (again, record_types.HealthChange(backend=backend, change="back", reason="answers again"))
+            )
     events.sort(key=lambda event: event[0])
     for second in range(1, fleet.seconds + 1):
         while events and events[0][0] < second:
@@ -125,10 +132,10 @@
         gone = {backend for backend, begin, end in fleet.silent if begin <= second - 1 and second <= end}
         asked = chance.poisson(5, len(mine))
         backends = {
-            backend: record_types.Backend(
+            backend: record_types.BackendCounts(
                 dispatches=int(sent),
                 done=0 if backend in gone else int(sent),
-                util=0.3,
+                utilization=0.3,
                 limit=12.0,
                 ends={"time_up": int(sent)} if backend in gone else {},
                 ejected=backend in gone,
@@ -138,31 +145,36 @@
         }
         for parent in fleet.parents:
             waits = int(chance.poisson(4))
-            backends[parent] = record_types.Backend(
+            backends[parent] = record_types.BackendCounts(
                 fills=waits,
-                waits=waits,
-                waited=waits * int(chance.normal(4500 if slow else 400, 40)),
+                source_waits=waits,
+                source_wait_total=waits * int(chance.normal(4500 if slow else 400, 40)),
                 limit=40.0,
             )
         done = int(sum(backend.done for backend in backends.values()))
-        clip = record_types.Vhost(
+        clip = record_types.VhostCounts(
             requests=int(asked.sum()),
             done=done,
-            late=done // 3 if slow else 0,
+            late_answers=done // 3 if slow else 0,
             hits=int(done * 0.7),
             dispatches=int(asked.sum()),
             fills={"TCP_MISS_ROOT": done // 5},
             value=2.0 * done,
-            took=(slow_took if slow else took)[second % 4],
+            durations=(slow_took if slow else took)[second % 4],
+        )
+        add(
+            record_types.SummaryRecord(
+                duration=10_000, vhosts={"clip": clip}, backends=backends, link_limit=40.0
+            ),
+            second,
         )
-        add(record_types.Second(span=10_000, vhosts={"clip": clip}, backends=backends, link=40.0), second)
     out.mkdir(parents=True, exist_ok=True)
     file, part = None, 0
     for line in lines:
         if file is None or size > 8_000_000:
             part += 1
             file = (out / f"{name}.{run}.{part:05}.jsonl").open("wb")
-            head.file, size = part, 0
+            head.file_number, size = part, 0
             file.write(record_types.encode(head) + b"\n")
         file.write(line)
         size += len(line)
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -208,7 +208,7 @@
 def records_written(folder: Path, head: Plain, lines: list[Plain]) -> None:
     """Write a run's file of records."""
     book = Book(RecordFolder(str(folder), head["gateway"], head["run"]))
-    first, *rest = (records.encode(msgspec.convert(one, records.Any_)) + b"\n" for one in [head, *lines])
+    first, *rest = (records.encode(msgspec.convert(one, records.AnyRecord)) + b"\n" for one in [head, *lines])
     assert book.write(rest, first) == 0
     book.close()
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -128,7 +128,14 @@
     backends = {"a": (2, 10.0, False, 1), "c": (0, 1.0, True, 1), "d": (0, 1.0, False, 1)}
     second = summary.take(SPAN, backends, 7.0)
     clip = second.vhosts["clip"]
-    assert (clip.requests, clip.done, clip.late, clip.denied, clip.at_once, clip.value) == (
+    assert (
+        clip.requests,
+        clip.done,
+        clip.late_answers,
+        clip.denied,
+        clip.denied_without_dispatch,
+        clip.value,
+    ) == (
         1,
         2,
         1,
@@ -136,15 +143,19 @@
         1,
         2.0,
     )
-    assert (clip.hits, clip.fills, clip.dispatches) == (1, {"TCP_MISS_ROOT": 1}, 1) and clip.took
-    assert second.backends["b"].ends == {"time_up": 1} and second.backends["b"].late == 1
-    assert (second.backends["p"].fills, second.backends["p"].waits, second.backends["p"].waited) == (
+    assert (clip.hits, clip.fills, clip.dispatches) == (1, {"TCP_MISS_ROOT": 1}, 1) and clip.durations
+    assert second.backends["b"].ends == {"time_up": 1} and second.backends["b"].late_answers == 1
+    assert (
+        second.backends["p"].fills,
+        second.backends["p"].source_waits,
+        second.backends["p"].source_wait_total,
+    ) == (
         2,
         1,
         900,
     )
-    assert second.backends["a"].flight == 2 and second.backends["c"].ejected and "d" not in second.backends
-    assert second.refused == {"unusable": 4} and second.span == SPAN
+    assert second.backends["a"].in_flight == 2 and second.backends["c"].ejected and "d" not in second.backends
+    assert second.refused == {"unusable": 4} and second.duration == SPAN
     assert not summary.take(2 * SPAN, {}, 7.0).vhosts
 
 
@@ -152,10 +163,10 @@
     summary = Summary({}, 0)
     assert summary.limited("a", 10.0, 10.1, 0.0) is None
     cut = summary.limited("a", 10.0, 7.0, 0.3)
-    assert (cut.was, cut.limit, cut.grown) == (10.0, 7.0, False)
+    assert (cut.previous_limit, cut.limit, cut.recovered) == (10.0, 7.0, False)
     assert summary.limited("a", 7.0, 4.9, 0.4).limit == 4.9
     assert summary.limited("a", 4.9, 9.9, 0.0) is None
-    assert summary.limited("a", 9.9, 10.0, 0.0).grown
+    assert summary.limited("a", 9.9, 10.0, 0.0).recovered
     assert summary.limited("a", 10.0, 10.1, 0.0) is None
 
 
@@ -167,7 +178,7 @@
     path = folder / "n0.000000000000001-1.00001.jsonl"
     records = [record_types.Head(schema=1, gateway="n0", run="000000000000001-1")]
     records += [
-        record_types.Belief(number=number, wall=number, steady=number, backend="a", what="back")
+        record_types.HealthChange(number=number, wall=number, steady=number, backend="a", change="back")
         for number in range(1, count)
     ]
     path.write_bytes(b"".join(record_types.encode(record) + b"\n" for record in records))
@@ -263,18 +274,18 @@
     os.kill(world.pids[-1], 15)
     runs = until(
         lambda: (found := records(folder))
-        and all(any(isinstance(record, record_types.Over) for record in mine) for mine in found.values())
+        and all(any(isinstance(record, record_types.Stop) for record in mine) for mine in found.values())
         and found
     )
     first, second = (runs[name] for name in sorted(runs))
     assert [record.phase for record in first if isinstance(record, record_types.Upgrade)][-1] == "gone"
-    assert first[-1].why == "upgrade" and second[0].why == "upgrade" and second[-1].why == "stop"
+    assert first[-1].reason == "upgrade" and second[0].reason == "upgrade" and second[-1].reason == "stop"
     assert [record.number for record in first] == list(range(1, len(first) + 1))
     done = sum(
         vhost.done
         for mine in (first, second)
         for record in mine
-        if isinstance(record, record_types.Second)
+        if isinstance(record, record_types.SummaryRecord)
         for vhost in record.vhosts.values()
     )
     assert done == 6
@@ -338,10 +349,10 @@
             record
             for mine in records(tmp_path / "rec").values()
             for record in mine
-            if isinstance(record, record_types.Lost)
+            if isinstance(record, record_types.DroppedRecords)
         ]
     )
-    assert lost[0].count >= 2 and "xist" in lost[0].why
+    assert lost[0].count >= 2 and "xist" in lost[0].reason
 
 
 def test_without_settings_nothing_is_written(tmp_path):
@@ -356,7 +367,7 @@
 
 
 def test_the_encoding_is_one_json_object_a_line():
-    record = record_types.Belief(number=3, wall=5, steady=7, backend='a"\n', what="back")
+    record = record_types.HealthChange(number=3, wall=5, steady=7, backend='a"\n', change="back")
     data = record_types.encode(record)
     assert b"\n" not in data and json.loads(data)["be"] == 'a"\n' and record_types.decode(data) == record
 
@@ -382,10 +393,14 @@
     agent.follower = SimpleNamespace(keeper=None)
     for _ in range(5):
         agent._act()
-    held = [(one.planner, one.epoch, one.issued) for one in written]
+    held = [(one.planner, one.epoch, one.plan_number) for one in written]
     assert held == [("p1", 1, 4), ("p1", 1, 5), ("", 0, 0)]
-    assert written[0].out == ["a", "b"] and written[0].limits == 1 and written[0].link == 3.25
-    assert all(isinstance(one, record_types.Planned) for one in written)
+    assert (
+        written[0].ejected_backends == ["a", "b"]
+        and written[0].limit_count == 1
+        and written[0].link_limit == 3.25
+    )
+    assert all(isinstance(one, record_types.PlanChange) for one in written)
     again = record_types.decode(record_types.encode(written[0]))
     assert again == written[0]
 
@@ -412,7 +427,9 @@
     for planner in ("p1", "p1", "", "p1", "p1"):
         agent.held = Name(1, 1, planner)
         agent._note()
-    assert [(one.zone, one.back, one.failed, one.why, one.alone) for one in written] == [
+    assert [
+        (one.zone, one.returned_slices, one.failed_returns, one.reason, one.without_plan) for one in written
+    ] == [
         ("there", 0, 0, "its caches fail", False),
         ("there", 4, 1, "", True),
         ("there", 64, 0, "its caches fail", False),
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -55,10 +55,10 @@
         return self
 
     def start(self, at=0.0, why="start", backends=BES):
-        self.add(at, record_types.Start(why=why))
+        self.add(at, record_types.Start(reason=why))
         return self.add(
             at,
-            record_types.Listed(
+            record_types.BackendList(
                 event=0,
                 whole=True,
                 backends=[(backend, kind, "here", 1, 0, 5.0) for backend, kind in backends],
@@ -67,38 +67,42 @@
 
     def purge(self, at, key="k", true=None):
         true = at if true is None else true
-        return self.add(at, record_types.Purge(event=1, key=key, at=UNIX + int(true * SEC)))
+        return self.add(at, record_types.Purge(event=1, key=key, purged_at=UNIX + int(true * SEC)))
 
     def seconds(self, begin, end, wait=400, asked=10, **backends):
         """Well, but for what is said of a be: `silent`, or answers late."""
         for second in range(begin + 1, end + 1):
             said = {
-                backend: record_types.Backend(
+                backend: record_types.BackendCounts(
                     dispatches=asked,
                     done=0 if backends.get(backend) == "silent" else asked,
                     ends={"time_up": asked} if backends.get(backend) == "silent" else {},
-                    late=asked if backends.get(backend) == "late" else 0,
+                    late_answers=asked if backends.get(backend) == "late" else 0,
                 )
                 for backend in ("a", "b")
             }
             for parent in ("p", "q"):
                 slow = backends.get(parent) == "slow"
-                said[parent] = record_types.Backend(fills=5, waits=5, waited=5 * (9000 if slow else wait))
+                said[parent] = record_types.BackendCounts(
+                    fills=5, source_waits=5, source_wait_total=5 * (9000 if slow else wait)
+                )
             done = sum(backend.done for backend in said.values())
             self.add(
                 second,
-                record_types.Second(
-                    span=SEC,
+                record_types.SummaryRecord(
+                    duration=SEC,
                     backends=said,
                     vhosts={
-                        "clip": record_types.Vhost(requests=20, done=done, value=2.0 * done, dispatches=20)
+                        "clip": record_types.VhostCounts(
+                            requests=20, done=done, value=2.0 * done, dispatches=20
+                        )
                     },
                 ),
             )
         return self
 
     def belief(self, at, backend, what="left alone", why="3 symptoms in a row"):
-        return self.add(at, record_types.Belief(backend=backend, what=what, why=why))
+        return self.add(at, record_types.HealthChange(backend=backend, change=what, reason=why))
 
 
 def tell(*tellers):
@@ -108,8 +112,8 @@
         number = 0
         for record in one.run.records:
             number += 1 + one.skips[id(record)]
-            record.number = 0 if isinstance(record, record_types.Lost) else number
-            number -= isinstance(record, record_types.Lost)
+            record.number = 0 if isinstance(record, record_types.DroppedRecords) else number
+            number -= isinstance(record, record_types.DroppedRecords)
         runs.setdefault(one.run.head.gateway, []).append(one.run)
     return build_timeline(runs)
 
@@ -151,7 +155,7 @@
 def test_a_clock_that_jumps_back_moves_nothing_and_is_told():
     teller = Teller("n0").start().seconds(0, 12).purge(3.0)
     teller.jump = -5000.0
-    teller.add(12.5, record_types.Clock(step=-50_000))
+    teller.add(12.5, record_types.ClockStep(step=-50_000))
     teller.belief(12.6, "a").seconds(12, 16, a="silent").belief(17.0, "a", "back", "answers again")
     teller.seconds(16, 30)
     found = tell(teller, Teller("n1").start().seconds(0, 30).purge(3.0))
@@ -253,7 +257,7 @@
 
 def test_an_upgrade_in_the_middle_is_told_and_beliefs_go_on():
     first = Teller("n0").start().seconds(0, 10).purge(3.0).belief(10.4, "a").seconds(10, 12, a="silent")
-    first.add(12.01, record_types.Over(why="upgrade"))
+    first.add(12.01, record_types.Stop(reason="upgrade"))
     second = Teller("n0", run=2).start(12.02, "upgrade").seconds(12, 14, a="silent")
     second.belief(15.0, "a", "back", "answers again").seconds(14, 30).purge(25.0, "y")
     found = tell(first, second)
@@ -264,9 +268,9 @@
 
 def test_lost_rotated_away_and_silent_records_are_gaps_with_bounds():
     teller = Teller("n0")
-    teller.add(0.0, record_types.Log(up=True), 40)
-    teller.start().seconds(0, 5).add(6.5, record_types.Lost(count=7, why="the queue was full"))
-    teller.add(6.6, record_types.Log(up=True), 7).seconds(6, 10).seconds(29, 40)
+    teller.add(0.0, record_types.ChangeLogConnection(connected=True), 40)
+    teller.start().seconds(0, 5).add(6.5, record_types.DroppedRecords(count=7, reason="the queue was full"))
+    teller.add(6.6, record_types.ChangeLogConnection(connected=True), 7).seconds(6, 10).seconds(29, 40)
     found = tell(teller, Teller("n1").start().seconds(0, 60))
     kinds_ = [gap.kind for gap in found.gaps]
     assert kinds_ == ["missing", "lost", "silent", "ended"]
@@ -330,10 +334,11 @@
 def test_drains_and_cold_returns_are_told_as_the_list_has_them():
     def told(name):
         one = Teller(name).start().seconds(0, 30)
-        one.add(5.0, record_types.Listed(event=2, backends=[("a", "small", "here", 2, 0, 5.0)]))
-        one.add(9.0, record_types.Listed(event=3, backends=[("a", "small", "here", 0, 0, 5.0)]))
+        one.add(5.0, record_types.BackendList(event=2, backends=[("a", "small", "here", 2, 0, 5.0)]))
+        one.add(9.0, record_types.BackendList(event=3, backends=[("a", "small", "here", 0, 0, 5.0)]))
         return one.add(
-            14.0, record_types.Listed(event=4, backends=[("a", "small", "here", 1, UNIX + 14 * SEC, 5.0)])
+            14.0,
+            record_types.BackendList(event=4, backends=[("a", "small", "here", 1, UNIX + 14 * SEC, 5.0)]),
         )
 
     found = tell(told("n0"), told("n1"))
@@ -344,11 +349,16 @@
 def test_forwarders_whose_plans_ran_out_are_one_episode_until_a_plan_holds_again():
     def told(name, back):
         one = Teller(name).start().seconds(0, 30)
-        one.add(2.0, record_types.Planned(planner="p1", epoch=1, issued=4, out=["b"], limits=2, link=3.0))
-        one.add(8.0, record_types.Planned())  # its planners are gone: it is a gateway alone
-        return one.add(back, record_types.Planned(planner="p2", epoch=2, issued=1))
+        one.add(
+            2.0,
+            record_types.PlanChange(
+                planner="p1", epoch=1, plan_number=4, ejected_backends=["b"], limit_count=2, link_limit=3.0
+            ),
+        )
+        one.add(8.0, record_types.PlanChange())  # its planners are gone: it is a gateway alone
+        return one.add(back, record_types.PlanChange(planner="p2", epoch=2, plan_number=1))
 
-    never = Teller("n2").start().seconds(0, 30).add(9.0, record_types.Planned())  # it never held one
+    never = Teller("n2").start().seconds(0, 30).add(9.0, record_types.PlanChange())  # it never held one
     found = tell(told("n0", 12.0), told("n1", 12.5), never)
     alone = [one for one in found.incidents if one.kind == "without a plan"]
     assert len(alone) == 1 and sorted({observation.gateway for observation in alone[0].observations}) == [
@@ -359,8 +369,10 @@
     assert all("plan 2.1 of p2 holds" in observation.actions for observation in alone[0].observations)
     # a restart ends the stretch: what came after, nobody has seen
     one = Teller("n3").start().seconds(0, 30)
-    one.add(2.0, record_types.Planned(planner="p1", epoch=1, issued=4)).add(5.0, record_types.Planned())
-    one.add(7.0, record_types.Start(why="start"))
+    one.add(2.0, record_types.PlanChange(planner="p1", epoch=1, plan_number=4)).add(
+        5.0, record_types.PlanChange()
+    )
+    one.add(7.0, record_types.Start(reason="start"))
     found = tell(one)
     observations = [
         observation
@@ -376,13 +388,22 @@
         one = Teller(name).start().seconds(0, 30)
         for at, back in ((5.0, 0), (11.0, 1), (11.5, 5), (12.0, 64)):
             why = "" if back else "its caches fail"
-            one.add(at + late, record_types.Away(zone="z1", back=back, of=64, why=why))
+            one.add(
+                at + late,
+                record_types.LocationFailover(zone="z1", returned_slices=back, total_slices=64, reason=why),
+            )
         return one
 
     lone = (
-        Teller("n2").start().seconds(0, 30).add(5.5, record_types.Away(zone="z1", back=0, of=64, alone=True))
+        Teller("n2")
+        .start()
+        .seconds(0, 30)
+        .add(
+            5.5,
+            record_types.LocationFailover(zone="z1", returned_slices=0, total_slices=64, without_plan=True),
+        )
     )
-    lone.add(9.0, record_types.Start(why="start"))  # another process: it has all at home until it is told
+    lone.add(9.0, record_types.Start(reason="start"))  # another process: it has all at home until it is told
     found = [
         one for one in tell(told("n0", 0.0), told("n1", 0.4), lone).incidents if one.kind == "location left"
     ]
@@ -398,16 +419,16 @@
 def test_bad_clients_a_crowd_and_lost_answers_are_the_fleets():
     bad = Teller("n0").start().seconds(0, 20)
     for second in range(21, 26):
-        bad.add(second, record_types.Second(span=SEC, refused={"unusable": 90}))
+        bad.add(second, record_types.SummaryRecord(duration=SEC, refused={"unusable": 90}))
     assert kinds_of(tell(bad.seconds(25, 40))) == ["bad clients"]
     lost = Teller("n0").start().seconds(0, 20)
     for second in range(21, 26):
         lost.add(
             second,
-            record_types.Second(
-                span=SEC,
+            record_types.SummaryRecord(
+                duration=SEC,
                 backends={
-                    backend: record_types.Backend(dispatches=10, done=6, ends={"time_up": 4})
+                    backend: record_types.BackendCounts(dispatches=10, done=6, ends={"time_up": 4})
                     for backend in ("a", "b")
                 },
             ),
@@ -417,8 +438,8 @@
     for second in range(21, 26):
         crowd.add(
             second,
-            record_types.Second(
-                span=SEC, vhosts={"clip": record_types.Vhost(requests=90, done=40, denied=50)}
+            record_types.SummaryRecord(
+                duration=SEC, vhosts={"clip": record_types.VhostCounts(requests=90, done=40, denied=50)}
             ),
         )
     assert kinds_of(tell(crowd.seconds(25, 40))) == ["crowd"]
@@ -544,7 +565,7 @@
         for mine in runs.values()
         for run in mine
         for record in run.records
-        if isinstance(record, record_types.Second)
+        if isinstance(record, record_types.SummaryRecord)
         for name, vhost in record.vhosts.items()
         if name == "clip"
     )
