--- a/lilacloft/record/file_rotation.py
+++ b/lilacloft/record/file_rotation.py
@@ -1,133 +1,127 @@
-"""Decides where records go: which file, when the next begins, which old one goes, and what could not be
-kept.
+"""Rotation of a gateway's record files: when a new file begins, which old ones are removed, and how many
+records a failing disk has cost.
 
-Owns the state of one gateway's records; does no I/O of its own, but through a small interface that a test
-can fill with any disk. Times are seconds as floats by the steady clock, sizes bytes.
+No I/O but through the `RecordDirectory` that it is given. Times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Mapping
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
-FILE = 8e6  # bytes of one file
-AGE = 3600.0  # seconds of one file
-TOTAL = 64e6  # bytes of all files of a gateway
-QUEUE = 4096  # records that may wait; one a second is usual
-AGAIN = 1.0  # seconds before a disk that failed is tried again
+MAX_FILE_BYTES = 8e6
+MAX_FILE_AGE = 3600.0  # seconds
+MAX_TOTAL_BYTES = 64e6  # of all files of a gateway
+RETRY_DELAY = 1.0  # seconds after a failure of the disk
 
 
-class Shelf(Protocol):
-    """A folder, as far as records need it. Every method may raise OSError."""
+class RecordDirectory(Protocol):
+    """A directory of record files with one file open for writing. Each method may raise OSError."""
 
     def now(self) -> float:
-        """Tell the time in seconds."""
+        """Return the time in seconds."""
 
-    def begin(self, number: int) -> None:
-        """Begin a file; what is written goes there."""
+    def open_file(self, number: int) -> None:
+        """Create a file and open it for writing."""
 
     def write(self, data: bytes) -> None:
-        """Write whole lines to it, all or, with an error, some."""
+        """Write whole lines to the open file; with an error, a part of them may be written."""
 
-    def end(self) -> None:
-        """End the file that was begun."""
+    def close_file(self) -> None:
+        """Close the open file."""
 
-    def files(self) -> list[tuple[str, int]]:
-        """All files of this gateway, oldest first, with their sizes; that of this run in hand is the last."""
+    def list_files(self) -> list[tuple[str, int]]:
+        """Return name and bytes of all files of this gateway, oldest first."""
 
-    def remove(self, name: str) -> None:
-        """Remove one."""
+    def remove_file(self, name: str) -> None:
+        """Remove a file."""
 
 
-class Queue:
-    """Records between the owner's thread, which must not wait, and the writing one. Bounded: what does not
-    fit is counted, never waited for. (Both ends are called under the caller's lock.)"""
+class WriteLosses(NamedTuple):
+    """How many records could not be written, and the last error."""
 
-    def __init__(self, most: int = QUEUE) -> None:
-        self.most, self.held, self.lost, self.since = most, deque[bytes](), 0, 0
+    count: int
+    error: str
 
-    def put(self, line: bytes, wall: int) -> bool:
-        """Add a line; False where it was dropped, and that was counted from a time on."""
-        if len(self.held) >= self.most:
-            self.since = self.since if self.lost else wall
-            self.lost += 1
-            return False
-        self.held.append(line)
-        return True
 
-    def take(self) -> tuple[list[bytes], int, int]:
-        """All lines, how many were dropped after them, and since when."""
-        lines, self.held = list(self.held), deque()
-        lost, since, self.lost = self.lost, self.since, 0
-        return lines, lost, since
+class RotatingFiles:
+    """The files of one run."""
 
-
-class Book:
-    """One run's files."""
-
-    def __init__(self, shelf: Shelf, limits: Mapping[str, float] | None = None) -> None:
+    def __init__(self, directory: RecordDirectory, limits: Mapping[str, float] | None = None) -> None:
+        """`limits` has the settings `file` and `total` in bytes and `age` in seconds, each optional."""
         limits = limits or {}
-        self.shelf = shelf
-        self.file_most, self.age_most = limits.get("file", FILE), limits.get("age", AGE)
-        self.total_most = max(limits.get("total", TOTAL), 2 * self.file_most)
-        self.number = 0  # of the file in hand; 0: none yet
-        self.size, self.began = 0, 0.0
-        self.open = False
-        self.retry = 0.0  # a disk that failed is tried again from then on
-        self.lost = 0  # records since it failed
-        self.why = ""
+        self.directory = directory
+        self.max_file_bytes = limits.get("file", MAX_FILE_BYTES)
+        self.max_file_age = limits.get("age", MAX_FILE_AGE)
+        self.max_total_bytes = max(limits.get("total", MAX_TOTAL_BYTES), 2 * self.max_file_bytes)
+        self.file_number = 0  # of the last file that was begun; 0: none
+        self.size, self.opened_at = 0, 0.0
+        self.is_open = False
+        self.retry_at = 0.0
+        self.lost = 0  # records that could not be written and are not reported yet
+        self.error = ""
 
     def write(self, lines: list[bytes], head: bytes) -> int:
-        """Write lines, each with its end; a new file begins with the head. Returns how many were lost by a
-        disk that fails: all from the first that did not get down."""
+        """Write whole lines, in a new file behind the head where one is due. Return how many were lost:
+        none, or all if the disk fails."""
         if not lines:
             return 0
-        now = self.shelf.now()
-        if now < self.retry:
+        now = self.directory.now()
+        if now < self.retry_at:
             return self._lose(len(lines))
         size = sum(map(len, lines))
         try:
-            if not self.open or self.size + size > self.file_most or now - self.began >= self.age_most:
-                self._turn(now, head)
-            self.shelf.write(b"".join(lines))
-        except OSError as wrong:
-            # what got down of it may end in the middle of a line: nothing may follow there
-            self.open, self.retry, self.why = False, now + AGAIN, wrong.strerror or str(wrong)
+            if self._rotation_due(now, size):
+                self._rotate(now, head)
+            self.directory.write(b"".join(lines))
+        except OSError as error:
+            # The file may end within a line now: nothing may be appended to it.
+            self.is_open = False
+            self.retry_at = now + RETRY_DELAY
+            self.error = error.strerror or str(error)
             return self._lose(len(lines))
         self.size += size
         return 0
 
-    def owed(self) -> tuple[int, str]:
-        """How many records a disk that works again has cost; asked once."""
-        if self.shelf.now() < self.retry or not self.lost:
-            return 0, ""
+    def take_losses(self) -> WriteLosses:
+        """Return what the disk has cost since the last call; nothing while a retry is not due."""
+        if self.directory.now() < self.retry_at or not self.lost:
+            return WriteLosses(0, "")
         lost, self.lost = self.lost, 0
-        return lost, self.why
+        return WriteLosses(lost, self.error)
 
     def close(self) -> None:
-        """The run is over."""
-        if self.open:
-            self.open = False
-            self.shelf.end()
+        """Close the open file at the end of the run."""
+        if self.is_open:
+            self.is_open = False
+            self.directory.close_file()
 
     def _lose(self, count: int) -> int:
         self.lost += count
         return count
 
-    def _turn(self, now: float, head: bytes) -> None:
-        """End the file in hand and begin the next; make room for it first."""
-        if self.open:
-            self.open = False
-            self.shelf.end()
-        files = self.shelf.files()
+    def _rotation_due(self, now: float, size: int) -> bool:
+        return (
+            not self.is_open
+            or self.size + size > self.max_file_bytes
+            or now - self.opened_at >= self.max_file_age
+        )
+
+    def _rotate(self, now: float, head: bytes) -> None:
+        """Close the open file, remove old ones, and begin the next."""
+        self.close()
+        self._remove_old_files()
+        self.file_number += 1
+        self.directory.open_file(self.file_number)
+        self.directory.write(head)
+        self.is_open, self.size, self.opened_at = True, len(head), now
+
+    def _remove_old_files(self) -> None:
+        """Remove the oldest files until another full one fits."""
+        files = self.directory.list_files()
         total = sum(size for _, size in files)
         for name, size in files:
-            if total + self.file_most <= self.total_most:
+            if total + self.max_file_bytes <= self.max_total_bytes:
                 break
-            self.shelf.remove(name)
+            self.directory.remove_file(name)
             total -= size
-        self.number += 1
-        self.shelf.begin(self.number)
-        self.shelf.write(head)
-        self.open, self.size, self.began = True, len(head), now
--- a/lilacloft/record/live_stream.py
+++ b/lilacloft/record/live_stream.py
@@ -1,7 +1,7 @@
-"""A Unix socket on which a gateway's records can be followed as they come: the last ones first, then each
-new one.
+"""A Unix socket that streams a gateway's records: the recent ones first, then each new one.
 
-Only the same user and root may. It must never wait for a reader: who does not keep up is let go.
+Only processes of the same user and of root may connect. A reader that does not keep up is disconnected: the
+writing thread never waits for one.
 """
 
 from __future__ import annotations
@@ -15,17 +15,19 @@
 
 from loguru import logger
 
-KEPT = 900  # records that a new reader gets first: some ten minutes
-READERS = 8
-BEHIND = 1 << 20  # bytes that may wait for a reader in its socket
+RECENT_RECORDS = 900  # that a new reader gets first: about ten minutes
+MAX_READERS = 8
+SEND_BUFFER_BYTES = 1 << 20  # for each reader
+PEER_CREDENTIALS = struct.Struct("3i")  # process id, user id, group id
 
 
-class Tap:
-    """One gateway's. `tell` belongs to the records' thread; readers are accepted by another."""
+class LiveStream:
+    """The stream of one gateway. The writing thread publishes; another thread accepts readers."""
 
     def __init__(self, path: str, head: bytes) -> None:
+        """Listen at `path`; `head` is sent first to each reader. Raises OSError."""
         self.path, self.head = path, head
-        self.kept: deque[bytes] = deque(maxlen=KEPT)
+        self.recent: deque[bytes] = deque(maxlen=RECENT_RECORDS)
         self.lock = threading.Lock()
         self.readers: list[socket.socket] = []
         with contextlib.suppress(FileNotFoundError):
@@ -36,13 +38,13 @@
             self.sock.bind(path)
         finally:
             os.umask(mask)
-        self.sock.listen(READERS)
-        threading.Thread(target=self._accept, daemon=True).start()
+        self.sock.listen(MAX_READERS)
+        threading.Thread(target=self._accept_readers, daemon=True).start()
 
-    def tell(self, lines: list[bytes]) -> None:
-        """Pass lines on."""
+    def publish(self, lines: list[bytes]) -> None:
+        """Send lines to all readers."""
         with self.lock:
-            self.kept.extend(lines)
+            self.recent.extend(lines)
             data = b"".join(lines)
             for reader in list(self.readers):
                 if data and not self._send(reader, data):
@@ -50,7 +52,7 @@
 
     @staticmethod
     def _send(reader: socket.socket, data: bytes) -> bool:
-        """All of it at once, or the reader is let go: half a line must not be followed by another."""
+        """Send all data at once, or close the connection, as nothing may follow a part of a line."""
         try:
             if reader.send(data, socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL) == len(data):
                 return True
@@ -59,18 +61,22 @@
         reader.close()
         return False
 
-    def _accept(self) -> None:
+    def _accept_readers(self) -> None:
         while True:
             try:
                 reader, _ = self.sock.accept()
-                told = reader.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
-                if struct.unpack("3i", told)[1] not in (0, os.getuid()) or len(self.readers) >= READERS:
-                    reader.close()
-                    continue
-                reader.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, BEHIND)
-                with self.lock:
-                    if self._send(reader, self.head + b"".join(self.kept)):
-                        self.readers.append(reader)
-            except OSError as wrong:
-                logger.error("records' socket: {}", wrong)
+                self._add_reader(reader)
+            except OSError as error:
+                logger.error("records' socket: {}", error)
                 return
+
+    def _add_reader(self, reader: socket.socket) -> None:
+        credentials = reader.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+        _, user, _ = PEER_CREDENTIALS.unpack(credentials)
+        if user not in (0, os.getuid()) or len(self.readers) >= MAX_READERS:
+            reader.close()
+            return
+        reader.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+        with self.lock:
+            if self._send(reader, self.head + b"".join(self.recent)):
+                self.readers.append(reader)
--- a/lilacloft/record/metrics.py
+++ b/lilacloft/record/metrics.py
@@ -1,4 +1,4 @@
-"""The summaries as Prometheus text, in a file for a node's collector: no listener is opened for them."""
+"""Writes the summaries as a Prometheus text file, for a node's collector; no listener is opened."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, write_to_textfile
 
-from lilacloft.record.record_types import SummaryRecord
+from lilacloft.record.record_types import BackendCounts, SummaryRecord, VhostCounts
 
 # The label of each outcome, and the attribute of VhostCounts that counts it.
 OUTCOMES = {
@@ -19,52 +19,57 @@
 
 
 class Metrics:
-    """One gateway's file. `add` belongs to the owner's thread, `write` to the records'."""
+    """The metrics file of one gateway. The event loop's thread calls `add`, the writing thread `write`."""
 
     def __init__(self, path: str, gateway: str) -> None:
-        self.path, self.fresh = path, False
+        self.path, self.gateway = path, gateway
+        self.has_changed = False
         self.registry = CollectorRegistry()
-        self.gateway = gateway
 
         def make(kind: type, name: str, text: str, *labels: str) -> Counter | Gauge:
             return kind(f"lilacloft_{name}", text, ["gateway", *labels], registry=self.registry)
 
         self.requests = make(Counter, "reqs", "reqs by what became of them", "vhost", "outcome")
-        self.sent = make(Counter, "dispatches", "dispatches by vhost", "vhost")
+        self.dispatches = make(Counter, "dispatches", "dispatches by vhost", "vhost")
         self.hits = make(Counter, "hits", "answers from a cache's own copy", "vhost")
         self.value = make(Counter, "value", "value of what was done in time", "vhost")
         self.ends = make(Counter, "be_ends", "ends of dispatches", "be", "end")
-        self.util = make(Gauge, "be_util", "told by the be", "be")
-        self.flight = make(Gauge, "be_in_flight", "dispatches out", "be")
+        self.utilization = make(Gauge, "be_util", "told by the be", "be")
+        self.in_flight = make(Gauge, "be_in_flight", "dispatches out", "be")
         self.limit = make(Gauge, "be_limit", "learned limit", "be")
-        self.alone = make(Gauge, "be_left_alone", "1 while it is left alone", "be")
+        self.ejected = make(Gauge, "be_left_alone", "1 while it is left alone", "be")
         self.refused = make(Counter, "refused", "messages and connections refused", "cause")
 
-    def add(self, second: SummaryRecord) -> None:
-        """Count a summary."""
-        me = self.gateway
-        for name, vhost in second.vhosts.items():
-            for outcome, attribute in OUTCOMES.items():
-                self.requests.labels(me, name, outcome).inc(getattr(vhost, attribute))
-            self.sent.labels(me, name).inc(vhost.dispatches)
-            self.hits.labels(me, name).inc(vhost.hits)
-            self.value.labels(me, name).inc(vhost.value)
-        for name, backend in second.backends.items():
-            self.ends.labels(me, name, "done").inc(backend.done)
-            for end, count in backend.ends.items():
-                self.ends.labels(me, name, end).inc(count)
-            if backend.utilization >= 0:
-                self.util.labels(me, name).set(backend.utilization)
-            self.flight.labels(me, name).set(backend.in_flight)
-            self.limit.labels(me, name).set(backend.limit)
-            self.alone.labels(me, name).set(backend.ejected)
-        for cause, count in second.refused.items():
-            self.refused.labels(me, cause).inc(count)
-        self.fresh = True
+    def add(self, summary: SummaryRecord) -> None:
+        """Add a summary's counts, and set the gauges to its values."""
+        for name, vhost in summary.vhosts.items():
+            self._add_vhost(name, vhost)
+        for name, backend in summary.backends.items():
+            self._add_backend(name, backend)
+        for cause, count in summary.refused.items():
+            self.refused.labels(self.gateway, cause).inc(count)
+        self.has_changed = True
+
+    def _add_vhost(self, name: str, vhost: VhostCounts) -> None:
+        for outcome, attribute in OUTCOMES.items():
+            self.requests.labels(self.gateway, name, outcome).inc(getattr(vhost, attribute))
+        self.dispatches.labels(self.gateway, name).inc(vhost.dispatches)
+        self.hits.labels(self.gateway, name).inc(vhost.hits)
+        self.value.labels(self.gateway, name).inc(vhost.value)
+
+    def _add_backend(self, name: str, backend: BackendCounts) -> None:
+        self.ends.labels(self.gateway, name, "done").inc(backend.done)
+        for end, count in backend.ends.items():
+            self.ends.labels(self.gateway, name, end).inc(count)
+        if backend.utilization >= 0:
+            self.utilization.labels(self.gateway, name).set(backend.utilization)
+        self.in_flight.labels(self.gateway, name).set(backend.in_flight)
+        self.limit.labels(self.gateway, name).set(backend.limit)
+        self.ejected.labels(self.gateway, name).set(backend.ejected)
 
     def write(self) -> None:
-        """Put it down whole: a collector never sees half a file."""
-        if self.fresh:
-            self.fresh = False
+        """Replace the file if there is anything new, so that a collector never reads half of it."""
+        if self.has_changed:
+            self.has_changed = False
             with contextlib.suppress(OSError):
                 write_to_textfile(self.path, self.registry)
--- a/lilacloft/record/reader.py
+++ b/lilacloft/record/reader.py
@@ -1,5 +1,5 @@
-"""Reads records: whatever is whole is given, whatever is not is told with its file and line. It never
-raises for what a file holds."""
+"""Reads record files. What can be read is returned; what cannot is reported with its file and line. The
+content of a file never raises an exception."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 from lilacloft.record import record_types
 
-LONGEST = 4 << 20  # bytes of a line
+MAX_LINE_BYTES = 4 << 20
+DECODE_ERRORS = (msgspec.MsgspecError, RecursionError, UnicodeError)
 
 
 @dataclass(frozen=True)
 class Damage:
-    """What could not be read."""
+    """A file or line that cannot be read; line 0 stands for the whole file."""
 
     file: str
     line: int
@@ -28,7 +29,7 @@
 
 @dataclass
 class Run:
-    """One process's life, as far as its files tell."""
+    """The life of one process, as its files record it."""
 
     head: record_types.Head
     records: list[record_types.Record] = field(default_factory=list)
@@ -37,55 +38,71 @@
 
     @property
     def name(self) -> str:
-        """Unlike any other run's: two machines may have started theirs at one moment, with one process id."""
+        """A name unique among all gateways' runs; runs on two machines may have the same `head.run`."""
         return f"{self.head.gateway} {self.head.run}"
 
 
-def lines(path: Path) -> Iterator[tuple[int, bytes, bool]]:
-    """The lines of a file with their numbers; the last says that it has no end."""
+@dataclass
+class FileContents:
+    """What one file holds."""
+
+    head: record_types.Head | None = None
+    records: list[record_types.Record] = field(default_factory=list)
+    damage: list[Damage] = field(default_factory=list)
+
+
+def read_lines(path: Path) -> Iterator[tuple[int, bytes]]:
+    """Yield the lines of a file with their numbers from 1. A line that is cut off has no line end. Raises
+    OSError."""
     with path.open("rb") as file:
         number = 0
-        while data := file.readline(LONGEST):
+        while data := file.readline(MAX_LINE_BYTES):
             number += 1
-            yield number, data, not data.endswith(b"\n")
+            yield number, data
 
 
-def read_file(path: Path) -> tuple[record_types.Head | None, list[record_types.Record], list[Damage]]:
-    """One file: its head, what can be read, and what cannot."""
-    head: record_types.Head | None = None
-    records: list[record_types.Record] = []
-    damage: list[Damage] = []
+def read_file(path: Path) -> FileContents:
+    """Read one file up to the first line that is cut off."""
+    contents = FileContents()
     try:
-        for number, data, cut in lines(path):
-            if cut:
-                damage.append(Damage(str(path), number, f"cut off after {len(data)} bytes"))
+        for number, data in read_lines(path):
+            if not data.endswith(b"\n"):
+                text = f"cut off after {len(data)} bytes"
+                contents.damage.append(Damage(str(path), number, text))
                 break
-            try:
-                record = record_types.decode(data)
-            except (msgspec.MsgspecError, RecursionError, UnicodeError) as wrong:
-                found = _kind(data)
-                if found is None or found in record_types.KNOWN_KINDS:
-                    damage.append(Damage(str(path), number, f"a line that cannot be read: {wrong}"))
-                continue  # a kind of a later version: skipped
-            if isinstance(record, record_types.Head):
-                head = head or record
-            else:
-                records.append(record)
-    except OSError as wrong:
-        damage.append(Damage(str(path), 0, f"cannot be read: {wrong.strerror}"))
-    return head, records, damage
+            _read_line(contents, path, number, data)
+    except OSError as error:
+        contents.damage.append(Damage(str(path), 0, f"cannot be read: {error.strerror}"))
+    return contents
+
+
+def _read_line(contents: FileContents, path: Path, number: int, data: bytes) -> None:
+    """Add a line's record, or its damage, to the contents; skip kinds of later versions."""
+    try:
+        record = record_types.decode(data)
+    except DECODE_ERRORS as error:
+        kind = _kind(data)
+        if kind is None or kind in record_types.KNOWN_KINDS:
+            text = f"a line that cannot be read: {error}"
+            contents.damage.append(Damage(str(path), number, text))
+        return
+    if isinstance(record, record_types.Head):
+        contents.head = contents.head or record
+    else:
+        contents.records.append(record)
 
 
 def _kind(data: bytes) -> str | None:
     try:
-        found = record_types.decode_fields(data).get("kind")
-    except (msgspec.MsgspecError, RecursionError, UnicodeError):
+        kind = record_types.decode_fields(data).get("kind")
+    except DECODE_ERRORS:
         return None
-    return found if isinstance(found, str) else None
+    return kind if isinstance(kind, str) else None
 
 
 def find(paths: Iterable[str]) -> tuple[list[Path], list[Damage]]:
-    """All files of records in some folders, or named themselves, each once; and names that are neither."""
+    """Return the record files among paths and in folders among them, each once; and the paths that do not
+    exist."""
     files: list[Path] = []
     damage: list[Damage] = []
     for name in paths:
@@ -100,24 +117,31 @@
 
 
 def read(paths: Iterable[str]) -> tuple[dict[str, list[Run]], list[Damage]]:
-    """All runs in some folders or files, by gateway, in the order of their starts; and all damage."""
+    """Return all runs in folders or files, by gateway in the order of their starts; and all damage."""
     files, damage = find(paths)
     runs: dict[tuple[str, str], Run] = {}
     for path in files:
-        head, records, wrong = read_file(path)
-        damage += wrong
+        contents = read_file(path)
+        damage += contents.damage
+        head = contents.head
         if head is None:
-            damage.append(Damage(str(path), 1, f"no head: {len(records)} records are passed over"))
+            text = f"no head: {len(contents.records)} records are passed over"
+            damage.append(Damage(str(path), 1, text))
             continue
         if head.schema > record_types.SCHEMA_VERSION:
             versions = f"schema {head.schema} is newer than {record_types.SCHEMA_VERSION}"
             damage.append(Damage(str(path), 1, f"{versions}: what is not known is skipped"))
         run = runs.setdefault((head.gateway, head.run), Run(head))
-        run.records += records
+        run.records += contents.records
         run.files.append(str(path))
-        run.damage += wrong
-    out: dict[str, list[Run]] = {}
+        run.damage += contents.damage
+    return _by_gateway(runs), damage
+
+
+def _by_gateway(runs: dict[tuple[str, str], Run]) -> dict[str, list[Run]]:
+    """Return runs by gateway, in the order of their names, each with its records in the order of time."""
+    by_gateway: dict[str, list[Run]] = {}
     for (gateway, _), run in sorted(runs.items()):
         run.records.sort(key=lambda record: record.steady)
-        out.setdefault(gateway, []).append(run)
-    return out, damage
+        by_gateway.setdefault(gateway, []).append(run)
+    return by_gateway
--- a/lilacloft/record/recorder.py
+++ b/lilacloft/record/recorder.py
@@ -20,7 +20,8 @@
 from lilacloft import __version__
 from lilacloft.net.conn import OUTCOMES, End
 from lilacloft.record import record_types
-from lilacloft.record.file_rotation import Book, Queue
+from lilacloft.record.file_rotation import RotatingFiles
+from lilacloft.record.record_queue import RecordQueue
 from lilacloft.record.summary import Summary, plain
 from lilacloft.settings import NS
 
@@ -31,7 +32,7 @@
 
 
 class Folder:
-    """A Shelf on a real disk. Files are named after gateway, run and number, in an order that sorts."""
+    """A RecordDirectory on disk. Names of files sort by gateway, run and number."""
 
     def __init__(self, path: str, gateway: str, run: str) -> None:
         self.path, self.gateway, self.run = Path(path), SAFE.sub("_", gateway), run
@@ -41,7 +42,7 @@
     def now(self) -> float:
         return time.monotonic()
 
-    def begin(self, number: int) -> None:
+    def open_file(self, number: int) -> None:
         self.path.mkdir(parents=True, exist_ok=True)
         self.name = f"{self.gateway}.{self.run}.{number:05}.jsonl"
         self.file = open(self.path / self.name, "xb", buffering=0)  # noqa: SIM115
@@ -51,14 +52,14 @@
         while rest:
             rest = rest[self.file.write(rest) :]
 
-    def end(self) -> None:
+    def close_file(self) -> None:
         self.file.close()
 
-    def files(self) -> list[tuple[str, int]]:
+    def list_files(self) -> list[tuple[str, int]]:
         found = sorted(self.path.glob(f"{self.gateway}.*.jsonl"))
         return [(file.name, file.stat().st_size) for file in found]
 
-    def remove(self, name: str) -> None:
+    def remove_file(self, name: str) -> None:
         (self.path / name).unlink(missing_ok=True)
 
 
@@ -77,9 +78,9 @@
         self.owner = owner
         wall = time.time_ns() // NS
         self.run = f"{wall:015}-{os.getpid()}"
-        self.shelf = Folder(folder, name, self.run)
-        self.book = Book(self.shelf, limits)
-        self.queue, self.lock = Queue(), threading.Lock()
+        self.directory = Folder(folder, name, self.run)
+        self.files = RotatingFiles(self.directory, limits)
+        self.queue, self.lock = RecordQueue(), threading.Lock()
         self.woken = threading.Event()
         self.over = False
         told = plain(owner.vhosts)
@@ -102,17 +103,17 @@
 
             self.metrics = Metrics(prometheus, name)
         self.connects = 0
-        self.connect, self.tap = connect, None
+        self.connect, self.live_stream = connect, None
         owner.recorder = self
         self.thread = threading.Thread(target=self._write, daemon=True)
 
     def start(self, why: str = "start") -> None:
         """The gateway serves."""
         if self.connect:  # now, not before: until now another process may have been the gateway
-            from lilacloft.record.live_stream import Tap
+            from lilacloft.record.live_stream import LiveStream
 
             try:
-                self.tap = Tap(self.connect, record_types.encode(self.head) + b"\n")
+                self.live_stream = LiveStream(self.connect, record_types.encode(self.head) + b"\n")
             except OSError as wrong:
                 logger.error("records' socket {}: {}", self.connect, wrong.strerror)
         self.thread.start()
@@ -297,26 +298,26 @@
             self.woken.clear()
             over = self.over
             with self.lock:
-                lines, lost, since = self.queue.take()
+                lines, lost, since = self.queue.drain()
             if lost:
                 lines.append(self._gap(lost, "the queue was full", since))
-            owed, why = self.book.owed()
+            owed, why = self.files.take_losses()
             if owed:
                 lines.insert(0, self._gap(owed, why, 0))
-            self.head.file_number = self.book.number + 1
+            self.head.file_number = self.files.file_number + 1
             self.head.wall, self.head.steady = time.time_ns() // NS, time.monotonic_ns() // NS
-            gone = self.book.write(lines, record_types.encode(self.head) + b"\n")
+            gone = self.files.write(lines, record_types.encode(self.head) + b"\n")
             if lines and bool(gone) != failing:  # nothing to write says nothing of the disk
                 failing = bool(gone)
                 (logger.error if failing else logger.info)(
-                    "records: {}", f"cannot be written: {self.book.why}" if failing else "written again"
+                    "records: {}", f"cannot be written: {self.files.error}" if failing else "written again"
                 )
             if self.metrics:
                 self.metrics.write()
-            if self.tap:
-                self.tap.tell(lines)
+            if self.live_stream:
+                self.live_stream.publish(lines)
             if over:
-                self.book.close()
+                self.files.close()
                 return
 
     @staticmethod
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -35,7 +35,7 @@
 from lilacloft.plan.order import Name
 from lilacloft.plan.sights import Sight
 from lilacloft.record import record_types as records
-from lilacloft.record.file_rotation import Book
+from lilacloft.record.file_rotation import RotatingFiles
 from lilacloft.record.reader import read as read_records
 from lilacloft.record.recorder import REFUSED, Recorder
 from lilacloft.record.recorder import Folder as RecordFolder
@@ -207,10 +207,10 @@
 
 def records_written(folder: Path, head: Plain, lines: list[Plain]) -> None:
     """Write a run's file of records."""
-    book = Book(RecordFolder(str(folder), head["gateway"], head["run"]))
+    files = RotatingFiles(RecordFolder(str(folder), head["gateway"], head["run"]))
     first, *rest = (records.encode(msgspec.convert(one, records.AnyRecord)) + b"\n" for one in [head, *lines])
-    assert book.write(rest, first) == 0
-    book.close()
+    assert files.write(rest, first) == 0
+    files.close()
 
 
 def summary_values() -> Plain:
@@ -261,7 +261,7 @@
     gone = ("s-00000009", ("10.0.0.9", 7009), 1, 1, 4, 0, 1.5, 1_699_999_100)
     recorder.heard(("delta", [("s-00000001",), gone]), 43, 0)
     recorder.note(recorder.summary.take(owner.monotonic_time + 10_000, recorder._bes(), 6.25))
-    out = [recorder.head, *map(records.decode, recorder.queue.take()[0])]
+    out = [recorder.head, *map(records.decode, recorder.queue.drain()[0])]
     unstable = ("number", "wall", "steady", "run", "version", "span")
     return [
         {key: value for key, value in lists(msgspec.to_builtins(one)).items() if key not in unstable}
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -12,9 +12,10 @@
 
 from lilacloft.__main__ import main
 from lilacloft.record import record_types
-from lilacloft.record.file_rotation import AGAIN, Book, Queue
-from lilacloft.record.live_stream import Tap
+from lilacloft.record.file_rotation import RETRY_DELAY, RotatingFiles
+from lilacloft.record.live_stream import LiveStream
 from lilacloft.record.reader import read
+from lilacloft.record.record_queue import RecordQueue
 from lilacloft.record.summary import QUIET, SPAN, Summary
 from rigs.stands import Replaced, serves
 
@@ -22,7 +23,7 @@
 
 
 class Disk:
-    """A shelf in memory, which may fail, and may take only a part."""
+    """A directory in memory, which may fail, and may take only a part."""
 
     def __init__(self, room=1e9):
         self.time, self.room, self.held, self.open, self.fails = 0.0, room, {}, None, False
@@ -30,7 +31,7 @@
     def now(self):
         return self.time
 
-    def begin(self, number):
+    def open_file(self, number):
         self._may()
         self.open = f"{number:05}"
         self.held[self.open] = b""
@@ -41,13 +42,13 @@
         if self.fails or len(data) > left:
             raise OSError(errno.ENOSPC, "No space left on device")
 
-    def end(self):
+    def close_file(self):
         self.open = None
 
-    def files(self):
+    def list_files(self):
         return [(name, len(data)) for name, data in sorted(self.held.items())]
 
-    def remove(self, name):
+    def remove_file(self, name):
         del self.held[name]
 
     def _may(self):
@@ -61,54 +62,54 @@
 
 def test_files_turn_by_size_and_age_and_the_oldest_go_first():
     disk = Disk()
-    book = Book(disk, {"file": 1000, "age": 60.0, "total": 3000})
+    files = RotatingFiles(disk, {"file": 1000, "age": 60.0, "total": 3000})
     for number in range(100):
-        assert book.write([line(number)], HEAD) == 0
+        assert files.write([line(number)], HEAD) == 0
         assert sum(map(len, disk.held.values())) <= 3000
         assert all(len(data) <= 1000 and data.startswith(HEAD) for data in disk.held.values())
     assert sorted(disk.held)[-1] == "00012" and "00001" not in disk.held
     before = len(disk.held)
     disk.time += 60.0
-    book.write([line(100)], HEAD)
-    assert len(disk.held) == before + 1 or book.number == 13
+    files.write([line(100)], HEAD)
+    assert len(disk.held) == before + 1 or files.file_number == 13
     assert list(disk.held.values())[-1] == HEAD + line(100)
 
 
 def test_a_full_disk_costs_records_that_are_counted_and_nothing_else():
     disk = Disk(room=1050)
-    book = Book(disk, {"file": 10_000, "total": 20_000})
-    lost = sum(book.write([line(number)], HEAD) for number in range(30))
+    files = RotatingFiles(disk, {"file": 10_000, "total": 20_000})
+    lost = sum(files.write([line(number)], HEAD) for number in range(30))
     kept = sum(data.count(b"\n") - 1 for data in disk.held.values())
-    assert kept == 10 and lost == 20 and "space" in book.why.lower()
-    assert book.owed() == (0, "")  # not while it may still fail
-    disk.room, disk.time = 1e9, disk.time + AGAIN
-    assert book.owed() == (20, book.why)
-    assert book.owed() == (0, "")
-    assert book.write([line(31)], HEAD) == 0
+    assert kept == 10 and lost == 20 and "space" in files.error.lower()
+    assert files.take_losses() == (0, "")  # not while it may still fail
+    disk.room, disk.time = 1e9, disk.time + RETRY_DELAY
+    assert files.take_losses() == (20, files.error)
+    assert files.take_losses() == (0, "")
+    assert files.write([line(31)], HEAD) == 0
     assert list(disk.held.values())[-1] == HEAD + line(31)  # in a file of its own: the last one was cut
 
 
 def test_on_generated_failures_every_line_is_whole_and_in_order_or_counted():
     for seed in range(200):
         chance, disk = random.Random(seed), Disk()
-        book = Book(disk, {"file": 800, "total": 1e6})
+        files = RotatingFiles(disk, {"file": 800, "total": 1e6})
         lost = number = 0
         for _ in range(60):
             disk.time += chance.choice([0.1, 2.0])
             disk.fails = chance.random() < 0.3
             lines = [line(number + place) for place in range(chance.randrange(4))]
             number += len(lines)
-            lost += book.write(lines, HEAD)
+            lost += files.write(lines, HEAD)
         whole = [one for data in disk.held.values() for one in data.split(b"\n")[1:] if len(one) == 99]
         assert whole == sorted(whole)
         assert number - lost <= len(whole) <= number  # what failed may have got down in part
 
 
 def test_a_queue_that_is_full_drops_and_says_since_when():
-    queue = Queue(3)
+    queue = RecordQueue(3)
     assert [queue.put(b"%d" % number, number) for number in range(6)] == [True] * 3 + [False] * 3
-    assert queue.take() == ([b"0", b"1", b"2"], 3, 3)
-    assert queue.put(b"7", 7) and queue.take() == ([b"7"], 0, 3)
+    assert queue.drain() == ([b"0", b"1", b"2"], 3, 3)
+    assert queue.put(b"7", 7) and queue.drain() == ([b"7"], 0, 3)
 
 
 def test_a_summary_counts_by_vhost_and_be_and_is_due_each_second_that_has_anything():
@@ -317,13 +318,13 @@
 
 
 def test_a_reader_that_does_not_keep_up_is_let_go(tmp_path):
-    tap = Tap(str(tmp_path / "tap"), b"head\n")
+    stream = LiveStream(str(tmp_path / "tap"), b"head\n")
     reader = socket.socket(socket.AF_UNIX)
-    reader.connect(tap.path)
-    until(lambda: tap.readers)
+    reader.connect(stream.path)
+    until(lambda: stream.readers)
     for _ in range(600):
-        tap.tell([b"x" * 9999 + b"\n"])
-    assert not tap.readers
+        stream.publish([b"x" * 9999 + b"\n"])
+    assert not stream.readers
     reader.settimeout(5)
     got = b""
     while data := reader.recv(1 << 20):
