--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -53,7 +53,7 @@
         if gateway.guard:
             gateway.guard.note_earlier_execution(call, request)
         if gateway.recorder:
-            gateway.recorder.arrived(call)
+            gateway.recorder.request_arrived(call)
         gateway.router.request_arrived(request)
 
     def _make_request(self, call: Call, arrived_at: Ticks, deadline: Ticks) -> Request:
@@ -96,7 +96,7 @@
         gateway.invariants.leaves(call.history)
         gateway.trace.add(self.clock.monotonic_time, call.name, "left")
         if gateway.recorder:
-            gateway.recorder.left(call)
+            gateway.recorder.client_disconnected(call)
         gateway.router.client_disconnected(call.request)
         self.dispatcher.forget_if_finished(call)
 
--- a/lilacloft/gateway/discovery.py
+++ b/lilacloft/gateway/discovery.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from lilacloft.gateway.clock import TICKS_PER_MILLISECOND, monotonic_ticks
+from lilacloft.gateway.clock import TICKS_PER_MILLISECOND
 from lilacloft.gateway.configuration import parse_address
 from lilacloft.gateway.context import GatewayContext
 from lilacloft.net.discovery_events import DiscoveryEvent, EndpointEntry
@@ -52,7 +52,7 @@
         if gateway.guard:
             gateway.loop.post(gateway.guard.event_received, event, number)
         if gateway.recorder:
-            gateway.loop.post(gateway.recorder.heard, event, number, monotonic_ticks())
+            gateway.loop.post(gateway.recorder.discovery_event, event, number)
 
     def apply_event(
         self, event: DiscoveryEvent, mode: str | None = None, feed_state: WatchStatus | None = None
--- a/lilacloft/gateway/dispatcher.py
+++ b/lilacloft/gateway/dispatcher.py
@@ -46,7 +46,7 @@
             gateway.counters.retries[call.last] += 1
         self._trace(call, "sent", f"{backend.name} {sent.seq}")
         if gateway.recorder:
-            gateway.recorder.sent(call, backend, source)
+            gateway.recorder.dispatched(call, backend)
         end = gateway.guard.dispatch(sent, until) if gateway.guard else gateway.back.dispatch(sent)
         if end is not None:
             self.report_end(sent, end)
@@ -170,7 +170,7 @@
 
     def _health_check_ended(self, backend: Backend, outcome: str, reply: Reply) -> None:
         if self.gateway.recorder:
-            self.gateway.recorder.checked(backend, outcome, reply.load)
+            self.gateway.recorder.health_checked(backend, reply.load)
         self.gateway.router.health_checked(backend, outcome, reply.load)
 
     def _notify_end(self, sent: Sent, end: End, duration: Ticks, reply: Reply) -> None:
@@ -179,7 +179,7 @@
         if gateway.guard:
             gateway.guard.attempt_ended(sent, end)
         if gateway.recorder:
-            gateway.recorder.ended(call, sent.backend, end, duration, reply.note, reply.queued, reply.load)
+            gateway.recorder.attempt_ended(sent, end, duration, reply)
         if gateway.agent:
             gateway.agent.ended(call, sent.backend, OUTCOMES[end], duration, reply.note)
 
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -265,9 +265,9 @@
         ejected = change is HealthChange.EJECTED
         logger.info("{}", f"{backend.name} {change}: {reason}" if ejected else f"{backend.name} {reason}")
         if self.recorder:
-            self.recorder.believed(backend, change, reason)
+            self.recorder.health_changed(backend, change, reason)
 
     def limit_recorded(self, backend: Backend, before: float, after: float, late_share: float) -> None:
         """Record a concurrency limit that has changed."""
         if self.recorder and after != before:
-            self.recorder.limited(backend, before, after, late_share)
+            self.recorder.limit_changed(backend, before, after, late_share)
--- a/lilacloft/handover/phase_reporter.py
+++ b/lilacloft/handover/phase_reporter.py
@@ -31,7 +31,7 @@
         text = f"upgrade: {phase.label}" + f": {reason}" * bool(reason)
         (log.warning if phase == Phase.IDLE else log.info)("{}", text)
         if self.gateway.recorder:
-            self.gateway.recorder.phase(str(phase), reason)
+            self.gateway.recorder.upgrade_phase(str(phase), reason)
         if self.control is not None:
             self._send(phase, reason, previous_phase_seconds, pid)
 
--- a/lilacloft/handover/process.py
+++ b/lilacloft/handover/process.py
@@ -97,16 +97,16 @@
         record = self.options.record
         if not record or "folder" not in record:
             return None
-        from lilacloft.record.recorder import Recorder
+        from lilacloft.record.recorder import Recorder, RecorderOptions
 
-        return Recorder(
-            gateway,
+        options = RecorderOptions(
             record["folder"],
             str(self.config.get("name", "gateway")),
             record,
             record.get("prometheus", ""),
             record.get("connect", ""),
         )
+        return Recorder(gateway, options)
 
     def sender(self, gateway: Gateway, upgrade_socket: socket.socket) -> HandoverSender:
         """Return what lets a gateway be replaced."""
--- a/lilacloft/plan/agent.py
+++ b/lilacloft/plan/agent.py
@@ -119,7 +119,7 @@
         if effect.name.planner != self.held.planner:
             logger.info("plan: {} holds", effect.name if effect.name.planner else "none")
         if effect.name != self.held and self.owner.recorder:
-            self.owner.recorder.planned(effect)
+            self.owner.recorder.plan_changed(effect)
         self.held = effect.name
         self._note()
 
@@ -143,7 +143,7 @@
                     f" ({why})" if why else "" if holds else " (without a plan)",
                 )
             if self.owner.recorder:
-                self.owner.recorder.away(name, back, SLICE_COUNT, fails, why, not holds)
+                self.owner.recorder.location_changed(name, back, fails, why, not holds)
         self.away = {zone: back for zone, (back, _) in now.items()}
 
     # --- connections ---
--- a/lilacloft/record/__init__.py
+++ b/lilacloft/record/__init__.py
@@ -1,5 +1,4 @@
-"""What a gateway writes down of itself: typed records, their files, and their reading.
+"""The records that a gateway writes of its own events: their types, files and live stream, and their reader.
 
-It owns the records' form and where they lie. It must never stall serving, never write anything per req, and
-never decide what a gateway does.
+Recording never delays the gateway, writes nothing per request, and decides nothing.
 """
--- /dev/null
+++ b/lilacloft/record/record_writer.py
@@ -0,0 +1,129 @@
+"""Numbers a gateway's records and writes them in a thread of its own, behind a bounded queue.
+
+A disk that fails costs records, which are counted; it never delays or ends the gateway.
+"""
+
+from __future__ import annotations
+
+import threading
+import time
+from typing import TYPE_CHECKING
+
+from loguru import logger
+
+from lilacloft.gateway.clock import monotonic_ticks
+from lilacloft.record import record_types
+from lilacloft.record.file_rotation import RotatingFiles
+from lilacloft.record.record_queue import RecordQueue
+from lilacloft.routing.units import Ticks
+from lilacloft.settings import NS
+
+if TYPE_CHECKING:
+    from lilacloft.record.live_stream import LiveStream
+    from lilacloft.record.metrics import Metrics
+
+CLOCK_STEP_THRESHOLD: Ticks = 500  # a smaller difference between the clocks' courses is not recorded
+FAILED_DISK_POLL = 0.25  # seconds between checks whether a disk that failed may be tried again
+STOP_TIMEOUT = 1.0  # seconds for the last records to be written
+
+
+def unix_ticks() -> Ticks:
+    """Return the Unix time."""
+    return time.time_ns() // NS
+
+
+class RecordWriter:
+    """The writing side of one gateway's records."""
+
+    def __init__(self, files: RotatingFiles, head: record_types.Head, metrics: Metrics | None) -> None:
+        self.files, self.head, self.metrics = files, head, metrics
+        self.live_stream: LiveStream | None = None
+        self.queue, self.lock = RecordQueue(), threading.Lock()
+        self.number = 0  # of the last record
+        self.clock_offset: Ticks | None = None  # Unix time less monotonic time at the last record
+        self.wakeup = threading.Event()
+        self.is_stopping = False
+        self.thread = threading.Thread(target=self._run, daemon=True)
+
+    def start(self) -> None:
+        """Start the writing thread."""
+        self.thread.start()
+
+    def stop(self) -> None:
+        """Write what is queued and end the thread; wait for it `STOP_TIMEOUT` at most."""
+        self.is_stopping = True
+        self.wakeup.set()
+        self.thread.join(STOP_TIMEOUT)
+
+    def wake(self) -> None:
+        """Let the thread write what is queued."""
+        self.wakeup.set()
+
+    def add(self, record: record_types.Record) -> None:
+        """Queue a record with its number and times, behind a `ClockStep` if the machine's clock was set."""
+        steady, wall = monotonic_ticks(), unix_ticks()
+        offset = wall - steady
+        if self.clock_offset is None:
+            self.clock_offset = offset
+        elif abs(offset - self.clock_offset) > CLOCK_STEP_THRESHOLD:
+            step, self.clock_offset = offset - self.clock_offset, offset
+            self._queue(record_types.ClockStep(step=step), wall, steady)
+        self._queue(record, wall, steady)
+
+    def _queue(self, record: record_types.Record, wall: Ticks, steady: Ticks) -> None:
+        with self.lock:  # the phases of an upgrade are recorded by another thread
+            self.number += 1
+            record.number, record.wall, record.steady = self.number, wall, steady
+            is_queued = self.queue.put(record_types.encode_line(record), wall)
+        if not is_queued:
+            self.wakeup.set()
+
+    # --- the writing thread ---
+
+    def _run(self) -> None:
+        is_failing = False
+        while True:
+            self.wakeup.wait(FAILED_DISK_POLL if is_failing else None)
+            self.wakeup.clear()
+            is_stopping = self.is_stopping
+            lines = self._next_lines()
+            is_failing = self._write(lines, is_failing)
+            if self.metrics:
+                self.metrics.write()
+            if self.live_stream:
+                self.live_stream.publish(lines)
+            if is_stopping:
+                self.files.close()
+                return
+
+    def _next_lines(self) -> list[bytes]:
+        """Return what is queued, and records of what was dropped before it and behind it."""
+        with self.lock:
+            lines, dropped, since = self.queue.drain()
+        if dropped:
+            lines.append(self._dropped_line(dropped, "the queue was full", since))
+        losses = self.files.take_losses()
+        if losses.count:
+            lines.insert(0, self._dropped_line(losses.count, losses.error, 0))
+        return lines
+
+    def _write(self, lines: list[bytes], was_failing: bool) -> bool:
+        """Write lines, and log where the disk begins or ceases to fail; return whether it fails."""
+        self.head.file_number = self.files.file_number + 1
+        self.head.wall, self.head.steady = unix_ticks(), monotonic_ticks()
+        is_failing = self.files.write(lines, record_types.encode_line(self.head)) > 0
+        if not lines or is_failing == was_failing:  # without lines the disk was not tried
+            return was_failing
+        if is_failing:
+            logger.error("records: cannot be written: {}", self.files.error)
+        else:
+            logger.info("records: written again")
+        return is_failing
+
+    @staticmethod
+    def _dropped_line(count: int, reason: str, since: Ticks) -> bytes:
+        wall, steady = unix_ticks(), monotonic_ticks()
+        dropped = record_types.DroppedRecords(
+            count=count, reason=reason, since=since, wall=wall, steady=steady
+        )
+        return record_types.encode_line(dropped)
--- a/lilacloft/record/summary.py
+++ b/lilacloft/record/summary.py
@@ -1,19 +1,22 @@
-"""Owns the state of one second's summary: what came, what went out, and how it ended, by vhost and by be.
+"""Counts what happens between two summary records, by virtual host and by backend.
 
-Decides what is worth a record of a limit. No I/O; times and spans are whole tenths of a millisecond.
+No I/O and no clock of its own; times and durations are `Ticks`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 from hdrh.histogram import HdrHistogram
 
 from lilacloft.record.record_types import BackendCounts, LimitChange, SummaryRecord, VhostCounts
+from lilacloft.routing.units import Ticks
 
-SPAN = 10_000  # of a summary
-QUIET = 100_000  # and while nothing happens
+SUMMARY_INTERVAL: Ticks = 10_000
+IDLE_SUMMARY_INTERVAL: Ticks = 100_000  # while nothing happens
+# Names of the notes in caches' answers, by number.
 NOTES = (
     "",
     "TCP_HIT",
@@ -27,163 +30,200 @@
     "FILL_FULL",
     "ROOT_FAIL",
 )
-HITS = ("TCP_HIT", "TCP_STALE")
-FILLS = ("TCP_MISS", "TCP_MISS_ROOT", "TCP_JOIN")
-LARGEST = 1_000_000  # a hundred seconds: no span is longer
-FIGURES = 2  # of the histograms
+HIT_NOTES = ("TCP_HIT", "TCP_STALE")
+FILL_NOTES = ("TCP_MISS", "TCP_MISS_ROOT", "TCP_JOIN")
+MAX_DURATION: Ticks = 1_000_000  # that the histograms have
+SIGNIFICANT_FIGURES = 2  # of the histograms
+
+
+class VhostTargets(NamedTuple):
+    """Settings of a virtual host that the summaries compare its answers with."""
+
+    first_byte_target: float  # ticks
+    client_timeout: float  # ticks
+    value: float  # of an answer in time
+
+
+class BackendState(NamedTuple):
+    """A backend at the end of a summary's period."""
+
+    in_flight: int
+    limit: float
+    ejected: bool
+    status: int
+
+
+@dataclass(slots=True)
+class EndedAttempt:
+    """How an attempt ended."""
+
+    vhost: str
+    backend: str
+    source: str | None  # where the backend filled from, if it was likely a fill
+    end: str  # name of the `End`
+    outcome: str  # name of the `Outcome`
+    duration: Ticks
+    is_late: bool
+    note: int  # index in NOTES
+    queued: Ticks  # that the backend waited for the source; 0: not reported
 
 
 class Summary:
-    """One gateway's summaries, one after the other."""
+    """Counts of one gateway. `take` returns them as a record and starts again from 0."""
 
-    def __init__(self, vhosts: Mapping[str, tuple[float, float, float]], now: int) -> None:
-        """Vhosts by name, with target, client timeout and value."""
-        self.told, self.since = vhosts, now
+    def __init__(self, targets: Mapping[str, VhostTargets], now: Ticks) -> None:
+        """`targets`: by name of the virtual host."""
+        self.targets, self.since = targets, now
         self.vhosts: dict[str, VhostCounts] = {}
         self.backends: dict[str, BackendCounts] = {}
-        self.took: dict[str, HdrHistogram] = {}
+        self.durations: dict[str, HdrHistogram] = {}
         self.refused: dict[str, int] = {}
-        self.seen: dict[str, int] = {}
-        self.lag = 0
-        self.cut: dict[str, float] = {}  # limits by way: what they were before they were first cut
+        self.last_counts: dict[str, int] = {}  # counters at the last call of `count_refused`
+        self.loop_lag: Ticks = 0
+        self.uncut_limits: dict[str, float] = {}  # by name: the limit before it was first cut
 
-    # --- what happens ---
+    # --- events ---
 
-    def arrived(self, vhost: str) -> None:
+    def request_arrived(self, vhost: str) -> None:
+        """Count a client's request."""
         self._vhost(vhost).requests += 1
 
-    def sent(self, vhost: str, backend: str) -> None:
+    def dispatched(self, vhost: str, backend: str) -> None:
+        """Count an attempt that was sent."""
         self._vhost(vhost).dispatches += 1
-        self._be(backend).dispatches += 1
-
-    def ended(
-        self,
-        vhost: str,
-        backend: str,
-        source: str | None,
-        end: str,
-        outcome: str,
-        took: int,
-        late: bool,
-        note: int,
-        waited: int,
-    ) -> None:
-        """A dispatch is over; `source` names who filled it, if it was likely a fill."""
-        mine, name = self._be(backend), NOTES[note] if note < len(NOTES) else ""
-        if outcome == "done":
-            mine.done += 1
-            mine.late_answers += late
-            one = self._vhost(vhost)
-            if name in HITS or (not name and source is None):
-                one.hits += 1
-            elif name:
-                one.fills[name] = one.fills.get(name, 0) + 1
+        self._backend(backend).dispatches += 1
+
+    def attempt_ended(self, attempt: EndedAttempt) -> None:
+        """Count the end of an attempt, for its backend, virtual host and source."""
+        note = NOTES[attempt.note] if attempt.note < len(NOTES) else ""
+        counts = self._backend(attempt.backend)
+        if attempt.outcome == "done":
+            counts.done += 1
+            counts.late_answers += attempt.is_late
+            self._count_note(attempt, note)
         else:
-            mine.ends[end.lower()] = mine.ends.get(end.lower(), 0) + 1
-        if source is not None:
-            theirs = self._be(source)
-            theirs.fills += 1
-            if outcome == "done" and name in ("", *FILLS):
-                theirs.source_waits += 1
-                theirs.source_wait_total += waited or took
-
-    def answered(self, vhost: str, kind: str, took: int, tries: int) -> None:
-        """A final answer: done, denied or aborted, so long after the req came."""
-        one = self._vhost(vhost)
-        setattr(one, kind, getattr(one, kind) + 1)
-        target, _, value = self.told[vhost]
+            end = attempt.end.lower()
+            counts.ends[end] = counts.ends.get(end, 0) + 1
+        if attempt.source is not None:
+            source = self._backend(attempt.source)
+            source.fills += 1
+            if attempt.outcome == "done" and note in ("", *FILL_NOTES):
+                source.source_waits += 1
+                source.source_wait_total += attempt.queued or attempt.duration
+
+    def _count_note(self, attempt: EndedAttempt, note: str) -> None:
+        """Count an answer as a hit or by its note; one without a note is a hit unless a fill was likely."""
+        counts = self._vhost(attempt.vhost)
+        if note in HIT_NOTES or (not note and attempt.source is None):
+            counts.hits += 1
+        elif note:
+            counts.fills[note] = counts.fills.get(note, 0) + 1
+
+    def answered(self, vhost: str, kind: str, duration: Ticks, attempts: int) -> None:
+        """Count a final answer. `kind`: done, denied or aborted; `duration`: since the request arrived."""
+        counts = self._vhost(vhost)
+        setattr(counts, kind, getattr(counts, kind) + 1)
         if kind == "done":
-            if took > target:
-                one.late_answers += 1
+            targets = self.targets[vhost]
+            if duration > targets.first_byte_target:
+                counts.late_answers += 1
             else:
-                one.value += value
-            if vhost not in self.took:
-                self.took[vhost] = HdrHistogram(1, LARGEST, FIGURES)
-            self.took[vhost].record_value(max(1, min(took, LARGEST)))
-        elif kind == "denied" and not tries:
-            one.denied_without_dispatch += 1
-
-    def left(self, vhost: str) -> None:
+                counts.value += targets.value
+            if vhost not in self.durations:
+                self.durations[vhost] = HdrHistogram(1, MAX_DURATION, SIGNIFICANT_FIGURES)
+            self.durations[vhost].record_value(max(1, min(duration, MAX_DURATION)))
+        elif kind == "denied" and not attempts:
+            counts.denied_without_dispatch += 1
+
+    def client_disconnected(self, vhost: str) -> None:
+        """Count a request whose client disconnected before the answer."""
         self._vhost(vhost).abandoned += 1
 
-    def checked(self, backend: str, util: float) -> None:
-        self._be(backend).utilization = util
+    def utilization_reported(self, backend: str, utilization: float) -> None:
+        """Note the utilization in a backend's last health check."""
+        self._backend(backend).utilization = utilization
 
-    def lagged(self, late: int) -> None:
-        self.lag = max(self.lag, late)
+    def loop_lagged(self, lag: Ticks) -> None:
+        """Note a lateness of the event loop."""
+        self.loop_lag = max(self.loop_lag, lag)
 
-    def counted(self, counts: Mapping[str, int]) -> None:
-        """Counters that only grow, of what is refused: what they have grown by."""
+    def count_refused(self, counts: Mapping[str, int]) -> None:
+        """Add by how much counters of refused messages and connections have grown since the last call."""
         for name, count in counts.items():
-            grown = count - self.seen.get(name, count)
-            self.seen[name] = count
-            if grown > 0:
-                self.refused[name] = self.refused.get(name, 0) + grown
-
-    def limited(self, way: str, was: float, limit: float, late: float) -> LimitChange | None:
-        """A learned limit has changed. Each cut is a record; growth only where the limit is back to what it
-        was before it was first cut, as it comes in steps with each answer."""
-        if limit < was:
-            self.cut.setdefault(way, was)
-            return LimitChange(
-                backend=way, previous_limit=round(was, 2), limit=round(limit, 2), late_share=round(late, 3)
-            )
-        before = self.cut.get(way)
-        if before is None or limit < before:
-            return None
-        del self.cut[way]
+            growth = count - self.last_counts.get(name, count)
+            self.last_counts[name] = count
+            if growth > 0:
+                self.refused[name] = self.refused.get(name, 0) + growth
+
+    def limit_changed(self, name: str, before: float, limit: float, late_share: float) -> LimitChange | None:
+        """Return the record of a change of a learned limit, if it gets one: each cut does, and growth, which
+        comes in small steps, where the limit is back at its value before the first cut."""
+        is_cut = limit < before
+        if is_cut:
+            self.uncut_limits.setdefault(name, before)
+        else:
+            uncut = self.uncut_limits.get(name)
+            if uncut is None or limit < uncut:
+                return None
+            del self.uncut_limits[name]
         return LimitChange(
-            backend=way,
-            previous_limit=round(was, 2),
+            backend=name,
+            previous_limit=round(before, 2),
             limit=round(limit, 2),
-            late_share=round(late, 3),
-            recovered=True,
+            late_share=round(late_share, 3),
+            recovered=not is_cut,
         )
 
-    # --- its end ---
+    # --- the record ---
 
-    def due(self, now: int) -> bool:
-        """Is it time for a record?"""
-        busy = (
+    def is_due(self, now: Ticks) -> bool:
+        """Return whether a summary record is due."""
+        is_busy = (
             self.vhosts
             or self.refused
             or any(backend.ends or backend.fills for backend in self.backends.values())
         )
-        return now - self.since >= (SPAN if busy else QUIET)
-
-    def take(
-        self, now: int, backends: Mapping[str, tuple[int, float, bool, int]], link: float
-    ) -> SummaryRecord:
-        """The record of what happened, and a new start. Bes by name as they are now: in flight, limit,
-        suspect, status; those that nothing is known of are left out."""
-        for name, (flight, limit, ejected, status) in backends.items():
-            if flight or ejected or status != 1 or name in self.backends:
-                one = self._be(name)
-                one.in_flight, one.limit, one.ejected, one.status = flight, round(limit, 2), ejected, status
-        for vhost, took in self.took.items():
-            self.vhosts[vhost].durations = took.encode().decode("ascii")
-        out = SummaryRecord(
+        return now - self.since >= (SUMMARY_INTERVAL if is_busy else IDLE_SUMMARY_INTERVAL)
+
+    def take(self, now: Ticks, backends: Mapping[str, BackendState], link_limit: float) -> SummaryRecord:
+        """Return the record of the period that ends now, and begin the next. `backends`: by name; those that
+        are ready and idle are left out of the record."""
+        for name, state in backends.items():
+            self._set_state(name, state)
+        for vhost, histogram in self.durations.items():
+            self.vhosts[vhost].durations = histogram.encode().decode("ascii")
+        record = SummaryRecord(
             duration=now - self.since,
             vhosts=self.vhosts,
             backends=self.backends,
-            link_limit=round(link, 2),
+            link_limit=round(link_limit, 2),
             refused=self.refused,
-            loop_lag=self.lag,
+            loop_lag=self.loop_lag,
         )
-        self.vhosts, self.backends, self.took, self.refused, self.lag, self.since = {}, {}, {}, {}, 0, now
-        return out
+        self.vhosts, self.backends, self.durations, self.refused = {}, {}, {}, {}
+        self.loop_lag, self.since = 0, now
+        return record
+
+    def _set_state(self, name: str, state: BackendState) -> None:
+        if state.in_flight or state.ejected or state.status != 1 or name in self.backends:
+            counts = self._backend(name)
+            counts.in_flight, counts.limit = state.in_flight, round(state.limit, 2)
+            counts.ejected, counts.status = state.ejected, state.status
 
     def _vhost(self, name: str) -> VhostCounts:
         if name not in self.vhosts:
             self.vhosts[name] = VhostCounts(fills={})
         return self.vhosts[name]
 
-    def _be(self, name: str) -> BackendCounts:
+    def _backend(self, name: str) -> BackendCounts:
         if name not in self.backends:
             self.backends[name] = BackendCounts(ends={})
         return self.backends[name]
 
 
-def plain(vhosts: list[dict[str, Any]]) -> dict[str, tuple[float, float, float]]:
-    """Vhosts by name, from the settings by our names."""
-    return {one["name"]: (one["first_byte_target"], one["client_timeout"], one["value"]) for one in vhosts}
+def targets_by_vhost(vhosts: list[dict[str, Any]]) -> dict[str, VhostTargets]:
+    """Return the targets of the virtual hosts in the settings."""
+    return {
+        vhost["name"]: VhostTargets(vhost["first_byte_target"], vhost["client_timeout"], vhost["value"])
+        for vhost in vhosts
+    }
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -37,9 +37,9 @@
 from lilacloft.record import record_types as records
 from lilacloft.record.file_rotation import RotatingFiles
 from lilacloft.record.reader import read as read_records
-from lilacloft.record.recorder import REFUSED, Recorder
-from lilacloft.record.recorder import Folder as RecordFolder
-from lilacloft.record.summary import Summary
+from lilacloft.record.record_directory import DiskDirectory
+from lilacloft.record.recorder import REFUSED, Recorder, RecorderOptions
+from lilacloft.record.summary import BackendState, EndedAttempt, Summary, VhostTargets
 from lilacloft.routing import snapshot
 from lilacloft.routing.concurrency import AdaptiveLimit
 from lilacloft.routing.host import Endpoint
@@ -207,7 +207,7 @@
 
 def records_written(folder: Path, head: Plain, lines: list[Plain]) -> None:
     """Write a run's file of records."""
-    files = RotatingFiles(RecordFolder(str(folder), head["gateway"], head["run"]))
+    files = RotatingFiles(DiskDirectory(str(folder), head["gateway"], head["run"]))
     first, *rest = (records.encode(msgspec.convert(one, records.AnyRecord)) + b"\n" for one in [head, *lines])
     assert files.write(rest, first) == 0
     files.close()
@@ -215,28 +215,28 @@
 
 def summary_values() -> Plain:
     """The record of a second in which one of each thing has happened, by the hooks that the gateway calls."""
-    one = Summary({"clip": (4000, 30000, 2.5)}, 1000)
+    one = Summary({"clip": VhostTargets(4000, 30000, 2.5)}, 1000)
     for tries, kind, took in ((1, "done", 300), (1, "done", 5000), (0, "denied", 0), (2, "aborted", 0)):
-        one.arrived("clip")
+        one.request_arrived("clip")
         one.answered("clip", kind, took, tries)
-    one.left("clip")
+    one.client_disconnected("clip")
     for note, end in enumerate([End.DATA] * 11):
-        one.sent("clip", "s-1")
-        one.ended("clip", "s-1", None, end.name, OUTCOMES[end], 300, note == 2, note, 0)
+        one.dispatched("clip", "s-1")
+        one.attempt_ended(EndedAttempt("clip", "s-1", None, end.name, OUTCOMES[end], 300, note == 2, note, 0))
     for end in End:
         if OUTCOMES.get(end) not in (None, "done"):
-            one.ended("clip", "s-1", "s-9", end.name, OUTCOMES[end], 300, False, 0, 0)
-    one.ended("clip", "s-1", "s-9", End.DATA.name, "done", 300, False, 2, 120)
-    one.checked("s-1", 0.75)
-    one.lagged(42)
-    one.counted({"unusable": 1})
-    one.counted({"unusable": 4})
-    return lists(msgspec.to_builtins(one.take(11000, {"s-1": (3, 12.5, True, 2)}, 6.25)))
+            one.attempt_ended(EndedAttempt("clip", "s-1", "s-9", end.name, OUTCOMES[end], 300, False, 0, 0))
+    one.attempt_ended(EndedAttempt("clip", "s-1", "s-9", End.DATA.name, "done", 300, False, 2, 120))
+    one.utilization_reported("s-1", 0.75)
+    one.loop_lagged(42)
+    one.count_refused({"unusable": 1})
+    one.count_refused({"unusable": 4})
+    return lists(msgspec.to_builtins(one.take(11000, {"s-1": BackendState(3, 12.5, True, 2)}, 6.25)))
 
 
 def cut_values(was: float, limit: float, late: float) -> Plain:
     """The record of a limit that was cut."""
-    return lists(msgspec.to_builtins(Summary({}, 0).limited("s-1", was, limit, late)))
+    return lists(msgspec.to_builtins(Summary({}, 0).limit_changed("s-1", was, limit, late)))
 
 
 def recorded_values(folder: Path, config: Plain) -> list[Plain]:
@@ -244,7 +244,7 @@
     numbers and times."""
     owner = Gateway({**config, "listen": "127.0.0.1:0"})
     owner.front.sock.close()
-    recorder = Recorder(owner, str(folder), "n0")
+    recorder = Recorder(owner, RecorderOptions(str(folder), "n0"))
     backend = owner.backends["s-00000001"]
     (
         backend.consecutive_failures,
@@ -252,16 +252,20 @@
         backend.concurrency_limit.limit,
         backend.started,
     ) = 5, 0.375, 14.25, 900
-    recorder.phase("warming", "too slow")
-    recorder.believed(backend, "left alone", "silent")
-    recorder.planned(Effect(name=Name(6, 12, "p1"), out={"s-2": 0, "s-1": 0}, ways={"s-1": 8.5}, link=17.5))
-    recorder.away("hub", 9, 64, 2, "lost", True)
-    recorder.limited(backend, 20.5, 14.25, 0.5)
-    recorder.heard(("purge", ("00000000000000aa", 7, 1_699_999_999)), 42, 0)
-    gone = ("s-00000009", ("10.0.0.9", 7009), 1, 1, 4, 0, 1.5, 1_699_999_100)
-    recorder.heard(("delta", [("s-00000001",), gone]), 43, 0)
-    recorder.note(recorder.summary.take(owner.monotonic_time + 10_000, recorder._bes(), 6.25))
-    out = [recorder.head, *map(records.decode, recorder.queue.drain()[0])]
+    recorder.upgrade_phase("warming", "too slow")
+    recorder.health_changed(backend, "left alone", "silent")
+    recorder.plan_changed(
+        Effect(name=Name(6, 12, "p1"), out={"s-2": 0, "s-1": 0}, ways={"s-1": 8.5}, link=17.5)
+    )
+    recorder.location_changed("hub", 9, 2, "lost", True)
+    recorder.limit_changed(backend, 20.5, 14.25, 0.5)
+    purge = discovery_events.Purge("00000000000000aa", 7, 1_699_999_999)
+    recorder.discovery_event(discovery_events.DiscoveryEvent("purge", purge), 42)
+    listed = discovery_events.EndpointEntry("s-00000001", ("10.0.0.1", 7001), 0, 0, 0, 1, 5.0, 0)
+    removed = discovery_events.EndpointEntry("s-00000009", ("10.0.0.9", 7009), 1, 1, 4, 0, 1.5, 1_699_999_100)
+    recorder.discovery_event(discovery_events.DiscoveryEvent("delta", [listed, removed]), 43)
+    recorder.note(recorder.summary.take(owner.monotonic_time + 10_000, recorder.backend_states(), 6.25))
+    out = [recorder.head, *map(records.decode, recorder.writer.queue.drain()[0])]
     unstable = ("number", "wall", "steady", "run", "version", "span")
     return [
         {key: value for key, value in lists(msgspec.to_builtins(one)).items() if key not in unstable}
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -16,7 +16,14 @@
 from lilacloft.record.live_stream import LiveStream
 from lilacloft.record.reader import read
 from lilacloft.record.record_queue import RecordQueue
-from lilacloft.record.summary import QUIET, SPAN, Summary
+from lilacloft.record.summary import (
+    IDLE_SUMMARY_INTERVAL,
+    SUMMARY_INTERVAL,
+    BackendState,
+    EndedAttempt,
+    Summary,
+    VhostTargets,
+)
 from rigs.stands import Replaced, serves
 
 HEAD = b"head\n"
@@ -113,21 +120,25 @@
 
 
 def test_a_summary_counts_by_vhost_and_be_and_is_due_each_second_that_has_anything():
-    summary = Summary({"clip": (4000, 30_000, 2.0)}, 0)
-    assert not summary.due(QUIET - 1) and summary.due(QUIET)
-    summary.arrived("clip")
-    assert not summary.due(SPAN - 1) and summary.due(SPAN)
-    summary.sent("clip", "a")
-    summary.ended("clip", "a", None, "DATA", "done", 50, False, 1, 0)
-    summary.ended("clip", "b", "p", "DATA", "done", 900, True, 3, 0)
-    summary.ended("clip", "b", "p", "TIME_UP", "timeout", 4000, True, 0, 0)
+    summary = Summary({"clip": VhostTargets(4000, 30_000, 2.0)}, 0)
+    assert not summary.is_due(IDLE_SUMMARY_INTERVAL - 1) and summary.is_due(IDLE_SUMMARY_INTERVAL)
+    summary.request_arrived("clip")
+    assert not summary.is_due(SUMMARY_INTERVAL - 1) and summary.is_due(SUMMARY_INTERVAL)
+    summary.dispatched("clip", "a")
+    summary.attempt_ended(EndedAttempt("clip", "a", None, "DATA", "done", 50, False, 1, 0))
+    summary.attempt_ended(EndedAttempt("clip", "b", "p", "DATA", "done", 900, True, 3, 0))
+    summary.attempt_ended(EndedAttempt("clip", "b", "p", "TIME_UP", "timeout", 4000, True, 0, 0))
     summary.answered("clip", "done", 50, 1)
     summary.answered("clip", "done", 4001, 1)
     summary.answered("clip", "denied", 3, 0)
-    summary.counted({"unusable": 5})
-    summary.counted({"unusable": 9})
-    backends = {"a": (2, 10.0, False, 1), "c": (0, 1.0, True, 1), "d": (0, 1.0, False, 1)}
-    second = summary.take(SPAN, backends, 7.0)
+    summary.count_refused({"unusable": 5})
+    summary.count_refused({"unusable": 9})
+    backends = {
+        "a": BackendState(2, 10.0, False, 1),
+        "c": BackendState(0, 1.0, True, 1),
+        "d": BackendState(0, 1.0, False, 1),
+    }
+    second = summary.take(SUMMARY_INTERVAL, backends, 7.0)
     clip = second.vhosts["clip"]
     assert (
         clip.requests,
@@ -156,19 +167,19 @@
         900,
     )
     assert second.backends["a"].in_flight == 2 and second.backends["c"].ejected and "d" not in second.backends
-    assert second.refused == {"unusable": 4} and second.duration == SPAN
-    assert not summary.take(2 * SPAN, {}, 7.0).vhosts
+    assert second.refused == {"unusable": 4} and second.duration == SUMMARY_INTERVAL
+    assert not summary.take(2 * SUMMARY_INTERVAL, {}, 7.0).vhosts
 
 
 def test_each_cut_is_worth_a_record_and_growth_only_when_it_is_made_good():
     summary = Summary({}, 0)
-    assert summary.limited("a", 10.0, 10.1, 0.0) is None
-    cut = summary.limited("a", 10.0, 7.0, 0.3)
+    assert summary.limit_changed("a", 10.0, 10.1, 0.0) is None
+    cut = summary.limit_changed("a", 10.0, 7.0, 0.3)
     assert (cut.previous_limit, cut.limit, cut.recovered) == (10.0, 7.0, False)
-    assert summary.limited("a", 7.0, 4.9, 0.4).limit == 4.9
-    assert summary.limited("a", 4.9, 9.9, 0.0) is None
-    assert summary.limited("a", 9.9, 10.0, 0.0).recovered
-    assert summary.limited("a", 10.0, 10.1, 0.0) is None
+    assert summary.limit_changed("a", 7.0, 4.9, 0.4).limit == 4.9
+    assert summary.limit_changed("a", 4.9, 9.9, 0.0) is None
+    assert summary.limit_changed("a", 9.9, 10.0, 0.0).recovered
+    assert summary.limit_changed("a", 10.0, 10.1, 0.0) is None
 
 
 # --- reading ---
@@ -384,7 +395,7 @@
 
     written = []
     recorder = SimpleNamespace(note=written.append)
-    recorder.planned = lambda effect: Recorder.planned(recorder, effect)
+    recorder.plan_changed = lambda effect: Recorder.plan_changed(recorder, effect)
     first = Effect(Name(1, 4, "p1"), out={"b": 0, "a": 9}, ways={"a": 2.0}, link=3.25)
     effects = iter([first, first, Effect(Name(1, 5, "p1")), Effect(), Effect()])
     agent = Agent.__new__(Agent)
@@ -416,7 +427,7 @@
 
     written = []
     recorder = SimpleNamespace(note=written.append)
-    recorder.away = lambda *told: Recorder.away(recorder, *told)
+    recorder.location_changed = lambda *told: Recorder.location_changed(recorder, *told)
     holds = iter([{1: (0, 0)}, {1: (0, 0)}, {1: (4, 1)}, {}, {}])
     agent = Agent.__new__(Agent)
     agent.owner = SimpleNamespace(recorder=recorder, settings={"zones": ["here", "there"]})
