--- a/lilacloft/record/reader.py
+++ b/lilacloft/record/reader.py
@@ -142,6 +142,6 @@
     """Return runs by gateway, in the order of their names, each with its records in the order of time."""
     by_gateway: dict[str, list[Run]] = {}
     for (gateway, _), run in sorted(runs.items()):
-        run.records.sort(key=lambda record: record.steady)
+        run.records.sort(key=lambda record: record.monotonic_time)
         by_gateway.setdefault(gateway, []).append(run)
     return by_gateway
--- a/lilacloft/record/record_queue.py
+++ b/lilacloft/record/record_queue.py
@@ -28,10 +28,10 @@
         self.dropped = 0
         self.dropped_since = 0
 
-    def put(self, line: bytes, wall: int) -> bool:
-        """Add a line and return True, or drop it and return False; `wall` is the time of the call."""
+    def put(self, line: bytes, now: int) -> bool:
+        """Add a line and return True, or drop it and return False; `now` is the time of the call."""
         if len(self.lines) >= self.capacity:
-            self.dropped_since = self.dropped_since if self.dropped else wall
+            self.dropped_since = self.dropped_since if self.dropped else now
             self.dropped += 1
             return False
         self.lines.append(line)
--- a/lilacloft/record/record_types.py
+++ b/lilacloft/record/record_types.py
@@ -1,9 +1,9 @@
 """The types of records. A file of records has one JSON object a line; `kind` names its type.
 
-Each record has a number that grows by one within a run (the life of one process), `wall` (Unix time by this
-machine's clock) and `steady` (its monotonic clock). Times and durations are whole tenths of a millisecond. A
-file begins with its `Head`. Readers skip fields and kinds that they do not know; `Head.schema` is the version
-of the form.
+Each record has a number that grows by one within a run (the life of one process), and its time by the
+machine's clock and by the monotonic clock. Times and durations are whole tenths of a millisecond. A file
+begins with its `Head`. Readers skip fields and kinds that they do not know; `Head.schema` is the version of
+the form.
 """
 
 from __future__ import annotations
@@ -36,6 +36,7 @@
     "limit_count": "limits",
     "link_limit": "link",
     "loop_lag": "lag",
+    "monotonic_time": "steady",
     "plan_number": "issued",
     "previous_limit": "was",
     "purged_at": "at",
@@ -46,6 +47,7 @@
     "source_wait_total": "waited",
     "source_waits": "waits",
     "total_slices": "of",
+    "unix_time": "wall",
     "utilization": "util",
     "without_plan": "alone",
 }
@@ -57,8 +59,8 @@
     """The fields that all records have."""
 
     number: int = 0
-    wall: int = 0
-    steady: int = 0
+    unix_time: int = 0
+    monotonic_time: int = 0
 
 
 class Head(Record, tag="head", rename=FIELDS_IN_FILES):
--- a/lilacloft/record/record_writer.py
+++ b/lilacloft/record/record_writer.py
@@ -61,20 +61,20 @@
 
     def add(self, record: record_types.Record) -> None:
         """Queue a record with its number and times, behind a `ClockStep` if the machine's clock was set."""
-        steady, wall = monotonic_ticks(), unix_ticks()
-        offset = wall - steady
+        monotonic_time, unix_time = monotonic_ticks(), unix_ticks()
+        offset = unix_time - monotonic_time
         if self.clock_offset is None:
             self.clock_offset = offset
         elif abs(offset - self.clock_offset) > CLOCK_STEP_THRESHOLD:
             step, self.clock_offset = offset - self.clock_offset, offset
-            self._queue(record_types.ClockStep(step=step), wall, steady)
-        self._queue(record, wall, steady)
+            self._queue(record_types.ClockStep(step=step), unix_time, monotonic_time)
+        self._queue(record, unix_time, monotonic_time)
 
-    def _queue(self, record: record_types.Record, wall: Ticks, steady: Ticks) -> None:
+    def _queue(self, record: record_types.Record, unix_time: Ticks, monotonic_time: Ticks) -> None:
         with self.lock:  # the phases of an upgrade are recorded by another thread
             self.number += 1
-            record.number, record.wall, record.steady = self.number, wall, steady
-            is_queued = self.queue.put(record_types.encode_line(record), wall)
+            record.number, record.unix_time, record.monotonic_time = self.number, unix_time, monotonic_time
+            is_queued = self.queue.put(record_types.encode_line(record), unix_time)
         if not is_queued:
             self.wakeup.set()
 
@@ -110,7 +110,7 @@
     def _write(self, lines: list[bytes], was_failing: bool) -> bool:
         """Write lines, and log where the disk begins or ceases to fail; return whether it fails."""
         self.head.file_number = self.files.file_number + 1
-        self.head.wall, self.head.steady = unix_ticks(), monotonic_ticks()
+        self.head.unix_time, self.head.monotonic_time = unix_ticks(), monotonic_ticks()
         is_failing = self.files.write(lines, record_types.encode_line(self.head)) > 0
         if not lines or is_failing == was_failing:  # without lines the disk was not tried
             return was_failing
@@ -122,8 +122,8 @@
 
     @staticmethod
     def _dropped_line(count: int, reason: str, since: Ticks) -> bytes:
-        wall, steady = unix_ticks(), monotonic_ticks()
+        unix_time, monotonic_time = unix_ticks(), monotonic_ticks()
         dropped = record_types.DroppedRecords(
-            count=count, reason=reason, since=since, wall=wall, steady=steady
+            count=count, reason=reason, since=since, unix_time=unix_time, monotonic_time=monotonic_time
         )
         return record_types.encode_line(dropped)
--- a/lilacloft/record/recorder.py
+++ b/lilacloft/record/recorder.py
@@ -260,7 +260,9 @@
 
     def _take_summary(self) -> record_types.SummaryRecord:
         router = self.gateway.router
-        return self.summary.take(self.gateway.monotonic_time, self.backend_states(), router.link_limit.limit)
+        return self.summary.finish_period(
+            self.gateway.monotonic_time, self.backend_states(), router.link_limit.limit
+        )
 
     def backend_states(self) -> dict[str, BackendState]:
         """Return the present state of each backend by name."""
--- a/lilacloft/record/summary.py
+++ b/lilacloft/record/summary.py
@@ -69,7 +69,7 @@
 
 
 class Summary:
-    """Counts of one gateway. `take` returns them as a record and starts again from 0."""
+    """Counts of one gateway. `finish_period` returns them as a record and starts again from 0."""
 
     def __init__(self, targets: Mapping[str, VhostTargets], now: Ticks) -> None:
         """`targets`: by name of the virtual host."""
@@ -185,7 +185,9 @@
         )
         return now - self.since >= (SUMMARY_INTERVAL if is_busy else IDLE_SUMMARY_INTERVAL)
 
-    def take(self, now: Ticks, backends: Mapping[str, BackendState], link_limit: float) -> SummaryRecord:
+    def finish_period(
+        self, now: Ticks, backends: Mapping[str, BackendState], link_limit: float
+    ) -> SummaryRecord:
         """Return the record of the period that ends now, and begin the next. `backends`: by name; those that
         are ready and idle are left out of the record."""
         for name, state in backends.items():
--- a/lilacloft/timeline/clocks.py
+++ b/lilacloft/timeline/clocks.py
@@ -44,7 +44,7 @@
 def run_time(run: Run, record: Record) -> float:
     """A record's time by its run's own clock."""
     first = run.records[0]
-    return (record.steady + (first.wall - first.steady)) / 10
+    return (record.monotonic_time + (first.unix_time - first.monotonic_time)) / 10
 
 
 def anchors(run: Run) -> dict[tuple[object, ...], float]:
@@ -77,7 +77,9 @@
 def clock_marks(run: Run) -> ClockMarks:
     """A run's marks; it must have a record."""
     first = run.records[0]
-    return ClockMarks(run.name, run_time(run, first), (first.wall - first.steady) / 10, anchors(run))
+    return ClockMarks(
+        run.name, run_time(run, first), (first.unix_time - first.monotonic_time) / 10, anchors(run)
+    )
 
 
 def slope(points: Iterable[tuple[float, float]]) -> float:
--- a/lilacloft/timeline/gaps.py
+++ b/lilacloft/timeline/gaps.py
@@ -101,7 +101,7 @@
                 (
                     one
                     for one in run.records
-                    if isinstance(one, DroppedRecords) and before.steady <= one.steady
+                    if isinstance(one, DroppedRecords) and before.monotonic_time <= one.monotonic_time
                 ),
                 None,
             )
--- a/lilacloft/timeline/observations.py
+++ b/lilacloft/timeline/observations.py
@@ -46,7 +46,7 @@
     def __init__(self, gateway: str, runs: Iterable[Run], clocks: Mapping[str, Clock]) -> None:
         """Lay the runs of a gateway on the common time. `clocks`: by the names of runs."""
         self.gateway = gateway
-        self.runs = sorted((run for run in runs if run.records), key=lambda run: run.records[0].wall)
+        self.runs = sorted((run for run in runs if run.records), key=lambda run: run.records[0].unix_time)
         self.spans: list[SummarySpan] = []
         self.kinds: dict[str, str] = {}
         self.events: list[tuple[float, float, object]] = []  # when, spread, record
--- a/rigs/bulk.py
+++ b/rigs/bulk.py
@@ -85,7 +85,7 @@
         nonlocal count
         count += 1
         own = int(at * 10_000 * (1 + fleet.drift[number]))
-        record.number, record.wall, record.steady = count, wall + own, steady + own
+        record.number, record.unix_time, record.monotonic_time = count, wall + own, steady + own
         lines.append(record_types.encode(record) + b"\n")
 
     run = f"{wall:015}-{1000 + number}"
@@ -97,8 +97,8 @@
         version="made up",
         gateways=fleet.gateways,
         vhosts={"clip": [4000, 30000, 2.0], "pay": [4000, 30000, 2.0]},
-        wall=wall,
-        steady=steady,
+        unix_time=wall,
+        monotonic_time=steady,
     )
     add(record_types.Start(backend_count=len(mine) + 4), 0.0)
     rows = [(backend, "small", str(zone), 1, 0, 5.0) for backend in mine]
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -231,7 +231,7 @@
     one.loop_lagged(42)
     one.count_refused({"unusable": 1})
     one.count_refused({"unusable": 4})
-    return lists(msgspec.to_builtins(one.take(11000, {"s-1": BackendState(3, 12.5, True, 2)}, 6.25)))
+    return lists(msgspec.to_builtins(one.finish_period(11000, {"s-1": BackendState(3, 12.5, True, 2)}, 6.25)))
 
 
 def cut_values(was: float, limit: float, late: float) -> Plain:
@@ -264,7 +264,9 @@
     listed = discovery_events.EndpointEntry("s-00000001", ("10.0.0.1", 7001), 0, 0, 0, 1, 5.0, 0)
     removed = discovery_events.EndpointEntry("s-00000009", ("10.0.0.9", 7009), 1, 1, 4, 0, 1.5, 1_699_999_100)
     recorder.discovery_event(discovery_events.DiscoveryEvent("delta", [listed, removed]), 43)
-    recorder.note(recorder.summary.take(owner.monotonic_time + 10_000, recorder.backend_states(), 6.25))
+    recorder.note(
+        recorder.summary.finish_period(owner.monotonic_time + 10_000, recorder.backend_states(), 6.25)
+    )
     out = [recorder.head, *map(records.decode, recorder.writer.queue.drain()[0])]
     unstable = ("number", "wall", "steady", "run", "version", "span")
     return [
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -138,7 +138,7 @@
         "c": BackendState(0, 1.0, True, 1),
         "d": BackendState(0, 1.0, False, 1),
     }
-    second = summary.take(SUMMARY_INTERVAL, backends, 7.0)
+    second = summary.finish_period(SUMMARY_INTERVAL, backends, 7.0)
     clip = second.vhosts["clip"]
     assert (
         clip.requests,
@@ -168,7 +168,7 @@
     )
     assert second.backends["a"].in_flight == 2 and second.backends["c"].ejected and "d" not in second.backends
     assert second.refused == {"unusable": 4} and second.duration == SUMMARY_INTERVAL
-    assert not summary.take(2 * SUMMARY_INTERVAL, {}, 7.0).vhosts
+    assert not summary.finish_period(2 * SUMMARY_INTERVAL, {}, 7.0).vhosts
 
 
 def test_each_cut_is_worth_a_record_and_growth_only_when_it_is_made_good():
@@ -190,7 +190,9 @@
     path = folder / "n0.000000000000001-1.00001.jsonl"
     records = [record_types.Head(schema=1, gateway="n0", run="000000000000001-1")]
     records += [
-        record_types.HealthChange(number=number, wall=number, steady=number, backend="a", change="back")
+        record_types.HealthChange(
+            number=number, unix_time=number, monotonic_time=number, backend="a", change="back"
+        )
         for number in range(1, count)
     ]
     path.write_bytes(b"".join(record_types.encode(record) + b"\n" for record in records))
@@ -379,7 +381,7 @@
 
 
 def test_the_encoding_is_one_json_object_a_line():
-    record = record_types.HealthChange(number=3, wall=5, steady=7, backend='a"\n', change="back")
+    record = record_types.HealthChange(number=3, unix_time=5, monotonic_time=7, backend='a"\n', change="back")
     data = record_types.encode(record)
     assert b"\n" not in data and json.loads(data)["be"] == 'a"\n' and record_types.decode(data) == record
 
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -49,8 +49,8 @@
 
     def add(self, at, record, skips=0):
         self.skips[id(record)] = skips
-        record.wall = UNIX + int(at * SEC) + int((self.off + self.jump) * 10)
-        record.steady = self.steady + int(at * SEC)
+        record.unix_time = UNIX + int(at * SEC) + int((self.off + self.jump) * 10)
+        record.monotonic_time = self.steady + int(at * SEC)
         self.run.records.append(record)
         return self
 
@@ -108,7 +108,7 @@
 def tell(*tellers):
     runs = {}
     for one in tellers:
-        one.run.records.sort(key=lambda record: record.steady)
+        one.run.records.sort(key=lambda record: record.monotonic_time)
         number = 0
         for record in one.run.records:
             number += 1 + one.skips[id(record)]
