--- a/lilacloft/record/reader.py
+++ b/lilacloft/record/reader.py
@@ -24,6 +24,7 @@
     text: str
 
     def __str__(self) -> str:
+        """Return file, line and text, as commands print it."""
         return f"{self.file}:{self.line}: {self.text}"
 
 
