--- a/lilacloft/control/gateway_agent.py
+++ b/lilacloft/control/gateway_agent.py
@@ -146,7 +146,7 @@
         if plan_id.planner != self.plan_id.planner:
             logger.info("plan: {} holds", plan_id if plan_id.planner else "none")
         if plan_id != self.plan_id and self.gateway.recorder:
-            self.gateway.recorder.planned(effect)
+            self.gateway.recorder.plan_changed(effect)
         self.plan_id = plan_id
         self._note_locations()
 
@@ -171,7 +171,7 @@
             suffix = f" ({why})" if why else "" if has_plan else " (without a plan)"
             logger.info("location {}: {} of {} slices at home{}", name, in_use, SLICE_COUNT, suffix)
         if self.gateway.recorder:
-            self.gateway.recorder.away(name, in_use, SLICE_COUNT, failed_returns, why, not has_plan)
+            self.gateway.recorder.location_changed(name, in_use, failed_returns, why, not has_plan)
 
     # --- connections ---
 
--- a/lilacloft/timeline/clocks.py
+++ b/lilacloft/timeline/clocks.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from lilacloft.record.kinds import Listed, Purge, Record
 from lilacloft.record.reader import Run
+from lilacloft.record.record_types import BackendList, Purge, Record
 
 LEAST = 5.0  # ms: threads and queues differ by no less
 ALONE = 2000.0  # how far a clock may be off that nothing is known of
@@ -44,7 +44,7 @@
 def run_time(run: Run, record: Record) -> float:
     """A record's time by its run's own clock."""
     first = run.records[0]
-    return (record.steady + (first.wall - first.steady)) / 10
+    return (record.monotonic_time + (first.unix_time - first.monotonic_time)) / 10
 
 
 def anchors(run: Run) -> dict[tuple[object, ...], float]:
@@ -54,8 +54,8 @@
     count: dict[tuple[object, ...], int] = defaultdict(int)
     for record in run.records:
         if isinstance(record, Purge):
-            key: tuple[object, ...] = ("purge", record.key, record.group, record.at)
-        elif isinstance(record, Listed) and record.event and not record.whole:
+            key: tuple[object, ...] = ("purge", record.key, record.group, record.purged_at)
+        elif isinstance(record, BackendList) and record.event and not record.whole:
             key = ("listed", *sorted((backend[0], backend[3], backend[4]) for backend in record.backends))
         else:
             continue
@@ -77,7 +77,9 @@
 def clock_marks(run: Run) -> ClockMarks:
     """A run's marks; it must have a record."""
     first = run.records[0]
-    return ClockMarks(run.name, run_time(run, first), (first.wall - first.steady) / 10, anchors(run))
+    return ClockMarks(
+        run.name, run_time(run, first), (first.unix_time - first.monotonic_time) / 10, anchors(run)
+    )
 
 
 def slope(points: Iterable[tuple[float, float]]) -> float:
--- a/lilacloft/timeline/observations.py
+++ b/lilacloft/timeline/observations.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lilacloft.record.kinds import Listed, Second
 from lilacloft.record.reader import Run
+from lilacloft.record.record_types import BackendList, SummaryRecord
 from lilacloft.timeline.clocks import Clock, run_time
 from lilacloft.timeline.summary_columns import Columns
 
@@ -37,7 +37,7 @@
 
     begin: float
     end: float
-    second: Second
+    second: SummaryRecord
 
 
 class GatewayHistory:
@@ -46,7 +46,7 @@
     def __init__(self, gateway: str, runs: Iterable[Run], clocks: Mapping[str, Clock]) -> None:
         """Lay the runs of a gateway on the common time. `clocks`: by the names of runs."""
         self.gateway = gateway
-        self.runs = sorted((run for run in runs if run.records), key=lambda run: run.records[0].wall)
+        self.runs = sorted((run for run in runs if run.records), key=lambda run: run.records[0].unix_time)
         self.spans: list[SummarySpan] = []
         self.kinds: dict[str, str] = {}
         self.events: list[tuple[float, float, object]] = []  # when, spread, record
@@ -58,9 +58,9 @@
             for record in run.records:
                 at = clock.true(run_time(run, record))
                 self.events.append((at, clock.uncertainty, record))
-                if isinstance(record, Second):
-                    self.spans.append(SummarySpan(at - record.span / 10, at, record))
-                elif isinstance(record, Listed):
+                if isinstance(record, SummaryRecord):
+                    self.spans.append(SummarySpan(at - record.duration / 10, at, record))
+                elif isinstance(record, BackendList):
                     self.kinds.update((name, kind) for name, kind, *_ in record.backends)
         self.events.sort(key=lambda event: event[0])
         self.spans.sort(key=lambda span: span.begin)
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -11,18 +11,26 @@
 import pytest
 
 from lilacloft.__main__ import main
-from lilacloft.record import kinds
-from lilacloft.record.book import AGAIN, Book, Queue
+from lilacloft.record import record_types
+from lilacloft.record.file_rotation import RETRY_DELAY, RotatingFiles
+from lilacloft.record.live_stream import LiveStream
 from lilacloft.record.reader import read
-from lilacloft.record.summary import QUIET, SPAN, Summary
-from lilacloft.record.tap import Tap
+from lilacloft.record.record_queue import RecordQueue
+from lilacloft.record.summary import (
+    IDLE_SUMMARY_INTERVAL,
+    SUMMARY_INTERVAL,
+    BackendState,
+    EndedAttempt,
+    Summary,
+    VhostTargets,
+)
 from rigs.stands import Replaced, serves
 
 HEAD = b"head\n"
 
 
 class Disk:
-    """A shelf in memory, which may fail, and may take only a part."""
+    """A directory in memory, which may fail, and may take only a part."""
 
     def __init__(self, room=1e9):
         self.time, self.room, self.held, self.open, self.fails = 0.0, room, {}, None, False
@@ -30,7 +38,7 @@
     def now(self):
         return self.time
 
-    def begin(self, number):
+    def open_file(self, number):
         self._may()
         self.open = f"{number:05}"
         self.held[self.open] = b""
@@ -41,13 +49,13 @@
         if self.fails or len(data) > left:
             raise OSError(errno.ENOSPC, "No space left on device")
 
-    def end(self):
+    def close_file(self):
         self.open = None
 
-    def files(self):
+    def list_files(self):
         return [(name, len(data)) for name, data in sorted(self.held.items())]
 
-    def remove(self, name):
+    def remove_file(self, name):
         del self.held[name]
 
     def _may(self):
@@ -61,74 +69,85 @@
 
 def test_files_turn_by_size_and_age_and_the_oldest_go_first():
     disk = Disk()
-    book = Book(disk, {"file": 1000, "age": 60.0, "total": 3000})
+    files = RotatingFiles(disk, {"file": 1000, "age": 60.0, "total": 3000})
     for number in range(100):
-        assert book.write([line(number)], HEAD) == 0
+        assert files.write([line(number)], HEAD) == 0
         assert sum(map(len, disk.held.values())) <= 3000
         assert all(len(data) <= 1000 and data.startswith(HEAD) for data in disk.held.values())
     assert sorted(disk.held)[-1] == "00012" and "00001" not in disk.held
     before = len(disk.held)
     disk.time += 60.0
-    book.write([line(100)], HEAD)
-    assert len(disk.held) == before + 1 or book.number == 13
+    files.write([line(100)], HEAD)
+    assert len(disk.held) == before + 1 or files.file_number == 13
     assert list(disk.held.values())[-1] == HEAD + line(100)
 
 
 def test_a_full_disk_costs_records_that_are_counted_and_nothing_else():
     disk = Disk(room=1050)
-    book = Book(disk, {"file": 10_000, "total": 20_000})
-    lost = sum(book.write([line(number)], HEAD) for number in range(30))
+    files = RotatingFiles(disk, {"file": 10_000, "total": 20_000})
+    lost = sum(files.write([line(number)], HEAD) for number in range(30))
     kept = sum(data.count(b"\n") - 1 for data in disk.held.values())
-    assert kept == 10 and lost == 20 and "space" in book.why.lower()
-    assert book.owed() == (0, "")  # not while it may still fail
-    disk.room, disk.time = 1e9, disk.time + AGAIN
-    assert book.owed() == (20, book.why)
-    assert book.owed() == (0, "")
-    assert book.write([line(31)], HEAD) == 0
+    assert kept == 10 and lost == 20 and "space" in files.error.lower()
+    assert files.take_losses() == (0, "")  # not while it may still fail
+    disk.room, disk.time = 1e9, disk.time + RETRY_DELAY
+    assert files.take_losses() == (20, files.error)
+    assert files.take_losses() == (0, "")
+    assert files.write([line(31)], HEAD) == 0
     assert list(disk.held.values())[-1] == HEAD + line(31)  # in a file of its own: the last one was cut
 
 
 def test_on_generated_failures_every_line_is_whole_and_in_order_or_counted():
     for seed in range(200):
         chance, disk = random.Random(seed), Disk()
-        book = Book(disk, {"file": 800, "total": 1e6})
+        files = RotatingFiles(disk, {"file": 800, "total": 1e6})
         lost = number = 0
         for _ in range(60):
             disk.time += chance.choice([0.1, 2.0])
             disk.fails = chance.random() < 0.3
             lines = [line(number + place) for place in range(chance.randrange(4))]
             number += len(lines)
-            lost += book.write(lines, HEAD)
+            lost += files.write(lines, HEAD)
         whole = [one for data in disk.held.values() for one in data.split(b"\n")[1:] if len(one) == 99]
         assert whole == sorted(whole)
         assert number - lost <= len(whole) <= number  # what failed may have got down in part
 
 
 def test_a_queue_that_is_full_drops_and_says_since_when():
-    queue = Queue(3)
+    queue = RecordQueue(3)
     assert [queue.put(b"%d" % number, number) for number in range(6)] == [True] * 3 + [False] * 3
-    assert queue.take() == ([b"0", b"1", b"2"], 3, 3)
-    assert queue.put(b"7", 7) and queue.take() == ([b"7"], 0, 3)
+    assert queue.drain() == ([b"0", b"1", b"2"], 3, 3)
+    assert queue.put(b"7", 7) and queue.drain() == ([b"7"], 0, 3)
 
 
 def test_a_summary_counts_by_vhost_and_be_and_is_due_each_second_that_has_anything():
-    summary = Summary({"clip": (4000, 30_000, 2.0)}, 0)
-    assert not summary.due(QUIET - 1) and summary.due(QUIET)
-    summary.arrived("clip")
-    assert not summary.due(SPAN - 1) and summary.due(SPAN)
-    summary.sent("clip", "a")
-    summary.ended("clip", "a", None, "DATA", "done", 50, False, 1, 0)
-    summary.ended("clip", "b", "p", "DATA", "done", 900, True, 3, 0)
-    summary.ended("clip", "b", "p", "TIME_UP", "timeout", 4000, True, 0, 0)
+    summary = Summary({"clip": VhostTargets(4000, 30_000, 2.0)}, 0)
+    assert not summary.is_due(IDLE_SUMMARY_INTERVAL - 1) and summary.is_due(IDLE_SUMMARY_INTERVAL)
+    summary.request_arrived("clip")
+    assert not summary.is_due(SUMMARY_INTERVAL - 1) and summary.is_due(SUMMARY_INTERVAL)
+    summary.dispatched("clip", "a")
+    summary.attempt_ended(EndedAttempt("clip", "a", None, "DATA", "done", 50, False, 1, 0))
+    summary.attempt_ended(EndedAttempt("clip", "b", "p", "DATA", "done", 900, True, 3, 0))
+    summary.attempt_ended(EndedAttempt("clip", "b", "p", "TIME_UP", "timeout", 4000, True, 0, 0))
     summary.answered("clip", "done", 50, 1)
     summary.answered("clip", "done", 4001, 1)
     summary.answered("clip", "denied", 3, 0)
-    summary.counted({"unusable": 5})
-    summary.counted({"unusable": 9})
-    backends = {"a": (2, 10.0, False, 1), "c": (0, 1.0, True, 1), "d": (0, 1.0, False, 1)}
-    second = summary.take(SPAN, backends, 7.0)
+    summary.count_refused({"unusable": 5})
+    summary.count_refused({"unusable": 9})
+    backends = {
+        "a": BackendState(2, 10.0, False, 1),
+        "c": BackendState(0, 1.0, True, 1),
+        "d": BackendState(0, 1.0, False, 1),
+    }
+    second = summary.finish_period(SUMMARY_INTERVAL, backends, 7.0)
     clip = second.vhosts["clip"]
-    assert (clip.requests, clip.done, clip.late, clip.denied, clip.at_once, clip.value) == (
+    assert (
+        clip.requests,
+        clip.done,
+        clip.late_answers,
+        clip.denied,
+        clip.denied_without_dispatch,
+        clip.value,
+    ) == (
         1,
         2,
         1,
@@ -136,27 +155,31 @@
         1,
         2.0,
     )
-    assert (clip.hits, clip.fills, clip.dispatches) == (1, {"TCP_MISS_ROOT": 1}, 1) and clip.took
-    assert second.backends["b"].ends == {"time_up": 1} and second.backends["b"].late == 1
-    assert (second.backends["p"].fills, second.backends["p"].waits, second.backends["p"].waited) == (
+    assert (clip.hits, clip.fills, clip.dispatches) == (1, {"TCP_MISS_ROOT": 1}, 1) and clip.durations
+    assert second.backends["b"].ends == {"time_up": 1} and second.backends["b"].late_answers == 1
+    assert (
+        second.backends["p"].fills,
+        second.backends["p"].source_waits,
+        second.backends["p"].source_wait_total,
+    ) == (
         2,
         1,
         900,
     )
-    assert second.backends["a"].flight == 2 and second.backends["c"].ejected and "d" not in second.backends
-    assert second.refused == {"unusable": 4} and second.span == SPAN
-    assert not summary.take(2 * SPAN, {}, 7.0).vhosts
+    assert second.backends["a"].in_flight == 2 and second.backends["c"].ejected and "d" not in second.backends
+    assert second.refused == {"unusable": 4} and second.duration == SUMMARY_INTERVAL
+    assert not summary.finish_period(2 * SUMMARY_INTERVAL, {}, 7.0).vhosts
 
 
 def test_each_cut_is_worth_a_record_and_growth_only_when_it_is_made_good():
     summary = Summary({}, 0)
-    assert summary.limited("a", 10.0, 10.1, 0.0) is None
-    cut = summary.limited("a", 10.0, 7.0, 0.3)
-    assert (cut.was, cut.limit, cut.grown) == (10.0, 7.0, False)
-    assert summary.limited("a", 7.0, 4.9, 0.4).limit == 4.9
-    assert summary.limited("a", 4.9, 9.9, 0.0) is None
-    assert summary.limited("a", 9.9, 10.0, 0.0).grown
-    assert summary.limited("a", 10.0, 10.1, 0.0) is None
+    assert summary.limit_changed("a", 10.0, 10.1, 0.0) is None
+    cut = summary.limit_changed("a", 10.0, 7.0, 0.3)
+    assert (cut.previous_limit, cut.limit, cut.recovered) == (10.0, 7.0, False)
+    assert summary.limit_changed("a", 7.0, 4.9, 0.4).limit == 4.9
+    assert summary.limit_changed("a", 4.9, 9.9, 0.0) is None
+    assert summary.limit_changed("a", 9.9, 10.0, 0.0).recovered
+    assert summary.limit_changed("a", 10.0, 10.1, 0.0) is None
 
 
 # --- reading ---
@@ -165,12 +188,14 @@
 def written(folder, count=20):
     folder.mkdir(exist_ok=True)
     path = folder / "n0.000000000000001-1.00001.jsonl"
-    records = [kinds.Head(schema=1, gateway="n0", run="000000000000001-1")]
+    records = [record_types.Head(schema=1, gateway="n0", run="000000000000001-1")]
     records += [
-        kinds.Belief(number=number, wall=number, steady=number, backend="a", what="back")
+        record_types.HealthChange(
+            number=number, unix_time=number, monotonic_time=number, backend="a", change="back"
+        )
         for number in range(1, count)
     ]
-    path.write_bytes(b"".join(kinds.encode(record) + b"\n" for record in records))
+    path.write_bytes(b"".join(record_types.encode(record) + b"\n" for record in records))
     return path
 
 
@@ -252,7 +277,9 @@
     folder = tmp_path / "rec"
     until(
         lambda: folder.exists()
-        and any(isinstance(record, kinds.Purge) for mine in records(folder).values() for record in mine)
+        and any(
+            isinstance(record, record_types.Purge) for mine in records(folder).values() for record in mine
+        )
     )
     assert world.upgrade(to=" ".join(world.command)) == (True, "")
     asker.ask(key=1)
@@ -261,22 +288,22 @@
     os.kill(world.pids[-1], 15)
     runs = until(
         lambda: (found := records(folder))
-        and all(any(isinstance(record, kinds.Over) for record in mine) for mine in found.values())
+        and all(any(isinstance(record, record_types.Stop) for record in mine) for mine in found.values())
         and found
     )
     first, second = (runs[name] for name in sorted(runs))
-    assert [record.phase for record in first if isinstance(record, kinds.Upgrade)][-1] == "gone"
-    assert first[-1].why == "upgrade" and second[0].why == "upgrade" and second[-1].why == "stop"
+    assert [record.phase for record in first if isinstance(record, record_types.Upgrade)][-1] == "gone"
+    assert first[-1].reason == "upgrade" and second[0].reason == "upgrade" and second[-1].reason == "stop"
     assert [record.number for record in first] == list(range(1, len(first) + 1))
     done = sum(
         vhost.done
         for mine in (first, second)
         for record in mine
-        if isinstance(record, kinds.Second)
+        if isinstance(record, record_types.SummaryRecord)
         for vhost in record.vhosts.values()
     )
     assert done == 6
-    purge = next(record for record in first if isinstance(record, kinds.Purge))
+    purge = next(record for record in first if isinstance(record, record_types.Purge))
     assert (purge.event, purge.key) == (2, f"{9:016x}")
     told = (tmp_path / "out.prom").read_text()
     assert 'lilacloft_reqs_total{gateway="n0",outcome="done",vhost="clip"}' in told
@@ -304,13 +331,13 @@
 
 
 def test_a_reader_that_does_not_keep_up_is_let_go(tmp_path):
-    tap = Tap(str(tmp_path / "tap"), b"head\n")
+    stream = LiveStream(str(tmp_path / "tap"), b"head\n")
     reader = socket.socket(socket.AF_UNIX)
-    reader.connect(tap.path)
-    until(lambda: tap.readers)
+    reader.connect(stream.path)
+    until(lambda: stream.readers)
     for _ in range(600):
-        tap.tell([b"x" * 9999 + b"\n"])
-    assert not tap.readers
+        stream.publish([b"x" * 9999 + b"\n"])
+    assert not stream.readers
     reader.settimeout(5)
     got = b""
     while data := reader.recv(1 << 20):
@@ -336,10 +363,10 @@
             record
             for mine in records(tmp_path / "rec").values()
             for record in mine
-            if isinstance(record, kinds.Lost)
+            if isinstance(record, record_types.DroppedRecords)
         ]
     )
-    assert lost[0].count >= 2 and "xist" in lost[0].why
+    assert lost[0].count >= 2 and "xist" in lost[0].reason
 
 
 def test_without_settings_nothing_is_written(tmp_path):
@@ -354,9 +381,9 @@
 
 
 def test_the_encoding_is_one_json_object_a_line():
-    record = kinds.Belief(number=3, wall=5, steady=7, backend='a"\n', what="back")
-    data = kinds.encode(record)
-    assert b"\n" not in data and json.loads(data)["be"] == 'a"\n' and kinds.decode(data) == record
+    record = record_types.HealthChange(number=3, unix_time=5, monotonic_time=7, backend='a"\n', change="back")
+    data = record_types.encode(record)
+    assert b"\n" not in data and json.loads(data)["be"] == 'a"\n' and record_types.decode(data) == record
 
 
 def test_a_forwarder_writes_down_each_plan_that_holds_and_when_none_does():
@@ -366,11 +393,11 @@
     from lilacloft.control.follower import PlanEffect
     from lilacloft.control.gateway_agent import GatewayAgent
     from lilacloft.control.leader_lease import PlanId
-    from lilacloft.record.writer import Recorder
+    from lilacloft.record.recorder import Recorder
 
     written = []
     recorder = SimpleNamespace(note=written.append)
-    recorder.planned = lambda effect: Recorder.planned(recorder, effect)
+    recorder.plan_changed = lambda effect: Recorder.plan_changed(recorder, effect)
     first = PlanEffect(
         PlanId(1, 4, "p1"), ejections={"b": 0, "a": 9}, concurrency_limits={"a": 2.0}, fill_limit=3.25
     )
@@ -382,11 +409,15 @@
     agent.follower = SimpleNamespace(keeper=None)
     for _ in range(5):
         agent._apply()
-    held = [(one.planner, one.epoch, one.issued) for one in written]
+    held = [(one.planner, one.epoch, one.plan_number) for one in written]
     assert held == [("p1", 1, 4), ("p1", 1, 5), ("", 0, 0)]
-    assert written[0].out == ["a", "b"] and written[0].limits == 1 and written[0].link == 3.25
-    assert all(isinstance(one, kinds.Planned) for one in written)
-    again = kinds.decode(kinds.encode(written[0]))
+    assert (
+        written[0].ejected_backends == ["a", "b"]
+        and written[0].limit_count == 1
+        and written[0].link_limit == 3.25
+    )
+    assert all(isinstance(one, record_types.PlanChange) for one in written)
+    again = record_types.decode(record_types.encode(written[0]))
     assert again == written[0]
 
 
@@ -396,11 +427,11 @@
     from lilacloft.control.gateway_agent import GatewayAgent
     from lilacloft.control.leader_lease import PlanId
     from lilacloft.failover.failover_state import FailoverDirective
-    from lilacloft.record.writer import Recorder
+    from lilacloft.record.recorder import Recorder
 
     written = []
     recorder = SimpleNamespace(note=written.append)
-    recorder.away = lambda *told: Recorder.away(recorder, *told)
+    recorder.location_changed = lambda *told: Recorder.location_changed(recorder, *told)
     holds = iter([{1: (0, 0)}, {1: (0, 0)}, {1: (4, 1)}, {}, {}])
     agent = GatewayAgent.__new__(GatewayAgent)
     agent.gateway = SimpleNamespace(recorder=recorder, settings={"zones": ["here", "there"]})
@@ -412,9 +443,11 @@
     for planner in ("p1", "p1", "", "p1", "p1"):
         agent.plan_id = PlanId(1, 1, planner)
         agent._note_locations()
-    assert [(one.zone, one.back, one.failed, one.why, one.alone) for one in written] == [
+    assert [
+        (one.zone, one.returned_slices, one.failed_returns, one.reason, one.without_plan) for one in written
+    ] == [
         ("there", 0, 0, "its caches fail", False),
         ("there", 4, 1, "", True),
         ("there", 64, 0, "its caches fail", False),
     ]
-    assert kinds.decode(kinds.encode(written[1])) == written[1]
+    assert record_types.decode(record_types.encode(written[1])) == written[1]
