--- a/lilacloft/control/planner_server.py
+++ b/lilacloft/control/planner_server.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from lilacloft import needed
+from lilacloft import settings_validation
 from lilacloft.config.addresses import address
 from lilacloft.control import codec
 from lilacloft.control.explanation import explain
@@ -29,9 +29,9 @@
 from lilacloft.membership.table import PLANNER
 from lilacloft.net.discovery_events import events_of_config
 from lilacloft.net.discovery_watch import DiscoveryWatch
+from lilacloft.protocol_settings import from_protocol
 from lilacloft.routing.model import BackendStatus
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
-from lilacloft.settings import settings
 
 TICK_SECONDS = 0.25
 NANOSECONDS_PER_TICK = 100_000
@@ -54,7 +54,7 @@
     ) -> None:
         """`folder`: of the planner's store; empty for none. `leave`: whether whole locations may be out of
         use, `past` their caches, or `across`, with other locations' caches in their place."""
-        found = settings(needed.told(config["settings"]))
+        found = from_protocol(settings_validation.with_defaults(config["settings"]))
         family = found["family"]
         self.name = name
         self.kinds = {family["source_kind"]: ORIGIN, family["parent_kind"]: PARENT}
--- a/lilacloft/emulator/gateway.py
+++ b/lilacloft/emulator/gateway.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from lilacloft.clock_offset import ClockOffset, WatchContext
 from lilacloft.emulator.around import AroundGateway
 from lilacloft.emulator.boxes import ORIGIN, Box, Dispatch
 from lilacloft.emulator.clients import Ask
@@ -18,7 +19,6 @@
 from lilacloft.routing.host import AttemptResult, Endpoint, HealthChange, Timer
 from lilacloft.routing.host import Dispatch as Order
 from lilacloft.routing.model import Backend, Request
-from lilacloft.stamps import Hearing, Stamps
 
 Policy = Callable[[Any, Any], Any]
 
@@ -47,7 +47,7 @@
         self.out: dict[tuple[Request, int], Dispatch] = {}
         self.open: dict[Request, None] = {}
         self.life += 1
-        self.stamps = Stamps()
+        self.clock_offset = ClockOffset()
         self.log_heard = -1  # when the log was last heard from; -1: only the first list was told
         self.router = self.policy(self, self.settings)
         self.told(self.fleet.rows(self.zone), "full")
@@ -165,9 +165,9 @@
 
     def told(self, rows: list[Box], mode: str = "delta") -> None:
         """Rows of the list."""
-        hearing, entries = self._hearing(), []
-        if hearing is None:
-            self.stamps.configured(self.now(), (box.started for box in rows))
+        context, entries = self._watch_context(), []
+        if context is None:
+            self.clock_offset.record_configured_starts(self.now(), (box.started for box in rows))
         for box in rows:
             backend = self.backends.get(box.name)
             if backend is None:
@@ -181,7 +181,7 @@
                     box.cell,
                     box.status,
                     box.size,
-                    self.stamps.start(self.now(), box.name, box.started, hearing),
+                    self.clock_offset.start_time(self.now(), box.name, box.started, context),
                 )
             )
             self.knows[box.name] = box.started
@@ -190,15 +190,15 @@
 
     def purged(self, key: str, group: int, at: int) -> None:
         self.fleet.checker.purged(self.name, key or group, at)
-        at = self.stamps.purge(self.now(), at, self._hearing())
+        at = self.clock_offset.purge_time(self.now(), at, self._watch_context())
         self.router.object_purged(key, group, self.now() - at)
-        for name, started in self.stamps.revised().items():
+        for name, started in self.clock_offset.corrected_starts().items():
             self.backends[name].started = started
 
-    def _hearing(self) -> Hearing | None:
+    def _watch_context(self) -> WatchContext | None:
         """How the log was heard of before what it tells now; none for the list that it begins with."""
         before, self.log_heard = self.log_heard, self.now()
-        return Hearing(before, current=True) if before >= 0 else None
+        return WatchContext(before, is_current=True) if before >= 0 else None
 
     # --- Host: what the module calls ---
 
--- a/lilacloft/experiment/revisions.py
+++ b/lilacloft/experiment/revisions.py
@@ -17,7 +17,7 @@
 ROUTING = "lilacloft/routing"
 GIT_TIMEOUT_S = 20
 REVISION_PREFIX = "revision "
-INTERFACE = ("routing/model.py", "routing/host.py", "stamps.py")  # used by the emulator itself
+INTERFACE = ("routing/model.py", "routing/host.py", "clock_offset.py")  # used by the emulator itself
 
 
 class RevisionError(Exception):
--- a/lilacloft/gateway/answers.py
+++ b/lilacloft/gateway/answers.py
@@ -35,7 +35,7 @@
         if not gateway.front.close_request(call):
             return
         gateway.counters.answers[kind] += 1
-        gateway.invariants.answers(call.history, gateway.clock.time)
+        gateway.invariants.answered(call.history, gateway.clock.time)
         reason = call.request.reject_reason.name if call.request.reject_reason else ""
         if reason:
             gateway.counters.rejects[reason] += 1
--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -49,10 +49,10 @@
         call.request = request = self._make_request(call, arrived_at, client_deadline)
         gateway.open_requests[request] = call
         call.history = self.request_history(call, request)
-        call.history.until = client_deadline
+        call.history.deadline = client_deadline
         gateway.trace.add(call.at, call.name, "arrived", gateway.vhosts[call.vhost]["name"])
-        if gateway.guard:
-            gateway.guard.note_earlier_execution(call, request)
+        if gateway.store:
+            gateway.store.note_earlier_execution(call, request)
         if gateway.recorder:
             gateway.recorder.request_arrived(call)
         gateway.router.request_arrived(request)
@@ -80,11 +80,14 @@
             call.name,
             self.effects[call.vhost],
             request.deadline,
-            out=request.in_flight,
-            sent=request.sent_at,
+            in_flight=request.in_flight,
+            sent_at=request.sent_at,
             backend=request.backend,
         )
-        history.ran, history.first_executed_by = request.first_executed_at, request.first_executed_by
+        history.first_executed_at, history.first_executed_by = (
+            request.first_executed_at,
+            request.first_executed_by,
+        )
         return history
 
     def cancelled(self, call: ClientRequest) -> None:
@@ -94,7 +97,7 @@
         if call.request is None:
             return
         gateway.counters.answers["left"] += 1
-        gateway.invariants.leaves(call.history)
+        gateway.invariants.client_left(call.history)
         gateway.trace.add(self.clock.monotonic_time, call.name, "left")
         if gateway.recorder:
             gateway.recorder.client_disconnected(call)
--- a/lilacloft/gateway/clock.py
+++ b/lilacloft/gateway/clock.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from lilacloft.protocol_settings import NS_PER_TICK
 from lilacloft.routing.units import Ticks
-from lilacloft.settings import NS
 
 TICKS_PER_MILLISECOND = 10
 PAUSE_THRESHOLD: Ticks = 1_000  # a longer gap between two updates means that the process did not run
@@ -21,7 +21,7 @@
 
 def monotonic_ticks() -> Ticks:
     """Return the monotonic clock's time."""
-    return time.monotonic_ns() // NS
+    return time.monotonic_ns() // NS_PER_TICK
 
 
 class Pause(NamedTuple):
@@ -36,13 +36,13 @@
 
     def __init__(self, unix_clock: Callable[[], int] = time.time_ns) -> None:
         """`unix_clock`: returns the Unix time in nanoseconds; read once."""
-        self.time: Ticks = unix_clock() // NS
-        self.monotonic_time: Ticks = time.monotonic_ns() // NS  # of the last update
+        self.time: Ticks = unix_clock() // NS_PER_TICK
+        self.monotonic_time: Ticks = time.monotonic_ns() // NS_PER_TICK  # of the last update
         self.last_pause: Pause | None = None
 
     def update(self) -> None:
         """Advance the time to now, and record a pause where the last update is too long ago."""
-        now = time.monotonic_ns() // NS
+        now = time.monotonic_ns() // NS_PER_TICK
         if now - self.monotonic_time > PAUSE_THRESHOLD:
             self.record_pause(self.monotonic_time)
         self.time += now - self.monotonic_time
--- a/lilacloft/gateway/configuration.py
+++ b/lilacloft/gateway/configuration.py
@@ -11,11 +11,11 @@
 
 from loguru import logger
 
-from lilacloft import needed
+from lilacloft import settings_validation
 from lilacloft.net.discovery_events import DiscoveryEvent, events_of_config
 from lilacloft.net.resource_limits import Budgets, budgets, descriptor_limit
+from lilacloft.protocol_settings import from_protocol
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
-from lilacloft.settings import settings
 
 FIXED = ("listen", "settings")  # fields that a reload cannot change
 
@@ -33,7 +33,7 @@
     listen: str  # HOST:PORT
     changelog: str  # HOST:PORT of the change log
     name: str  # the gateway's; "" where none is given
-    settings: dict[str, Any]  # in lilacloft's names (lilacloft/settings.py)
+    settings: dict[str, Any]  # in lilacloft's names (lilacloft/protocol_settings.py)
     answer_slack: Ticks
     granularity: Ticks  # span within which events are taken together
     max_client_timeout: Ticks
@@ -54,9 +54,9 @@
 
 def read_configuration(config: dict[str, Any]) -> Configuration:
     """Check a configuration as parsed from its JSON, and return what a gateway uses of it."""
-    needed.config(config)
+    settings_validation.check_configuration(config)
     listen = config["listen"]
-    named = settings(needed.told(config["settings"]))
+    named = from_protocol(settings_validation.with_defaults(config["settings"]))
     return Configuration(
         listen=listen,
         changelog=config["changelog"],
--- a/lilacloft/gateway/context.py
+++ b/lilacloft/gateway/context.py
@@ -46,7 +46,7 @@
         self.trace = Trace()
         self.open_requests: dict[Request, ClientRequest] = {}  # also finished ones whose attempt is still out
         self.backends: dict[str, Backend] = {}  # by name
-        self.guard: Any = None  # lilacloft.store.gateway_store.GatewayStore, if effects outlive a crash
+        self.store: Any = None  # lilacloft.store.gateway_store.GatewayStore, if effects outlive a crash
         self.recorder: Any = None  # lilacloft.record.recorder.Recorder, if there are records
         self.agent: Any = None  # lilacloft.control.gateway_agent.GatewayAgent, if there are planners
         self.upgrade: Any = None  # lilacloft.handover.sender.HandoverSender, if this process may be replaced
--- a/lilacloft/gateway/discovery.py
+++ b/lilacloft/gateway/discovery.py
@@ -1,11 +1,12 @@
 """Applies what the change log tells: the endpoint list, its changes, and purges.
 
-Times of others' clocks are translated into the gateway's time (lilacloft/stamps.py) before anything else sees
-them.
+Times of others' clocks are translated into the gateway's time (lilacloft/clock_offset.py) before anything
+else sees them.
 """
 
 from __future__ import annotations
 
+from lilacloft.clock_offset import ClockOffset, WatchContext
 from lilacloft.gateway.clock import TICKS_PER_MILLISECOND
 from lilacloft.gateway.configuration import parse_address
 from lilacloft.gateway.context import GatewayContext
@@ -13,7 +14,6 @@
 from lilacloft.net.discovery_watch import DiscoveryWatch, WatchStatus
 from lilacloft.routing.host import Endpoint, ListMode
 from lilacloft.routing.model import Backend
-from lilacloft.stamps import Hearing, Stamps
 
 PURGE = "purge"  # kind of an event; all others are endpoint lists, "full" or "delta"
 
@@ -25,7 +25,7 @@
         """Sets `gateway.feed`, which is not started yet."""
         configuration = gateway.configuration
         self.gateway = gateway
-        self.stamps = Stamps()
+        self.clock_offset = ClockOffset()
         self.last_applied_event = configuration.last_applied_event
         gateway.feed = DiscoveryWatch(
             parse_address(configuration.changelog),
@@ -39,7 +39,7 @@
         log's clock."""
         entries = [entry for kind, content in events if kind != PURGE for entry in content]
         starts = (started * TICKS_PER_MILLISECOND for *_, started in entries)
-        self.stamps.configured(self.gateway.clock.time, starts)
+        self.clock_offset.record_configured_starts(self.gateway.clock.time, starts)
         for event in sorted(events, key=lambda event: event[0] != PURGE):
             self.apply_event(event, ListMode.CACHED if event[0] == ListMode.FULL else None)
 
@@ -49,8 +49,8 @@
         gateway = self.gateway
         if event[0] == PURGE or number > self.last_applied_event:
             gateway.loop.post(self.apply_event, event, None, gateway.feed.status)
-        if gateway.guard:
-            gateway.loop.post(gateway.guard.event_received, event, number)
+        if gateway.store:
+            gateway.loop.post(gateway.store.event_received, event, number)
         if gateway.recorder:
             gateway.loop.post(gateway.recorder.discovery_event, event, number)
 
@@ -61,28 +61,28 @@
         kind; `feed_state`: how the change log was followed before, None where a configuration or a store has
         the event."""
         clock = self.gateway.clock
-        hearing = (
-            Hearing(clock.time - clock.monotonic_time + feed_state.at, feed_state.current)
+        context = (
+            WatchContext(clock.time - clock.monotonic_time + feed_state.at, feed_state.current)
             if feed_state
             else None
         )
         kind, content = event
         if kind == PURGE:
-            self._apply_purge(content, hearing)
+            self._apply_purge(content, context)
             return
         rows = [
-            (*row, self.stamps.start(clock.time, row[0], started * TICKS_PER_MILLISECOND, hearing))
+            (*row, self.clock_offset.start_time(clock.time, row[0], started * TICKS_PER_MILLISECOND, context))
             for *row, started in content
         ]
         self.apply_endpoints(mode or kind, rows)
 
-    def _apply_purge(self, content: tuple[str, int, int], hearing: Hearing | None) -> None:
+    def _apply_purge(self, content: tuple[str, int, int], context: WatchContext | None) -> None:
         key, group, unix_milliseconds = content
         gateway, stamp = self.gateway, unix_milliseconds * TICKS_PER_MILLISECOND
-        if gateway.guard:
-            gateway.guard.object_purged(key, group, stamp)
+        if gateway.store:
+            gateway.store.object_purged(key, group, stamp)
         now = gateway.clock.time
-        gateway.router.object_purged(key, group, now - self.stamps.purge(now, stamp, hearing))
+        gateway.router.object_purged(key, group, now - self.clock_offset.purge_time(now, stamp, context))
         self._correct_start_times()
 
     def apply_endpoints(self, mode: str, rows: list[EndpointEntry]) -> None:
@@ -97,7 +97,7 @@
             addresses.append((backend, address))
         clock = gateway.clock
         for endpoint in endpoints:
-            gateway.invariants.listed(
+            gateway.invariants.endpoint_changed(
                 endpoint.backend.name, endpoint.status, clock.time, clock.monotonic_time
             )
         gateway.router.endpoints_changed(mode, endpoints)
@@ -116,11 +116,11 @@
                 gateway.back.remove_backend(backend)
                 if not backend.requests:
                     del gateway.backends[name]
-                    self.stamps.forget(name)
+                    self.clock_offset.forget(name)
 
     def _correct_start_times(self) -> None:
         """Correct backends' starts: the change log's clock is known better, and some were earlier."""
-        for name, started in self.stamps.revised().items():
+        for name, started in self.clock_offset.corrected_starts().items():
             backend = self.gateway.backends.get(name)
             pool = self.gateway.back.pools.get(backend) if backend else None
             if backend:
--- a/lilacloft/gateway/dispatcher.py
+++ b/lilacloft/gateway/dispatcher.py
@@ -37,7 +37,7 @@
         call = gateway.open_requests[dispatch.request]
         source = dispatch.source if dispatch.source is not backend else None
         work = dispatch.request.transfer_time
-        if not gateway.invariants.sends(call.history, backend, source or backend, work, self.clock.time):
+        if not gateway.invariants.may_send(call.history, backend, source or backend, work, self.clock.time):
             self._report_unsendable(call, backend)
             return
         until = min(self.clock.time + dispatch.timeout, dispatch.request.deadline)
@@ -48,7 +48,7 @@
         self._trace(call, "sent", f"{backend.name} {sent.seq}")
         if gateway.recorder:
             gateway.recorder.dispatched(call, backend)
-        end = gateway.guard.dispatch(sent, until) if gateway.guard else gateway.back.dispatch(sent)
+        end = gateway.store.dispatch(sent, until) if gateway.store else gateway.back.dispatch(sent)
         if end is not None:
             self.report_end(sent, end)
             return
@@ -78,9 +78,9 @@
     def idempotency_deadline(self, history: History) -> Ticks:
         """Return when a request that may have run may not be sent again, by the monotonic clock; 0: it always
         may."""
-        if history.ran is None or history.effect.kind == Idempotency.SAFE:
+        if history.first_executed_at is None or history.effect.kind == Idempotency.SAFE:
             return 0
-        return self.clock.to_monotonic(history.ran + history.effect.window)
+        return self.clock.to_monotonic(history.first_executed_at + history.effect.window)
 
     def check_health(self, backend: Backend) -> None:
         """Send a health check."""
@@ -126,8 +126,8 @@
 
     def _withdraw_from_store(self, sent: Attempt) -> bool:
         """Take back an attempt that waits for the disk; False where it does not."""
-        guard = self.gateway.guard
-        return bool(guard and guard.withdraw(sent))
+        store = self.gateway.store
+        return bool(store and store.withdraw(sent))
 
     def send_deadline_passed(self, call: ClientRequest) -> None:
         """Give a request up at once where it is not out at a backend: nothing may be sent for it any more."""
@@ -163,7 +163,7 @@
         duration = max(0, self.clock.time - sent.at - waited_here)
         call.attempt, call.last_outcome = None, outcome
         if sent.encoded_at:  # else a check kept it back
-            self.gateway.invariants.ended(call.history, outcome)
+            self.gateway.invariants.attempt_ended(call.history, outcome)
         self._trace(call, "ended", end.name)
         self._notify_end(sent, end, duration, reply)
         if outcome == Outcome.DONE:
@@ -181,8 +181,8 @@
     def _notify_end(self, sent: Attempt, end: CloseReason, duration: Ticks, reply: Reply) -> None:
         """Tell the store, the records and the planners' agent of an attempt's end."""
         gateway, call = self.gateway, sent.call
-        if gateway.guard:
-            gateway.guard.attempt_ended(sent, end)
+        if gateway.store:
+            gateway.store.attempt_ended(sent, end)
         if gateway.recorder:
             gateway.recorder.attempt_ended(sent, end, duration, reply)
         if gateway.agent:
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -106,7 +106,7 @@
         self.paused_since, self.record_pause = self.clock.paused_since, self.clock.record_pause
         self.to_monotonic = self.clock.to_monotonic
         self.answer_counts, self.end_counts = self.counters.answers, self.counters.ends
-        self.stamps = self.discovery.stamps
+        self.clock_offset = self.discovery.clock_offset
         self.apply_event, self.apply_endpoints = self.discovery.apply_event, self.discovery.apply_endpoints
         self.attempt_ended = self.dispatcher.attempt_ended
         self.attempt_timed_out = self.dispatcher.attempt_timed_out
@@ -184,7 +184,7 @@
     def connection_closing(self, names: list[str]) -> None:
         """Check that this gateway may close a connection, on which requests of these names are open. Any
         thread may call this."""
-        self.invariants.closes(names)
+        self.invariants.closed_with_open(names)
 
     # --- time and events, for other packages ---
 
--- a/lilacloft/gateway/reload.py
+++ b/lilacloft/gateway/reload.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from lilacloft import needed
+from lilacloft import settings_validation
 from lilacloft.gateway.configuration import parse_address
 from lilacloft.gateway.context import GatewayContext
 from lilacloft.net.resource_limits import budgets, descriptor_limit
@@ -18,7 +18,7 @@
     if gateway.upgrade and gateway.upgrade.forward_reload():
         return
     try:
-        needed.config(config)
+        settings_validation.check_configuration(config)
         changelog = parse_address(config["changelog"])
         found = budgets(config["limits"], descriptor_limit())
         fixed = gateway.configuration.fixed
--- a/lilacloft/handover/messages.py
+++ b/lilacloft/handover/messages.py
@@ -286,7 +286,7 @@
 
 
 class ClockOffsetState(Struct, rename=wire_names.CLOCK_OFFSET_KEYS):
-    """What `lilacloft.stamps` has estimated of discovery's clock.
+    """What `lilacloft.clock_offset` has estimated of discovery's clock.
 
     `backend_starts`: by backend the stamp of its start, what that means in the gateway's time, and whether it
     may be corrected.
--- a/lilacloft/handover/receiver.py
+++ b/lilacloft/handover/receiver.py
@@ -193,9 +193,9 @@
             gateway.post(self._start_client, state, self.channel.pop_sockets(1)[0])
         elif frame.kind is MessageKind.STORE_RECORD:
             record = frame.decode(messages.StoreRecord)
-            if gateway.guard:
+            if gateway.store:
                 gateway.post(
-                    gateway.guard.write_relayed,
+                    gateway.store.write_relayed,
                     record.ticket,
                     record.kind,
                     record.key,
--- a/lilacloft/handover/sender.py
+++ b/lilacloft/handover/sender.py
@@ -157,7 +157,7 @@
             reason = f"form {hello.state_version} cannot hold open reqs"
         elif hello.vhosts != vhosts:
             reason = f"vhosts {hello.vhosts} are not {vhosts}"
-        store = self.gateway.guard.path if self.gateway.guard else ""
+        store = self.gateway.store.path if self.gateway.store else ""
         if store and hello.store_folder != store:  # whoever continues must know what was sent
             raise FormatError(f"the new process keeps {hello.store_folder or 'no store'} instead of {store}")
         if hello.state_version < OLDEST_READER_VERSION:
@@ -190,7 +190,7 @@
         try:
             frame = self.receiver.receive(timeout, (MessageKind.SERVING, MessageKind.STORE_RECORDS_SYNCED))
             if frame.kind is MessageKind.STORE_RECORDS_SYNCED:
-                self.gateway.post(self.gateway.guard.relayed_records_durable, frame.decode(int))
+                self.gateway.post(self.gateway.store.relayed_records_durable, frame.decode(int))
                 return
             self.receiver_serves = True
             self._run_on_event_loop(self._check_drained, False)
@@ -233,8 +233,8 @@
         machine = self.state_machine
         deadline = time.monotonic() + machine.remaining_seconds()
         failure = self.quiescer.quiesce(deadline, lambda: machine.phase == Phase.TRANSFERRING)
-        if not failure and self.gateway.guard:
-            failure = self.gateway.guard.quiesce(machine.remaining_seconds() / 2)
+        if not failure and self.gateway.store:
+            failure = self.gateway.store.quiesce(machine.remaining_seconds() / 2)
         return failure
 
     def _send_state(self) -> None:
@@ -245,7 +245,7 @@
         self.exported_counts, state.must_reload = state.counts, self.was_reloaded
         descriptors = [conn.sock.fileno() for conn in self.connections]
         if state.store is not None:
-            descriptors.append(self.gateway.guard.directory.lock_fd)
+            descriptors.append(self.gateway.store.directory.lock_fd)
         timeout = self.state_machine.remaining_seconds()
         self.receiver.send(MessageKind.STATE, state, tuple(descriptors), timeout)
 
@@ -347,16 +347,16 @@
             self.quiescer.close_lost(list(dict.fromkeys([*self.connections, *self.quiescer.transferred])))
             self.gateway.router.set_standby(False)
         self.connections = []
-        if self.gateway.guard:
-            self.gateway.guard.resume(transferred_is_lost)
+        if self.gateway.store:
+            self.gateway.store.resume(transferred_is_lost)
         self.quiescer.resume_all()
         self._report_gateway()
 
     def drain(self, mode: HandoverMode) -> None:
         """Give the transferred connections up, and finish what stays here."""
         self.quiescer.mark_transferred(self.connections)
-        if self.gateway.guard:
-            self.gateway.guard.delegate_writes(self._send_store_record)
+        if self.gateway.store:
+            self.gateway.store.delegate_writes(self._send_store_record)
         if mode == HandoverMode.DRAIN:
             self.gateway.router.set_standby(True)
             self.quiescer.resume_all(accept=False)
--- a/lilacloft/handover/state_export.py
+++ b/lilacloft/handover/state_export.py
@@ -103,7 +103,7 @@
         ],
         requests=[_export_request(call, selected) for call in calls],
         attempts=list(_export_attempts(gateway, selected)) if mode == HandoverMode.WHOLE else [],
-        descriptor_count=len(selected.descriptors) + bool(gateway.guard),
+        descriptor_count=len(selected.descriptors) + bool(gateway.store),
         store=_export_store(gateway, calls),
     )
     return ExportedGateway(state, list(selected.descriptors))
@@ -216,7 +216,7 @@
 def _export_attempts(gateway: Gateway, selected: _Selection) -> Iterator[messages.AttemptState]:
     """Export attempts of the requests that go over, and health checks on the connections that do."""
     timers = _AttemptTimers.of(gateway)
-    held = set(gateway.guard.withdrawn) if gateway.guard else ()  # wait for the store, and are sent again
+    held = set(gateway.store.withdrawn) if gateway.store else ()  # wait for the store, and are sent again
     in_flight = [call.attempt for call in selected.calls if call.attempt is not None]
     in_flight += [sent for line in selected.lines for sent in line.in_flight.values() if sent.call is None]
     for sent in in_flight:
@@ -237,17 +237,20 @@
 
 
 def _export_clock_offset(gateway: Gateway) -> messages.ClockOffsetState:
-    stamps = gateway.stamps
-    starts = {name: (start.stamp, start.meant, start.revisable) for name, start in stamps.starts.items()}
-    return messages.ClockOffsetState(stamps.lag, stamps.at, starts)
+    clock_offset = gateway.clock_offset
+    starts = {
+        name: (start.stamp, start.local_time, start.correctable)
+        for name, start in clock_offset.starts.items()
+    }
+    return messages.ClockOffsetState(clock_offset.min_lag, clock_offset.learned_at, starts)
 
 
 def _export_store(gateway: Gateway, calls: Iterable[ClientRequest]) -> messages.StoreState | None:
     """Export what the store's writer continues with; None if the gateway has no store."""
-    if gateway.guard is None:
+    if gateway.store is None:
         return None
-    exported = gateway.guard.export_state({call.name: call for call in calls})
-    return store_state(gateway.guard.path, exported)
+    exported = gateway.store.export_state({call.name: call for call in calls})
+    return store_state(gateway.store.path, exported)
 
 
 def store_state(folder: str, exported: Mapping[str, Any]) -> messages.StoreState:
--- a/lilacloft/handover/state_restore.py
+++ b/lilacloft/handover/state_restore.py
@@ -91,7 +91,7 @@
         self._restore_backends(state.backends)
         offset = state.clock_offset
         if offset:
-            gateway.stamps.take(offset.minimum_lag, offset.measured_at, offset.backend_starts)
+            gateway.clock_offset.restore(offset.minimum_lag, offset.measured_at, offset.backend_starts)
         exported = to_plain(state.router)
         # by name, as the order of virtual hosts may have changed
         by_vhost = dict(zip(state.vhosts, exported["vhosts"], strict=False))
@@ -277,8 +277,8 @@
             with conn.lock:
                 conn._start_writer()
             conn.start()
-        if gateway.guard:
-            gateway.guard.adopt_attempts(
+        if gateway.store:
+            gateway.store.adopt_attempts(
                 call.attempt
                 for call in gateway.open_requests.values()
                 if call.attempt and call.attempt not in self.unsent_attempts
@@ -291,8 +291,8 @@
         sent.at = gateway.time
         if sent.expired():
             end: CloseReason | None = CloseReason.UNWRITTEN
-        elif gateway.guard:
-            end = gateway.guard.dispatch(sent, sent.call.request.deadline)
+        elif gateway.store:
+            end = gateway.store.dispatch(sent, sent.call.request.deadline)
         else:
             end = gateway.back.dispatch(sent)
         if end is not None:
--- a/lilacloft/invariants.py
+++ b/lilacloft/invariants.py
@@ -20,9 +20,9 @@
 from lilacloft.routing.model import Backend
 
 # outcomes after which an attempt may have had its effect; kept apart from the decisions' own on purpose
-MAY_HAVE_RUN = frozenset(("done", "error", "timeout", "reset", "spoilt", "cancelled"))
-MOST_GONE = 10_000  # backends that have left and are remembered
-LEFT_GRACE = 1_000  # span in which an attempt may begin after its client has left
+MAY_HAVE_EXECUTED = frozenset(("done", "error", "timeout", "reset", "spoilt", "cancelled"))
+MAX_GONE_BACKENDS = 10_000  # backends that have left and are remembered
+CLIENT_LEFT_GRACE = 1_000  # span in which an attempt may begin after its client has left
 TIME_SLACK = 1_500  # span by which a told time limit may exceed what the client has left
 WIRE_SLACK = 500  # span by which each time limit is longer on sockets
 DRAIN_GRACE = 10_000  # span in which a draining backend may be sent to, where the settings tell none
@@ -59,26 +59,26 @@
 
     name: str
     effect: Effect
-    until: int  # when its client's time is up
-    out: bool = False
-    sent: int = 0  # when the last attempt was let go
+    deadline: int  # when its client's time is up
+    in_flight: bool = False
+    sent_at: int = 0  # when the last attempt was let go
     backend: Backend | None = None  # where to
-    ran: int | None = None  # when the first attempt that may have run was let go
+    first_executed_at: int | None = None  # when the first attempt that may have been executed was let go
     first_executed_by: Backend | None = None
     settled: bool = False  # it has its answer, or is owed none
 
 
 @dataclass(frozen=True)
-class Begun:
+class FirstByte:
     """An attempt whose first byte is about to go out; times by one steady clock, 0: none."""
 
     name: str
     now: int
-    limit: int  # the time limit that it tells
-    until: int  # when its client's time is up
-    left: int  # since when its client has left
-    window_over: int  # when its effect's window is over
-    drained: int  # since when its backend drains
+    time_limit: int  # that it states
+    deadline: int  # when its client's time is up
+    client_left_at: int
+    window_ends_at: int  # of its idempotency key
+    draining_since: int  # its backend
 
 
 @dataclass(frozen=True)
@@ -117,7 +117,7 @@
         self.parent = ColdStart(family["parent_floor"], family["parent_warms_in"], family["parent_breaks_at"])
         self.parent_kind, self.origin_kind = family["parent_kind"], family["source_kind"]
         self.sizes_told = settings.get("weight_source", "silent") != "silent"
-        self.sent_cold: dict[Backend, deque[tuple[int, float]]] = {}  # (when, work) lately
+        self.sent_while_cold: dict[Backend, deque[tuple[int, float]]] = {}  # (when, work) lately
         self.drained: dict[str, Since] = {}  # since when backends drain, or are gone, by name
 
     def _break(self, promise: Promise, name: str, detail: str) -> bool:
@@ -129,7 +129,7 @@
 
     # --- sending and repeating ---
 
-    def sends(self, history: History, backend: Backend, source: Backend, work: float, now: int) -> bool:
+    def may_send(self, history: History, backend: Backend, source: Backend, work: float, now: int) -> bool:
         """The guard of every attempt as it is decided: may it go to a backend, filled from a source?"""
         allowed = (
             self._open(history)
@@ -140,13 +140,13 @@
             and (source is backend or self._starts(source, work, now))
         )
         if allowed:
-            history.out, history.sent, history.backend = True, now, backend
+            history.in_flight, history.sent_at, history.backend = True, now, backend
         return allowed
 
     def _open(self, history: History) -> bool:
         if history.settled:
             return self._break(Promise.SETTLED, history.name, "decided")
-        if history.out:
+        if history.in_flight:
             return self._break(
                 Promise.TWO_OUT, history.name, f"first at {history.backend and history.backend.name}"
             )
@@ -155,13 +155,13 @@
     def _repeats(self, history: History, backend: Backend, now: int) -> bool:
         """May a request go out again that may have run?"""
         effect, first = history.effect, history.first_executed_by
-        if history.ran is None or first is None or effect.kind == "replayable":
+        if history.first_executed_at is None or first is None or effect.kind == "replayable":
             return True
         same = {"all": True, "zone": backend.zone == first.zone, "cell": backend.cell == first.cell}
         if effect.kind != "uniqued" or not same[effect.scope]:
             return self._break(Promise.SENT_AGAIN, history.name, f"{first.name}, then {backend.name}")
-        if now >= history.ran + effect.window:
-            late = (now - history.ran - effect.window) / 10
+        if now >= history.first_executed_at + effect.window:
+            late = (now - history.first_executed_at - effect.window) / 10
             return self._break(Promise.WINDOW_OVER, history.name, f"{late:.1f} ms after its window")
         return True
 
@@ -172,35 +172,35 @@
             return True
         return self._break(Promise.DRAIN, history.name, f"decided for {backend.name}")
 
-    def ended(self, history: History, outcome: str) -> None:
+    def attempt_ended(self, history: History, outcome: str) -> None:
         """The attempt that was out is over."""
-        history.out = False
-        if outcome in MAY_HAVE_RUN and history.ran is None:
-            history.ran, history.first_executed_by = history.sent, history.backend
+        history.in_flight = False
+        if outcome in MAY_HAVE_EXECUTED and history.first_executed_at is None:
+            history.first_executed_at, history.first_executed_by = history.sent_at, history.backend
 
-    def begins(self, begun: Begun) -> bool:
+    def may_begin(self, first_byte: FirstByte) -> bool:
         """The guard of an attempt's first byte, which may have waited since it was decided."""
-        if begun.left and begun.now > begun.left + LEFT_GRACE:
-            gone = (begun.now - begun.left) / 10
-            return self._break(Promise.CLIENT_HAD_LEFT, begun.name, f"{gone:.1f} ms before")
-        if begun.until and begun.limit > begun.until - begun.now + TIME_SLACK:
-            told, left = begun.limit / 10, (begun.until - begun.now) / 10
-            return self._break(Promise.TIME_LEFT, begun.name, f"told {told:.0f}, left {left:.0f} ms")
-        if begun.window_over and begun.now > begun.window_over:
-            return self._break(Promise.WINDOW_OVER, begun.name, "as its first byte went out")
-        if begun.drained and begun.now > begun.drained + self.grace + WIRE_SLACK:
-            return self._break(Promise.DRAIN, begun.name, "as its first byte went out")
+        if first_byte.client_left_at and first_byte.now > first_byte.client_left_at + CLIENT_LEFT_GRACE:
+            gone = (first_byte.now - first_byte.client_left_at) / 10
+            return self._break(Promise.CLIENT_HAD_LEFT, first_byte.name, f"{gone:.1f} ms before")
+        if first_byte.deadline and first_byte.time_limit > first_byte.deadline - first_byte.now + TIME_SLACK:
+            told, left = first_byte.time_limit / 10, (first_byte.deadline - first_byte.now) / 10
+            return self._break(Promise.TIME_LEFT, first_byte.name, f"told {told:.0f}, left {left:.0f} ms")
+        if first_byte.window_ends_at and first_byte.now > first_byte.window_ends_at:
+            return self._break(Promise.WINDOW_OVER, first_byte.name, "as its first byte went out")
+        if first_byte.draining_since and first_byte.now > first_byte.draining_since + self.grace + WIRE_SLACK:
+            return self._break(Promise.DRAIN, first_byte.name, "as its first byte went out")
         return True
 
     # --- backends ---
 
-    def listed(self, name: str, status: int, now: int, steady: int) -> None:
+    def endpoint_changed(self, name: str, status: int, now: int, steady: int) -> None:
         """Discovery tells of a backend: 1 ready, 2 draining, 0 gone. The time by both clocks."""
         if status == 1:
             self.drained.pop(name, None)
         else:
             self.drained.setdefault(name, Since(now, steady))
-            if status == 0 and len(self.drained) > MOST_GONE:
+            if status == 0 and len(self.drained) > MAX_GONE_BACKENDS:
                 del self.drained[next(iter(self.drained))]
 
     def _starts(self, backend: Backend, work: float, now: int) -> bool:
@@ -214,36 +214,36 @@
             or backend.kind == self.origin_kind
             or not self.sizes_told
         ):
-            self.sent_cold.pop(backend, None)
+            self.sent_while_cold.pop(backend, None)
             return True
-        lately = self.sent_cold.setdefault(backend, deque())
+        lately = self.sent_while_cold.setdefault(backend, deque())
         while lately and lately[0][0] <= now - self.fall:
             lately.popleft()
         mean = (sum(one for _, one in lately) + work) / (len(lately) + 1)
         share = rules.floor + (1 - rules.floor) * age / max(1, rules.warm)
         calls = rules.multiple * share * backend.capacity * self.fall / max(mean, 1.0)
-        if len(lately) + 1 > calls + chance(calls):
+        if len(lately) + 1 > calls + allowed_excess(calls):
             return self._break(Promise.SLOW_START, backend.name, f"{len(lately) + 1} of {calls:.1f} calls")
         lately.append((now, work))
         return True
 
     # --- answering and closing ---
 
-    def answers(self, history: History, now: int) -> None:
+    def answered(self, history: History, now: int) -> None:
         """A request gets its final answer."""
         if history.settled:
             self._break(Promise.ANSWERED_TWICE, history.name, "")
-        elif now > history.until + self.answer_slack:
-            late = (now - history.until) / 10
+        elif now > history.deadline + self.answer_slack:
+            late = (now - history.deadline) / 10
             self._break(Promise.ANSWERED_LATE, history.name, f"{late:.1f} ms")
         history.settled = True
 
     @staticmethod
-    def leaves(history: History) -> None:
+    def client_left(history: History) -> None:
         """Its client waits no more: no answer is owed."""
         history.settled = True
 
-    def closes(self, names: list[str]) -> None:
+    def closed_with_open(self, names: list[str]) -> None:
         """We end a connection, or this process ends, with these requests open."""
         for name in names:
             self._break(Promise.UNANSWERED, name, "closed by us")
@@ -256,6 +256,6 @@
             return {promise.name.lower(): count for promise, count in self.counts.items()}
 
 
-def chance(calls: float) -> float:
+def allowed_excess(calls: float) -> float:
     """Calls beyond a budget of so many that are chance, by the operators' terms."""
     return 3 * math.sqrt(calls) + 3 if calls < 30 else 2 * math.sqrt(calls) + 2
--- a/lilacloft/net/attempt.py
+++ b/lilacloft/net/attempt.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lilacloft.invariants import Begun
+from lilacloft.invariants import FirstByte
 from lilacloft.net.connection import Connection
 from lilacloft.net.resp import MessageBuffer, encode, encode_fields, parse_fields
+from lilacloft.protocol_settings import NS_PER_TICK
 from lilacloft.routing.model import Backend
 from lilacloft.routing.retries import last_send_time
 from lilacloft.routing.units import TICKS_PER_MILLISECOND, Ticks
-from lilacloft.settings import NS
 
 TIME_LIMIT_MAX_AGE = 10  # ticks after which the time limit in an encoded dispatch is encoded again
 
@@ -48,18 +48,18 @@
 
     def refresh(self) -> None:
         """Lower the encoded time limit to the time that is left: it may have waited since it was encoded."""
-        now = time.monotonic_ns() // NS
+        now = time.monotonic_ns() // NS_PER_TICK
         if self.deadline and now - self.encoded_at >= TIME_LIMIT_MAX_AGE:
             milliseconds = max(1, (self.deadline - now) // TICKS_PER_MILLISECOND)
             self.data = with_time_limit(self.data, milliseconds)
             self.encoded_at, self.time_limit = now, TICKS_PER_MILLISECOND * milliseconds
 
-    def begun(self, drained: Ticks) -> Begun:
+    def begun(self, drained: Ticks) -> FirstByte:
         """What the invariants check as its first byte is sent; `drained`: since when its backend drains."""
         left = self.call.cancelled_at or self.call.client.input_ended or 0
-        return Begun(
+        return FirstByte(
             self.name.decode(),
-            time.monotonic_ns() // NS,
+            time.monotonic_ns() // NS_PER_TICK,
             self.time_limit,
             self.deadline,
             left,
@@ -73,7 +73,7 @@
         Any thread may call this."""
         if self.call is None:
             return False
-        now = time.monotonic_ns() // NS
+        now = time.monotonic_ns() // NS_PER_TICK
         if (self.send_by and now >= self.send_by) or (self.deadline and now >= self.deadline):
             return True
         departed_at = self.call.departed()
--- a/lilacloft/net/client_connection.py
+++ b/lilacloft/net/client_connection.py
@@ -16,8 +16,8 @@
 from lilacloft.net.polling import poll_events
 from lilacloft.net.resp import CLIENT_MESSAGE_SIZES, MAX_PART_SIZE, SMALL_BUFFER, MessageBuffer
 from lilacloft.net.tcp_info import since_last_data, since_opened
-from lilacloft.routing.units import Ticks
-from lilacloft.settings import NS, TENTHS
+from lilacloft.protocol_settings import NS_PER_TICK
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
 STALL_TIMEOUT = 3.0  # seconds after which, by the protocol, a client that sends nothing usable is closed
 RESEND_WINDOW = 0.05  # seconds before our close within which clients send a request again, by the protocol
@@ -225,13 +225,13 @@
 
     def last_byte_at(self) -> Ticks:
         """When the last byte arrived, by the monotonic clock: now, where the kernel does not report it."""
-        return time.monotonic_ns() // NS - int(since_last_data(self.sock) * TENTHS)
+        return time.monotonic_ns() // NS_PER_TICK - int(since_last_data(self.sock) * TICKS_PER_SECOND)
 
     def note_connect_time(self) -> None:
         """Note when it was connected, where it may have waited long to be accepted."""
         gateway = self.downstream.gateway
         if gateway.paused_since() is not None and (span := since_opened(self.sock)):
-            self.connected_at = time.monotonic_ns() // NS - int(span * TENTHS)
+            self.connected_at = time.monotonic_ns() // NS_PER_TICK - int(span * TICKS_PER_SECOND)
 
     def arrived_at(self) -> Ticks:
         """The earliest time at which the message just read may have arrived: with the last byte that the
@@ -242,7 +242,7 @@
         last, paused_since = self.last_byte_at(), self.downstream.gateway.paused_since()
         if paused_since is None:
             return last
-        now = time.monotonic_ns() // NS
+        now = time.monotonic_ns() // NS_PER_TICK
         if not (self.buffer.has_partial() or poll_events(self.sock, select.POLLIN)):
             self.emptied_at = now
             return last
@@ -269,7 +269,7 @@
         """A request was read after our close. Its client sends it again if it was written within
         `RESEND_WINDOW` before that; an earlier one is lost by our fault."""
         self.downstream.counts["crossed"] += 1
-        window_start = int((self.closed_at - RESEND_WINDOW) * TENTHS)
+        window_start = int((self.closed_at - RESEND_WINDOW) * TICKS_PER_SECOND)
         if self.close_reason is CloseReason.RETIRED and request.at < window_start:
             self.downstream.gateway.connection_closing([request.name])
 
--- a/lilacloft/net/discovery_watch.py
+++ b/lilacloft/net/discovery_watch.py
@@ -20,7 +20,7 @@
 from lilacloft.net.discovery_events import MAX_EVENT_SIZE, DiscoveryEvent, decode_event
 from lilacloft.net.exact_reads import read_before
 from lilacloft.net.resp import GarbledError
-from lilacloft.settings import NS
+from lilacloft.protocol_settings import NS_PER_TICK
 
 HEADER = struct.Struct(">IQB")  # length of what follows it, number, kind
 LENGTH_SIZE = 4  # bytes of the header that its length does not count
@@ -54,7 +54,7 @@
         thread; `gateway`: the gateway's name, which spreads the reconnections of a fleet over time."""
         self.address, self.last, self.on_event, self.gateway = address, last, on_event, gateway
         self.connects = self.events = 0  # connections made, events handed on
-        self.status = WatchStatus(time.monotonic_ns() // NS, current=False)
+        self.status = WatchStatus(time.monotonic_ns() // NS_PER_TICK, current=False)
         self.address_changed = threading.Event()
         self.gate = threading.Lock()  # held while an event is handed on; who holds it stops all events
         self.sock: socket.socket | None = None
@@ -123,7 +123,7 @@
                 self.last = number
                 self.events += 1
                 self.on_event(event, number)
-            now, is_current = time.monotonic_ns() // NS, self.status.current or event is None
+            now, is_current = time.monotonic_ns() // NS_PER_TICK, self.status.current or event is None
             self.status = WatchStatus(now, is_current)
 
     def _jitter(self) -> float:
--- a/lilacloft/net/upstream.py
+++ b/lilacloft/net/upstream.py
@@ -20,8 +20,7 @@
 from lilacloft.net.upstream_answers import ANSWER_STATUS, HEALTH_STATUS, Reply, parse_reply
 from lilacloft.net.upstream_pool import UpstreamConnection, UpstreamPool
 from lilacloft.routing.model import Backend
-from lilacloft.routing.units import Ticks
-from lilacloft.settings import TENTHS
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
 # reasons for which a connection ends without its backend knowing yet
 BACKEND_MAY_NOT_KNOW = frozenset(
@@ -118,7 +117,7 @@
             return True
         attempt.refresh()
         drained = self.invariants.drained.get(attempt.backend.name)
-        return self.invariants.begins(attempt.begun(drained.steady if drained else 0))
+        return self.invariants.may_begin(attempt.begun(drained.steady if drained else 0))
 
     def dispatch(self, attempt: Attempt) -> CloseReason | None:
         """Send an attempt; returns why it ended at once where it could not be sent."""
@@ -260,7 +259,7 @@
 
     def close_stalled(self) -> None:
         """Close connections that stalled within an answer, and those idle for long; resume writing."""
-        now, stalled_since = self.now(), time.monotonic() - self.connect_timeout / TENTHS
+        now, stalled_since = self.now(), time.monotonic() - self.connect_timeout / TICKS_PER_SECOND
         for pool in self.pools.values():
             for connection in pool.connections:
                 if connection.unsent_bytes():
--- a/lilacloft/net/upstream_answers.py
+++ b/lilacloft/net/upstream_answers.py
@@ -9,8 +9,8 @@
 
 from lilacloft.net.close_reasons import CloseReason
 from lilacloft.net.resp import GarbledError, parse_fields
+from lilacloft.protocol_settings import NS_PER_TICK
 from lilacloft.routing.units import TICKS_PER_MILLISECOND, Ticks
-from lilacloft.settings import NS
 
 ANSWER_STATUS = {  # of dispatches
     b"data": CloseReason.DATA,
@@ -66,7 +66,7 @@
     except (ValueError, OverflowError):
         raise GarbledError("fields that cannot be read") from None
     body = items[3] if len(items) > 3 else b""
-    return Reply(NOTE_NUMBERS[note], queued, load, body, time.monotonic_ns() // NS)
+    return Reply(NOTE_NUMBERS[note], queued, load, body, time.monotonic_ns() // NS_PER_TICK)
 
 
 def _parse_load(report: str | None, load_names: Sequence[str]) -> list[float]:
--- a/lilacloft/net/upstream_pool.py
+++ b/lilacloft/net/upstream_pool.py
@@ -11,8 +11,7 @@
 from lilacloft.net.close_reasons import CloseReason
 from lilacloft.net.connection import Connection, ConnectTarget
 from lilacloft.routing.model import Backend
-from lilacloft.routing.units import Ticks
-from lilacloft.settings import TENTHS
+from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
 
 class PoolOwner(Protocol):
@@ -129,7 +128,7 @@
                 self,
                 upstream.read_answer,
                 upstream.connection_closed,
-                target=ConnectTarget(self.address, upstream.connect_timeout / TENTHS),
+                target=ConnectTarget(self.address, upstream.connect_timeout / TICKS_PER_SECOND),
             )
             connection.start()
         except (OSError, RuntimeError) as error:
--- a/lilacloft/settings.py
+++ b/lilacloft/protocol_settings.py
@@ -1,15 +1,18 @@
-"""Settings by our names and units, for the bench's adapter and the gateway alike: renamed by rote."""
+"""Maps the protocol's settings to our names and units: the one place where the operators' words for
+settings meet ours.
+
+Durations become ticks (tenths of a millisecond).
+"""
 
 from __future__ import annotations
 
 import re
 from typing import Any
 
-NS = 100_000  # nanoseconds in a tenth of a millisecond
-TENTHS = 10_000  # tenths of a millisecond in a second
+NS_PER_TICK = 100_000
 
-# The operators' words for settings, and ours. Other names stay; an ending in Ns is dropped with the unit.
-WORDS = {
+# The protocol's names and ours. Other names stay, in snake case; an ending in Ns is dropped with the unit.
+NAMES = {
     "classes": "vhosts",
     "promise": "first_byte_target",
     "deadline": "client_timeout",
@@ -34,24 +37,25 @@
     "mayDuplicate": "may_send_two",
     "cpuUsPerRequest": "cpu_us_per_req",
 }
-EFFECTS = {"repeatable": "replayable", "by_key": "uniqued", "once": "non-replayable"}
+IDEMPOTENCY = {"repeatable": "replayable", "by_key": "uniqued", "once": "non-replayable"}
 
 
-def snake(name: str) -> str:
-    """Turn a name of the operators' into one of ours."""
+def _snake_case(name: str) -> str:
     return re.sub(r"(?<!^)(?=[A-Z])", "_", name).lower()
 
 
-def settings(value: Any, name: str = "") -> Any:
-    """Rename and convert settings by rote, at any depth; spans lose their fraction of a tenth."""
+def from_protocol(value: Any, name: str = "") -> Any:
+    """Return settings with our names and units, at any depth. `name`: under which they stand. Durations
+    are rounded down
+    to whole ticks, but never to none."""
     if isinstance(value, dict):
         out = {}
         for inner_name, inner in value.items():
             bare = inner_name.removesuffix("Ns")
-            out[WORDS.get(bare) or snake(bare)] = settings(inner, inner_name)
+            out[NAMES.get(bare) or _snake_case(bare)] = from_protocol(inner, inner_name)
         return out
     if isinstance(value, list):
-        return [settings(inner, name) for inner in value]
+        return [from_protocol(inner, name) for inner in value]
     if name.endswith("Ns") and isinstance(value, int | float) and not isinstance(value, bool):
-        return -(-int(value) // NS) if 0 < value < NS else int(value) // NS
-    return EFFECTS.get(value, value) if name == "repeat" else value
+        return -(-int(value) // NS_PER_TICK) if 0 < value < NS_PER_TICK else int(value) // NS_PER_TICK
+    return IDEMPOTENCY.get(value, value) if name == "repeat" else value
--- a/lilacloft/record/record_writer.py
+++ b/lilacloft/record/record_writer.py
@@ -12,11 +12,11 @@
 from loguru import logger
 
 from lilacloft.gateway.clock import monotonic_ticks
+from lilacloft.protocol_settings import NS_PER_TICK
 from lilacloft.record import record_types
 from lilacloft.record.file_rotation import RotatingFiles
 from lilacloft.record.record_queue import RecordQueue
 from lilacloft.routing.units import Ticks
-from lilacloft.settings import NS
 
 if TYPE_CHECKING:
     from lilacloft.record.live_stream import LiveStream
@@ -29,7 +29,7 @@
 
 def unix_ticks() -> Ticks:
     """Return the Unix time."""
-    return time.time_ns() // NS
+    return time.time_ns() // NS_PER_TICK
 
 
 class RecordWriter:
--- a/lilacloft/record/recorder.py
+++ b/lilacloft/record/recorder.py
@@ -17,6 +17,7 @@
 from lilacloft.gateway.clock import TICKS_PER_MILLISECOND
 from lilacloft.gateway.discovery import PURGE
 from lilacloft.net.close_reasons import OUTCOMES, CloseReason
+from lilacloft.protocol_settings import NS_PER_TICK
 from lilacloft.record import record_types
 from lilacloft.record.file_rotation import RotatingFiles
 from lilacloft.record.record_directory import DiskDirectory
@@ -25,7 +26,6 @@
 from lilacloft.routing.host import ListMode
 from lilacloft.routing.model import BackendStatus
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
-from lilacloft.settings import NS
 
 if TYPE_CHECKING:
     from lilacloft.gateway.gateway import Gateway
@@ -56,7 +56,7 @@
     def __init__(self, gateway: Gateway, options: RecorderOptions) -> None:
         """`gateway`: its `recorder` becomes this one."""
         self.gateway, self.options = gateway, options
-        run = f"{time.time_ns() // NS:015}-{os.getpid()}"
+        run = f"{time.time_ns() // NS_PER_TICK:015}-{os.getpid()}"
         directory = DiskDirectory(options.folder, options.gateway_name, run)
         self.head = self._make_head(run)
         self.metrics: Metrics | None = None
--- a/lilacloft/routing/router.py
+++ b/lilacloft/routing/router.py
@@ -32,7 +32,7 @@
     """One gateway's decisions."""
 
     def __init__(self, host: Host, settings: Mapping[str, Any]) -> None:
-        """`settings`: validated ones in lilacloft's names (lilacloft/settings.py)."""
+        """`settings`: validated ones in lilacloft's names (lilacloft/protocol_settings.py)."""
         self.rules = rules = self.make_rules(host, settings)
         self.host = host
         self.settings = rules.settings
--- a/lilacloft/routing/rules.py
+++ b/lilacloft/routing/rules.py
@@ -48,7 +48,8 @@
 
     @classmethod
     def make(cls, host: Host, mapping: Mapping[str, Any]) -> Rules:
-        """Make those of a gateway, of validated settings in lilacloft's names (lilacloft/settings.py)."""
+        """Make those of a gateway, of validated settings in lilacloft's names
+        (lilacloft/protocol_settings.py)."""
         settings = RoutingSettings.from_mapping(mapping)
         virtual_hosts = [
             VirtualHost(config, mapping["family"], index) for index, config in enumerate(mapping["vhosts"])
--- a/lilacloft/routing/settings.py
+++ b/lilacloft/routing/settings.py
@@ -50,7 +50,7 @@
 
     @classmethod
     def from_mapping(cls, settings: Mapping[str, Any]) -> RoutingSettings:
-        """Make them of validated settings in lilacloft's names (lilacloft/settings.py)."""
+        """Make them of validated settings in lilacloft's names (lilacloft/protocol_settings.py)."""
         family, rules, limits = settings["family"], settings["rules"], settings["limits"]
         zone, fields = settings["zone"], settings["stats"]["names"]
         link_rates = family.get("feed_kb_per_s") or [0] * (zone + 1)
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -14,7 +14,7 @@
 
 from lilacloft.errors import NOT_WANTED, NotWantedError, UnusableError
 from lilacloft.net import socket_errors
-from lilacloft.settings import WORDS
+from lilacloft.protocol_settings import NAMES
 
 if TYPE_CHECKING:
     import socket
@@ -55,7 +55,7 @@
     try:
         return Gateway(config, sock=sock, follows=follows)
     except KeyError as wrong:
-        platform_names = {ours: theirs for theirs, ours in WORDS.items()}
+        platform_names = {ours: theirs for theirs, ours in NAMES.items()}
         missing = platform_names.get(wrong.args[0], wrong.args[0])
         raise UnusableError(f"the configuration lacks {missing}") from wrong
     except OSError as wrong:
@@ -107,8 +107,8 @@
 def close(gateway: Gateway) -> None:
     """Close what a gateway holds besides its connections, and log its counters unless they were handed
     over."""
-    if gateway.guard:
-        gateway.guard.close()
+    if gateway.store:
+        gateway.store.close()
     if gateway.agent and not gateway.has_ended:
         gateway.agent.close()
     if gateway.recorder:
@@ -134,11 +134,11 @@
 def check(path: str | None) -> int:
     """Print whether a configuration can be used; returns the exit code. Raises UnusableError where it
     cannot."""
-    from lilacloft import needed
+    from lilacloft import settings_validation
 
     config = read_config(path)
     try:
-        needed.config(config)
+        settings_validation.check_configuration(config)
     except ValueError as wrong:
         raise UnusableError(f"the configuration cannot be used: {wrong}") from wrong
     make_gateway({**config, "listen": "127.0.0.1:0"})
--- a/lilacloft/simulator_adapter/instance.py
+++ b/lilacloft/simulator_adapter/instance.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from lilacloft import needed
+from lilacloft import settings_validation
+from lilacloft.protocol_settings import NS_PER_TICK, from_protocol
 from lilacloft.routing.host import AttemptResult, Dispatch, Endpoint, HealthChange, Timer
 from lilacloft.routing.model import Backend, Request
 from lilacloft.routing.router import Router
-from lilacloft.settings import NS, settings
 from lilacloft.simulator_adapter.messages import (
     CACHE_ONLY_BIT,
     CLIENT_RETRY_BIT,
@@ -41,7 +41,7 @@
 
     def now(self) -> int:
         """Return the simulator's time in ticks."""
-        return self.time_ns // NS
+        return self.time_ns // NS_PER_TICK
 
     def dispatch(self, dispatch: Dispatch) -> None:
         """Send an attempt."""
@@ -55,10 +55,10 @@
                 "fetchThrough",
                 self.request_ids[dispatch.request],
                 dispatch.backend.name,
-                dispatch.timeout * NS,
+                dispatch.timeout * NS_PER_TICK,
                 dispatch.source.name,
                 dispatch.cache_rank,
-                dispatch.max_age * NS,
+                dispatch.max_age * NS_PER_TICK,
                 bits,
             ]
         )
@@ -75,7 +75,7 @@
 
     def reject(self, request: Request, retry_after: int) -> None:
         """Reject a request, with a time to come back."""
-        self.actions.append(["notNow", self.request_ids[request], retry_after * NS])
+        self.actions.append(["notNow", self.request_ids[request], retry_after * NS_PER_TICK])
         self.answered_requests.append(request)
 
     def fail(self, request: Request) -> None:
@@ -85,7 +85,7 @@
 
     def wake(self, at: int, timer: Timer) -> None:
         """Ask for a timer."""
-        self.actions.append(["wakeMe", at * NS, timer])
+        self.actions.append(["wakeMe", at * NS_PER_TICK, timer])
 
     def check_health(self, backend: Backend) -> None:
         """Ask for a load report."""
@@ -120,7 +120,7 @@
         value_at(values, 0, int, "initSeed")  # the module draws no chance
         env = value_at(values, 1, dict, "env")
         try:
-            self.router = Router(self, settings(needed.told(env, sockets=False)))
+            self.router = Router(self, from_protocol(settings_validation.with_defaults(env, sockets=False)))
         except ValueError as wrong:
             raise MalformedError(str(wrong)) from wrong
 
@@ -146,7 +146,7 @@
                     value_at(row, 3, int, "cohort", 0),
                     status,
                     value_at(row, 5, NUMBER, "size", 1.0),
-                    value_at(row, 6, int, "startedAtNs", 0) // NS,
+                    value_at(row, 6, int, "startedAtNs", 0) // NS_PER_TICK,
                 )
             )
         self.router.endpoints_changed(LIST_MODES[mode], listed)
@@ -165,7 +165,7 @@
             purge_group=value_at(values, 2, int, "group", 0),
             kbytes=value_at(values, 3, NUMBER, "kbytes", 0),
             arrived_at=now,
-            deadline=now + value_at(values, 4, int, "patienceLeftNs") // NS,
+            deadline=now + value_at(values, 4, int, "patienceLeftNs") // NS_PER_TICK,
             vhost=value_at(values, 6, int, "qos", 0),
             tenant=value_at(values, 7, int, "party", 0),
             is_write=bool(bits & WRITE_BIT),
@@ -190,7 +190,7 @@
         final = value_at(values, 5, bool, "finished", False)
         if request and backend:
             duration, note = (
-                value_at(values, 4, int, "tookNs", 0) // NS,
+                value_at(values, 4, int, "tookNs", 0) // NS_PER_TICK,
                 value_at(values, 6, int, "remark", 0),
             )
             value_at(values, 7, int, "sourceWaitNs", 0), value_at(values, 8, list, "feedback", [])  # not used
@@ -230,7 +230,9 @@
         if not isinstance(key, str):
             raise MalformedError(f"contentId is no str: {key!r}")
         self.router.object_purged(
-            key, value_at(values, 1, int, "batchId", 0), value_at(values, 2, int, "copyAgeNs", 0) // NS
+            key,
+            value_at(values, 1, int, "batchId", 0),
+            value_at(values, 2, int, "copyAgeNs", 0) // NS_PER_TICK,
         )
 
 
--- a/lilacloft/store/gateway_store.py
+++ b/lilacloft/store/gateway_store.py
@@ -101,7 +101,7 @@
         self.committer = GroupCommitter(
             self.store, on_durable=lambda ticket: gateway.post(self._records_durable, ticket)
         )
-        gateway.guard = self
+        gateway.store = self
 
     def _open_store(self, reader: StoreReader | None) -> Store:
         limits = self._retention_limits()
--- a/rigs/broken.py
+++ b/rigs/broken.py
@@ -68,8 +68,8 @@
 
 def unguarded() -> None:
     """Its own checks let everything pass."""
-    Invariants.sends = lambda self, history, backend, source, work, now: True
-    Invariants.begins = lambda self, begun: True
+    Invariants.may_send = lambda self, history, backend, source, work, now: True
+    Invariants.may_begin = lambda self, begun: True
 
 
 if __name__ == "__main__":
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from lilacloft import needed
+from lilacloft import settings_validation
 from lilacloft.config.reader import load
 from lilacloft.control import codec as plan_codec
 from lilacloft.control import messages as control_messages
@@ -35,6 +35,7 @@
 from lilacloft.membership.table import MemberRow
 from lilacloft.net import discovery_events
 from lilacloft.net.close_reasons import OUTCOMES, CloseReason
+from lilacloft.protocol_settings import from_protocol
 from lilacloft.record import record_types as records
 from lilacloft.record.file_rotation import RotatingFiles
 from lilacloft.record.reader import read as read_records
@@ -46,7 +47,6 @@
 from lilacloft.routing.host import Endpoint
 from lilacloft.routing.model import Backend, ObjectPart, Request
 from lilacloft.routing.router import Router
-from lilacloft.settings import settings
 from lilacloft.store import durability_snapshot, learned_state, record_types
 from lilacloft.store.durability import DurabilityGate
 from lilacloft.store.endpoint_rows import EndpointRows, unpack_row
@@ -356,7 +356,7 @@
 
 def _taken(state: messages.GatewayState, config: Plain) -> tuple[Router, list[Request], dict[str, Backend]]:
     """A router that goes on with a state's module, as the next process makes it."""
-    router = Router(Idle(state.time), settings(needed.told(config)))
+    router = Router(Idle(state.time), from_protocol(settings_validation.with_defaults(config)))
     backends = {one.name: Backend(one.name) for one in state.backends}
     rows = [
         Endpoint(backends[one.name], one.zone, one.kind, one.cell, one.status, one.capacity, one.started)
@@ -833,8 +833,8 @@
     """The settings in a platform's configuration with what stands in for those left out, by the operators'
     names without the unit; spans in tenths of a millisecond. Raises ValueError where it cannot be used."""
     config = json.loads(path.read_text())
-    needed.config(config)
-    found = settings(needed.told(config["settings"]))
+    settings_validation.check_configuration(config)
+    found = from_protocol(settings_validation.with_defaults(config["settings"]))
     family, rules, limits = found["family"], found["rules"], found["limits"]
     return {
         "balancers": found["gateways"],
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -12,7 +12,7 @@
 from lilacloft.net.connection_state import ConnectionState
 from lilacloft.net.resp import MAX_PART_SIZE, encode
 from lilacloft.routing import retries
-from lilacloft.settings import TENTHS
+from lilacloft.routing.units import TICKS_PER_SECOND
 from lilacloft.store.gateway_store import GatewayStore
 from rigs.inprocess import closes, forgets, halves, handed_over, limits, resets, until, waits_for
 from rigs.stands import Asker, serves, silent
@@ -94,7 +94,7 @@
 def test_a_closed_half_leaves_time_to_what_is_about_to_go_out(in_process, late, monkeypatch):
     """A client that sends its req and closes its half at once is answered. The grace is long here, so that a
     slow machine comes within it as well."""
-    monkeypatch.setattr(retries, "CLIENT_LEFT_GRACE", 5 * TENTHS)
+    monkeypatch.setattr(retries, "CLIENT_LEFT_GRACE", 5 * TICKS_PER_SECOND)
     world = in_process(serves(CLIP))
     asker = world.asker()
     tag = asker.ask()
@@ -244,7 +244,7 @@
     """The news that its intent is down lies in the owner's queue before that of its leaving."""
     world, down = in_process(silent), queue.SimpleQueue()
     guard = world.does(
-        lambda: GatewayStore(world.owner, str(tmp_path / "store"), durability_timeout=5 * TENTHS)
+        lambda: GatewayStore(world.owner, str(tmp_path / "store"), durability_timeout=5 * TICKS_PER_SECOND)
     )
     world.does(guard.start)
     guard.committer.on_durable = down.put
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,8 +17,8 @@
 from lilacloft.net.resource_limits import RESERVED, budgets
 from lilacloft.net.upstream import Upstream, UpstreamCallbacks
 from lilacloft.net.upstream_pool import UpstreamConnection
+from lilacloft.protocol_settings import from_protocol
 from lilacloft.routing.model import Backend
-from lilacloft.settings import settings
 from rigs.inprocess import waits_for
 from rigs.stands import ENV, Asker, Log, Stand, record, serves
 
@@ -38,7 +38,7 @@
     """Two a pool at least, and thirty pools, were more than the descriptors there were."""
     monkeypatch.setattr(UpstreamConnection, "start", lambda self: None)
     now = [1]
-    back = Upstream(UpstreamCallbacks(print, lambda: now[0], print, print), settings(ENV), 4)
+    back = Upstream(UpstreamCallbacks(print, lambda: now[0], print, print), from_protocol(ENV), 4)
     backends, sents = [Backend(f"c{number}") for number in range(6)], []
     call = lambda: SimpleNamespace(connections=[])  # noqa: E731
     for number, backend in enumerate(backends):
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -32,8 +32,8 @@
 from lilacloft.net.resp import encode
 from lilacloft.net.upstream import Upstream, UpstreamCallbacks
 from lilacloft.net.upstream_pool import UpstreamConnection
+from lilacloft.protocol_settings import from_protocol
 from lilacloft.routing.model import Backend
-from lilacloft.settings import settings
 from rigs.inprocess import InProcessWorld, closes, forgets, halves, limits, resets, until, waits_for
 from rigs.stands import ENV, Asker, Log, Stand, World, framed, record, serves, silent, unused
 
@@ -478,7 +478,7 @@
     """Places in the stream were compared with a count of bytes that had what was withdrawn in it: a req that
     never went out passed for one that may have run, and was not sent again where it safely may be."""
     events, server = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0))
-    ends, config = {}, settings(ENV)
+    ends, config = {}, from_protocol(ENV)
     callbacks = UpstreamCallbacks(
         lambda *event: events.put(event),
         lambda: 0,
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -22,8 +22,8 @@
 from lilacloft.net.resp import MessageBuffer, parse_fields
 from lilacloft.net.upstream import Upstream, UpstreamCallbacks
 from lilacloft.net.upstream_answers import Reply
+from lilacloft.protocol_settings import from_protocol
 from lilacloft.routing.model import Backend, Request
-from lilacloft.settings import settings
 from rigs.stands import ENV, Asker, Log, Stand, World, encode, made, record, serves
 
 CLIP = b"x" * 200_000
@@ -237,7 +237,7 @@
         is_shutting_down=False,
         paused_since=lambda: None,
     )
-    posted, config = [], settings(ENV)
+    posted, config = [], from_protocol(ENV)
     front = Downstream(
         lambda *event: posted.append(event[0]),
         owner,
@@ -345,7 +345,7 @@
 def test_an_undo_that_does_not_get_out_ends_its_connection():
     """Else the next dispatch of the req would be out beside the first."""
     events, server = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0))
-    config = settings(ENV)
+    config = from_protocol(ENV)
     note = lambda *told: ends.append(told[:2])  # noqa: E731
     back = Upstream(UpstreamCallbacks(lambda *event: events.put(event), lambda: 0, note, note), config, 2)
     backend, ends = Backend("s-1", status=1), []
@@ -394,7 +394,7 @@
 
 def test_what_was_given_up_on_a_new_connection_counts_once_the_far_side_has_taken_it_in():
     events, server, time_now = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0)), [0]
-    told, config, backend = [], settings(ENV), Backend("s-1", status=1)
+    told, config, backend = [], from_protocol(ENV), Backend("s-1", status=1)
     post, now = (lambda *event: events.put(event)), (lambda: time_now[0])
     back = Upstream(UpstreamCallbacks(post, now, print, lambda *what: told.append(what)), config, 2)
     slack, patience = config["rules"]["answer_slack"], config["limits"]["connect_timeout"]
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -14,7 +14,7 @@
 from lilacloft.net.downstream import Downstream
 from lilacloft.net.polling import poll_events
 from lilacloft.net.resp import CLIENT_MESSAGE_SIZES, MessageBuffer, encode, encode_fields
-from lilacloft.settings import NS
+from lilacloft.protocol_settings import NS_PER_TICK
 from rigs.inprocess import forgets, limits, until, waits_for
 from rigs.stands import serves, silent
 
@@ -238,7 +238,7 @@
     world = in_process(silent)
     asker = world.asker()
     client = only_client(world)
-    client.last_byte_at = lambda: time.monotonic_ns() // NS - 800
+    client.last_byte_at = lambda: time.monotonic_ns() // NS_PER_TICK - 800
     reader.when = "taken"
     reader.hold()
     asker.ask(key=1)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -3,9 +3,9 @@
 import pytest
 from loguru import logger
 
-from lilacloft.invariants import Begun, Effect, History, Invariants, Promise, chance
+from lilacloft.invariants import Effect, FirstByte, History, Invariants, Promise, allowed_excess
+from lilacloft.protocol_settings import from_protocol
 from lilacloft.routing.model import Backend
-from lilacloft.settings import settings
 from rigs.inprocess import until
 from rigs.stands import ENV, serves
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def checks(seen):
-    return Invariants(settings(ENV), lambda promise, name, detail: seen.append(promise))
+    return Invariants(from_protocol(ENV), lambda promise, name, detail: seen.append(promise))
 
 
 def backend(name="a", cell=1, **more):
@@ -34,18 +34,24 @@
 
 
 def begun(**more):
-    kept = {"left": 0, "window_over": 0, "drained": 0, "limit": 5_000, "until": NOW + 5_000}
-    return Begun("r", NOW, **{**kept, **more})
+    kept = {
+        "client_left_at": 0,
+        "window_ends_at": 0,
+        "draining_since": 0,
+        "time_limit": 5_000,
+        "deadline": NOW + 5_000,
+    }
+    return FirstByte("r", NOW, **{**kept, **more})
 
 
 def test_a_plain_course_breaks_nothing(checks, seen):
     one, cache, parent = history(ONE), backend(), backend("p", kind=2)
-    assert checks.sends(one, cache, parent, 1_000, NOW)
-    assert checks.begins(begun())
-    checks.ended(one, "reset")
-    assert checks.sends(one, backend("b"), parent, 1_000, NOW + SECOND)
-    checks.ended(one, "done")
-    checks.answers(one, NOW + SECOND)
+    assert checks.may_send(one, cache, parent, 1_000, NOW)
+    assert checks.may_begin(begun())
+    checks.attempt_ended(one, "reset")
+    assert checks.may_send(one, backend("b"), parent, 1_000, NOW + SECOND)
+    checks.attempt_ended(one, "done")
+    checks.answered(one, NOW + SECOND)
     assert seen == []
     assert not any(checks.violations().values())
 
@@ -64,36 +70,36 @@
 )
 def test_repeats(checks, seen, effect, outcome, other, after, promise):
     one = history(effect)
-    assert checks.sends(one, backend(), backend(), 1_000, NOW)
-    checks.ended(one, outcome)
-    assert checks.sends(one, other, other, 1_000, NOW + after) == (promise is None)
+    assert checks.may_send(one, backend(), backend(), 1_000, NOW)
+    checks.attempt_ended(one, outcome)
+    assert checks.may_send(one, other, other, 1_000, NOW + after) == (promise is None)
     assert seen == ([promise] if promise else [])
 
 
 def test_two_at_once_and_what_is_settled(checks, seen):
     one, other = history(), history()
-    assert checks.sends(one, backend(), backend(), 1_000, NOW)
-    assert not checks.sends(one, backend("b"), backend("b"), 1_000, NOW)
-    checks.leaves(other)
-    assert not checks.sends(other, backend(), backend(), 1_000, NOW)
+    assert checks.may_send(one, backend(), backend(), 1_000, NOW)
+    assert not checks.may_send(one, backend("b"), backend("b"), 1_000, NOW)
+    checks.client_left(other)
+    assert not checks.may_send(other, backend(), backend(), 1_000, NOW)
     assert seen == [Promise.TWO_OUT, Promise.SETTLED]
 
 
 @pytest.mark.parametrize(
     "told, promise",
     [
-        ({"left": NOW - 1_000}, None),
-        ({"left": NOW - 1_001}, Promise.CLIENT_HAD_LEFT),
-        ({"limit": 6_500}, None),
-        ({"limit": 6_510}, Promise.TIME_LEFT),
-        ({"window_over": NOW}, None),
-        ({"window_over": NOW - 1}, Promise.WINDOW_OVER),
-        ({"drained": NOW - 10_500}, None),
-        ({"drained": NOW - 10_501}, Promise.DRAIN),
+        ({"client_left_at": NOW - 1_000}, None),
+        ({"client_left_at": NOW - 1_001}, Promise.CLIENT_HAD_LEFT),
+        ({"time_limit": 6_500}, None),
+        ({"time_limit": 6_510}, Promise.TIME_LEFT),
+        ({"window_ends_at": NOW}, None),
+        ({"window_ends_at": NOW - 1}, Promise.WINDOW_OVER),
+        ({"draining_since": NOW - 10_500}, None),
+        ({"draining_since": NOW - 10_501}, Promise.DRAIN),
     ],
 )
 def test_first_bytes(checks, seen, told, promise):
-    assert checks.begins(begun(**told)) == (promise is None)
+    assert checks.may_begin(begun(**told)) == (promise is None)
     assert seen == ([promise] if promise else [])
 
 
@@ -102,36 +108,36 @@
 def test_drains_also_of_sources_and_until_they_are_ready_again(checks, seen, status, source):
     cache, parent = backend(), backend("p", kind=2)
     drains = parent if source else cache
-    checks.listed(drains.name, status, NOW, 7)
-    assert checks.sends(history(), cache, parent, 1_000, NOW + 10_000)
-    assert not checks.sends(history(), cache, parent, 1_000, NOW + 10_001)
+    checks.endpoint_changed(drains.name, status, NOW, 7)
+    assert checks.may_send(history(), cache, parent, 1_000, NOW + 10_000)
+    assert not checks.may_send(history(), cache, parent, 1_000, NOW + 10_001)
     assert seen == [Promise.DRAIN]
     assert checks.drained[drains.name].steady == 7
-    checks.listed(drains.name, 1, NOW, 8)
-    assert checks.sends(history(), cache, parent, 1_000, NOW + 10_001)
+    checks.endpoint_changed(drains.name, 1, NOW, 8)
+    assert checks.may_send(history(), cache, parent, 1_000, NOW + 10_001)
 
 
 def test_a_cold_start_that_one_process_overruns(checks, seen):
     """By the settings 2 s of work in the first second: 20 calls of 0.1 s, and what chance may add."""
     cold = backend(started=NOW)
     sent = 0
-    while checks.sends(history(), cold, cold, 1_000, NOW):
+    while checks.may_send(history(), cold, cold, 1_000, NOW):
         sent += 1
-    assert sent == int(20 + chance(20))
+    assert sent == int(20 + allowed_excess(20))
     assert seen == [Promise.SLOW_START]
-    assert checks.sends(history(), cold, cold, 1_000, NOW + SECOND + 1)  # the window has moved on
-    assert checks.sends(history(), backend("w", started=NOW - 15 * SECOND), cold, 1_000, NOW + SECOND + 1)
+    assert checks.may_send(history(), cold, cold, 1_000, NOW + SECOND + 1)  # the window has moved on
+    assert checks.may_send(history(), backend("w", started=NOW - 15 * SECOND), cold, 1_000, NOW + SECOND + 1)
 
 
 def test_answers(checks, seen):
     one, late = history(), history()
-    checks.answers(one, NOW)
-    checks.answers(one, NOW)
-    checks.answers(late, late.until + 580)
+    checks.answered(one, NOW)
+    checks.answered(one, NOW)
+    checks.answered(late, late.deadline + 580)
     assert seen == [Promise.ANSWERED_TWICE]
-    checks.answers(late := history(), late.until + 581)
+    checks.answered(late := history(), late.deadline + 581)
     assert seen[1:] == [Promise.ANSWERED_LATE]
-    checks.closes(["r", "s"])
+    checks.closed_with_open(["r", "s"])
     assert seen[2:] == [Promise.UNANSWERED] * 2
     assert checks.violations()["unanswered"] == 2
 
@@ -144,7 +150,7 @@
     (step, *_) = world.owner.trace.steps
     handler = logger.add(lambda line: lines.append(str(line)), level="ERROR")
     try:
-        world.does(lambda: world.owner.invariants.closes([step.name]))
+        world.does(lambda: world.owner.invariants.closed_with_open([step.name]))
         until(lambda: lines)
     finally:
         logger.remove(handler)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -26,8 +26,8 @@
 )
 from lilacloft.net.upstream import Upstream, UpstreamCallbacks
 from lilacloft.net.upstream_pool import UpstreamConnection
+from lilacloft.protocol_settings import from_protocol
 from lilacloft.routing.model import Backend
-from lilacloft.settings import settings
 from rigs.stands import ENV, Log, Stand, framed, record
 
 
@@ -143,7 +143,7 @@
         (2, 3, struct.pack(">QQ", 7, purged)),
         (3, 4, struct.pack(">HQ", 17, purged)),
     ]
-    config = settings(ENV)
+    config = from_protocol(ENV)
     assert list(discovery_events.events_of_config(lists, config["zones"], config["kinds"])) == [
         (number, discovery_events.decode_event(number, kind, payload)) for number, kind, payload in frames
     ]
@@ -254,7 +254,7 @@
 def test_where_all_connections_have_carried_a_req_that_is_no_closed_door():
     """An id means one dispatch on a connection; with as many connections as a pool may have, all used by
     the same req, there is no way, and no cache is to blame for it."""
-    backend, config = Backend("c"), settings(ENV)
+    backend, config = Backend("c"), from_protocol(ENV)
     found = Upstream(UpstreamCallbacks(print, lambda: 0, print, print), config, 2)
     found.add_backend(backend, ("127.0.0.1", 9))
     pool = found.pools[backend]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from lilacloft import needed
+from lilacloft import settings_validation
 from lilacloft.cli import run as cli
-from lilacloft.settings import settings
+from lilacloft.protocol_settings import from_protocol
 from rigs.model import SEC, Model
 from rigs.stands import ENV, World, serves
 
@@ -97,7 +97,7 @@
 
 
 def play(seed, steps=150):
-    chance, config = random.Random(seed), settings(needed.told(legal(seed)))
+    chance, config = random.Random(seed), from_protocol(settings_validation.with_defaults(legal(seed)))
     config["family"].update(parent_kind=1 if config["family"]["parent_kind"] >= 0 else -1, source_kind=2)
     model = Model(config, parents=2 if config["family"]["parent_kind"] >= 0 else 0)
     asked, open_reqs, vhosts = [], [], config["vhosts"]
@@ -190,9 +190,9 @@
 
 def paths():
     """Each setting known, as (where it stands, name, its form, what stands in)."""
-    yield from (((), name, *told) for name, told in needed.TOP.items())
-    yield from ((("classes", 1), name, *told) for name, told in needed.CLASS.items())
-    for part, table in needed.INNER.items():
+    yield from (((), name, *told) for name, told in settings_validation.TOP.items())
+    yield from ((("classes", 1), name, *told) for name, told in settings_validation.CLASS.items())
+    for part, table in settings_validation.INNER.items():
         yield from (((part,), name, *told) for name, told in table.items())
 
 
@@ -209,15 +209,15 @@
         env = copy.deepcopy(ENV)
         inside(env, way)[name] = bad
         with pytest.raises(ValueError, match=f"settings{path}.{name}: ".replace("[", r"\[")):
-            needed.told(env)
+            settings_validation.with_defaults(env)
     env = copy.deepcopy(ENV)
     for nothing in (lambda part: part.pop(name, None), lambda part: part.update({name: None})):
         nothing(inside(env, way))
-        if instead in (needed.REQUIRED, needed.ON_SOCKETS):
+        if instead in (settings_validation.REQUIRED, settings_validation.REQUIRED_ON_SOCKETS):
             with pytest.raises(ValueError, match=f"settings{path} lacks {name}".replace("[", r"\[")):
-                needed.told(env)
+                settings_validation.with_defaults(env)
         else:
-            assert inside(needed.told(env), way)[name] == instead
+            assert inside(settings_validation.with_defaults(env), way)[name] == instead
 
 
 @pytest.mark.parametrize(
@@ -237,7 +237,7 @@
     env = copy.deepcopy(ENV)
     change(env)
     with pytest.raises(ValueError, match=told):
-        needed.told(env)
+        settings_validation.with_defaults(env)
 
 
 def test_what_is_unknown_or_null_is_passed_over_and_what_is_told_stays():
@@ -245,7 +245,7 @@
     env["classes"][0].update(aimStretch=None, mood="blue")
     env["novel"] = {"x": 1}
     before = copy.deepcopy(env)
-    told = needed.told(env)
+    told = settings_validation.with_defaults(env)
     assert env == before and told["novel"] == {"x": 1} and told["classes"][0]["mood"] == "blue"
     assert told["classes"][0]["aimStretch"] == 0.0 and told["classes"][1] == env["classes"][1]
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -92,6 +92,6 @@
         "lilacloft.net",
         "lilacloft.routing",
         "lilacloft.serving",
-        "lilacloft.settings",
-        "lilacloft.stamps",
+        "lilacloft.protocol_settings",
+        "lilacloft.clock_offset",
     }
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -9,7 +9,7 @@
 
 from lilacloft.net.downstream import Downstream
 from lilacloft.net.resp import parse_fields
-from lilacloft.settings import NS
+from lilacloft.protocol_settings import NS_PER_TICK
 from rigs.inprocess import forgets, limits, until
 from rigs.stands import serves, silent
 
@@ -160,7 +160,7 @@
     first = asker.ask(key=1, allow=ALLOW)
     time.sleep(0.6)
     asker.ask(key=2, allow=ALLOW)
-    world.does(lambda: owner.record_pause(time.monotonic_ns() // NS - 300))
+    world.does(lambda: owner.record_pause(time.monotonic_ns() // NS_PER_TICK - 300))
     served.set()
     answers = dict(asker.answer()[:2] for _ in range(2))
     if answers[first] == b"200":
@@ -176,7 +176,7 @@
     world = in_process(serves())
     owner, go = world.owner, world.stall()
     try:
-        begun = time.monotonic_ns() // NS - 5_000
+        begun = time.monotonic_ns() // NS_PER_TICK - 5_000
         owner.record_pause(begun)
         time.sleep(0.2)
         assert owner.paused_since() == begun
@@ -223,7 +223,7 @@
     until(lambda: world.owner.front.clients)
     (client,) = world.owner.front.clients
     client.buffer.append(b"*")  # more has come behind what was read
-    stood = time.monotonic_ns() // NS - 2_000
+    stood = time.monotonic_ns() // NS_PER_TICK - 2_000
     monkeypatch.setattr(world.owner, "paused_since", lambda: stood)
     monkeypatch.setattr(client, "last_byte_at", lambda: stood + 1_900)
     for opened, since in (
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from lilacloft.settings import settings
+from lilacloft.protocol_settings import from_protocol
 from lilacloft.simulator_adapter.adapter import Adapter, main
 from rigs.model import SEC
 
@@ -29,10 +29,10 @@
 
 
 def test_settings_are_renamed_and_converted_by_rote():
-    got = settings(ENV)
+    got = from_protocol(ENV)
     assert got["vhosts"][0]["first_byte_target"] == 4000 and got["vhosts"][0]["effect"] == "uniqued"
     assert got["family"]["fresh"] == [8 * SEC] and got["vhosts"][0]["new"] == 1
-    assert settings({"aNs": 1, "bNs": 0}) == {"a": 1, "b": 0}
+    assert from_protocol({"aNs": 1, "bNs": 0}) == {"a": 1, "b": 0}
 
 
 def test_a_life_with_restart_in_one_batch_and_forgotten_ids():
