--- a/lilacloft/handover/process.py
+++ b/lilacloft/handover/process.py
@@ -64,7 +64,7 @@
     config: dict[str, Any]
     options: ProcessOptions
 
-    def guard(self, gateway: Gateway, **restored: Any) -> Any:
+    def open_store(self, gateway: Gateway, **restored: Any) -> Any:
         """Return the writer of the store, if the settings name a folder for one.
 
         `restored`: what a process that takes over continues with.
@@ -137,15 +137,15 @@
     gateway = make_gateway(assembly.config, listener, False)
     sender = assembly.sender(gateway, bind_upgrade_socket(options.handover)) if options.handover else None
     recorder = assembly.recorder(gateway)
-    guard = assembly.guard(gateway)
+    store = assembly.open_store(gateway)
     agent = assembly.agent(gateway)
 
     def begin() -> None:
         """Serve from here on."""
         if has_listener and options.unserved_since:
             gateway.record_pause(int(options.unserved_since * TICKS_PER_SECOND))
-        if guard:
-            gateway.post(guard.start)
+        if store:
+            gateway.post(store.start)
         if agent:
             gateway.post(agent.start)
         if recorder:
@@ -160,7 +160,7 @@
     receiver: HandoverReceiver, make_gateway: MakeGateway, assembly: _Assembly
 ) -> PreparedGateway:
     """Prepare a gateway with the state of the process that started this one."""
-    guard = _receive(receiver, make_gateway, assembly)
+    store = _receive(receiver, make_gateway, assembly)
     gateway, restorer = receiver.gateway, receiver.restorer
     sender = assembly.sender(gateway, receiver.upgrade_socket) if assembly.options.handover else None
     recorder = assembly.recorder(gateway)
@@ -170,10 +170,10 @@
         """Take over, or raise NotWantedError if the sender goes on."""
         # all else is ready: nothing can fail between the acknowledgement and the first read
         receiver.receive_commit()
-        if guard:
-            gateway.post(guard.start)
+        if store:
+            gateway.post(store.start)
         restorer.start()
-        logger.bind(requests=len(gateway.open_requests), connections=len(restorer.connections)).info(
+        logger.bind(reqs=len(gateway.open_requests), connections=len(restorer.connections)).info(
             "upgrade: this process is the gateway, with {} open reqs and {} connections",
             len(gateway.open_requests),
             len(restorer.connections),
@@ -206,7 +206,7 @@
         reader = _store_reader(folder)
         receiver.send_ready()
         receiver.receive_state()
-        guard = _restore_guard(receiver, assembly, reader)
+        store = _restore_store(receiver, assembly, reader)
         receiver.send_state_restored()
     except NotWantedError:
         raise
@@ -216,7 +216,7 @@
     except Exception as error:
         receiver.refuse(f"{type(error).__name__}: {error}")
         raise
-    return guard
+    return store
 
 
 def _store_reader(folder: str) -> Any:
@@ -228,9 +228,11 @@
     return StoreReader(folder)
 
 
-def _restore_guard(receiver: HandoverReceiver, assembly: _Assembly, reader: Any) -> Any:
+def _restore_store(receiver: HandoverReceiver, assembly: _Assembly, reader: Any) -> Any:
     """Return the writer of the store, with the sender's open effects if it had a store."""
     store = receiver.restorer.state.store
     if not store:
-        return assembly.guard(receiver.gateway)
-    return assembly.guard(receiver.gateway, reader=reader, state=to_plain(store), lock_fd=receiver.store_lock)
+        return assembly.open_store(receiver.gateway)
+    return assembly.open_store(
+        receiver.gateway, reader=reader, state=to_plain(store), lock_fd=receiver.store_lock
+    )
