--- a/rigs/bulk.py
+++ b/rigs/bulk.py
@@ -197,7 +197,7 @@
 def main(words: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="python -m rigs.bulk", description=__doc__)
     parser.add_argument("--gateways", type=int, default=50)
-    parser.add_argument("--bes", type=int, default=200)
+    parser.add_argument("--bes", dest="backends", type=int, default=200)
     parser.add_argument("--seconds", type=int, default=3600)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--out", required=True, metavar="DIR")
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -480,6 +480,13 @@
 # --- much, and on several cores ---
 
 
+def test_the_command_that_makes_up_a_fleet_writes_records_of_the_size_asked(tmp_path, capsys):
+    words = ["--gateways", "2", "--bes", "6", "--seconds", "30", "--out", str(tmp_path)]
+    assert bulk.main(words) == 0
+    assert "2 gateways, 6 bes, 30 s" in capsys.readouterr().out
+    assert len({path.parent for path in tmp_path.rglob("*.jsonl")}) >= 2
+
+
 def test_a_made_up_fleet_is_told_as_it_was_made_in_one_process_and_in_many(tmp_path):
     fleet, _ = bulk.make(tmp_path, 3, 8, 24, 300)
     one, damage = load([str(tmp_path)])
