--- a/lilacloft/control/gateway_agent.py
+++ b/lilacloft/control/gateway_agent.py
@@ -175,7 +175,7 @@
 
     # --- connections ---
 
-    def _on_message(self, connection: Connection, message: Any) -> None:
+    def _on_message(self, _connection: Connection, message: Any) -> None:
         """Runs in a connection's thread."""
         if message.HasField("reply"):
             self.gateway.post(self._on_reply, codec.decode_reply(message.reply))
--- a/lilacloft/gateway/event_loop.py
+++ b/lilacloft/gateway/event_loop.py
@@ -53,8 +53,8 @@
         self.deferred: deque[Event] = deque()  # calls to make once the current callback has returned
         self.is_lagging = False
         self.last_fault_at: Ticks = 0  # when a fault was last logged
-        self.report_lag: Callable[[Ticks], None] = lambda lag: None
-        self.is_obsolete: Callable[[ScheduledCall], bool] = lambda call: False  # may a timer be dropped?
+        self.report_lag: Callable[[Ticks], None] = lambda _lag: None
+        self.is_obsolete: Callable[[ScheduledCall], bool] = lambda _call: False  # may a timer be dropped?
 
     # --- scheduling ---
 
--- a/lilacloft/invariants.py
+++ b/lilacloft/invariants.py
@@ -98,12 +98,12 @@
 
 
 class Invariants:
-    """One gateway's checks. `begins` and `closes` may be asked by any thread, the rest by one."""
+    """The checks of one gateway. Any thread may ask `may_begin` and `closed_with_open`, one the rest."""
 
     def __init__(
         self,
         settings: Mapping[str, Any],
-        broken: Callable[[Promise, str, str], None] = lambda promise, name, detail: None,
+        broken: Callable[[Promise, str, str], None] = lambda _promise, _name, _detail: None,
     ) -> None:
         """`broken` is told the promise, the request's or backend's name, and what was seen."""
         rules, family = settings["rules"], settings["family"]
--- a/lilacloft/net/write_backlog.py
+++ b/lilacloft/net/write_backlog.py
@@ -92,7 +92,7 @@
 
         Called under the lock."""
 
-    def refresh_message(self, position: int, message: memoryview) -> memoryview:
+    def refresh_message(self, position: int, message: memoryview) -> memoryview:  # noqa: ARG002
         """What is to be sent in place of a message that had to wait, and that ends at a position.
 
         Never longer than the message, and empty where it is not to be sent any more. Called under the lock,
--- a/lilacloft/timeline/incidents.py
+++ b/lilacloft/timeline/incidents.py
@@ -68,7 +68,7 @@
     return (kind, "" if kind == "purge" else observation.subject)
 
 
-def overlaps(begin: float, end: float | None, other: Observation, uncertainty: float) -> bool:
+def overlaps(end: float | None, other: Observation, uncertainty: float) -> bool:
     """Does a sight that begins no earlier meet a stretch, as far as the clocks tell?"""
     near = BURST if other.kind == "purge" else JOIN
     return end is None or other.begin - other.uncertainty <= end + near + uncertainty
@@ -86,7 +86,7 @@
         end: float | None = 0.0
         uncertainty = 0.0
         for observation in mine:
-            if group and overlaps(group[0].begin, end, observation, uncertainty):
+            if group and overlaps(end, observation, uncertainty):
                 group.append(observation)
             else:
                 group = [observation]
