--- a/lilacloft/control/quota.py
+++ b/lilacloft/control/quota.py
@@ -1,6 +1,6 @@
 """The quota ledger: which shares of a cold backend's start budget a party may use, and what it has lent.
 
-The start budget bounds what all gateways together send to a cold backend in any window (rule 4). Without a
+The start budget bounds what all gateways together send to a cold backend in any window. Without a
 planner each gateway has its own share, 1/N, that needs no coordination. Shares that are not needed are
 leased: a gateway to a planner, and the planner to another gateway. Whatever the number of planners, whatever
 they assume and whichever messages are lost, no share is used by two parties within one window, as each party
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -1,8 +1,9 @@
 """One gateway: puts its parts together, runs them, and is the `Host` of the decisions.
 
-One thread, that of `Gateway.run`, calls the decisions (`lilacloft.routing`) and gives all final answers; the
-sockets' threads post what they see to its queue. Nothing here waits for a peer, decides anything, answers a
-request twice, or calls the decisions back from within one of their calls.
+One thread, that of `Gateway.run`, calls the decisions (`lilacloft.routing`) and gives the final answers of
+all requests that were let in (a message that is no request is answered in `lilacloft.net.downstream`); the
+sockets' threads post what they see to its queue. Nothing here waits for a peer, decides anything, answers
+a request twice, or calls the decisions back from within one of their calls.
 """
 
 from __future__ import annotations
--- a/lilacloft/gateway/lifecycle.py
+++ b/lilacloft/gateway/lifecycle.py
@@ -17,7 +17,7 @@
 ARRIVALS_AFTER_STOP = 0.7  # seconds after SIGTERM in which clients may still send requests, by the protocol
 MAX_ARRIVAL_GAP = 0.2  # seconds without a request after those, until no more are expected
 CLIENT_CLOSE_GRACE = 0.3  # seconds left to clients to close their halves, once ours are closed
-EARLIEST_KILL = 3.0  # seconds after `ARRIVALS_AFTER_STOP` in which the process is not killed yet
+EARLIEST_KILL = 3.0  # seconds from the end of `ARRIVALS_AFTER_STOP` until the process may be killed
 MIN_CLOSING_INTERVAL: Ticks = 10  # between two checks of connections that are closing
 
 
--- a/lilacloft/gateway/reload.py
+++ b/lilacloft/gateway/reload.py
@@ -14,7 +14,8 @@
 
 def reload(gateway: GatewayContext, config: dict[str, Any]) -> None:
     """Apply a configuration that was read again, as far as it may change; all of that, or nothing where it
-    cannot be used. SIGHUP came."""
+    cannot be used. SIGHUP came. `listen` and `settings` need a restart, which is logged where they differ;
+    `name` and `known` are for the start only."""
     if gateway.upgrade and gateway.upgrade.forward_reload():
         return
     try:
--- a/lilacloft/invariants.py
+++ b/lilacloft/invariants.py
@@ -153,7 +153,7 @@
         return True
 
     def _repeats(self, history: History, backend: Backend, now: int) -> bool:
-        """May a request go out again that may have run?"""
+        """Return whether a request may go out that may have been executed before."""
         effect, first = history.effect, history.first_executed_by
         if history.first_executed_at is None or first is None or effect.kind == "replayable":
             return True
@@ -166,7 +166,8 @@
         return True
 
     def _listed(self, history: History, backend: Backend, now: int) -> bool:
-        """Has it been told for longer than the grace that it drains, or is gone?"""
+        """Return whether a backend is listed as ready, or has drained, or been gone, no longer than the
+        grace."""
         since = self.drained.get(backend.name)
         if since is None or now <= since.at + self.grace:
             return True
@@ -204,8 +205,9 @@
                 del self.drained[next(iter(self.drained))]
 
     def _starts(self, backend: Backend, work: float, now: int) -> bool:
-        """The guard of slow starts: has this process alone sent more than all of them may? `work` is the
-        request's sending time."""
+        """Return whether this process alone keeps within what all gateways together may send to a cold
+        backend.
+        `work` is the request's transfer time at full rate, in ticks."""
         rules = self.parent if backend.kind == self.parent_kind else self.cache
         age = max(0, now - backend.started)
         if (
--- a/lilacloft/net/client_connection.py
+++ b/lilacloft/net/client_connection.py
@@ -123,14 +123,14 @@
         while self.wait_for_backlog(MAX_PART_SIZE, POLL_INTERVAL):
             self.departed()
             if self.input_ended is not None and not reported:
-                reported = True  # its requests are dropped at once, not once all before the end is read
+                reported = True  # its requests are rejected at once, not once all before the end is read
                 events = self.downstream.gateway.requests
                 self.downstream.post(events.client_half_closed, self, self.input_ended)
 
     def wait_for_answers(self, reason: CloseReason) -> None:
         """Wait for the answers to what was read: the client may have closed only its half.
 
-        After input that could not be parsed, open requests are dropped, and only what can be written in time
+        After input that could not be parsed, open requests are rejected, and only what can be written in time
         is."""
         if reason is CloseReason.CLOSED and self.input_ended is None:
             self.input_ended = self.last_byte_at()
--- a/lilacloft/net/client_request.py
+++ b/lilacloft/net/client_request.py
@@ -29,7 +29,7 @@
 class ClientRequest:
     """A client's request: the fields that are sent on unchanged, and where the answer goes.
 
-    The names of the fields that are handed over between processes are in lilacloft/upgrade/carry.py."""
+    The names of the fields that are handed over between processes are in `lilacloft.handover.messages`."""
 
     __slots__ = [
         "client",
--- a/lilacloft/net/close_reasons.py
+++ b/lilacloft/net/close_reasons.py
@@ -25,15 +25,15 @@
     FAULT = auto()  # an exception of our own
     # of an attempt only
     NO_LINE = auto()  # no connection is available for it
-    UNWRITTEN = auto()  # its connection ended before its last byte was written
-    DATA = auto()
-    UNCHANGED = auto()
-    ABSENT = auto()
-    FULL = auto()
-    FAILED = auto()
-    MOOT = auto()
-    TIME_UP = auto()
-    CALLED_OFF = auto()
+    UNWRITTEN = auto()  # not sent whole: withdrawn, expired, stopped by a check, or its connection ended
+    DATA = auto()  # answered with the object
+    UNCHANGED = auto()  # answered: the client's copy is current
+    ABSENT = auto()  # answered: it has no copy, and cannot fill one
+    FULL = auto()  # answered: its queue is full
+    FAILED = auto()  # answered with an error
+    MOOT = auto()  # answered: the request was over already, and never ran
+    TIME_UP = auto()  # its time limit has passed
+    CALLED_OFF = auto()  # cancelled by the router
 
 
 OUTCOMES = {  # the only mapping from reasons to the router's outcomes
--- a/lilacloft/net/connection.py
+++ b/lilacloft/net/connection.py
@@ -56,7 +56,7 @@
     Where a process may hand its connections to another (`movable`, for all of them), a reader waits without
     consuming input, and reads and passes on only under its gate. While gate and lock are both acquired
     (`pause_reading`, `pause_writing`) the connection does not change: what the kernel has received is unread,
-    and what was read is in `Buffer.held` and the backlog."""
+    and what was read is in `MessageBuffer.unread` and the backlog."""
 
     movable = False
 
--- a/lilacloft/net/connection_state.py
+++ b/lilacloft/net/connection_state.py
@@ -17,7 +17,7 @@
     CONNECTING = auto()  # made of an address, not connected yet
     OPEN = auto()  # both sides send
     HALF_CLOSED = auto()  # the peer sends no more; it may still read, or have disconnected
-    UNREADABLE = auto()  # the input could not be parsed; requests read before are dropped
+    UNREADABLE = auto()  # the input could not be parsed; requests read before are rejected
     DRAINING = auto()  # closed, with our half shut down: further input is discarded
     CLOSING = auto()  # closed, with both halves shut down; threads still use the socket
     CLOSED = auto()  # the descriptor is closed
--- a/lilacloft/net/request_trace.py
+++ b/lilacloft/net/request_trace.py
@@ -18,7 +18,7 @@
 
     at: Ticks  # of the monotonic clock
     name: str  # the request's id
-    what: str  # arrived, sent, ended, answered, refused, left
+    what: str  # arrived, sent, ended, left, or a final answer: done, denied, aborted
     detail: str = ""
 
     def __str__(self) -> str:
--- a/lilacloft/net/resource_limits.py
+++ b/lilacloft/net/resource_limits.py
@@ -23,8 +23,8 @@
 
 def budgets(limits: Mapping[str, Any], descriptors: int) -> Budgets:
     """Return the budgets for the configuration's `limits`, and the system's limit on descriptors where that
-    is lower. By the protocol clients have a third of the descriptors at most; connections that close count
-    for a while."""
+    is lower. By the protocol clients have a third of the descriptors at most; they get up to a half, as
+    connections that are closing still count. Backends get a third; what is left is reserved."""
     sockets = min(int(limits["sockets"]), descriptors)
     free = max(2, sockets - RESERVED)
     return Budgets(
--- a/lilacloft/routing/freshness.py
+++ b/lilacloft/routing/freshness.py
@@ -1,6 +1,6 @@
 """Freshness: how old a copy may be, where one is likely to lie, and which request has it revalidated.
 
-A copy older than a known purge is never served (rule 5). One request an object part and fresh time
+A copy older than a known purge is never served. One request an object part and fresh time
 revalidates the copy behind its answer; the others take copies within the grace time.
 """
 
--- a/lilacloft/routing/outliers.py
+++ b/lilacloft/routing/outliers.py
@@ -1,7 +1,13 @@
 """Outlier detection: when a backend is ejected, what goes to it then, and when it is restored.
 
-A backend is ejected after failures in a row that are too unlikely to be chance. While it is ejected only
-single canary requests go there, with a growing backoff; an answer in time restores it.
+A backend is ejected after failures in a row that are too unlikely to be chance: attempts that failed, that
+got no answer, or that are overdue while nothing else is answered. A source of fills is ejected as well
+where most fills from it come late and another's do not, and any backend by a plan of the fleet. Not
+ejected: the origin, and a cache whose failure most caches of the location share.
+
+While it is ejected only single canary requests go there, with a growing backoff. It is restored by an
+answer in time, or one that says that it has no copy or no room; a source by its canary's fill; any by a
+new start, by a plan that ejects it no more, or as its whole location is left.
 """
 
 from __future__ import annotations
@@ -184,12 +190,12 @@
 
     @staticmethod
     def _ejection_reason(backend: Backend) -> str:
-        if backend.late_fill_share:
+        if backend.late_fill_share:  # tells more than the failures, which such fills also count as
             return f"{backend.late_fill_share:.1f} of its fills late"
         return f"{backend.consecutive_failures} symptoms in a row"
 
     def restore(self, backend: Backend) -> None:
-        """Take in that a backend answers."""
+        """Note that a backend answers. One that is ejected is restored."""
         if backend.ejected:
             self.host.health_changed(backend, HealthChange.RESTORED, "answers again")
         backend.last_answer_at = self.host.now()
--- a/lilacloft/routing/retries.py
+++ b/lilacloft/routing/retries.py
@@ -1,6 +1,6 @@
 """Attempts and retries: how many a request may have, which may be executed again, and where it goes next.
 
-No effect may happen twice (rule 2): once an attempt may have been executed, another may follow only as the
+No effect may happen twice: once an attempt may have been executed, another may follow only as the
 virtual host's idempotency allows.
 """
 
--- a/lilacloft/routing/router.py
+++ b/lilacloft/routing/router.py
@@ -159,7 +159,8 @@
         self.reject(request, retries.send_by_reason(request))
 
     def reject(self, request: Request, reason: RejectReason) -> None:
-        """Give the final answer of a request that is not served; nothing else does (rule 1)."""
+        """Give the final answer of a request that is not served; nothing else gives one to a request that
+        was let in."""
         if request.finished:
             return
         vhost = self.virtual_hosts[request.vhost]
@@ -279,7 +280,7 @@
             if backend.name in update.ejections and not self.pools.is_origin(backend):
                 backend.ejected, backend.retry_at = True, update.ejections[backend.name]
             elif backend.name in plan.ejections:
-                outliers.restore(backend)
+                outliers.restore(backend)  # by the plan's word: nothing need have answered
         plan.ejections = update.ejections
 
     def _location_left(self, backend: Backend) -> None:
