--- a/lilacloft/routing/slow_start.py
+++ b/lilacloft/routing/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: how much a backend that has started lately may be sent.
 
-A cold backend falls over when all gateways together send more than it can bear at its age (rule 4). Each
+A cold backend falls over when all gateways together send more than it can bear at its age. Each
 gateway therefore keeps to its own share of a budget that grows with the backend's age.
 """
 
@@ -58,9 +58,9 @@
     def allows(self, backend: Backend, work: float, now: Ticks) -> bool:
         """Return whether a backend may take one more request, which takes `work` ticks to send.
 
-        What a cold backend can do since its start is cut into turns of one request each. They are dealt to
-        its gateways in a spread order, and each holds for one overload window: shares of a request would let
-        nobody send, and so no window sees more than the turns of two.
+        The budget is granted in whole requests (turns), as a share below one request would let nobody send.
+        The gateways' turns are staggered (`slot_offset`), and each may be used for one overload window; so
+        any one window can hold the turns of two, for which the budget is halved (`_utilization`).
         """
         window = self.settings.overload_window + self.settings.tick
         while backend.recent_work and backend.recent_work[0][0] < now - window:
@@ -78,15 +78,23 @@
         )
         return sum(sent for _, sent in backend.recent_work) + work <= turns * turn
 
+    @staticmethod
+    def _utilization(profile: SlowStartProfile) -> float:
+        """Return the share of what a backend can do that all gateways together may use. Halved, as one
+        overload
+        window can hold the turns of two."""
+        return min(BUDGET_MARGIN * profile.overload_factor / 2, MAX_UTILIZATION)
+
     def _budget_rate(self, backend: Backend) -> float:
         """Return this gateway's share of a fully warm backend's budget: transfer time in a tick."""
-        utilization = min(BUDGET_MARGIN * self.profile(backend).overload_factor / 2, MAX_UTILIZATION)
+        utilization = self._utilization(self.profile(backend))
         budget_share = self.plan.budget_shares.get(backend.name, 1.0)
         return utilization * self.capacity_share(backend) * budget_share
 
     def _turns(self, backend: Backend, rate: float, age: Ticks) -> float:
         """Return how many turns this gateway has had since a backend's start."""
         profile, age = self.profile(backend), max(0, age)
+        # the mean share since the start, as the share grows linearly
         grown = profile.initial_share + (1 - profile.initial_share) * age / 2 / profile.duration
         return rate * age * grown + self.settings.slot_offset
 
@@ -95,7 +103,7 @@
         profile = self.settings.cache_slow_start
         age = max(0, now - backend.started)
         warmth = profile.initial_share + (1 - profile.initial_share) * min(1.0, age / profile.duration)
-        utilization = min(BUDGET_MARGIN * profile.overload_factor / 2, MAX_UTILIZATION)
+        utilization = self._utilization(profile)
         budget = utilization * warmth * self.capacity_share(backend) * self.settings.overload_window
         budget *= self.plan.budget_shares.get(backend.name, 1.0)
         return min(1.0, sum(work for _, work in backend.recent_work) / budget) if budget else 1.0
