--- a/lilacloft/invariants.py
+++ b/lilacloft/invariants.py
@@ -22,7 +22,7 @@
 # outcomes after which an attempt may have had its effect; kept apart from the decisions' own on purpose
 MAY_HAVE_EXECUTED = frozenset(("done", "error", "timeout", "reset", "spoilt", "cancelled"))
 MAX_GONE_BACKENDS = 10_000  # backends that have left and are remembered
-CLIENT_LEFT_GRACE = 1_000  # span in which an attempt may begin after its client has left
+CLIENT_LEFT_LIMIT = 1_000  # ticks an attempt may begin after its client has left: more than decisions allow
 TIME_SLACK = 1_500  # span by which a told time limit may exceed what the client has left
 WIRE_SLACK = 500  # span by which each time limit is longer on sockets
 DRAIN_GRACE = 10_000  # span in which a draining backend may be sent to, where the settings tell none
@@ -134,10 +134,10 @@
         allowed = (
             self._open(history)
             and self._repeats(history, backend, now)
-            and self._listed(history, backend, now)
-            and self._listed(history, source, now)
-            and self._starts(backend, work, now)
-            and (source is backend or self._starts(source, work, now))
+            and self._within_drain_grace(history, backend, now)
+            and self._within_drain_grace(history, source, now)
+            and self._within_slow_start(backend, work, now)
+            and (source is backend or self._within_slow_start(source, work, now))
         )
         if allowed:
             history.in_flight, history.sent_at, history.backend = True, now, backend
@@ -165,7 +165,7 @@
             return self._break(Promise.WINDOW_OVER, history.name, f"{late:.1f} ms after its window")
         return True
 
-    def _listed(self, history: History, backend: Backend, now: int) -> bool:
+    def _within_drain_grace(self, history: History, backend: Backend, now: int) -> bool:
         """Return whether a backend is listed as ready, or has drained, or been gone, no longer than the
         grace."""
         since = self.drained.get(backend.name)
@@ -181,7 +181,7 @@
 
     def may_begin(self, first_byte: FirstByte) -> bool:
         """The guard of an attempt's first byte, which may have waited since it was decided."""
-        if first_byte.client_left_at and first_byte.now > first_byte.client_left_at + CLIENT_LEFT_GRACE:
+        if first_byte.client_left_at and first_byte.now > first_byte.client_left_at + CLIENT_LEFT_LIMIT:
             gone = (first_byte.now - first_byte.client_left_at) / 10
             return self._break(Promise.CLIENT_HAD_LEFT, first_byte.name, f"{gone:.1f} ms before")
         if first_byte.deadline and first_byte.time_limit > first_byte.deadline - first_byte.now + TIME_SLACK:
@@ -204,7 +204,7 @@
             if status == 0 and len(self.drained) > MAX_GONE_BACKENDS:
                 del self.drained[next(iter(self.drained))]
 
-    def _starts(self, backend: Backend, work: float, now: int) -> bool:
+    def _within_slow_start(self, backend: Backend, work: float, now: int) -> bool:
         """Return whether this process alone keeps within what all gateways together may send to a cold
         backend.
         `work` is the request's transfer time at full rate, in ticks."""
--- a/lilacloft/routing/fleet_plan.py
+++ b/lilacloft/routing/fleet_plan.py
@@ -34,7 +34,7 @@
     ejections: Mapping[str, Ticks] = field(default_factory=dict)  # by backend: when its next canary may go
     limit_ceilings: Mapping[str, float] = field(default_factory=dict)  # attempts at once, by backend
     link_ceiling: float = 0.0  # likely fills at once; 0: none
-    budget_shares: Mapping[str, float] = field(default_factory=dict)  # of cold backends' budgets
+    budget_factors: Mapping[str, float] = field(default_factory=dict)  # on this gateway's share of budgets
     failovers: Mapping[int, LocationFailover] = field(default_factory=dict)  # by location
 
 
@@ -43,7 +43,7 @@
     """What holds now of plans, and whether another process is the gateway."""
 
     ejections: Mapping[str, Ticks] = field(default_factory=dict)
-    budget_shares: Mapping[str, float] = field(default_factory=dict)
+    budget_factors: Mapping[str, float] = field(default_factory=dict)
     failovers: Mapping[int, LocationFailover] = field(default_factory=dict)
     standby: bool = False  # another process is this gateway: cold starts and revalidation are left to it
 
--- a/lilacloft/routing/router.py
+++ b/lilacloft/routing/router.py
@@ -267,7 +267,7 @@
         """Another plan holds (lilacloft/control/), or none."""
         plan, outliers = self.plan, self.outliers
         self.link_limit.ceiling = update.link_ceiling or math.inf
-        plan.budget_shares = update.budget_shares
+        plan.budget_factors = update.budget_factors
         newly_away = update.failovers.keys() - plan.failovers.keys()
         plan.failovers = update.failovers
         listed = [backend for backend in self.pools.backends if not self.pools.is_origin(backend)]
--- a/lilacloft/routing/slow_start.py
+++ b/lilacloft/routing/slow_start.py
@@ -88,8 +88,8 @@
     def _budget_rate(self, backend: Backend) -> float:
         """Return this gateway's share of a fully warm backend's budget: transfer time in a tick."""
         utilization = self._utilization(self.profile(backend))
-        budget_share = self.plan.budget_shares.get(backend.name, 1.0)
-        return utilization * self.capacity_share(backend) * budget_share
+        budget_factor = self.plan.budget_factors.get(backend.name, 1.0)
+        return utilization * self.capacity_share(backend) * budget_factor
 
     def _turns(self, backend: Backend, rate: float, age: Ticks) -> float:
         """Return how many turns this gateway has had since a backend's start."""
@@ -105,7 +105,7 @@
         warmth = profile.initial_share + (1 - profile.initial_share) * min(1.0, age / profile.duration)
         utilization = self._utilization(profile)
         budget = utilization * warmth * self.capacity_share(backend) * self.settings.overload_window
-        budget *= self.plan.budget_shares.get(backend.name, 1.0)
+        budget *= self.plan.budget_factors.get(backend.name, 1.0)
         return min(1.0, sum(work for _, work in backend.recent_work) / budget) if budget else 1.0
 
     def capacity_share(self, backend: Backend) -> float:
