--- a/lilacloft/routing/catch_up.py
+++ b/lilacloft/routing/catch_up.py
@@ -1,14 +1,15 @@
-"""Catch-up: how old a copy may be while the change log may hold purges that were not read yet.
-
-A purge counts as told once it is in the change log. A gateway that starts, follows the log at another
-address, has lost its connection, or finds the log back after it had refused one, cannot know of the purges
-told since, before it has read the log to its end. Until then it accepts only copies that are younger than
-the grace within which a purge must be heeded: no purge counts against those yet.
-
-That costs fills, so it has an end: at once where the log has shown its end by a heartbeat, or where a
-connection to it is refused or not made in time, as it cannot be read then; `MAX_UNTOLD_TIME` after the log
-has answered, by which time a connection that stays silent was given up; otherwise after `MAX_LIMITED_TIME`. A
-connection that was made is no answer, as the operating system accepts it also for a log that stands still.
+"""Catch-up: the maximum age of a copy while the change log may hold purges that have not been read yet.
+
+A purge takes effect for a gateway once it is in the change log. A gateway that starts, follows the log at
+another address, has lost its connection, or reconnects to a log that had refused connections, does not know
+the purges since then until it has read the log to its end. Until then it accepts only copies younger than
+the grace period within which a purge must be applied: no purge applies to those yet.
+
+The limit costs fills, so it is lifted: at once when a heartbeat shows that the log was read to its end, or
+when a connection to the log is refused or times out, as the log cannot be read then; `MAX_UNTOLD_TIME` after
+the log has answered, by which time a silent connection has been closed; otherwise after `MAX_LIMITED_TIME`.
+An established connection does not count as an answer, as the operating system also accepts it for a log that
+is stalled.
 """
 
 from __future__ import annotations
@@ -18,63 +19,63 @@
 from lilacloft.routing.units import Ticks
 
 MAX_LIMITED_TIME: Ticks = 30_000
-MAX_UNTOLD_TIME: Ticks = 22_000  # from the log's answer; a silent connection is followed no longer than that
-GRACE_SHARE = 0.5  # of the grace; the rest is for the way to the cache, and for clocks that differ
+MAX_UNTOLD_TIME: Ticks = 22_000  # after the log's answer; a silent connection is closed within this time
+GRACE_SHARE = 0.5  # of the grace period; the rest covers the delay to the cache and clock differences
 MIN_AGE: Ticks = 1  # 0 would mean any age
 
 
 class LogProgress(Enum):
-    """What is known of the change log."""
+    """How far the change log has been read."""
 
-    BEGUN = auto()  # nothing was read since the start, or at this address
-    INTERRUPTED = auto()  # nothing was read since its connection ended, or since it is back
-    SETTLED = auto()  # it has told something new since then, or cannot be read now
+    BEGUN = auto()  # nothing read since the start, or since the address changed
+    INTERRUPTED = auto()  # nothing new read since the connection ended or was made again
+    SETTLED = auto()  # something new was read since then, or the log cannot be read now
 
 
 class CatchUp:
-    """How far one gateway has come in reading the change log."""
+    """Tracks how far one gateway has read the change log."""
 
     def __init__(self, purge_grace: Ticks) -> None:
-        """Start with nothing unread. `purge_grace`: within which a purge must be heeded."""
+        """Start with nothing unread. `purge_grace`: the time within which a purge must be applied."""
         self.max_age_unread = max(MIN_AGE, int(purge_grace * GRACE_SHARE))
         self.progress = LogProgress.SETTLED
         self.limited_until: Ticks = 0
 
     def begin(self, now: Ticks) -> None:
-        """The log is read from now on: the gateway starts, or follows the log at another address."""
+        """Start reading the log: at the start of the gateway, or at another address."""
         self.progress = LogProgress.BEGUN
         self.limited_until = now + MAX_LIMITED_TIME
 
     def connected(self, now: Ticks) -> None:
-        """A connection to the log was made: what has waited there comes once the log answers."""
+        """Handle a new connection to the log. The backlog follows once the log answers."""
         self._interrupt(now)
 
     def disconnected(self, now: Ticks) -> None:
-        """The connection to the log has ended: what it tells from now on is not read."""
+        """Handle the end of the connection to the log: later events are not read."""
         self._interrupt(now)
 
     def repeated(self, now: Ticks) -> None:
-        """The log has sent its last event again: what has waited there comes now. It has told nothing new, so
-        another interruption wins no new time."""
+        """Handle an event that was read before; the backlog follows. As nothing new was read, another
+        interruption does not extend the limit."""
         self._shorten(now + MAX_UNTOLD_TIME)
 
     def answered(self, now: Ticks) -> None:
-        """The log has told something new on its new connection: what else has waited there comes now."""
+        """Handle the first new event on a connection; the rest of the backlog follows."""
         self.progress = LogProgress.SETTLED
         self._shorten(now + MAX_UNTOLD_TIME)
 
     def end(self) -> None:
-        """The log was read to its end, or cannot be read now."""
+        """Lift the limit: the log was read to its end, or cannot be read now."""
         self.progress = LogProgress.SETTLED
         self.limited_until = 0
 
     def max_age(self, now: Ticks) -> Ticks:
-        """Return the age of the oldest copy that no unread purge counts against; 0: any."""
+        """Return the maximum age of a copy that no unread purge can apply to; 0: no limit."""
         return self.max_age_unread if now < self.limited_until else 0
 
     def _interrupt(self, now: Ticks) -> None:
-        """Limit ages. A log that has told nothing since the last interruption wins no new time: a silent
-        one would else have every cache filled anew for as long as it is silent."""
+        """Limit ages. The limit is not extended if nothing new was read since the last interruption:
+        otherwise a silent log would cause every cache to be refilled for as long as it is silent."""
         if self.progress is LogProgress.SETTLED:
             self.progress = LogProgress.INTERRUPTED
             self.limited_until = now + MAX_LIMITED_TIME
--- a/lilacloft/routing/concurrency.py
+++ b/lilacloft/routing/concurrency.py
@@ -1,4 +1,4 @@
-"""Adaptive concurrency limits: how many attempts may be in flight, learned from the answers that come late.
+"""Adaptive concurrency limits: how many attempts may be in flight, adjusted by the share of late answers.
 
 Work that could only be late is rejected early instead of queueing at a backend.
 """
@@ -9,23 +9,24 @@
 
 from lilacloft.routing.units import Ticks
 
-INITIAL_FACTOR = (
-    2.0  # a limit starts at this multiple of what runs at full rate: a target bears half the rate
-)
-CUT_FACTOR = 0.7  # what a limit is cut to; half would overshoot, as answers lag behind the load
-TOLERATED_LATE_SHARE = 0.2  # what an ordinary spread of sizes and speeds leaves
-LATE_WEIGHT = 1 / 8  # weight of one answer in the share of late ones
+# A limit starts at this multiple of the transfers that run at full rate: at half the rate, answers still
+# meet the target.
+INITIAL_FACTOR = 2.0
+CUT_FACTOR = 0.7  # a limit is multiplied by this; 0.5 (half) would overshoot, as answers lag behind the load
+TOLERATED_LATE_SHARE = 0.2  # share of late answers that the normal spread of sizes and speeds causes
+LATE_WEIGHT = 1 / 8  # weight of one answer in the moving share of late answers
 
 
 class AdaptiveLimit:
-    """A limit on the attempts of this gateway in flight to one backend, or through one link.
+    """A limit on this gateway's attempts in flight to one backend, or through one link.
 
-    Good answers widen it while it is used, late ones cut it. Where fewer at once cure nothing it falls below
-    one: attempts then pause between each other, so that many gateways together send few.
+    Answers in time raise the limit while it is used, late answers cut it. If even one attempt at a time is
+    too many, the limit falls below one: attempts are then spaced out, so that many gateways together send
+    few.
     """
 
     def __init__(self, limit: float, minimum: float) -> None:
-        """Start at a limit; it is never cut below `minimum`."""
+        """Start at `limit`, which is never cut below `minimum`."""
         self.limit = limit
         self.minimum = minimum
         self.in_flight = 0
@@ -36,14 +37,15 @@
         self.ceiling = math.inf  # set by a plan
 
     def allows(self, weight: float, now: Ticks) -> bool:
-        """Return whether one more attempt may go out. `weight` widens the limit for work of more value."""
+        """Return whether one more attempt may be sent. `weight` widens the limit for valuable requests."""
         limit = min(self.limit, self.ceiling) * weight
         return self.in_flight < limit and (
             limit >= 1 or now >= self.last_ended_at + self.last_duration * (1 / limit - 1)
         )
 
     def record(self, late: bool, now: Ticks, duration: Ticks, cut_interval: Ticks) -> None:
-        """Take in an answer. At most one cut an interval, as all attempts in flight show the same load."""
+        """Record an answer. The limit is cut at most once per interval, as all attempts in flight reflect the
+        same load."""
         self.late_share += (late - self.late_share) * LATE_WEIGHT
         self.last_ended_at, self.last_duration = now, duration
         if not late:
--- a/lilacloft/routing/dispatching.py
+++ b/lilacloft/routing/dispatching.py
@@ -1,6 +1,7 @@
-"""The gate that every attempt passes, and the counts of what is in flight.
+"""Sending of attempts: the checks that every attempt must pass, and the accounting of attempts in flight.
 
-The rules on effects, draining, slow start and load hold here for every attempt, whoever asks for it.
+The rules on idempotency, draining, slow start and load are enforced here for every attempt, whichever code
+path sends it.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 
 
 class Dispatcher:
-    """Sends a gateway's attempts, those that all rules allow."""
+    """Sends a gateway's attempts where all rules allow them."""
 
     def __init__(self, rules: Rules) -> None:
-        """Send what these rules allow."""
+        """Enforce the given rules."""
         self.rules = rules
         self.host = rules.host
         self.settings = rules.settings
@@ -34,8 +35,8 @@
         self.outliers = rules.outliers
 
     def send_first(self, request: Request, routes: Iterable[Route], cache_only: bool = False) -> bool:
-        """Send a request on the first of its routes that all rules allow; return whether it was sent.
-        `cache_only`: ask only for a cached copy."""
+        """Send a request on the first route that all rules allow; return whether it was sent. `cache_only`:
+        request only a cached copy."""
         if request.finished or request.in_flight:
             return False
         vhost, now = self.rules.virtual_hosts[request.vhost], self.host.now()
@@ -52,7 +53,7 @@
     def backend_accepts(
         self, request: Request, backend: Backend, vhost: VirtualHost, weight: float, now: Ticks
     ) -> bool:
-        """Return whether a backend may take a request, whoever fills a miss there."""
+        """Return whether a backend may take a request, regardless of the source that fills a miss."""
         return (
             backend.status == READY
             and retries.may_repeat(request, backend, vhost, now, self.settings.tick)
@@ -64,8 +65,8 @@
     def source_accepts(
         self, request: Request, backend: Backend, source: Backend, cache_only: bool, weight: float
     ) -> bool:
-        """Return whether a miss at a backend that accepts a request may be filled from a source, and neither
-        of them is too cold."""
+        """Return whether a miss at a backend that accepts a request may be filled from `source`, and slow
+        start allows the request at both."""
         vhost, now = self.rules.virtual_hosts[request.vhost], self.host.now()
         if source is not backend:
             if source.status != READY:
@@ -81,7 +82,7 @@
         return source is backend or self.slow_start.allows(source, work, now)
 
     def _is_lookup(self, backend: Backend, source: Backend) -> bool:
-        """Return whether an attempt asks a cache for a copy that it would fill from nobody."""
+        """Return whether an attempt asks a cache for a copy and gives it no source to fill a miss from."""
         return source is backend and backend in self.pools.caches
 
     def _expects_fill(self, request: Request, backend: Backend, source: Backend) -> bool:
@@ -93,13 +94,13 @@
     def _fill_limit(
         self, request: Request, backend: Backend, source: Backend, cache_only: bool
     ) -> AdaptiveLimit | None:
-        """Return the limit that the fill of an attempt counts to; None where none is likely."""
+        """Return the limit that the fill of an attempt counts towards; None if no fill is likely."""
         if not self._expects_fill(request, backend, source):
             return None
         return source.concurrency_limit if cache_only else self.rules.link_limit
 
     def _send(self, request: Request, backend: Backend, source: Backend, cache_only: bool) -> None:
-        """Count an attempt where it will be in flight, and send it."""
+        """Account for an attempt at its backend, its source and the limits, and send it."""
         vhost, now = self.rules.virtual_hosts[request.vhost], self.host.now()
         request.fill_limit = self._fill_limit(request, backend, source, cache_only)
         request.expects_fill = request.fill_limit is not None
@@ -143,7 +144,7 @@
 
     @staticmethod
     def release(request: Request, backend: Backend) -> Backend:
-        """Take an attempt that is over out of the counts; return its source."""
+        """Remove an ended attempt from the accounting; return its source."""
         source = request.source
         for peer in (backend,) if backend is source else (backend, source):
             peer.in_flight_load = max(0.0, peer.in_flight_load - request.load_units)
--- a/lilacloft/routing/fair_queue.py
+++ b/lilacloft/routing/fair_queue.py
@@ -1,13 +1,13 @@
-"""The order of an event loop's work: replies, internal events, then clients' events, and clients take turns.
+"""The order of an event loop's work: replies, then internal events, then client events in round-robin order.
 
-Replies end what requests that were let in wait for, and cost little. The other internal events are lost
-connections, what discovery tells and the like: each may begin new work. Both are taken in the order in which
-they came. A client's events are taken in their own order, and clients take turns (round-robin fair queueing,
-RFC 970), so a client that sends many requests at once delays its own and hardly anybody else's. Every second
-one may be a request whose time is nearly over, whoever's; such a one may also be taken between two internal
-events (earliest deadline first), as it would be too late behind all of them.
+Replies complete admitted requests and cost little. The other internal events, such as lost connections and
+messages from discovery, may each start new work. Both are processed in order of arrival. The events of one
+client are processed in order, and clients take turns (round-robin fair queueing, RFC 970), so a client that
+sends many requests at once delays mostly its own. Every second client event may be an urgent one, close to
+its deadline, of any client; an urgent event may also be processed between two internal events (earliest
+deadline first), as it would be too late after all of them.
 
-No I/O and no clock. Times are `Ticks` by one clock of the caller's.
+No I/O and no clock. Times are `Ticks` of one clock that the caller chooses.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 from lilacloft.routing.units import Ticks
 
-URGENT_TIME: Ticks = 2_000  # a request with no more time left than that is urgent
+URGENT_TIME: Ticks = 2_000  # a request with at most this much time left is urgent
 
 Item = TypeVar("Item")
 
 
 @dataclass(eq=False, slots=True)
 class ClientItem(Generic[Item]):
-    """One item of a client's."""
+    """A queued item of one client."""
 
     item: Item
     client: Hashable
@@ -35,7 +35,7 @@
 
 
 class ItemDeadline(NamedTuple):
-    """When the time of an item is over."""
+    """The deadline of a queued item."""
 
     due_at: Ticks
     sequence: int  # in the order of adding
@@ -43,29 +43,29 @@
 
 
 class FairQueue(Generic[Item]):
-    """The items that wait. Not thread-safe."""
+    """The queued items. Not thread-safe."""
 
     def __init__(self) -> None:
         self.replies: deque[Item] = deque()
         self.internal: deque[Item] = deque()  # all other internal items
         self.by_client: dict[Hashable, deque[ClientItem[Item]]] = {}
         self.round_robin: deque[Hashable] = deque()  # the clients of `by_client`, the next one first
-        self.deadlines: list[ItemDeadline] = []  # a heap; what was dequeued in turn stays to its time
-        self.client_count = 0  # items of clients that wait
-        self.sequence = 0  # items of clients so far
-        self.was_overdue = False  # was the last client's item taken out of turn?
+        self.deadlines: list[ItemDeadline] = []  # a heap; items dequeued in turn stay until they are due
+        self.client_count = 0  # queued client items
+        self.sequence = 0  # client items added so far
+        self.was_overdue = False  # whether the last client item was dequeued out of turn
 
     def __bool__(self) -> bool:
-        """Return whether anything waits."""
+        """Return whether any item is queued."""
         return bool(self.replies or self.internal or self.client_count)
 
     def add_reply(self, item: Item) -> None:
-        """Add a reply behind the other replies."""
+        """Queue a reply after the other replies."""
         self.replies.append(item)
 
     def add(self, item: Item, client: Hashable | None = None, due_at: Ticks | None = None) -> None:
-        """Add an item behind the others of its client; None: it is internal. `due_at`: when its time is
-        over."""
+        """Queue an item after the others of its client, or an internal item (`client` is None). `due_at`: its
+        deadline."""
         if client is None:
             self.internal.append(item)
             return
@@ -79,30 +79,30 @@
         if due_at is not None:
             heapq.heappush(self.deadlines, ItemDeadline(due_at, self.sequence, entry))
 
-    def next_of_clients(self, by: Ticks) -> Item | None:
-        """Take out the oldest item of the client whose turn it is, or before that one whose time is over by
-        then; None where no client's waits."""
-        entry = None if self.was_overdue else self._take_overdue(by)
+    def next_of_clients(self, due_by: Ticks) -> Item | None:
+        """Dequeue an item that is due by `due_by`, unless the last one was overdue too; otherwise the
+        oldest item of the client whose turn it is. Returns None if no client item is queued."""
+        entry = None if self.was_overdue else self._take_overdue(due_by)
         self.was_overdue = entry is not None
         return self._dequeue(entry or self._take_in_turn())
 
-    def next_overdue(self, by: Ticks) -> Item | None:
-        """Take out the client's item whose time is over first, if it is by then; else None."""
-        entry = self._take_overdue(by)
+    def next_overdue(self, due_by: Ticks) -> Item | None:
+        """Dequeue the client item with the earliest deadline if it is due by `due_by`; else None."""
+        entry = self._take_overdue(due_by)
         self.was_overdue = self.was_overdue or entry is not None
         return self._dequeue(entry)
 
     def next_internal(self) -> Item | None:
-        """Take out the first reply, or, where there is none, the first internal item; else None."""
+        """Dequeue the first reply or, if there is none, the first internal item; else None."""
         if self.replies:
             return self.replies.popleft()
         return self.internal.popleft() if self.internal else None
 
-    def next(self, by: Ticks) -> Item | None:
-        """Take out what is to be done first; None where nothing waits."""
+    def next(self, due_by: Ticks) -> Item | None:
+        """Dequeue the item to be processed first; None if nothing is queued."""
         if self.replies or self.internal:
             return self.next_internal()
-        return self.next_of_clients(by)
+        return self.next_of_clients(due_by)
 
     def _dequeue(self, entry: ClientItem[Item] | None) -> Item | None:
         if entry is None:
@@ -111,8 +111,8 @@
         self.client_count -= 1
         return entry.item
 
-    def _take_overdue(self, by: Ticks) -> ClientItem[Item] | None:
-        while self.deadlines and (self.deadlines[0].due_at <= by or self.deadlines[0].entry.is_dequeued):
+    def _take_overdue(self, due_by: Ticks) -> ClientItem[Item] | None:
+        while self.deadlines and (self.deadlines[0].due_at <= due_by or self.deadlines[0].entry.is_dequeued):
             entry = heapq.heappop(self.deadlines).entry
             if entry.is_dequeued:
                 continue
--- a/lilacloft/routing/routes.py
+++ b/lilacloft/routing/routes.py
@@ -44,15 +44,15 @@
         """Return the routes of a request, best first."""
         vhost, now = self.rules.virtual_hosts[request.vhost], self.rules.host.now()
         key, uncacheable = request.placement_key, self.is_uncacheable(request)
-        zones_away = self.plan.zones_away(key, vhost.is_safe and not uncacheable, now)
+        failed_over_zones = self.plan.failed_over_zones(key, vhost.is_safe and not uncacheable, now)
         homes = self.placement.order(self.pools.caches, key)
         parents = [
             parent
             for parent in self.placement.order(self.pools.parents, key)
-            if parent.zone not in zones_away
+            if parent.zone not in failed_over_zones
         ]
         sources = self._fill_sources(request, parents)
-        if self.settings.zone in zones_away and self.settings.bypass_allowed:
+        if self.settings.zone in failed_over_zones and self.settings.bypass_allowed:
             return RouteOptions(self._routes_elsewhere(request, sources), None, parents)
         routes = self._routes_here(request, homes, parents, sources)
         may_look_up = bool(homes) and not uncacheable and homes[0] not in request.failed_backends
