--- a/lilacloft/routing/freshness.py
+++ b/lilacloft/routing/freshness.py
@@ -1,8 +1,8 @@
-"""Freshness: how old a copy may be, where one is likely to lie, and which request has it revalidated.
+"""Freshness: how old a copy may be, which backend likely has one, and which request triggers revalidation.
 
-A copy older than a known purge is never served, nor one that may be older than a purge not read yet
-(catch_up.py). One request an object part and fresh time revalidates the copy behind its answer; the others
-take copies within the grace time.
+A copy older than a known purge is never served, nor one that may be older than a purge that has not been read
+yet (catch_up.py). In each freshness period, one request per object part revalidates the copy in the
+background; the others accept stale copies within the grace period.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 from lilacloft.routing.units import Ticks
 from lilacloft.routing.virtual_host import VirtualHost
 
-TABLE_SIZE = 1 << 15  # object parts remembered; one that is dropped merely counts as new
-REVALIDATE_AFTER = 0.8  # share of the fresh time after which a copy may be revalidated again
+TABLE_SIZE = 1 << 15  # maximum number of object parts; an evicted one is treated as new
+REVALIDATE_AFTER = 0.8  # share of the freshness period after which a copy may be revalidated again
 
 
 class Freshness:
-    """The table of object parts and the purges that this gateway knows."""
+    """The object parts and purges known to this gateway."""
 
     def __init__(
         self, virtual_hosts: Sequence[VirtualHost], purge_lifetime: Ticks, purge_grace: Ticks = 0
     ) -> None:
-        """Make an empty table. A purge is remembered for `purge_lifetime`, and must be heeded from
-        `purge_grace` after it was told."""
+        """Create an empty table. Purges are kept for `purge_lifetime`, and must be applied within
+        `purge_grace` of their publication."""
         self.virtual_hosts = virtual_hosts
         self.purge_lifetime = purge_lifetime
-        self.object_parts: dict[PartKey, ObjectPart] = {}  # least recently asked for first
-        self.purges: dict[str | int, Ticks] = {}  # when purged; objects by key, groups by number
+        self.object_parts: dict[PartKey, ObjectPart] = {}  # least recently used first
+        self.purges: dict[str | int, Ticks] = {}  # time of the last purge, by object key or group number
         self.catch_up = CatchUp(purge_grace)
 
     def record_request(self, part_key: PartKey) -> ObjectPart:
-        """Return the entry of an object part that is asked for, which is now the most recent one."""
+        """Count a request for an object part and return its entry, now the most recently used one."""
         object_part = self.entry(part_key)
         object_part.request_count += 1
         return object_part
 
     def entry(self, part_key: PartKey) -> ObjectPart:
-        """Return the entry of an object part, made the most recent one; the least recent may be dropped."""
+        """Return the entry of an object part as the most recently used one; may evict the least recent."""
         object_part = self.object_parts.pop(part_key, None) or ObjectPart()
         self.object_parts[part_key] = object_part
         if len(self.object_parts) > TABLE_SIZE:
@@ -48,15 +48,15 @@
         return object_part
 
     def purge(self, key: str, group: int, at: Ticks) -> None:
-        """Take in a purge: of an object, or without a key of a whole group."""
+        """Record the purge of an object or, if `key` is empty, of a whole group."""
         self.purges[key or group] = max(at, self.purges.get(key or group, 0))
 
     def drop_expired(self, now: Ticks) -> None:
-        """Forget the purges that no copy can be older than any more."""
-        self.purges = {what: at for what, at in self.purges.items() if now - at <= self.purge_lifetime}
+        """Drop the purges that no remaining copy can be older than."""
+        self.purges = {purged: at for purged, at in self.purges.items() if now - at <= self.purge_lifetime}
 
     def max_age(self, request: Request, now: Ticks) -> Ticks:
-        """Return the age of the oldest copy that will do; 0: any will."""
+        """Return the maximum acceptable age of a copy; 0: no limit."""
         vhost = self.virtual_hosts[request.vhost]
         age = vhost.fresh + vhost.grace if vhost.fresh else 0
         purges = [
@@ -70,11 +70,11 @@
         return min(age or unread_limit, unread_limit) if unread_limit else age
 
     def _max_age_unread(self, request: Request, now: Ticks) -> Ticks:
-        """Return the age of the oldest copy that will do for the sake of unread purges; 0: any will."""
+        """Return the maximum age of a copy that no unread purge can apply to; 0: no limit."""
         return 0 if request.object_part is None else self.catch_up.max_age(now)
 
     def likely_cached(self, request: Request, backend: Backend, now: Ticks) -> bool:
-        """Return whether a backend likely has a copy that will do, by this gateway's own requests."""
+        """Return whether a backend likely has an acceptable copy, judging by this gateway's own requests."""
         object_part, vhost = request.object_part, self.virtual_hosts[request.vhost]
         if object_part is None or object_part.last_served_by is not backend:
             return False
@@ -89,7 +89,7 @@
         return purged_at < object_part.filled_at
 
     def needs_revalidation(self, request: Request, now: Ticks) -> bool:
-        """Return whether a request is the one to have its copy revalidated."""
+        """Return whether a request should trigger revalidation of its copy."""
         object_part, vhost = request.object_part, self.virtual_hosts[request.vhost]
         if object_part is None or not vhost.fresh:
             return False
@@ -98,7 +98,7 @@
 
     @staticmethod
     def record_answer(request: Request, backend: Backend, duration: Ticks) -> None:
-        """Take in which backend now has a copy, and how fast it was sent."""
+        """Record which backend now has a copy, and how long the answer took."""
         object_part = request.object_part
         if object_part is None:
             return
@@ -108,7 +108,7 @@
 
     @staticmethod
     def undo_revalidation(request: Request) -> None:
-        """Let the next request have the copy revalidated: the attempt in flight has not."""
+        """Let the next request trigger revalidation, as the ended attempt did not."""
         object_part = request.object_part
         if object_part is not None and object_part.revalidated_at == request.sent_at:
             object_part.revalidated_at = None
--- a/lilacloft/routing/host.py
+++ b/lilacloft/routing/host.py
@@ -1,6 +1,6 @@
-"""How the decisions act: the interface of whoever runs a `Router`, and the messages across it.
+"""The `Host` interface through which a `Router` acts, and the messages that cross it.
 
-The gateway's event loop, the simulator's adapter, the emulator and the tests each are such a host.
+It is implemented by the gateway's event loop, the simulator's adapter, the emulator and the tests.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 
 class Timer(StrEnum):
-    """What a router asks to be woken for; `Router.timer_fired` gets it back."""
+    """Identifies a timer of the router; it is passed back to `Router.timer_fired`."""
 
-    SUBSCRIBE = "subscribe"  # ask discovery for changes again
-    MAINTENANCE = "sweep"  # drop what is out of date, learn capacities
-    DEADLINE = "due"  # the earliest deadline has come
+    SUBSCRIBE = "subscribe"  # subscribe to changes from discovery again
+    MAINTENANCE = "sweep"  # drop expired purges, learn capacities
+    DEADLINE = "due"  # the earliest deadline is reached
 
 
 class ListMode(StrEnum):
-    """How a message of discovery is to be read."""
+    """How an update from discovery is to be read."""
 
     FULL = "full"  # the whole endpoint list
-    DELTA = "delta"  # changes of it
-    CACHED = "cached"  # a whole list that may be old
-    FAILED = "failed"  # discovery could not be asked
+    DELTA = "delta"  # changes to the list
+    CACHED = "cached"  # a whole list that may be outdated
+    FAILED = "failed"  # discovery could not be reached
 
 
 class HealthChange(StrEnum):
-    """What a router thinks of a backend from now on."""
+    """A change of the router's view of a backend."""
 
     EJECTED = "left alone"
     RESTORED = "back"
@@ -46,17 +46,17 @@
     kind: int
     cell: int
     status: int  # a BackendStatus
-    capacity: float  # 0 or less: not known
+    capacity: float  # 0 or less: unknown
     started: Ticks
 
 
 @dataclass(slots=True)
 class Dispatch:
-    """One attempt that is to be sent.
+    """An attempt to be sent.
 
-    `timeout` counts from now. A miss is filled from `source` (the backend itself: from nobody else).
-    `cache_rank` is the rank at which the copy is kept: 0 where it may not be kept, then by how often it was
-    asked for, at most 2. A copy older than `max_age` will not do (0: any will).
+    `timeout` counts from now. A miss is filled from `source`; if that is the backend itself, it fills from no
+    other backend. `cache_rank` is the rank at which the copy is cached: 0 if it may not be cached, otherwise
+    the number of requests for it, at most 2. A copy older than `max_age` is not acceptable (0: no limit).
     """
 
     request: Request
@@ -65,9 +65,9 @@
     timeout: Ticks
     cache_rank: int
     max_age: Ticks
-    may_collapse: bool  # it may join a fill under way
+    may_collapse: bool  # it may join a fill in progress
     cache_only: bool  # answer from a cached copy or with a miss
-    revalidate: bool  # revalidate the copy behind the answer
+    revalidate: bool  # revalidate the copy in the background
 
 
 @dataclass(slots=True)
@@ -77,48 +77,50 @@
     attempt: int  # its number within its request, from 0
     outcome: Outcome | str
     duration: Ticks
-    is_final: bool  # its request is answered, or owed no answer any more
+    is_final: bool  # its request is answered, or needs no answer any more
     note: CacheNote | int = CacheNote.NOTHING
 
 
 class Host(Protocol):
-    """One gateway's means of acting. Nothing here may call the router back before it returns."""
+    """The actions of one gateway. No method may call the router back before it returns."""
 
     def now(self) -> Ticks:
-        """Return the time."""
+        """Return the current time."""
 
     def dispatch(self, dispatch: Dispatch) -> None:
         """Send an attempt; `Router.attempt_ended` follows exactly once."""
 
     def client_left_at(self, request: Request) -> Ticks | None:
-        """Return since when nobody may wait for a request any more, as far as can be known without writing to
-        its client: its input has ended, it is cancelled, or what may say so lies unread. None: it waits."""
+        """Return the time since which the client of a request may have left, as far as can be known without
+        writing to it: its input has ended, the request is cancelled, or unread input may say so. None: the
+        client is waiting."""
 
     def cancel(self, request: Request, attempt: int) -> None:
-        """Stop waiting for an attempt, given by its number within its request."""
+        """Cancel an attempt, given by its number within its request."""
 
     def withdraw(self, request: Request, attempt: int) -> None:
-        """Take an attempt back if nothing of it has gone out; its outcome is then `UNSENT`. Nothing happens
-        where it has gone out."""
+        """Withdraw an attempt of which nothing was sent; its outcome is then `UNSENT`. Has no effect once
+        sending has begun."""
 
     def reject(self, request: Request, retry_after: Ticks) -> None:
-        """Give the final answer: not served, and safe to ask again after a while (0: none is named)."""
+        """Answer that the request was not served and may safely be retried after `retry_after` (0: no time is
+        given). This answer is final."""
 
     def fail(self, request: Request) -> None:
-        """Give the final answer: failed, with nothing promised."""
+        """Answer that the request failed, without saying whether a retry is safe. This answer is final."""
 
     def wake(self, at: Ticks, timer: Timer) -> None:
-        """Have `Router.timer_fired` called once, at a time or soon after it."""
+        """Set a timer: `Router.timer_fired` is called once, at the given time or soon after."""
 
     def check_health(self, backend: Backend) -> None:
         """Send a health check; `Router.health_checked` follows."""
 
     def subscribe(self, on: bool) -> None:
-        """Ask discovery for changes, or stop asking."""
+        """Subscribe to changes from discovery, or unsubscribe."""
 
     def health_changed(self, backend: Backend, change: HealthChange, reason: str) -> None:
         """Report that a backend was ejected or restored, and why."""
 
     def limit_recorded(self, backend: Backend, before: float, after: float, late_share: float) -> None:
-        """Report that a concurrency limit was looked at: the backend's own or, where the backend is one that
-        fills come from, that on likely fills; with the share of late answers under it."""
+        """Report that a concurrency limit was evaluated, and its share of late answers: the limit of the
+        backend or, if the backend is a source of fills, the limit on likely fills."""
--- a/lilacloft/routing/load_reports.py
+++ b/lilacloft/routing/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: which cache is asked for one, and what load its answer means."""
+"""Load reports: which cache is asked for one, and the load derived from its answer."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from lilacloft.routing.settings import RoutingSettings
 from lilacloft.routing.units import Ticks
 
-REQUESTS_PER_CHECK = 3  # at least: load reports must cost little beside what they save
-BUSY_UTILIZATION = 0.85  # a link used so much is full; below, requests may be waiting for fills
+REQUESTS_PER_CHECK = 3  # minimum; load reports must cost little compared to what they save
+BUSY_UTILIZATION = 0.85  # a link counts as full from here; below, requests may be waiting for fills
 
 
 class LoadReports:
-    """Asks the caches of a location in turn."""
+    """Requests load reports from the caches of a location in turn."""
 
     def __init__(self, settings: RoutingSettings) -> None:
-        """Ask as often as the settings allow."""
+        """Request load reports if the settings allow health checks."""
         self.settings = settings
         self.request_count = 0
 
     def next_to_check(self, caches: Sequence[Backend], target: Ticks, now: Ticks) -> Backend | None:
-        """Count a request and return the cache that is to be asked now, if one is. `target`: that of the
-        request's virtual host; a cache is asked once in two of them at most."""
+        """Count a request and return the cache to be checked now, if any. `target`: the first-byte target of
+        the request's virtual host; a cache is checked at most once in two targets."""
         self.request_count += 1
         if not (self.settings.health_checks and caches) or self.request_count % REQUESTS_PER_CHECK:
             return None
@@ -35,14 +35,14 @@
         return cache
 
     def record(self, backend: Backend, outcome: Outcome | str, report: Sequence[float]) -> None:
-        """Take in a report: the load is what the backend holds over what it holds when just fully used.
+        """Record a load report. The load is the number of requests in flight at the backend, relative to the
+        number at which it is just fully utilized; that number is learned while the backend is busy.
 
-        It does not tell while the backend is not busy. It never restores an ejected backend, which may answer
-        health checks alone.
+        A load report never restores an ejected backend, which may answer only health checks.
         """
         fields = dict(zip(self.settings.load_fields, report or [], strict=False))
-        no_room = outcome in (Outcome.QUEUE_FULL, Outcome.TIMEOUT)  # not even for a health check
-        load = 2 * INITIAL_FACTOR if no_room else backend.reported_load
+        is_full = outcome in (Outcome.QUEUE_FULL, Outcome.TIMEOUT)  # has no room even for a health check
+        load = 2 * INITIAL_FACTOR if is_full else backend.reported_load
         if "inflight" in fields:
             load = utilization = fields["util"]
             if BUSY_UTILIZATION / 2 < utilization < BUSY_UTILIZATION:
--- a/lilacloft/routing/outliers.py
+++ b/lilacloft/routing/outliers.py
@@ -1,13 +1,14 @@
-"""Outlier detection: when a backend is ejected, what goes to it then, and when it is restored.
+"""Outlier detection: when a backend is ejected, what is sent to it while ejected, and when it is restored.
 
-A backend is ejected after failures in a row that are too unlikely to be chance: attempts that failed, that
-got no answer, or that are overdue while nothing else is answered. A source of fills is ejected as well
-where most fills from it come late and another's do not, and any backend by a plan of the fleet. Not
-ejected: the origin, and a cache whose failure most caches of the location share.
+A backend is ejected after so many consecutive failures that chance is an unlikely cause. Failures are
+attempts that failed, that got no answer, or that are overdue while the backend answers nothing else. A source
+of fills is also ejected if most fills from it are late while those from another source are not, and any
+backend may be ejected by a fleet plan. The origin is never ejected, nor is a cache if at least half of the
+location's caches show the same failure.
 
-While it is ejected only single canary requests go there, with a growing backoff. It is restored by an
-answer in time, or one that says that it has no copy or no room; a source by its canary's fill; any by a
-new start, by a plan that ejects it no more, or as its whole location is left.
+An ejected backend is sent single canary requests, with growing backoff. It is restored by an answer in time,
+or by one that says that it has no copy or no room; a source also by the fill of its canary request; and any
+backend by a restart, by a plan that no longer ejects it, or when its whole location fails over.
 """
 
 from __future__ import annotations
@@ -23,19 +24,20 @@
 from lilacloft.routing.units import Ticks
 from lilacloft.routing.virtual_host import VirtualHost
 
-CHANCE = 0.01  # failures in a row eject a backend once, at the late share seen, they are rarer than this
+# Consecutive failures eject a backend once their probability, at the observed late share, is at most this.
+EJECTION_PROBABILITY = 0.01
 MAX_BACKOFF_FACTOR = 16  # of the longest first-byte target
-FILL_WEIGHT = 1 / 4  # weight of one fill in a source's share of late ones
-UNRELIABLE_SOURCE_SHARE = 0.5  # of late fills, above which a source is ejected while another's come in time
+FILL_WEIGHT = 1 / 4  # weight of one fill in a source's share of late fills
+UNRELIABLE_SOURCE_SHARE = 0.5  # of late fills; above it a source is ejected if another's fills are in time
 INITIAL_LATE_SHARE = 0.1
-REFUSED_WEIGHT = 2  # failures that a refused connection counts as
+REFUSED_WEIGHT = 2  # a refused connection counts as this many failures
 
 DONE = Outcome.DONE
-# Outcomes that show that a backend answers, if not with what was asked for.
-ALIVE = (Outcome.MISS, Outcome.QUEUE_FULL)
-# Outcomes that tell nothing of how busy a backend is.
-UNTIMED = (Outcome.CANCELLED, Outcome.UNSENT, Outcome.MALFORMED, Outcome.MISS)
-# Notes of answers that waited for a fill, or failed for one.
+# Outcomes that show that a backend answers, although without the object.
+RESPONSIVE_OUTCOMES = (Outcome.MISS, Outcome.QUEUE_FULL)
+# Outcomes that say nothing about the load of a backend.
+UNTIMED_OUTCOMES = (Outcome.CANCELLED, Outcome.UNSENT, Outcome.MALFORMED, Outcome.MISS)
+# Notes of answers that waited for a fill, or failed because of one.
 FILL_NOTES = (
     CacheNote.FILLED_FROM_COPY,
     CacheNote.FILLED_FROM_ORIGIN,
@@ -46,12 +48,13 @@
 
 
 def has_known_size(request: Request) -> bool:
-    """Return whether its transfer time is known; else a long wait may only mean a large object."""
+    """Return whether the transfer time of a request is known; otherwise a long wait may only mean a large
+    object."""
     return bool(request.kbytes or request.object_part is None or request.object_part.min_transfer_time)
 
 
 class OutlierDetector:
-    """Judges backends by how attempts there end."""
+    """Ejects and restores backends according to the results of attempts."""
 
     def __init__(
         self,
@@ -61,19 +64,19 @@
         plan: FleetPlan,
         link_limit: AdaptiveLimit,
     ) -> None:
-        """`link_limit`: that on the likely fills of this gateway through its location's link."""
+        """`link_limit`: the limit on this gateway's likely fills through its location's link."""
         self.host = host
         self.pools = pools
         self.virtual_hosts = virtual_hosts
         self.plan = plan
         self.link_limit = link_limit
         self.cancel_if_safe: Callable[[Request], None]  # set by the router
-        self.late_share = INITIAL_LATE_SHARE  # of this gateway's attempts that come late, or not at all
+        self.late_share = INITIAL_LATE_SHARE  # share of this gateway's attempts that are late or unanswered
 
-    # --- what the end of an attempt shows ---
+    # --- results of attempts ---
 
     def is_late(self, request: Request, result: AttemptResult) -> bool:
-        """Return whether an attempt brought no answer in time."""
+        """Return whether an attempt was not answered in time."""
         return result.outcome != DONE or result.duration > self._objective(request)
 
     def record(
@@ -84,15 +87,15 @@
         result: AttemptResult,
         canary: Request | None,
     ) -> None:
-        """Judge a backend and its source by how an attempt ended. `canary`: what was in flight at the source
-        as its canary request."""
+        """Evaluate the result of an attempt for its backend and its source. `canary`: the canary request that
+        was in flight at the source."""
         late, outcome = self.is_late(request, result), result.outcome
-        if outcome in ALIVE or (outcome == DONE and not (backend.ejected and late)):
-            self.restore(backend)  # an answer far too late restores no ejected backend
+        if outcome in RESPONSIVE_OUTCOMES or (outcome == DONE and not (backend.ejected and late)):
+            self.restore(backend)  # a late answer does not restore an ejected backend
         filled = result.note in FILL_NOTES if result.note else request.expects_fill
-        if outcome not in UNTIMED:
+        if outcome not in UNTIMED_OUTCOMES:
             self.late_share += SMOOTHING * (late - self.late_share)
-            # a cache whose hits are late as well is to blame for its late fills: it is slow, or overloaded
+            # a cache whose hits are late as well causes its late fills itself: it is slow, or overloaded
             filled = filled and not (late and backend.concurrency_limit.late_share > TOLERATED_LATE_SHARE)
             if self._shows_load(request, backend, outcome):
                 self._record_in_limit(request, backend, result, late, filled)
@@ -100,7 +103,7 @@
             if filled and source is not backend and result.duration <= self._objective(request):
                 self._record_fill_in_time(request, source, result, canary)
         elif self._is_failure(request, result):
-            refused = outcome == Outcome.CONNECT_FAILED  # which tells more
+            refused = outcome == Outcome.CONNECT_FAILED  # stronger evidence than other failures
             self.record_failure(backend, REFUSED_WEIGHT if refused else 1)
         elif result.note == CacheNote.SOURCE_UNREACHABLE:
             self.record_missing_fill(source)
@@ -109,37 +112,38 @@
         return self.virtual_hosts[request.vhost].latency_objective(request.transfer_time)
 
     def _shows_load(self, request: Request, backend: Backend, outcome: Outcome | str) -> bool:
-        """Return whether an attempt tells how loaded a backend is. A reset does not, nor do further errors
-        for an object part: a malformed request always fails. Canaries of a location are judged elsewhere."""
+        """Return whether the result of an attempt reflects the load of its backend. A reset does not, nor do
+        repeated errors for an object part, as a malformed request always fails. Canary requests that test a
+        whole location are evaluated by its failover."""
         if outcome == Outcome.RESET or self.plan.sends_canaries_only(backend.zone):
             return False
-        asked = request.object_part.request_count if request.object_part else 1
-        return outcome != Outcome.ERROR or request.attempts == asked == 1
+        request_count = request.object_part.request_count if request.object_part else 1
+        return outcome != Outcome.ERROR or request.attempts == request_count == 1
 
     def _record_in_limit(
         self, request: Request, backend: Backend, result: AttemptResult, late: bool, filled: bool
     ) -> None:
-        """Take an attempt in at the limit that it counts to: of its fill, or of the backend."""
+        """Record an attempt in the limit that it counts towards: that of its fill, or that of the backend."""
         own = backend.concurrency_limit
         limit = (request.fill_limit or self.link_limit) if filled else own
         before = limit.limit
         cut_interval = self.virtual_hosts[request.vhost].first_byte_target
         limit.record(late, self.host.now(), result.duration, cut_interval)
-        whose = backend if limit is own else request.source
-        self.host.limit_recorded(whose, before, limit.limit, limit.late_share)
+        limited = backend if limit is own else request.source
+        self.host.limit_recorded(limited, before, limit.limit, limit.late_share)
 
     def _record_fill_in_time(
         self, request: Request, source: Backend, result: AttemptResult, canary: Request | None
     ) -> None:
         source.late_fill_share -= source.late_fill_share * FILL_WEIGHT
-        # where it could be passed over, a cache's answer tells of the source only if the cache says so
+        # if the cache may bypass the source, its answer vouches for the source only when a note says so
         if request is canary and (result.note or not self.pools.settings.bypass_allowed):
             self.restore(source)
 
     @staticmethod
     def _is_failure(request: Request, result: AttemptResult) -> bool:
-        """Return whether an attempt failed by its backend's doing. An error may be the client's, unless the
-        object part was served before."""
+        """Return whether the backend is to blame for a failed attempt. An error may be caused by the request,
+        unless the object part was served before."""
         if result.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT):
             return True
         served_before = request.object_part is not None and request.object_part.last_served_by is not None
@@ -148,15 +152,16 @@
     # --- ejecting and restoring ---
 
     def record_failure(self, backend: Backend, weight: int = 1) -> None:
-        """Count a failure with no answer since the last one; enough in a row eject a backend."""
+        """Count a failure; enough of them without an answer in between eject the backend."""
         backend.consecutive_failures += weight
-        usual = min(max(self.late_share, CHANCE**0.5), CHANCE**0.25)
-        if backend.ejected or usual**backend.consecutive_failures <= CHANCE:
+        failure_rate = min(max(self.late_share, EJECTION_PROBABILITY**0.5), EJECTION_PROBABILITY**0.25)
+        if backend.ejected or failure_rate**backend.consecutive_failures <= EJECTION_PROBABILITY:
             self.eject(backend, certain=weight > 1)
 
     def record_missing_fill(self, source: Backend) -> None:
-        """Count a fill that came late, or not at all, through a cache that answers others. A source that most
-        fills wait for, while another's come, is ejected; what all parents show is the origin's doing."""
+        """Count a late or missing fill through a cache that answers other requests. A source is ejected if
+        most of its fills are late while those of another parent are in time; if all parents are late, the
+        origin is the cause."""
         source.late_fill_share += (1 - source.late_fill_share) * FILL_WEIGHT
         best_other = min(
             (parent.late_fill_share for parent in self.pools.parents if parent is not source), default=1.0
@@ -166,8 +171,9 @@
             self.eject(source)
 
     def eject(self, backend: Backend, certain: bool = False) -> None:
-        """Leave a backend to canary requests, more and more sparsely, and cancel what waits for it. What most
-        caches of the location show is not their doing, unless it is `certain` (connections are refused)."""
+        """Limit a backend to canary requests with growing backoff, and cancel the attempts waiting for it. A
+        cache is not ejected if at least half of the location's caches show the same failure, as the cause
+        is then elsewhere, unless the failure is `certain` (connections are refused)."""
         if self.plan.sends_canaries_only(backend.zone):
             return
         now, caches = self.host.now(), self.pools.caches
@@ -175,7 +181,7 @@
         is_shared_fault = backend in caches and not certain and 2 * others >= len(caches)
         if self.pools.is_origin(backend) or is_shared_fault:
             for cache in caches:
-                cache.retry_at = min(cache.retry_at, now)  # those that are ejected may be back
+                cache.retry_at = min(cache.retry_at, now)  # ejected caches may have recovered
             return
         longest = max(vhost.first_byte_target for vhost in self.virtual_hosts)
         backend.backoff = min(max(longest, 2 * backend.backoff), MAX_BACKOFF_FACTOR * longest)
@@ -184,25 +190,26 @@
             backend.ejected = True
             self.host.health_changed(backend, HealthChange.EJECTED, self._ejection_reason(backend))
             for request in list(backend.requests):
-                concerned = request.backend is backend or request.expects_fill
-                if request.sent_at > backend.last_answer_at and concerned:
+                is_affected = request.backend is backend or request.expects_fill
+                if request.sent_at > backend.last_answer_at and is_affected:
                     self.cancel_if_safe(request)
 
     @staticmethod
     def _ejection_reason(backend: Backend) -> str:
-        if backend.late_fill_share:  # tells more than the failures, which such fills also count as
+        if backend.late_fill_share:  # more specific than the failures, which late fills also count as
             return f"{backend.late_fill_share:.1f} of its fills late"
         return f"{backend.consecutive_failures} symptoms in a row"
 
     def restore(self, backend: Backend) -> None:
-        """Note that a backend answers. One that is ejected is restored."""
+        """Record that a backend answers, and restore it if it is ejected."""
         if backend.ejected:
             self.host.health_changed(backend, HealthChange.RESTORED, "answers again")
         backend.last_answer_at = self.host.now()
         self._reset(backend)
 
-    def forgive(self, backend: Backend) -> None:
-        """Forget what a backend has shown, as its whole location is left: that is not its own doing."""
+    def clear_failures(self, backend: Backend) -> None:
+        """Reset the failures and the ejection of a backend whose whole location fails over: the backend
+        itself is not the cause."""
         if backend.ejected:
             self.host.health_changed(backend, HealthChange.RESTORED, "its location is left")
         self._reset(backend)
@@ -214,6 +221,6 @@
 
     @staticmethod
     def may_send_canary(backend: Backend, vhost: VirtualHost, now: Ticks) -> bool:
-        """Return whether an ejected backend may be sent a canary request: one at a time, which may be
-        executed any number of times."""
+        """Return whether an ejected backend may be sent a canary request: one at a time, and only requests
+        that may be executed any number of times."""
         return now >= backend.retry_at and backend.canary is None and vhost.is_safe
--- a/lilacloft/routing/pools.py
+++ b/lilacloft/routing/pools.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this gateway uses it: which backends there are, by role and location."""
+"""Backend pools: the endpoint list as this gateway uses it, by role and location."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     """The backends of one gateway. The pools hold ready backends only, ordered by name."""
 
     def __init__(self, settings: RoutingSettings) -> None:
-        """Make empty pools."""
+        """Create empty pools."""
         self.settings = settings
-        self.backends: list[Backend] = []  # all that are listed, and those with an attempt in flight
+        self.backends: list[Backend] = []  # all listed ones, and those with an attempt in flight
         self.caches: list[Backend] = []  # of this location
         self.parents: list[Backend] = []
         self.origins: list[Backend] = []
-        self.caches_by_zone: dict[int, list[Backend]] = {}  # of all locations whose caches may be asked
+        self.caches_by_zone: dict[int, list[Backend]] = {}  # of all locations whose caches may be used
 
     def update(self, mode: ListMode | str, endpoints: Iterable[Endpoint]) -> set[Backend]:
-        """Take in a list, or changes of it; return the backends that have started anew."""
+        """Apply an endpoint list, or changes to it; return the backends that have restarted."""
         restarted: set[Backend] = set()
         if mode != ListMode.DELTA:
             for backend in self.backends:
@@ -30,7 +30,7 @@
         for endpoint in endpoints:
             if self._update_backend(endpoint):
                 restarted.add(endpoint.backend)
-            if self._concerns_us(endpoint.backend):
+            if self._is_used(endpoint.backend):
                 self.backends.append(endpoint.backend)
         self.backends = sorted(
             {
@@ -43,7 +43,8 @@
 
     @staticmethod
     def _update_backend(endpoint: Endpoint) -> bool:
-        """Copy a row onto its backend; return whether it has started anew, and nothing learned holds."""
+        """Copy a row to its backend. If the backend has restarted, reset its learned health and load, and
+        return True."""
         backend = endpoint.backend
         backend.zone, backend.kind, backend.cell = endpoint.zone, endpoint.kind, endpoint.cell
         backend.status = endpoint.status
@@ -55,7 +56,7 @@
         backend.reported_load = 0.0
         return True
 
-    def _concerns_us(self, backend: Backend) -> bool:
+    def _is_used(self, backend: Backend) -> bool:
         settings = self.settings
         return (
             settings.cross_location
@@ -74,17 +75,17 @@
         self.caches = self.caches_by_zone.get(self.settings.zone, [])
 
     def ready(self) -> list[Backend]:
-        """Return the backends that may be sent to."""
+        """Return the backends that accept attempts."""
         return [backend for backend in self.backends if backend.status == BackendStatus.READY]
 
     def is_origin(self, backend: Backend) -> bool:
-        """Return whether it is the origin."""
+        """Return whether a backend is the origin."""
         return backend.kind == self.settings.origin_kind
 
     def is_parent(self, backend: Backend) -> bool:
-        """Return whether it is a parent."""
+        """Return whether a backend is a parent."""
         return backend.kind == self.settings.parent_kind
 
     def is_remote_cache(self, backend: Backend) -> bool:
-        """Return whether it is a cache of another location."""
+        """Return whether a backend is a cache of another location."""
         return backend.zone != self.settings.zone and not (self.is_parent(backend) or self.is_origin(backend))
--- a/lilacloft/routing/retries.py
+++ b/lilacloft/routing/retries.py
@@ -1,7 +1,8 @@
-"""Attempts and retries: how many a request may have, which may be executed again, and where it goes next.
+"""Attempts and retries: how many attempts a request may have, which requests may be executed again, and which
+backends are excluded from the next attempt.
 
-No effect may happen twice: once an attempt may have been executed, another may follow only as the
-virtual host's idempotency allows.
+No effect may happen twice: once an attempt may have been executed, another one may follow only as the virtual
+host's idempotency allows.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 from lilacloft.routing.units import Ticks
 from lilacloft.routing.virtual_host import VirtualHost
 
-MAX_ATTEMPTS = 3  # that a request gets; more would add more load than they serve
-CLIENT_LEFT_GRACE: Ticks = (
-    500  # in which an attempt may begin for a client that may have left: it may read on
-)
+MAX_ATTEMPTS = 3  # per request; more would cost backends more load than they save requests
+# Time for which attempts may still begin after a client may have left: it may have closed only its sending
+# side, and still read.
+CLIENT_LEFT_GRACE: Ticks = 500
 
 # Outcomes after which an attempt may have been executed.
 MAY_HAVE_EXECUTED = (
@@ -34,7 +35,7 @@
     Outcome.MALFORMED,
     Outcome.CANCELLED,
 )
-# Outcomes after which an attempt surely had no copy revalidated.
+# Outcomes after which an attempt certainly did not trigger revalidation.
 NOT_REVALIDATED = (Outcome.UNSENT, Outcome.CONNECT_FAILED, Outcome.QUEUE_FULL, Outcome.CANCELLED)
 # Notes that blame the source of a fill, not the cache that was asked.
 SOURCE_FAILED = (
@@ -46,31 +47,31 @@
 
 
 def last_send_time(client_left_at: Ticks) -> Ticks:
-    """Return from when on no attempt may begin for a client that may have left at a time. Without state: any
-    thread may ask, of times by any clock."""
+    """Return the time from which no attempt may begin for a client that may have left at the given time.
+    Stateless: usable from any thread, with times of any clock."""
     return client_left_at + CLIENT_LEFT_GRACE
 
 
 def attempts_used(request: Request, allowed: int) -> bool:
-    """Return whether a request has had as many attempts as it may have. `allowed`: by the settings."""
+    """Return whether a request has used all its attempts. `allowed`: the maximum from the settings."""
     return request.attempts >= min(MAX_ATTEMPTS, allowed)
 
 
 def send_by_reason(request: Request) -> RejectReason:
-    """Return which of the two bounds of a request's `send_by` has passed."""
+    """Return which of the two causes of a request's `send_by` applies."""
     if request.first_executed_at is None:
         return RejectReason.CLIENT_LEFT
     return RejectReason.WINDOW_OVER
 
 
 def limit_send_by(request: Request, at: Ticks) -> None:
-    """Let nothing go out later for a request."""
+    """Allow no attempt of a request to be sent after the given time."""
     request.send_by = min(request.send_by or math.inf, at)
 
 
 def may_repeat(request: Request, backend: Backend, vhost: VirtualHost, now: Ticks, tick: Ticks) -> bool:
-    """Return whether a request may go to a backend, where an attempt may have been executed before. It may
-    not wait for its connection past the end of its idempotency window then."""
+    """Return whether a request may be sent to a backend, considering that an earlier attempt may have been
+    executed. In that case the request must be sent before its idempotency window ends."""
     if request.first_executed_at is None or vhost.is_safe:
         return True
     window_ends_at = request.first_executed_at + vhost.idempotency_window - tick
@@ -85,7 +86,7 @@
 
 
 def _knows_key(scope: IdempotencyScope, first: Backend | None, backend: Backend) -> bool:
-    """Return whether a backend knows an idempotency key that the first one has seen."""
+    """Return whether a backend recognizes an idempotency key that the first one has seen."""
     if scope is IdempotencyScope.ALL:
         return True
     if first is None:
@@ -94,7 +95,7 @@
 
 
 def may_reject(request: Request, vhost: VirtualHost) -> bool:
-    """Return whether a client may be told that asking again is safe."""
+    """Return whether a client may be told that a retry is safe."""
     executed = request.in_flight or request.first_executed_at is not None
     return (
         not executed
@@ -104,10 +105,11 @@
 
 
 def record_failure(request: Request, backend: Backend, source: Backend, result: AttemptResult) -> None:
-    """Take in a failed attempt: whether it may have been executed, and who is not asked again.
+    """Record a failed attempt: whether it may have been executed, and which backends are excluded from
+    retries.
 
-    Nobody is to blame for malformed, unsent and reset attempts, which may happen anywhere; after a malformed
-    answer the copy lies ready at the same backend.
+    Malformed, unsent and reset attempts may happen anywhere and exclude no backend; after a malformed answer
+    the same backend holds a copy ready.
     """
     outcome = result.outcome
     if outcome in MAY_HAVE_EXECUTED and request.first_executed_at is None:
@@ -116,11 +118,11 @@
         return
     if outcome == Outcome.RESET and not backend.ejected:
         return
-    # it answers others: this attempt is merely lost
+    # the backend answers other requests: only this attempt was lost
     lost = outcome == Outcome.CANCELLED and not backend.ejected and backend.last_answer_at >= request.sent_at
     if result.note not in SOURCE_FAILED and not lost:
         request.failed_backends.append(backend)
     if result.note != CacheNote.FILL_QUEUE_FULL and source is not backend:
         request.failed_backends.append(source)
-    # what has just failed may be the fill under way
+    # the fill in progress may be what has just failed
     request.may_collapse = request.may_collapse and outcome not in MAY_HAVE_EXECUTED
--- a/lilacloft/routing/router.py
+++ b/lilacloft/routing/router.py
@@ -1,8 +1,8 @@
-"""The router: what happens at a gateway comes in here, and its decisions go out through a `Host`.
+"""The router: receives the events of a gateway, and acts on them through a `Host`.
 
-Make one `Router` a gateway, of a `Host` (host.py) and the settings; call the method named for each thing that
-happens. It acts by calling the host before it returns. Which rule is asked in which order stands here; the
-rules stand in the modules beside this one.
+Create one `Router` per gateway from a `Host` (host.py) and the settings, and call the method for each event.
+The router acts by calling the host before the method returns. This module defines the order in which the
+rules are applied; the rules themselves are in the other modules of this package.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 MAINTENANCE_INTERVAL: Ticks = 5_000
 DEADLINE, DONE = Timer.DEADLINE, Outcome.DONE
-OVERDUE_FACTOR = 2  # an attempt that takes so many times its objective is cancelled, where that is safe
+OVERDUE_FACTOR = 2  # an attempt that exceeds this multiple of its objective is cancelled, if that is safe
 
 
 class Router:
     """One gateway's decisions."""
 
     def __init__(self, host: Host, settings: Mapping[str, Any]) -> None:
-        """`settings`: validated ones in lilacloft's names (lilacloft/protocol_settings.py)."""
+        """`settings`: validated settings with internal names (lilacloft/protocol_settings.py)."""
         self.rules = rules = self.make_rules(host, settings)
         self.host = host
         self.settings = rules.settings
@@ -49,20 +49,20 @@
         self.outliers.cancel_if_safe = self.cancel_if_safe
         self.routes = RoutePlanner(rules)
         self.dispatcher = Dispatcher(rules)
-        self.caught_up_at: Ticks = 0  # until then this gateway runs late itself, and judges nobody to be late
+        self.caught_up_at: Ticks = 0  # until then this gateway lags itself, and treats no attempt as overdue
         if self.settings.subscribes:
             self.timer_fired(Timer.SUBSCRIBE)
         self.timer_fired(Timer.MAINTENANCE)
 
     @staticmethod
     def make_rules(host: Host, settings: Mapping[str, Any]) -> Rules:
-        """Make the rules; baselines for comparison replace some."""
+        """Create the rules; baseline policies override this to replace some of them."""
         return Rules.make(host, settings)
 
     # --- discovery ---
 
     def endpoints_changed(self, mode: ListMode | str, endpoints: Iterable[Endpoint]) -> None:
-        """Discovery sends the endpoint list, or changes of it."""
+        """Handle the endpoint list, or changes to it, from discovery."""
         if mode == ListMode.FAILED:
             if self.settings.subscribes:
                 self.host.wake(self.host.now() + MAINTENANCE_INTERVAL, Timer.SUBSCRIBE)
@@ -71,7 +71,7 @@
         for backend in self.pools.ready():
             if backend.concurrency_limit is None:
                 backend.concurrency_limit = self._initial_limit(backend)
-        # what was let go and has not gone out would come to a backend that is draining, or cold now
+        # attempts that are not on the wire yet would reach a backend that is now draining, gone or cold
         self._withdraw(
             request
             for backend in self.pools.backends
@@ -89,7 +89,7 @@
     # --- requests ---
 
     def request_arrived(self, request: Request) -> None:
-        """A client sends a request."""
+        """Handle a new request from a client."""
         vhost, now = self.virtual_hosts[request.vhost], self.host.now()
         known_transfer_time = request.kbytes / self.settings.transfer_rate
         if not vhost.has_traffic:
@@ -109,11 +109,12 @@
         self._route(request)
 
     def stream_started(self, request: Request, attempt: int) -> None:
-        """The answer is a stream that has begun: it has neither a time-out nor a deadline any more."""
+        """Handle the start of a streamed answer, to which neither a timeout nor the deadline applies any
+        more."""
         request.streaming = self._is_current(request, attempt)
 
     def attempt_ended(self, request: Request, backend: Backend, result: AttemptResult) -> None:
-        """An attempt is over. Reports of earlier attempts are ignored."""
+        """Handle the end of an attempt. Results of earlier attempts are ignored."""
         if not self._is_current(request, result.attempt):
             return
         canary = request.source.canary
@@ -138,7 +139,7 @@
             vhost.record_final(request.transfer_time, answered=True)
 
     def client_disconnected(self, request: Request) -> None:
-        """The client has gone: no answer is owed any more."""
+        """Handle the disconnection of a client: its request needs no answer any more."""
         if request.finished:
             return
         request.finished = True
@@ -146,19 +147,19 @@
             self.host.cancel(request, request.attempts - 1)
 
     def client_half_closed(self, request: Request, at: Ticks) -> Ticks:
-        """The client's input ended at a time: it may read on or have left, and nobody can tell before
-        something is written to it. What is in flight is answered; nothing goes out later than the time
-        that is returned."""
+        """Handle the end of a client's input at time `at`: whether the client has left or still reads is
+        unknown until something is written to it. Attempts in flight are still answered; none is sent after
+        the returned time."""
         retries.limit_send_by(request, retries.last_send_time(at))
         return request.send_by
 
     def send_by_passed(self, request: Request) -> None:
-        """The `send_by` of a request has come, and nothing of its attempt has gone out."""
+        """Handle that the `send_by` of a request has passed and nothing of its attempt was sent."""
         self.reject(request, retries.send_by_reason(request))
 
     def reject(self, request: Request, reason: RejectReason) -> None:
-        """Give the final answer of a request that is not served; nothing else gives one to a request that
-        was let in."""
+        """Give the final answer to a request that is not served. For admitted requests, only this method does
+        so."""
         if request.finished:
             return
         vhost = self.virtual_hosts[request.vhost]
@@ -174,13 +175,14 @@
             self.host.fail(request)
 
     def cancel_if_safe(self, request: Request) -> None:
-        """Cancel an attempt, whose outcome routes the request anew, only where that can do no harm."""
+        """Cancel an attempt if the request may safely be executed again; the outcome then reroutes the
+        request."""
         may_cancel = request.in_flight and self.settings.can_cancel and not request.streaming
         if may_cancel and self.virtual_hosts[request.vhost].is_safe:
             self.host.cancel(request, request.attempts - 1)
 
     def _withdraw(self, requests: Iterable[Request]) -> None:
-        """Have attempts decided anew, those of them that have not gone out."""
+        """Withdraw the attempts that are not on the wire yet, so that their requests are rerouted."""
         for request in dict.fromkeys(requests):
             self.host.withdraw(request, request.attempts - 1)
 
@@ -191,35 +193,36 @@
     # --- the change log ---
 
     def discovery_begins(self) -> None:
-        """The change log is read from now on: at a start, or at another address."""
+        """Handle the start of reading the change log: at the start, or at another address."""
         self.freshness.catch_up.begin(self.host.now())
 
     def discovery_connected(self) -> None:
-        """A connection to the change log was made."""
+        """Handle a new connection to the change log."""
         self.freshness.catch_up.connected(self.host.now())
 
     def discovery_disconnected(self) -> None:
-        """The connection to the change log has ended."""
+        """Handle the end of the connection to the change log."""
         self.freshness.catch_up.disconnected(self.host.now())
 
     def discovery_repeated(self) -> None:
-        """The change log has sent an event again that was reported here before, and nothing new yet."""
+        """Handle an event of the change log that was reported before, when nothing new has come yet."""
         self.freshness.catch_up.repeated(self.host.now())
 
     def discovery_answered(self) -> None:
-        """The change log has sent something new on its connection, and that was reported here."""
+        """Handle that the change log has sent a new event on its connection, after the event was reported."""
         self.freshness.catch_up.answered(self.host.now())
 
     def discovery_caught_up(self) -> None:
-        """All that the change log had held was read and reported here, or it cannot be read now."""
+        """Handle that the backlog of the change log was read and reported, or that the log cannot be read
+        now."""
         self.freshness.catch_up.end()
 
     # --- purges, health, time ---
 
     def object_purged(self, key: str, group: int, age: Ticks) -> None:
-        """An object, or without a key a whole group, was purged so long ago."""
+        """Handle the purge, `age` ticks ago, of an object or, if `key` is empty, of a whole group."""
         self.freshness.purge(key, group, self.host.now() - age)
-        # what has not gone out allows a copy that is too old now
+        # attempts that are not on the wire yet accept a copy that is now too old
         self._withdraw(
             request
             for backend in self.pools.backends
@@ -228,15 +231,16 @@
         )
 
     def health_checked(self, backend: Backend, outcome: Outcome | str, report: Sequence[float]) -> None:
-        """A health check is answered, with a load report or without."""
+        """Handle the answer to a health check, with or without a load report."""
         self.load_reports.record(backend, outcome, report)
 
     def loop_lagged(self, late: Ticks) -> None:
-        """The host calls us so late: answers may lie unread, and no backend is to blame."""
+        """Handle a lag of the host's event loop by `late` ticks: answers may be unread, and no backend is to
+        blame for that."""
         self.caught_up_at = self.host.now() + late
 
     def timer_fired(self, timer: Timer | str) -> None:
-        """A time that was asked for has come."""
+        """Handle a timer that was set with `Host.wake`."""
         now = self.host.now()
         if timer == DEADLINE:
             for deadline in self.deadlines.due(now):
@@ -258,7 +262,8 @@
             self._attempt_overdue(request)
 
     def _attempt_overdue(self, request: Request) -> None:
-        """An attempt has reached its latency objective, or a multiple of it: judge who keeps it waiting."""
+        """Handle an attempt that has reached its latency objective, or a multiple of it: decide whether its
+        backend or its source is at fault."""
         now, attempt = self.host.now(), request.attempts - 1
         if now < self.caught_up_at:
             return self.deadlines.add(self.caught_up_at, request, attempt)
@@ -268,48 +273,50 @@
         far_overdue, known_size = now >= limit, has_known_size(request)
         slow_source = request.expects_fill and source.late_fill_share > TOLERATED_LATE_SHARE
         if backend.last_answer_at < request.sent_at and not slow_source:
-            # nothing since, and no slow source explains it: the backend itself
+            # the backend has answered nothing since, and no slow source explains the delay
             if far_overdue or known_size:
                 self.outliers.record_failure(backend)
             if far_overdue and known_size:
                 return self.cancel_if_safe(request)
         elif request.expects_fill and source is not backend and far_overdue != known_size:
-            self.outliers.record_missing_fill(source)  # the backend answers others: its source
+            # the backend answers other requests, so its source is slow
+            self.outliers.record_missing_fill(source)
         if not far_overdue:
             self.deadlines.add(limit, request, attempt)
         elif not request.expects_fill and known_size:
-            self.cancel_if_safe(request)  # a likely hit's answer is lost, though others come
+            self.cancel_if_safe(request)  # the answer to a likely hit is lost, while others arrive
         return None
 
     # --- the fleet ---
 
     def set_standby(self, on: bool) -> None:
-        """Another process is this gateway now, or is it no more."""
+        """Set whether another process acts as this gateway."""
         self.plan.standby = on
 
     def plan_changed(self, update: PlanUpdate) -> None:
-        """Another plan holds (lilacloft/control/), or none."""
+        """Apply another plan (lilacloft/control/), or the absence of one."""
         plan, outliers = self.plan, self.outliers
         self.link_limit.ceiling = update.link_ceiling or math.inf
         plan.budget_factors = update.budget_factors
-        newly_away = update.failovers.keys() - plan.failovers.keys()
+        newly_failed_over = update.failovers.keys() - plan.failovers.keys()
         plan.failovers = update.failovers
         listed = [backend for backend in self.pools.backends if not self.pools.is_origin(backend)]
         for backend in listed:
-            if backend.zone in newly_away:
-                self._location_left(backend)
+            if backend.zone in newly_failed_over:
+                self._location_failed_over(backend)
         for backend in self.pools.backends:
             if backend.concurrency_limit:
                 backend.concurrency_limit.ceiling = update.limit_ceilings.get(backend.name, math.inf)
             if backend.name in update.ejections and not self.pools.is_origin(backend):
                 backend.ejected, backend.retry_at = True, update.ejections[backend.name]
             elif backend.name in plan.ejections:
-                outliers.restore(backend)  # by the plan's word: nothing need have answered
+                outliers.restore(backend)  # on behalf of the plan, even without an answer
         plan.ejections = update.ejections
 
-    def _location_left(self, backend: Backend) -> None:
-        """Its whole location is left: what waits for it is cancelled and goes elsewhere."""
-        self.outliers.forgive(backend)
+    def _location_failed_over(self, backend: Backend) -> None:
+        """Reset a backend whose whole location fails over, and cancel the attempts waiting for it, which are
+        rerouted."""
+        self.outliers.clear_failures(backend)
         limit = backend.concurrency_limit
         if limit:
             limit.limit, limit.late_share = max(limit.limit, self._initial_limit_value(backend)), 0.0
@@ -320,20 +327,22 @@
     # --- choosing a backend ---
 
     def _route(self, request: Request) -> None:
-        """Send a request to the first backend in order that may take it; reject it at once where none may."""
-        reason = self._exhausted(request)
+        """Send a request to the first backend in order that may take it; reject it at once if there is
+        none."""
+        reason = self._no_attempt_reason(request)
         if reason is not None:
             return self.reject(request, reason)
         options = self.routes.options(request)
         if self.dispatcher.send_first(request, options.routes):
             return None
-        if self._look_up(request, options):
+        if self._send_lookup(request, options):
             return None
         return self.reject(request, RejectReason.NO_ROOM)
 
-    def _look_up(self, request: Request, options: RouteOptions) -> bool:
-        """Ask the home for what it has cached, where there is no room for a fill: that needs no link. A miss
-        comes back at once, and is tried once, as nothing of it lies there a moment later."""
+    def _send_lookup(self, request: Request, options: RouteOptions) -> bool:
+        """Ask the home for a cached copy when there is no room for a fill, as a hit does not use the link.
+        A miss is answered at once, and the lookup is not repeated, as the copy will not appear a moment
+        later."""
         home, send_first = options.home, self.dispatcher.send_first
         if home is None or request.cache_only:
             return False
@@ -341,8 +350,8 @@
             return True
         return send_first(request, [Route(home, [home])])
 
-    def _exhausted(self, request: Request) -> RejectReason | None:
-        """Return why a request gets no further attempt, wherever there is room; None where it may."""
+    def _no_attempt_reason(self, request: Request) -> RejectReason | None:
+        """Return why a request may not have another attempt at any backend; None if it may."""
         now = self.host.now()
         if retries.attempts_used(request, self.settings.max_attempts):
             return RejectReason.TRIES_USED
--- a/lilacloft/routing/rules.py
+++ b/lilacloft/routing/rules.py
@@ -1,4 +1,4 @@
-"""The rules of one gateway's decisions and the state that they share, put together once."""
+"""Creates the routing rules of one gateway and the state that they share."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def initial_link_limit(settings: RoutingSettings) -> AdaptiveLimit:
-    """Make the limit on a gateway's likely fills through its location's link."""
+    """Return the initial limit on a gateway's likely fills through its location's link."""
     transfers = settings.zone_link_rates[settings.zone] / settings.transfer_rate or MIN_BOUND
     limit = max(1.0, INITIAL_FACTOR * transfers / settings.zone_gateways)
     return AdaptiveLimit(limit, 1 / settings.gateways)
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Rules:
-    """One gateway's rules, each of which may be replaced (lilacloft/emulator/policies.py)."""
+    """The rules of one gateway, each of which may be replaced (lilacloft/emulator/policies.py)."""
 
     host: Host
     settings: RoutingSettings
@@ -48,8 +48,7 @@
 
     @classmethod
     def make(cls, host: Host, mapping: Mapping[str, Any]) -> Rules:
-        """Make those of a gateway, of validated settings in lilacloft's names
-        (lilacloft/protocol_settings.py)."""
+        """Create the rules from validated settings with internal names (lilacloft/protocol_settings.py)."""
         settings = RoutingSettings.from_mapping(mapping)
         virtual_hosts = [
             VirtualHost(config, mapping["family"], index) for index, config in enumerate(mapping["vhosts"])
--- a/lilacloft/routing/settings.py
+++ b/lilacloft/routing/settings.py
@@ -1,4 +1,4 @@
-"""The settings that the decisions use, typed and in the decisions' units."""
+"""The settings used by the routing rules, typed and in their units."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
-LOAD_REPORT_FIELDS = {"inflight", "util"}  # without both, health checks tell nothing of use
+LOAD_REPORT_FIELDS = {"inflight", "util"}  # without both, load reports are not usable
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartProfile:
-    """How much a backend of one kind bears after its start, and what pushes it over."""
+    """How the capacity of one kind of backend grows after its start, and which load makes it fail."""
 
-    initial_share: float  # share of its capacity that it has at its start; it grows evenly from there
-    duration: Ticks  # until it has all of it
-    overload_factor: float  # this multiple of what it bears pushes it over
+    initial_share: float  # share of its full capacity at its start; grows linearly from there
+    duration: Ticks  # until it has its full capacity
+    overload_factor: float  # it fails at this multiple of its current capacity
 
 
 @dataclass(slots=True)
 class RoutingSettings:
-    """One gateway's settings. Rates are KB in a tick."""
+    """One gateway's settings. Rates are in KB per tick."""
 
     zone: int  # this gateway's location
     gateways: int  # in all
@@ -30,28 +30,28 @@
     parent_kind: int
     origin_kind: int
     transfer_rate: float  # of one transfer at full rate
-    zone_link_rates: Sequence[float]  # of each location's link in; 0: not known
-    capacities_known: bool  # the endpoint list tells them
-    bypass_allowed: bool  # requests may go to parents and the origin past the caches
-    collapsing: bool  # caches join requests for the same object part into one fill
+    zone_link_rates: Sequence[float]  # of the inbound link of each location; 0: unknown
+    capacities_known: bool  # the endpoint list has them
+    bypass_allowed: bool  # requests may bypass the caches and go to parents and the origin
+    collapsing: bool  # caches collapse concurrent requests for an object part into one fill
     purge_lifetime: Ticks  # after which no copy from before a purge is left
-    purge_grace: Ticks  # from when it was told until a purge must be heeded
+    purge_grace: Ticks  # from the publication of a purge until it must be applied
     cache_slow_start: SlowStartProfile
     parent_slow_start: SlowStartProfile
     tick: Ticks  # granularity of the gateway's clock
-    overload_window: Ticks  # in which too much work pushes a cold backend over
+    overload_window: Ticks  # too much work within this time makes a cold backend fail
     max_attempts: int
     can_cancel: bool
-    retry_after: Ticks  # named in rejections; 0: none may be named
-    health_checks: bool  # they are allowed, and tell load
-    load_fields: Sequence[str]  # of a load report, in their order
+    retry_after: Ticks  # stated in rejections; 0: none may be stated
+    health_checks: bool  # they are allowed, and report load
+    load_fields: Sequence[str]  # of a load report, in order
     slot_offset: float  # in [0, 1), spreads the turns of the gateways evenly
-    subscribes: bool  # discovery tells changes only when asked to
-    cross_location: bool  # caches of other locations may be asked, where a plan says so
+    subscribes: bool  # discovery sends changes only to subscribers
+    cross_location: bool  # caches of other locations may be used if a plan says so
 
     @classmethod
     def from_mapping(cls, settings: Mapping[str, Any]) -> RoutingSettings:
-        """Make them of validated settings in lilacloft's names (lilacloft/protocol_settings.py)."""
+        """Create from validated settings with internal names (lilacloft/protocol_settings.py)."""
         family, rules, limits = settings["family"], settings["rules"], settings["limits"]
         zone, fields = settings["zone"], settings["stats"]["names"]
         link_rates = family.get("feed_kb_per_s") or [0] * (zone + 1)
--- a/lilacloft/routing/snapshot.py
+++ b/lilacloft/routing/snapshot.py
@@ -1,10 +1,10 @@
-"""Snapshot of a router's state: export as plain values for the next process or a store, and restore.
+"""Snapshots of a router's state: export as plain values for the next process or a store, and restore.
 
-Exported is what a rule counts on and what takes long to learn. The rest is sent again by discovery, is
-counted from the open requests, or starts with its defaults. Nothing is decided here.
+A snapshot contains the state that rules depend on and that takes long to learn. The rest is sent again by
+discovery, is derived from the open requests, or starts with its defaults. Nothing is decided here.
 
-The keys of the exported values are stored and sent: the tables below pin them, whatever the attributes are
-called. All times are `Ticks` of the gateway's own time.
+The keys of the exported values are stored and sent; the tables below map attributes to keys, so that an
+attribute may be renamed while its key stays. All times are `Ticks` of the gateway's own time.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from lilacloft.routing.model import Backend, ObjectPart, PartKey, Request
 from lilacloft.routing.router import Router
 
-# By record: each exported attribute and the key under which it is stored and sent.
+# For each record type, the exported attributes and the keys under which they are stored and sent.
 ROUTER_KEYS = ("late", "value", "work", "unit", "arrivals", "caught_up", "borne")
 VHOST_KEYS = {"mean_transfer_time": "work", "usual_answer_time": "usual"}
 LIMIT_KEYS = {
@@ -70,7 +70,8 @@
 }
 
 
-# Values of a request's key "way": which limit counts its fill; otherwise the name of its source, or None.
+# The value of a request's key "way" if its fill counts towards the link limit; otherwise "way" is the name of
+# its source if the fill counts towards the limit of the source, or None.
 LINK_FILL_LIMIT = ""
 
 
@@ -80,7 +81,7 @@
 
 
 def _restore(record: Any, keys: Mapping[str, str], exported: Mapping[str, Any]) -> None:
-    """Set a record's attributes to exported values; those that were not exported stay."""
+    """Set a record's attributes to exported values; attributes that were not exported keep their values."""
     for attribute, key in keys.items():
         if key in exported:
             setattr(record, attribute, exported[key])
@@ -94,8 +95,8 @@
 ) -> dict[str, Any]:
     """Return a router's state as plain values.
 
-    `requests`: the open requests that are exported; others refer to them by their index. `part_keys`: which
-    object parts are exported.
+    `requests`: the open requests to export; other exported values refer to them by their index. `part_keys`:
+    the object parts to export.
     """
     index = {request: position for position, request in enumerate(requests)}
     return {
@@ -118,7 +119,7 @@
 
 
 def export_object_parts(router: Router, part_keys: Iterable[PartKey]) -> list[dict[str, Any]]:
-    """Return those of the given object parts that the router has, as plain values."""
+    """Return the given object parts as plain values, except those that the router does not have."""
     object_parts = router.freshness.object_parts
     return [
         {
@@ -136,7 +137,7 @@
 
 
 def _backends_by_name(router: Router, requests: Iterable[Request]) -> dict[str, Backend]:
-    """Return all backends that open requests refer to, also unlisted ones, and all that are listed."""
+    """Return all listed backends and all, including unlisted ones, that open requests refer to."""
     backends = {
         backend.name: backend
         for request in requests
@@ -160,7 +161,7 @@
 
 
 def _export_backend(backend: Backend, index: Mapping[Request, int]) -> dict[str, Any]:
-    """Return a backend as plain values. `index`: that of each exported request."""
+    """Return a backend as plain values. `index`: the index of each exported request."""
     return {
         **_export(backend, BACKEND_KEYS),
         "started": backend.started,
@@ -190,10 +191,10 @@
 def restore_state(
     router: Router, exported: Mapping[str, Any], backends: Mapping[str, Backend]
 ) -> list[Request]:
-    """Continue with an exported state, and return its requests in their order.
+    """Restore an exported state, and return its requests in order.
 
-    `backends`: by name, those that the endpoint list or a request names. What was exported of an earlier
-    start of a backend is passed over.
+    `backends`: by name, those that the endpoint list or a request refers to. The exported values of a backend
+    that has restarted since are ignored.
     """
     _restore_router(router, exported["router"])
     for vhost, values in zip(router.virtual_hosts, exported["vhosts"], strict=False):
@@ -238,7 +239,7 @@
 
 
 def _restore_backend(backend: Backend, exported: Mapping[str, Any], gateway_share: float) -> None:
-    """Restore what was learned of a backend. `gateway_share`: this gateway's share of its capacity."""
+    """Restore the learned state of a backend. `gateway_share`: this gateway's share of its capacity."""
     _restore(backend, BACKEND_KEYS, exported)
     backend.recent_work = [(at, work) for at, work in backend.recent_work]
     if exported["way"]:
@@ -247,14 +248,14 @@
 
 
 def _restore_in_flight(backend: Backend, exported: Mapping[str, Any], requests: list[Request]) -> None:
-    """Restore which of the exported requests are in flight at a backend."""
+    """Restore the exported requests that are in flight at a backend."""
     backend.requests = {requests[position]: None for position in exported["reqs"]}
     backend.in_flight_load = sum(request.load_units for request in backend.requests)
     backend.canary = None if exported["trial"] is None else requests[exported["trial"]]
 
 
 def _restore_request(router: Router, exported: Mapping[str, Any], backends: Mapping[str, Backend]) -> Request:
-    """Return one open request, counted by the limits that its attempt in flight is subject to."""
+    """Restore one open request; an attempt in flight is counted in its limits."""
     request = Request(**{attribute: exported[key] for attribute, key in REQUEST_KEYS.items()})
     request.backend = backends.get(exported["be"])
     request.source = backends.get(exported["source"])
--- a/lilacloft/routing/units.py
+++ b/lilacloft/routing/units.py
@@ -1,4 +1,4 @@
-"""The unit of time of the decisions, and of most of the program."""
+"""The unit of time used by the router and most of the program."""
 
 from __future__ import annotations
 
