--- a/lilacloft/gateway/__init__.py
+++ b/lilacloft/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""One gateway process: its event loop, clock, lifecycle and timers, and what it does for the decisions.
+"""One gateway process: its event loop, clock, lifecycle, timers and counters, and the router's host.
 
-`lilacloft.gateway.gateway.Gateway` puts the parts together; one thread runs all of them, see `event_loop`.
+`lilacloft.gateway.gateway.Gateway` assembles the components; a single thread runs them, see `event_loop`.
 """
--- a/lilacloft/gateway/answers.py
+++ b/lilacloft/gateway/answers.py
@@ -1,4 +1,4 @@
-"""Sends the final answers to clients: one for each request, and none to a client that has left."""
+"""Sends final answers to clients: one per request, and none to a client that has disconnected."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 
 
 class AnswerKind(StrEnum):
-    """What a final answer says; the values are keys of `Counters.answers` and of records."""
+    """The outcome that a final answer reports; the values are keys of `Counters.answers` and of records."""
 
     SERVED = "done"
-    REJECTED = "denied"  # not served, and safe to send again
-    FAILED = "aborted"  # failed, with nothing promised
+    REJECTED = "denied"  # not served; safe to retry
+    FAILED = "aborted"  # failed; the request may or may not have been executed
 
 
 STATUS = {AnswerKind.SERVED: b"200", AnswerKind.REJECTED: b"503", AnswerKind.FAILED: b"500"}
-AnswerFields = tuple[tuple[str, object], ...]  # names and values, in the order in which they are written
+AnswerFields = tuple[tuple[str, object], ...]  # names and values, in the order in which they are encoded
 
 
 class FinalAnswers:
-    """Sends one gateway's final answers."""
+    """Sends the final answers of one gateway."""
 
     def __init__(self, gateway: GatewayContext) -> None:
         self.gateway = gateway
 
     def send(
-        self, call: ClientRequest, kind: AnswerKind, fields: AnswerFields = (), body: bytes = b""
+        self, client_request: ClientRequest, kind: AnswerKind, fields: AnswerFields = (), body: bytes = b""
     ) -> None:
-        """Send a request's final answer, unless it has had one or its client has left."""
+        """Send a request's final answer, unless it was answered already or its client has disconnected."""
         gateway = self.gateway
-        if not gateway.front.close_request(call):
+        if not gateway.front.close_request(client_request):
             return
         gateway.counters.answers[kind] += 1
-        gateway.invariants.answered(call.history, gateway.clock.time)
-        reason = call.request.reject_reason.name if call.request.reject_reason else ""
+        gateway.invariants.answered(client_request.history, gateway.clock.time)
+        reason = client_request.request.reject_reason.name if client_request.request.reject_reason else ""
         if reason:
             gateway.counters.rejects[reason] += 1
-        gateway.trace.add(gateway.clock.monotonic_time, call.name, kind, reason)
+        gateway.trace.add(gateway.clock.monotonic_time, client_request.name, kind, reason)
         if gateway.recorder:
-            gateway.recorder.answered(call, kind.value)
-        gateway.front.answer(call.client, call.tag, STATUS[kind], fields, body)
-        call.client.used = time.monotonic()
-        call.client.settled += 1  # after the answer: its connection may end now
+            gateway.recorder.answered(client_request, kind.value)
+        gateway.front.answer(client_request.client, client_request.tag, STATUS[kind], fields, body)
+        client_request.client.used = time.monotonic()
+        client_request.client.settled += 1  # last: from here on the connection may be closed
--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -1,6 +1,6 @@
-"""What clients' connections report: requests that arrive, cancels, disconnects and malformed data.
+"""Handles events of client connections: new requests, cancellations, disconnects and malformed input.
 
-The connections' threads post these to the event loop.
+The connections' threads post these events to the event loop.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class ClientRequests:
-    """One gateway's open requests."""
+    """Handles the clients' requests of one gateway."""
 
     def __init__(
         self,
@@ -35,53 +35,62 @@
             for vhost in gateway.vhosts
         ]
 
-    # --- from clients' connections ---
+    # --- events from client connections ---
 
-    def arrived(self, call: ClientRequest) -> None:
-        """A request was read. One whose client has cancelled it or left since is not decided on: that it has
-        is queued behind."""
-        if call.client.close_reason is not None or call.client.open.get(call.tag) is not call:
+    def arrived(self, client_request: ClientRequest) -> None:
+        """Handle a new request. One whose client has meanwhile cancelled it or disconnected is not routed:
+        the event that reports this is queued behind."""
+        if (
+            client_request.client.close_reason is not None
+            or client_request.client.open.get(client_request.tag) is not client_request
+        ):
             return
         gateway = self.gateway
-        client_timeout = gateway.vhosts[call.vhost]["client_timeout"]
-        arrived_at = self.clock.time - max(0, self.clock.monotonic_time - call.at)
-        client_deadline = arrived_at + min(call.allow * TICKS_PER_MILLISECOND, client_timeout)
-        call.request = request = self._make_request(call, arrived_at, client_deadline)
-        gateway.open_requests[request] = call
-        call.history = self.request_history(call, request)
-        call.history.deadline = client_deadline
-        waited = self.clock.monotonic_time - call.at
-        gateway.trace.add_late(call.at, call.name, "arrived", gateway.vhosts[call.vhost]["name"], waited)
+        client_timeout = gateway.vhosts[client_request.vhost]["client_timeout"]
+        arrived_at = self.clock.time - max(0, self.clock.monotonic_time - client_request.at)
+        client_deadline = arrived_at + min(client_request.allow * TICKS_PER_MILLISECOND, client_timeout)
+        client_request.request = request = self._make_request(client_request, arrived_at, client_deadline)
+        gateway.open_requests[request] = client_request
+        client_request.history = self.request_history(client_request, request)
+        client_request.history.deadline = client_deadline
+        waited = self.clock.monotonic_time - client_request.at
+        gateway.trace.add_late(
+            client_request.at,
+            client_request.name,
+            "arrived",
+            gateway.vhosts[client_request.vhost]["name"],
+            waited,
+        )
         if gateway.store:
-            gateway.store.note_earlier_execution(call, request)
+            gateway.store.note_earlier_execution(client_request, request)
         if gateway.recorder:
-            gateway.recorder.request_arrived(call)
+            gateway.recorder.request_arrived(client_request)
         gateway.router.request_arrived(request)
 
-    def _make_request(self, call: ClientRequest, arrived_at: Ticks, deadline: Ticks) -> Request:
-        """Return the request for the decisions, with as much time as this process can use of its client's;
-        during a shutdown no more than the process has."""
+    def _make_request(self, client_request: ClientRequest, arrived_at: Ticks, deadline: Ticks) -> Request:
+        """Return the router's request. Its deadline is the client's, less the margin for this process's own
+        lag; during a shutdown it is no later than the shutdown's deadline."""
         lifecycle, margin = self.lifecycle, self.gateway.lag_margin
         deadline = margin.answer_by(arrived_at, deadline, margin.current(self.clock.monotonic_time))
         if lifecycle.shutdown_started:
             deadline = min(deadline, lifecycle.shutdown_deadline)
         lifecycle.last_arrival = self.clock.time
         return Request(
-            call.key,
-            call.part,
-            call.group,
-            call.kbytes,
+            client_request.key,
+            client_request.part,
+            client_request.group,
+            client_request.kbytes,
             arrived_at,
             deadline,
-            call.vhost,
-            is_write=bool(call.body),
+            client_request.vhost,
+            is_write=bool(client_request.body),
         )
 
-    def request_history(self, call: ClientRequest, request: Request) -> History:
-        """Return what the invariants know of a request that has arrived, or was handed over."""
+    def request_history(self, client_request: ClientRequest, request: Request) -> History:
+        """Return the invariant checks' state for a request that has arrived or was handed over."""
         history = History(
-            call.name,
-            self.effects[call.vhost],
+            client_request.name,
+            self.effects[client_request.vhost],
             request.deadline,
             in_flight=request.in_flight,
             sent_at=request.sent_at,
@@ -93,64 +102,65 @@
         )
         return history
 
-    def cancelled(self, call: ClientRequest) -> None:
-        """A client has cancelled a request or left; it is closed at its connection already."""
+    def cancelled(self, client_request: ClientRequest) -> None:
+        """Handle the cancellation of a request, or its client's disconnect; it is no longer open there."""
         gateway = self.gateway
-        call.client.settled += 1
-        if call.request is None:
+        client_request.client.settled += 1
+        if client_request.request is None:
             return
         gateway.counters.answers["left"] += 1
-        gateway.invariants.client_left(call.history)
-        gateway.trace.add(self.clock.monotonic_time, call.name, "left")
+        gateway.invariants.client_left(client_request.history)
+        gateway.trace.add(self.clock.monotonic_time, client_request.name, "left")
         if gateway.recorder:
-            gateway.recorder.client_disconnected(call)
-        gateway.router.client_disconnected(call.request)
-        self.dispatcher.forget_if_finished(call)
+            gateway.recorder.client_disconnected(client_request)
+        gateway.router.client_disconnected(client_request.request)
+        self.dispatcher.forget_if_finished(client_request)
 
     def client_sent_malformed(self, client: ClientConnection) -> None:
-        """A client sent malformed data: its open requests are rejected, with answers."""
-        for call in list(client.open.values()):
-            if call.request is not None:
-                self.gateway.router.reject(call.request, RejectReason.GARBLED)
+        """Reject a client's open requests, with answers: it sent malformed data."""
+        for client_request in list(client.open.values()):
+            if client_request.request is not None:
+                self.gateway.router.reject(client_request.request, RejectReason.GARBLED)
 
     def client_half_closed(self, client: ClientConnection, at: Ticks) -> None:
-        """A client's input ended at a time by the monotonic clock. It may have closed only its half, or have
-        left: requests that wait are sent for a short grace only, those that are out are answered."""
+        """Handle the end of a client's input; `at`: by the monotonic clock. The client may have closed only
+        its half of the connection, or have disconnected: waiting requests are sent only within a short grace
+        period, those in flight are answered."""
         clock = self.clock
-        for call in list(client.open.values()):
-            if call.request is not None:
+        for client_request in list(client.open.values()):
+            if client_request.request is not None:
                 closed_at = clock.time - max(0, clock.monotonic_time - at)
-                until = self.gateway.router.client_half_closed(call.request, closed_at)
-                self.loop.call_at(until, self.dispatcher.send_deadline_passed, call)
+                until = self.gateway.router.client_half_closed(client_request.request, closed_at)
+                self.loop.call_at(until, self.dispatcher.send_deadline_passed, client_request)
 
     def client_disconnected(self, client: ClientConnection) -> None:
-        """A client's connection has ended."""
-        for call in list(client.open.values()):
-            if self.gateway.front.close_request(call):
-                self.cancelled(call)
+        """Handle the end of a client's connection."""
+        for client_request in list(client.open.values()):
+            if self.gateway.front.close_request(client_request):
+                self.cancelled(client_request)
 
-    # --- from the decisions ---
+    # --- calls from the router ---
 
     def client_left_at(self, request: Request) -> Ticks | None:
-        """Return since when a request's client may have left; None where it waits."""
+        """Return since when a request's client may have disconnected; None if it is connected."""
         since = self.gateway.open_requests[request].departed()
         if since is None:
             return None
-        # by the clock as it is now: the gateway's time stands still within one event
+        # read anew: the gateway's time does not advance while one event is handled
         return self.clock.time - (monotonic_ticks() - since)
 
     def reject(self, request: Request, retry_after: Ticks) -> None:
-        """Answer that a request is not served; `retry_after`: 0 names no time."""
+        """Send a rejection; `retry_after`: 0 sends no retry time."""
         fields: AnswerFields = ()
         if retry_after:
             fields = (("cooldown", -(-retry_after // TICKS_PER_MILLISECOND)),)
         self._finish(request, AnswerKind.REJECTED, fields)
 
     def fail(self, request: Request) -> None:
-        """Answer that a request has failed."""
+        """Send the answer that a request has failed."""
         self._finish(request, AnswerKind.FAILED)
 
     def _finish(self, request: Request, kind: AnswerKind, fields: AnswerFields = ()) -> None:
-        call = self.gateway.open_requests[request]
-        self.answers.send(call, kind, fields)
-        self.loop.defer(self.dispatcher.forget_if_finished, call)
+        client_request = self.gateway.open_requests[request]
+        self.answers.send(client_request, kind, fields)
+        self.loop.defer(self.dispatcher.forget_if_finished, client_request)
--- a/lilacloft/gateway/configuration.py
+++ b/lilacloft/gateway/configuration.py
@@ -1,7 +1,7 @@
-"""Reads the configuration of a gateway: the platform's JSON, checked, with the settings in lilacloft's names.
+"""Reads a gateway's configuration: validates the platform's JSON and maps its settings to lilacloft's names.
 
-Errors: ValueError where a value cannot be used, KeyError where one is missing, TypeError, AttributeError or
-IndexError where one has another form.
+Errors: ValueError for an invalid value, KeyError for a missing one, TypeError, AttributeError or IndexError
+for a value of the wrong type or structure.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 
 @dataclass(slots=True)
 class Configuration:
-    """One gateway's configuration. All spans are ticks."""
+    """The configuration of one gateway. All spans are ticks."""
 
     listen: str  # HOST:PORT
     changelog: str  # HOST:PORT of the change log
-    name: str  # the gateway's; "" where none is given
+    name: str  # of the gateway; "" if none is given
     settings: dict[str, Any]  # in lilacloft's names (lilacloft/protocol_settings.py)
     answer_slack: Ticks
-    granularity: Ticks  # span within which events are taken together
+    granularity: Ticks  # span within which events are handled together
     max_client_timeout: Ticks
-    limits: dict[str, Any]  # of sockets and memory
-    fixed: dict[str, Any]  # the fields that a reload cannot change, as they were read
-    last_applied_event: int  # number of the change log's last event that the configuration has
+    limits: dict[str, Any]  # on sockets and memory
+    fixed: dict[str, Any]  # the fields that a reload cannot change, as read
+    last_applied_event: int  # number of the change log's last event that the configuration includes
 
     @property
     def vhosts(self) -> list[dict[str, Any]]:
@@ -48,12 +48,12 @@
 
     @property
     def max_transfer_size(self) -> float:
-        """KB that can be sent at full rate in the longest client timeout."""
+        """KB that can be sent at full rate within the longest client timeout."""
         return self.settings["family"]["pace_kb_per_s"] / TICKS_PER_SECOND * self.max_client_timeout
 
 
 def read_configuration(config: dict[str, Any]) -> Configuration:
-    """Check a configuration as parsed from its JSON, and return what a gateway uses of it."""
+    """Validate a configuration as parsed from its JSON, and return what a gateway uses of it."""
     settings_validation.check_configuration(config)
     listen = config["listen"]
     named = from_protocol(settings_validation.with_defaults(config["settings"]))
@@ -72,17 +72,17 @@
 
 
 def read_initial_events(config: dict[str, Any], names: dict[str, Any]) -> list[DiscoveryEvent]:
-    """Return the events of the change log that a configuration has; `names`: its settings."""
+    """Return the change log events that a configuration includes; `names`: its settings."""
     results = config["known"]["results"]
     return [event for _, event in events_of_config(results, names["zones"], names["kinds"])]
 
 
 def read_budgets(limits: dict[str, Any]) -> Budgets:
-    """Return what may be held at once, and log where the system allows less than the configuration."""
+    """Return the resource budgets; log a warning if the system allows less than the configuration."""
     descriptors = descriptor_limit()
     if descriptors < limits["sockets"]:
         logger.warning(
-            "the system allows {} descriptors, the configuration {}: the lower holds",
+            "the system allows {} descriptors, the configuration {}: using the lower limit",
             descriptors,
             limits["sockets"],
         )
--- a/lilacloft/gateway/context.py
+++ b/lilacloft/gateway/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one gateway share. `gateway.Gateway` fills it in; the parts get it and keep no copies."""
+"""State shared by the components of one gateway. `gateway.Gateway` fills it in; components keep no copies."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 class GatewayContext:
-    """The shared parts. Everything but the queue and the trace belongs to the event loop's thread."""
+    """The shared components. All but the queue and the trace are used by the event loop's thread only."""
 
     front: Downstream  # the clients' connections
     back: Upstream  # the connections to caches, parents and the origin
     feed: DiscoveryWatch  # the change log
-    router: Router  # the decisions
+    router: Router  # decides where requests are sent
     invariants: Invariants
     budgets: Budgets
     maintenance_interval: Ticks
@@ -47,9 +47,10 @@
         self.loop = EventLoop(self.clock, self.counters, configuration.answer_slack, self.lags)
         self.lag_margin = self.loop.lag_margin
         self.trace = Trace()
-        self.open_requests: dict[Request, ClientRequest] = {}  # also finished ones whose attempt is still out
+        # includes finished requests whose attempt is still in flight
+        self.open_requests: dict[Request, ClientRequest] = {}
         self.backends: dict[str, Backend] = {}  # by name
-        self.store: Any = None  # lilacloft.store.gateway_store.GatewayStore, if effects outlive a crash
-        self.recorder: Any = None  # lilacloft.record.recorder.Recorder, if there are records
-        self.agent: Any = None  # lilacloft.control.gateway_agent.GatewayAgent, if there are planners
+        self.store: Any = None  # lilacloft.store.gateway_store.GatewayStore, if effects must survive a crash
+        self.recorder: Any = None  # lilacloft.record.recorder.Recorder, if records are written
+        self.agent: Any = None  # lilacloft.control.gateway_agent.GatewayAgent, if planners are used
         self.upgrade: Any = None  # lilacloft.handover.sender.HandoverSender, if this process may be replaced
--- a/lilacloft/gateway/counters.py
+++ b/lilacloft/gateway/counters.py
@@ -1,4 +1,4 @@
-"""What one gateway counts of requests and attempts. The keys are printed, recorded and handed over."""
+"""One gateway's counters of requests and attempts. The keys are logged, recorded and handed over."""
 
 from __future__ import annotations
 
@@ -19,4 +19,4 @@
     rejects: dict[str, int] = field(default_factory=lambda: {reason.name: 0 for reason in RejectReason})
     retries: dict[str, int] = field(
         default_factory=lambda: dict.fromkeys(sorted(set(OUTCOMES.values())), 0)
-    )  # by the outcome of the attempt before
+    )  # by the outcome of the previous attempt
--- a/lilacloft/gateway/discovery.py
+++ b/lilacloft/gateway/discovery.py
@@ -1,7 +1,7 @@
-"""Applies what the change log tells: the endpoint list, its changes, and purges.
+"""Applies the change log's events: the endpoint list, its changes, and purges.
 
-Times of others' clocks are translated into the gateway's time (lilacloft/clock_offset.py) before anything
-else sees them.
+Timestamps of other machines' clocks are converted to the gateway's time (lilacloft/clock_offset.py) before
+they are passed on.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from lilacloft.routing.host import Endpoint, ListMode
 from lilacloft.routing.model import Backend
 
-PURGE = "purge"  # kind of an event; all others are endpoint lists, "full" or "delta"
+PURGE = "purge"  # an event kind; all others are endpoint lists, "full" or "delta"
 
 
 class Discovery:
-    """One gateway's endpoint list."""
+    """Follows the change log and applies its events to one gateway."""
 
     def __init__(self, gateway: GatewayContext) -> None:
-        """Sets `gateway.feed`, which is not started yet."""
+        """Set `gateway.feed`, without starting it."""
         configuration = gateway.configuration
         self.gateway = gateway
         self.clock_offset = ClockOffset()
@@ -38,13 +38,13 @@
         )
 
     def start(self) -> None:
-        """Follow the change log: what it holds beyond the configuration is not known yet."""
+        """Start to follow the change log. Its events after those in the configuration are not known yet."""
         self.gateway.router.discovery_begins()
         self.gateway.feed.start()
 
     def apply_configured_events(self, events: list[DiscoveryEvent]) -> None:
-        """Apply the events that the configuration has: purges first, as they tell the state of the change
-        log's clock."""
+        """Apply the events that the configuration includes: purges first, as they show the offset of the
+        change log's clock."""
         entries = [entry for kind, content in events if kind != PURGE for entry in content]
         starts = (started * TICKS_PER_MILLISECOND for *_, started in entries)
         self.clock_offset.record_configured_starts(self.gateway.clock.time, starts)
@@ -52,8 +52,9 @@
             self.apply_event(event, ListMode.CACHED if event[0] == ListMode.FULL else None)
 
     def _event_received(self, event: DiscoveryEvent, number: int) -> None:
-        """Post an event; in the change log's thread. What the configuration's list had in it already is
-        applied again only where the store may lack a purge: an older list must not hold for a moment."""
+        """Post an event to the event loop; called in the change log's thread. Of the events that the
+        configuration includes already, only purges are applied again, as the store may lack them: an older
+        endpoint list must not be in effect even briefly."""
         gateway = self.gateway
         if event[0] == PURGE or number > self.last_applied_event:
             gateway.loop.post(self.apply_event, event, None, gateway.feed.status)
@@ -63,12 +64,12 @@
             gateway.loop.post(gateway.recorder.discovery_event, event, number)
 
     def _watch_changed(self, change: WatchChange, target: WatchTarget) -> None:
-        """Post a change of the watch, behind the events that came before it; in the change log's thread."""
+        """Post a change of the watch, behind earlier events; called in the change log's thread."""
         self.gateway.loop.post(self._apply_watch_change, change, target)
 
     def _apply_watch_change(self, change: WatchChange, target: WatchTarget) -> None:
-        """Report to the router how far the change log was read. What came of a log that was followed before
-        says nothing of the one that is followed now."""
+        """Report to the router how far the change log was read. Changes reported for a log that is no longer
+        followed are ignored: they say nothing about the current one."""
         gateway = self.gateway
         if target != gateway.feed.target:
             return
@@ -91,9 +92,9 @@
     def apply_event(
         self, event: DiscoveryEvent, mode: str | None = None, feed_state: WatchStatus | None = None
     ) -> None:
-        """Apply an endpoint list, changes of it, or a purge. `mode`: a `ListMode` other than the event's own
-        kind; `feed_state`: how the change log was followed before, None where a configuration or a store has
-        the event."""
+        """Apply an endpoint list, changes to it, or a purge. `mode`: overrides the event's kind as the
+        `ListMode`; `feed_state`: the watch's status before the event, None for an event from a configuration
+        or a store."""
         clock = self.gateway.clock
         context = (
             WatchContext(clock.time - clock.monotonic_time + feed_state.at, feed_state.current)
@@ -120,7 +121,7 @@
         self._correct_start_times()
 
     def apply_endpoints(self, mode: str, rows: list[EndpointEntry]) -> None:
-        """Apply an endpoint list, or changes of it, with starts in the gateway's own time."""
+        """Apply an endpoint list, or changes to it, with start times in the gateway's own time."""
         gateway = self.gateway
         endpoints, addresses = [], []
         for name, address, zone, kind, cell, status, capacity, started in rows:
@@ -143,7 +144,7 @@
         self._drop_unlisted()
 
     def _drop_unlisted(self) -> None:
-        """Close connections to backends that are listed no more, and forget those with nothing in flight."""
+        """Close connections to unlisted backends, and remove those backends that have nothing in flight."""
         gateway = self.gateway
         for name, backend in list(gateway.backends.items()):
             if not backend.status:
@@ -153,7 +154,7 @@
                     self.clock_offset.forget(name)
 
     def _correct_start_times(self) -> None:
-        """Correct backends' starts: the change log's clock is known better, and some were earlier."""
+        """Correct backends' start times to the improved estimate of the change log's clock offset."""
         for name, started in self.clock_offset.corrected_starts().items():
             backend = self.gateway.backends.get(name)
             pool = self.gateway.back.pools.get(backend) if backend else None
--- a/lilacloft/gateway/dispatcher.py
+++ b/lilacloft/gateway/dispatcher.py
@@ -1,8 +1,8 @@
-"""Carries out attempts and health checks: sends, withdraws and cancels them, and reports their ends.
+"""Executes attempts and health checks: sends, withdraws and cancels them, and reports their ends.
 
-An attempt that waits for the store or for a connection has not gone out yet and can be withdrawn; one that
-has gone out can only be cancelled. The decisions never hear of an end from within one of their own calls: it
-is deferred until that has returned.
+An attempt that waits for the store or for a connection has not been sent yet and can be withdrawn; one that
+has been sent can only be cancelled. The end of an attempt is never reported to the router from within one of
+the router's own calls: the report is deferred until that call has returned.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from lilacloft.routing.model import Backend, Idempotency, Outcome, Request
 from lilacloft.routing.units import Ticks
 
-# ends of a health check behind a cancellation after which the backend has read it, or has no connection to us
+# ends of a health check that show that the backend has read the cancellation before it, or is disconnected
 CONFIRMS_CANCELLATION = frozenset(
     (CloseReason.DATA, CloseReason.FAILED, CloseReason.CLOSED, CloseReason.RESET)
 )
 
 
 class AttemptDispatcher:
-    """One gateway's attempts and health checks."""
+    """Executes the attempts and health checks of one gateway."""
 
     def __init__(self, gateway: GatewayContext, answers: FinalAnswers) -> None:
         self.gateway, self.answers = gateway, answers
@@ -37,207 +37,218 @@
     # --- sending ---
 
     def dispatch(self, dispatch: Dispatch) -> None:
-        """Send an attempt, unless a check finds that it would break an invariant."""
+        """Send an attempt, unless it would violate an invariant."""
         gateway, backend = self.gateway, dispatch.backend
-        call = gateway.open_requests[dispatch.request]
+        client_request = gateway.open_requests[dispatch.request]
         source = dispatch.source if dispatch.source is not backend else None
         work = dispatch.request.transfer_time
-        if not gateway.invariants.may_send(call.history, backend, source or backend, work, self.clock.time):
-            self._report_unsendable(call, backend)
+        if not gateway.invariants.may_send(
+            client_request.history, backend, source or backend, work, self.clock.time
+        ):
+            self._report_unsendable(client_request, backend)
             return
         until = min(self.clock.time + dispatch.timeout, dispatch.request.deadline)
-        sent = self._make_attempt(call, dispatch, source, until)
-        call.attempt = sent
-        if call.last_outcome:
-            gateway.counters.retries[call.last_outcome] += 1
-        self._trace(call, "sent", f"{backend.name} {sent.seq}")
+        attempt = self._make_attempt(client_request, dispatch, source, until)
+        client_request.attempt = attempt
+        if client_request.last_outcome:
+            gateway.counters.retries[client_request.last_outcome] += 1
+        self._trace(client_request, "sent", f"{backend.name} {attempt.seq}")
         if gateway.recorder:
-            gateway.recorder.dispatched(call, backend)
-        end = gateway.store.dispatch(sent, until) if gateway.store else gateway.back.dispatch(sent)
+            gateway.recorder.dispatched(client_request, backend)
+        end = gateway.store.dispatch(attempt, until) if gateway.store else gateway.back.dispatch(attempt)
         if end is not None:
-            self.report_end(sent, end)
+            self.report_end(attempt, end)
             return
-        self.loop.call_at(until, self.attempt_timed_out, sent)
+        self.loop.call_at(until, self.attempt_timed_out, attempt)
         if dispatch.request.send_by:
-            self.loop.call_at(dispatch.request.send_by, self.send_deadline_passed, call)
+            self.loop.call_at(dispatch.request.send_by, self.send_deadline_passed, client_request)
 
     def _make_attempt(
-        self, call: ClientRequest, dispatch: Dispatch, source: Backend | None, until: Ticks
+        self, client_request: ClientRequest, dispatch: Dispatch, source: Backend | None, until: Ticks
     ) -> Attempt:
         """Return an attempt with its message; `until`: when it times out, in the gateway's time."""
         request, clock = dispatch.request, self.clock
         return Attempt(
-            call,
+            client_request,
             dispatch.backend,
             request.attempts - 1,
-            call.name.encode(),
-            encode_dispatch(call, dispatch, self.gateway.vhosts[request.vhost]["name"], source),
+            client_request.name.encode(),
+            encode_dispatch(client_request, dispatch, self.gateway.vhosts[request.vhost]["name"], source),
             clock.time,
             encoded_at=clock.monotonic_time,
             time_limit=TICKS_PER_MILLISECOND * attempt_milliseconds(dispatch),
             deadline=clock.to_monotonic(until),
             send_by=clock.to_monotonic(request.send_by),
-            window_over=self.idempotency_deadline(call.history),
+            window_over=self.idempotency_deadline(client_request.history),
         )
 
     def idempotency_deadline(self, history: History) -> Ticks:
-        """Return when a request that may have run may not be sent again, by the monotonic clock; 0: it always
-        may."""
+        """Return from when on, by the monotonic clock, a request that may have been executed must not be sent
+        again; 0: it always may be."""
         if history.first_executed_at is None or history.effect.kind == Idempotency.SAFE:
             return 0
         return self.clock.to_monotonic(history.first_executed_at + history.effect.window)
 
     def check_health(self, backend: Backend) -> None:
         """Send a health check."""
-        sent, end = self.gateway.back.check(backend)
+        attempt, end = self.gateway.back.check(backend)
         if end is not None:
-            self.report_end(sent, end)
+            self.report_end(attempt, end)
         else:
             self.loop.call_at(
-                self.clock.time + self.gateway.back.connect_timeout, self.attempt_timed_out, sent
+                self.clock.time + self.gateway.back.connect_timeout, self.attempt_timed_out, attempt
             )
 
-    # --- taking back ---
+    # --- withdrawing and cancelling ---
 
     def cancel(self, request: Request, attempt: int) -> None:
-        """Stop waiting for an attempt, given by its number within its request."""
-        sent = self._find_attempt(request, attempt)
-        if sent is None:
+        """Stop waiting for an attempt; `attempt`: its number within its request."""
+        found = self._find_attempt(request, attempt)
+        if found is None:
             return
-        if self._withdraw_from_store(sent):
-            self.report_end(sent, CloseReason.UNWRITTEN)
-        elif sent.connection is not None:
-            confirmed_at = self.gateway.back.cancel(sent, confirm=not request.finished)
-            if sent.confirmation is not None:
-                self.loop.call_at(confirmed_at, self.attempt_timed_out, sent.confirmation)
-            self.loop.defer(self.attempt_cancelled, sent, CloseReason.CALLED_OFF, confirmed_at)
+        if self._withdraw_from_store(found):
+            self.report_end(found, CloseReason.UNWRITTEN)
+        elif found.connection is not None:
+            confirmed_at = self.gateway.back.cancel(found, confirm=not request.finished)
+            if found.confirmation is not None:
+                self.loop.call_at(confirmed_at, self.attempt_timed_out, found.confirmation)
+            self.loop.defer(self.attempt_cancelled, found, CloseReason.CALLED_OFF, confirmed_at)
 
     def withdraw(self, request: Request, attempt: int) -> None:
-        """Take an attempt back, given by its number within its request, if it has not gone out."""
-        sent = self._find_attempt(request, attempt)
-        if sent is not None:
-            self._withdraw_unsent(sent)
-
-    def _find_attempt(self, request: Request, attempt: int) -> Attempt | None:
-        """Return a request's attempt if it is out."""
-        call = self.gateway.open_requests.get(request)
-        sent = call.attempt if call else None
-        return sent if sent is not None and sent.seq == attempt else None
-
-    def _withdraw_unsent(self, sent: Attempt) -> bool:
-        """Take back an attempt that has not gone out and report its end; False where it may have."""
-        withdrawn = self._withdraw_from_store(sent) or self.gateway.back.withdraw(sent)
+        """Withdraw an attempt that has not been sent; `attempt`: its number within its request."""
+        found = self._find_attempt(request, attempt)
+        if found is not None:
+            self._withdraw_unsent(found)
+
+    def _find_attempt(self, request: Request, number: int) -> Attempt | None:
+        """Return a request's current attempt if it has this number."""
+        client_request = self.gateway.open_requests.get(request)
+        attempt = client_request.attempt if client_request else None
+        return attempt if attempt is not None and attempt.seq == number else None
+
+    def _withdraw_unsent(self, attempt: Attempt) -> bool:
+        """Withdraw an attempt that has not been sent, and report its end; False if it may have been sent."""
+        withdrawn = self._withdraw_from_store(attempt) or self.gateway.back.withdraw(attempt)
         if withdrawn:
-            self.report_end(sent, CloseReason.UNWRITTEN)
+            self.report_end(attempt, CloseReason.UNWRITTEN)
         return withdrawn
 
-    def _withdraw_from_store(self, sent: Attempt) -> bool:
-        """Take back an attempt that waits for the disk; False where it does not."""
+    def _withdraw_from_store(self, attempt: Attempt) -> bool:
+        """Withdraw an attempt that waits for the disk; False if it does not."""
         store = self.gateway.store
-        return bool(store and store.withdraw(sent))
+        return bool(store and store.withdraw(attempt))
 
-    def send_deadline_passed(self, call: ClientRequest) -> None:
-        """Give a request up at once where it is not out at a backend: nothing may be sent for it any more."""
-        sent = call.attempt
-        if call.request.finished:
+    def send_deadline_passed(self, client_request: ClientRequest) -> None:
+        """Give up a request that is not in flight: nothing may be sent for it any more."""
+        attempt = client_request.attempt
+        if client_request.request.finished:
             return
-        if sent is not None and self._withdraw_unsent(sent):
+        if attempt is not None and self._withdraw_unsent(attempt):
             return
-        if sent is None or sent.connection is None:
-            self.gateway.router.send_by_passed(call.request)
+        if attempt is None or attempt.connection is None:
+            self.gateway.router.send_by_passed(client_request.request)
 
-    def forget_if_finished(self, call: ClientRequest) -> None:
-        """Forget a finished request once no attempt of it is out. One that has not gone out is taken back,
-        also where the settings let no attempt be cancelled."""
-        if not call.request.finished:
+    def forget_if_finished(self, client_request: ClientRequest) -> None:
+        """Remove a finished request once it has no attempt in flight. An unsent attempt is withdrawn, even if
+        the settings allow no cancellation."""
+        if not client_request.request.finished:
             return
-        if call.attempt is None:
-            self.gateway.open_requests.pop(call.request, None)
+        if client_request.attempt is None:
+            self.gateway.open_requests.pop(client_request.request, None)
         else:
-            self._withdraw_unsent(call.attempt)
+            self._withdraw_unsent(client_request.attempt)
 
     # --- ends ---
 
-    def attempt_ended(self, sent: Attempt, end: CloseReason, reply: Reply = NO_REPLY) -> None:
-        """An attempt or a health check is over. That its reply waited in the event loop's queue since it was
-        read counts against no backend."""
+    def attempt_ended(self, attempt: Attempt, end: CloseReason, reply: Reply = NO_REPLY) -> None:
+        """Handle the end of an attempt or a health check. The time for which its reply waited in the event
+        loop's queue after it was read is not attributed to the backend."""
         self.gateway.counters.ends[end.name] += 1
-        outcome, call = OUTCOMES[end], sent.call
-        if call is None:
-            if sent.confirms is None:
-                self._health_check_ended(sent.backend, outcome, reply)
+        outcome, client_request = OUTCOMES[end], attempt.call
+        if client_request is None:
+            if attempt.confirms is None:
+                self._health_check_ended(attempt.backend, outcome, reply)
             elif end in CONFIRMS_CANCELLATION:
-                self._cancellation_confirmed(sent.confirms)
+                self._cancellation_confirmed(attempt.confirms)
             return
         waited_here = max(0, self.clock.monotonic_time - reply.read_at) if reply.read_at else 0
-        duration = max(0, self.clock.time - sent.at - waited_here)
-        call.attempt, call.last_outcome = None, outcome
-        if sent.encoded_at:  # else a check kept it back
-            self.gateway.invariants.attempt_ended(call.history, outcome)
-        self.gateway.trace.add_late(self.clock.monotonic_time, call.name, "ended", end.name, waited_here)
-        self._notify_end(sent, end, duration, reply)
+        duration = max(0, self.clock.time - attempt.at - waited_here)
+        client_request.attempt, client_request.last_outcome = None, outcome
+        if attempt.encoded_at:  # 0: it was not sent, as it would have violated an invariant
+            self.gateway.invariants.attempt_ended(client_request.history, outcome)
+        self.gateway.trace.add_late(
+            self.clock.monotonic_time, client_request.name, "ended", end.name, waited_here
+        )
+        self._notify_end(attempt, end, duration, reply)
         if outcome == Outcome.DONE:
-            self._send_answer(call, end, reply.body)
-        is_final = outcome == Outcome.DONE or call.request.finished
-        result = AttemptResult(sent.seq, outcome, duration, is_final, reply.note)
-        self.gateway.router.attempt_ended(call.request, sent.backend, result)
-        self.forget_if_finished(call)
+            self._send_answer(client_request, end, reply.body)
+        is_final = outcome == Outcome.DONE or client_request.request.finished
+        result = AttemptResult(attempt.seq, outcome, duration, is_final, reply.note)
+        self.gateway.router.attempt_ended(client_request.request, attempt.backend, result)
+        self.forget_if_finished(client_request)
 
     def _health_check_ended(self, backend: Backend, outcome: str, reply: Reply) -> None:
         if self.gateway.recorder:
             self.gateway.recorder.health_checked(backend, reply.load)
         self.gateway.router.health_checked(backend, outcome, reply.load)
 
-    def _notify_end(self, sent: Attempt, end: CloseReason, duration: Ticks, reply: Reply) -> None:
-        """Tell the store, the records and the planners' agent of an attempt's end."""
-        gateway, call = self.gateway, sent.call
+    def _notify_end(self, attempt: Attempt, end: CloseReason, duration: Ticks, reply: Reply) -> None:
+        """Notify the store, the recorder and the planners' agent of an attempt's end."""
+        gateway, client_request = self.gateway, attempt.call
         if gateway.store:
-            gateway.store.attempt_ended(sent, end)
+            gateway.store.attempt_ended(attempt, end)
         if gateway.recorder:
-            gateway.recorder.attempt_ended(sent, end, duration, reply)
+            gateway.recorder.attempt_ended(attempt, end, duration, reply)
         if gateway.agent:
-            gateway.agent.attempt_ended(call, sent.backend, OUTCOMES[end], duration, reply.note)
+            gateway.agent.attempt_ended(client_request, attempt.backend, OUTCOMES[end], duration, reply.note)
 
-    def _send_answer(self, call: ClientRequest, end: CloseReason, body: bytes) -> None:
+    def _send_answer(self, client_request: ClientRequest, end: CloseReason, body: bytes) -> None:
         if end is CloseReason.UNCHANGED:
-            self.answers.send(call, AnswerKind.SERVED, (("ok304", 1),))
+            self.answers.send(client_request, AnswerKind.SERVED, (("ok304", 1),))
         else:
-            self.answers.send(call, AnswerKind.SERVED, (), body)
-
-    def attempt_cancelled(self, sent: Attempt, end: CloseReason, confirmed_at: Ticks) -> None:
-        """An attempt was ended by this gateway. Its request may be sent again only once it is certain that
-        the backend knows, else two attempts could be out at once; so its end is reported at `confirmed_at`,
-        or now where nothing will be sent any more."""
-        if sent.call is None or sent.call.request.finished or confirmed_at <= self.clock.time:
-            self.attempt_ended(sent, end)
+            self.answers.send(client_request, AnswerKind.SERVED, (), body)
+
+    def attempt_cancelled(self, attempt: Attempt, end: CloseReason, confirmed_at: Ticks) -> None:
+        """Handle an attempt that this gateway ended. Its request may be sent again only once the backend is
+        certain to know, else two attempts could be in flight at once; so its end is reported at
+        `confirmed_at`, or now if the request is finished."""
+        if attempt.call is None or attempt.call.request.finished or confirmed_at <= self.clock.time:
+            self.attempt_ended(attempt, end)
         else:
-            self.loop.call_at(confirmed_at, self.attempt_ended, sent, end)
+            self.loop.call_at(confirmed_at, self.attempt_ended, attempt, end)
 
     def _cancellation_confirmed(self, cancelled: Attempt) -> None:
-        """A backend has read the cancellation of an attempt: report its end now."""
-        pending = self.loop.take_call(self.attempt_ended, cancelled)
+        """Report the end of a cancelled attempt now: its backend has read the cancellation."""
+        pending = self.loop.remove_timer(self.attempt_ended, cancelled)
         if pending is not None:
             self.attempt_ended(*pending.arguments)
 
-    def attempt_timed_out(self, sent: Attempt) -> None:
-        """The time of an attempt or a health check is up."""
-        if sent.connection is not None:
-            self.gateway.back.cancel(sent)
-            self.attempt_ended(sent, CloseReason.TIME_UP)
-
-    def is_obsolete(self, call: ScheduledCall) -> bool:
-        """Is a timer the time-out of an attempt that is over? Then it need not wake the event loop."""
-        return call.callback == self.attempt_timed_out and call.arguments[0].connection is None
-
-    def report_end(self, sent: Attempt, end: CloseReason) -> None:
-        """Report the end of an attempt or a health check without an answer, after the current callback."""
-        self.loop.defer(self.attempt_ended, sent, end)
-
-    def _report_unsendable(self, call: ClientRequest, backend: Backend) -> None:
-        """End an attempt before it begins, as it would break an invariant."""
-        sent = Attempt(call, backend, call.request.attempts - 1, call.name.encode(), b"", self.clock.time)
-        call.attempt = sent
-        self.report_end(sent, CloseReason.UNWRITTEN)
+    def attempt_timed_out(self, attempt: Attempt) -> None:
+        """Handle the time-out of an attempt or a health check."""
+        if attempt.connection is not None:
+            self.gateway.back.cancel(attempt)
+            self.attempt_ended(attempt, CloseReason.TIME_UP)
+
+    def is_obsolete(self, timer: ScheduledCall) -> bool:
+        """Return whether a timer is the time-out of an ended attempt: it need not wake the event loop."""
+        return timer.callback == self.attempt_timed_out and timer.arguments[0].connection is None
+
+    def report_end(self, attempt: Attempt, end: CloseReason) -> None:
+        """Report the end of an unanswered attempt or health check, once the current callback returns."""
+        self.loop.defer(self.attempt_ended, attempt, end)
+
+    def _report_unsendable(self, client_request: ClientRequest, backend: Backend) -> None:
+        """End an attempt without sending it, as it would violate an invariant."""
+        attempt = Attempt(
+            client_request,
+            backend,
+            client_request.request.attempts - 1,
+            client_request.name.encode(),
+            b"",
+            self.clock.time,
+        )
+        client_request.attempt = attempt
+        self.report_end(attempt, CloseReason.UNWRITTEN)
 
-    def _trace(self, call: ClientRequest, what: str, detail: str) -> None:
-        self.gateway.trace.add(self.clock.monotonic_time, call.name, what, detail)
+    def _trace(self, client_request: ClientRequest, what: str, detail: str) -> None:
+        self.gateway.trace.add(self.clock.monotonic_time, client_request.name, what, detail)
--- a/lilacloft/gateway/event_loop.py
+++ b/lilacloft/gateway/event_loop.py
@@ -1,9 +1,9 @@
-"""The event loop of a gateway: one thread that takes events from a queue, runs timers and isolates faults.
+"""The event loop of a gateway: one thread that handles queued events, runs timers and isolates exceptions.
 
-Other threads only `post`. Everything else belongs to the thread of `run`. A callback must never wait for a
-peer. In which order events are taken is decided in lilacloft/routing/fair_queue.py; timers that are due run
-before each event of a client and behind each internal event but replies, so that no deadline waits for a
-batch of them. Times are `Ticks` of the gateway's clock.
+Other threads may only post events. Everything else is called in the thread of `run`. A callback must never
+block on a peer. lilacloft/routing/fair_queue.py decides the order of events; due timers run before each event
+of a client and after each internal event except replies, so that no deadline waits for a batch of events.
+Times are `Ticks` of the gateway's clock.
 """
 
 from __future__ import annotations
@@ -23,34 +23,34 @@
 from lilacloft.routing.lag_margin import LagMargin
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
-MAX_INTERNAL_PASSES = 2  # over internal events, before timers and clients' events have their turn
+MAX_INTERNAL_PASSES = 2  # over internal events, before timers and client events are run
 
 Callback = Callable[..., Any]
 
 
 class Event(NamedTuple):
-    """A call that is to be made in the event loop's thread."""
+    """A call to make in the event loop's thread."""
 
     callback: Callback
     arguments: tuple[Any, ...]
-    posted_at: Ticks = 0  # by the monotonic clock; 0: the loop itself made it
-    client: Hashable | None = None  # the client whose message or end it is; None: an internal event
-    due_at: Ticks | None = None  # when the time of a client's request is over, by the monotonic clock
-    is_reply: bool = False  # a backend's answer, which goes before other internal events
+    posted_at: Ticks = 0  # by the monotonic clock; 0: created by the loop itself
+    client: Hashable | None = None  # whose message or disconnect it is; None: an internal event
+    due_at: Ticks | None = None  # the deadline of a client's request, by the monotonic clock
+    is_reply: bool = False  # a backend's answer, which is run before other internal events
 
 
 class ScheduledCall(NamedTuple):
-    """A timer. Calls for the same time are made in the order of their numbers."""
+    """A timer. Timers for the same time run in the order of their numbers."""
 
     at: Ticks
     number: int
     callback: Callback
     arguments: tuple[Any, ...]
-    made_at: Ticks = 0  # it may be made for a time that is over
+    created_at: Ticks = 0  # may be later than `at`
 
     def lag(self, now: Ticks) -> Ticks:
-        """Return how much later it runs than it could have."""
-        return now - max(self.at, self.made_at)
+        """Return how much later the timer runs than it could have."""
+        return now - max(self.at, self.created_at)
 
 
 class EventLoop:
@@ -63,19 +63,19 @@
         lag_threshold: Ticks,
         lags: GatewayLags | None = None,
     ) -> None:
-        """`lag_threshold`: lateness of timers that is a lag; `lags`: where the lags of events and timers are
-        recorded."""
+        """`lag_threshold`: lateness of a timer from which the loop counts as lagging; `lags`: histograms for
+        the lags of events and timers."""
         self.clock, self.counters = clock, counters
         self.lags = lags or GatewayLags()
         self.lag_margin = LagMargin()  # by the monotonic clock
         self.lag_threshold = lag_threshold
-        self.queue: queue.SimpleQueue[Event] = queue.SimpleQueue()  # what was posted and is not in `work` yet
+        self.queue: queue.SimpleQueue[Event] = queue.SimpleQueue()  # posted, and not in `work` yet
         self.work: FairQueue[Event] = FairQueue()
         self.timers: list[ScheduledCall] = []  # a heap
         self.timer_count = 0
-        self.deferred: deque[Event] = deque()  # calls to make once the current callback has returned
+        self.deferred: deque[Event] = deque()  # calls to make once the current callback returns
         self.is_lagging = False
-        self.last_fault_at: Ticks = 0  # when a fault was last logged
+        self.last_fault_at: Ticks = 0  # when an exception was last logged
         self.report_lag: Callable[[Ticks], None] = lambda _lag: None
         self.has_unread_answers: Callable[[], bool] = lambda: False
         self.is_obsolete: Callable[[ScheduledCall], bool] = lambda _call: False  # may a timer be dropped?
@@ -89,46 +89,47 @@
         client: Hashable | None = None,
         due_at: Ticks | None = None,
     ) -> None:
-        """Have a call made in the event loop's thread. Any thread, and signal handlers, may post.
+        """Queue a call for the event loop's thread. Any thread, and signal handlers, may post.
 
-        `client`: whose message or end the call is about; it is made after all that was posted from this
-        client before, and in turn with the other clients' calls. None: it is internal, and made before those.
-        `due_at`: by the monotonic clock, when the time of a request is over; then it need not wait."""
+        `client`: the client whose message or disconnect the call handles; calls of one client are made in the
+        order in which they were posted, and clients take turns. None: an internal call, made before those.
+        `due_at`: a request's deadline by the monotonic clock; shortly before it the call is made out of
+        turn."""
         self.queue.put(Event(callback, arguments, monotonic_ticks(), client, due_at))
 
     def post_reply(self, callback: Callback, *arguments: Any) -> None:
-        """Have a call made that takes a backend's answer: it goes before all that was posted otherwise. Any
-        thread may post."""
+        """Queue a call that handles a backend's answer; it is made before all other queued calls. Any thread
+        may post."""
         self.queue.put(Event(callback, arguments, monotonic_ticks(), is_reply=True))
 
     def call_at(self, at: Ticks, callback: Callback, *arguments: Any) -> None:
-        """Have a call made at a time or after it."""
+        """Schedule a call for a time; it is made then or later."""
         self.timer_count += 1
         heapq.heappush(self.timers, ScheduledCall(at, self.timer_count, callback, arguments, self.clock.time))
 
-    def take_call(self, callback: Callback, argument: Any) -> ScheduledCall | None:
-        """Take out the timer that would make a call with this first argument; None where there is none."""
-        for place, call in enumerate(self.timers):
+    def remove_timer(self, callback: Callback, argument: Any) -> ScheduledCall | None:
+        """Remove and return the timer for a callback with this first argument; None if there is none."""
+        for index, call in enumerate(self.timers):
             if call.callback == callback and call.arguments[0] is argument:
-                del self.timers[place]
+                del self.timers[index]
                 heapq.heapify(self.timers)
                 return call
         return None
 
     def defer(self, callback: Callback, *arguments: Any) -> None:
-        """Have a call made once the current callback has returned, before anything else."""
+        """Schedule a call for when the current callback returns, before anything else."""
         self.deferred.append(Event(callback, arguments))
 
     # --- the loop ---
 
     def run(self, is_finished: Callable[[], bool]) -> None:
-        """Run until `is_finished` says so. At least one timer must always be scheduled."""
+        """Run until `is_finished` returns True. At least one timer must always be scheduled."""
         while not is_finished():
             self._run_once()
 
     def _run_once(self) -> None:
-        """Wait for an event or a timer, and do all that is there then: before each event of a client the
-        internal events that have come, then the timers that are due."""
+        """Wait for an event or a timer, and run all that are ready then: before each event of a client the
+        queued internal events, then the due timers."""
         self._wait_for_work()
         for _ in range(self.work.client_count + 1):
             self._run_internal()
@@ -147,7 +148,7 @@
         self.clock.update()
 
     def _take_posted(self, timeout: float = 0.0) -> None:
-        """Enqueue all that was posted; wait so many seconds for the first of it."""
+        """Move posted events to `work`; wait up to `timeout` seconds for the first one."""
         try:
             if timeout > 0:
                 self._enqueue(self.queue.get(timeout=timeout))
@@ -163,8 +164,8 @@
             self.work.add(event, event.client, event.due_at)
 
     def _run_internal(self) -> None:
-        """Run the internal events that have come, and once more those that have come meanwhile. A handover
-        runs within one of them and takes all others itself."""
+        """Run the queued internal events, and once more those posted meanwhile. A handover runs within one of
+        them and takes all others from the queue itself."""
         for _ in range(MAX_INTERNAL_PASSES):
             self._run_replies()
             for _ in range(len(self.work.internal)):
@@ -176,15 +177,15 @@
                 return
 
     def _run_replies(self) -> None:
-        """Run the replies that have come."""
+        """Run the queued replies."""
         self._take_posted()
         for _ in range(len(self.work.replies)):
-            if self.work.replies:  # else a callback has taken the others
+            if self.work.replies:  # empty if a callback has taken the others
                 self.run_event(self.work.replies.popleft())
 
     def _run_urgent(self) -> None:
-        """Run what should not wait for the next internal event: replies, due timers, and one request whose
-        time is nearly over."""
+        """Run what must not wait for the next internal event: replies, due timers, and one request whose
+        deadline is near."""
         self._run_replies()
         self._run_due_timers()
         event = self.work.next_overdue(self.clock.monotonic_time + URGENT_TIME)
@@ -192,7 +193,7 @@
             self.run_event(event)
 
     def run_event(self, event: Event) -> None:
-        """Make the call of an event; the clock was updated since the one before."""
+        """Make the call of an event. The clock must have been updated since the previous event."""
         began = self.clock.monotonic_time
         waited = began - event.posted_at
         self.lags.events.record(waited)
@@ -215,7 +216,7 @@
             self.clock.update()
 
     def _lag_begins(self) -> bool:
-        """Report late timers; return whether none was late when this was last asked."""
+        """Report a lag of timers; return whether it began since the last call."""
         lag = self.clock.time - self.timers[0].at
         was_lagging, self.is_lagging = self.is_lagging, lag > self.lag_threshold
         if self.is_lagging:
@@ -223,8 +224,8 @@
         return self.is_lagging and not was_lagging
 
     def _await_unread_answers(self) -> None:
-        """Take answers that lie unread before time-outs are run, for as long as the threshold at most. Only
-        where lag begins: an overloaded loop must not wait."""
+        """Take unread answers before time-outs are run; wait for `lag_threshold` at most. Called only when a
+        lag begins: an overloaded loop must not wait."""
         waits_until = monotonic_ticks() + self.lag_threshold
         while self.has_unread_answers() and (remaining := waits_until - monotonic_ticks()) > 0:
             self._take_posted(remaining / TICKS_PER_SECOND)
@@ -236,8 +237,8 @@
             self.lag_margin.record(lag, self.clock.monotonic_time)
 
     def run_callback(self, callback: Callback, arguments: tuple[Any, ...]) -> None:
-        """Make one call and those that it defers. An exception must not end all other requests: it is
-        counted, and logged with its trace at most once a second."""
+        """Make one call and those that it defers. An exception must not affect other requests: it is counted,
+        and logged with its traceback at most once per second."""
         try:
             callback(*arguments)
             while self.deferred:
@@ -247,9 +248,9 @@
             self.counters.answers["faults"] += 1
             if self.clock.time >= self.last_fault_at + TICKS_PER_SECOND:
                 self.last_fault_at = self.clock.time
-                logger.exception("the module's thread failed in one event")
+                logger.exception("unhandled exception in an event callback")
 
     def next_event(self) -> Event | None:
-        """Take out the next event; None where there is none."""
+        """Remove and return the next event; None if there is none."""
         self._take_posted()
         return self.work.next(self.clock.monotonic_time)
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -1,9 +1,9 @@
-"""One gateway: puts its parts together, runs them, and is the `Host` of the decisions.
+"""One gateway: assembles its components, runs them, and is the `Host` of the router.
 
-One thread, that of `Gateway.run`, calls the decisions (`lilacloft.routing`) and gives the final answers of
-all requests that were let in (a message that is no request is answered in `lilacloft.net.downstream`); the
-sockets' threads post what they see to its queue. Nothing here waits for a peer, decides anything, answers
-a request twice, or calls the decisions back from within one of their calls.
+One thread, that of `Gateway.run`, calls the router (`lilacloft.routing`) and sends the final answers of all
+accepted requests (a message that is not a valid request is answered in `lilacloft.net.downstream`); the
+connections' threads post events to its queue. Nothing here blocks on a peer, makes routing decisions, answers
+a request twice, or calls the router back from within one of the router's calls.
 """
 
 from __future__ import annotations
@@ -40,9 +40,9 @@
 from lilacloft.routing.router import Router
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
-HEARTBEAT_INTERVAL: Ticks = 500  # the event loop wakes at least so often, so that pauses are noticed
-WRITE_RETRY_DELAY: Ticks = 100  # until a write is repeated, for which no thread could be started
-MAX_MAINTENANCE_INTERVAL = 0.5  # seconds between two rounds; clients are owed an end within a few of them
+HEARTBEAT_INTERVAL: Ticks = 500  # the event loop wakes at least this often, so that pauses are detected
+WRITE_RETRY_DELAY: Ticks = 100  # until a write for which no thread could be started is retried
+MAX_MAINTENANCE_INTERVAL = 0.5  # seconds; stalled clients must be closed within a few rounds
 
 
 class Gateway(GatewayContext):
@@ -55,10 +55,10 @@
         sock: socket.socket | None = None,
         follows: bool = False,
     ) -> None:
-        """Bind to the address that `config`, the platform's JSON, names, or use a socket that is bound.
+        """Bind to the address in `config`, the platform's JSON, or use `sock`, which is bound already.
 
-        `follows`: the endpoint list and the purges come from the process before this one. Raises OSError
-        where the address cannot be bound, and the errors of `configuration` where that cannot be used."""
+        `follows`: the endpoint list and the purges are received from the previous process. Raises OSError if
+        the address cannot be bound, and the errors of `configuration` if the configuration is invalid."""
         configuration = read_configuration(config)
         super().__init__(configuration, unix_clock)
         initial_events = read_initial_events(config, configuration.settings)
@@ -87,7 +87,7 @@
             self.discovery.apply_configured_events(initial_events)
 
     def _connect_backends(self) -> None:
-        """Make the side of the caches, parents and origin, and the checks on what goes there."""
+        """Create the upstream side (caches, parents, origin) and its invariant checks."""
         callbacks = UpstreamCallbacks(
             self.loop.post,
             self.now,
@@ -102,7 +102,7 @@
         self.maintenance_interval = min(self.back.connect_timeout, longest)
 
     def _bind_interface(self) -> None:
-        """Name here what the store, the handover, the planners' agent and the records use of the parts."""
+        """Expose what the store, the handover, the planners' agent and the recorder use of the components."""
         self.post, self.call_at = self.loop.post, self.loop.call_at
         self.run_callback, self.next_event = self.loop.run_callback, self.loop.next_event
         self.update_clock, self.resume_clock = self.clock.update, self.clock.resume
@@ -121,35 +121,35 @@
     # --- the process ---
 
     def run(self) -> None:
-        """Serve until the process has been told to end and nothing is owed any more."""
+        """Serve until the process was told to stop and no request is outstanding."""
         self.lifecycle.enter(Phase.SERVING)
         self.discovery.start()
         self.front.start()
-        logger.info("serving on {} with {} bes listed", self.configuration.listen, len(self.backends))
+        logger.info("serving on {} with {} backends listed", self.configuration.listen, len(self.backends))
         self.run_maintenance()
         self.heartbeat()
         self.loop.run(self.lifecycle.is_finished)
 
     @property
     def has_ended(self) -> bool:
-        """Is another process this gateway now, or nothing left here?"""
+        """Whether everything is closed, or another process is this gateway now."""
         return self.lifecycle.phase is Phase.ENDED
 
     @property
     def is_shutting_down(self) -> bool:
-        """Has SIGTERM come? Clients' health checks are told so."""
+        """Whether SIGTERM was received; answers to clients' health checks report it."""
         return self.lifecycle.shutdown_started > 0
 
     def end(self) -> None:
-        """Serve nothing more here: everything was handed over, or this process is not wanted."""
+        """Stop serving here: everything was handed over, or this process is not needed."""
         self.lifecycle.enter(Phase.ENDED)
 
     def stop(self) -> None:
-        """Start the graceful shutdown: SIGTERM came."""
+        """Start the graceful shutdown, after SIGTERM."""
         self.lifecycle.stop()
 
     def reload(self, config: dict[str, Any]) -> None:
-        """Apply a configuration that was read again: SIGHUP came."""
+        """Apply a configuration that was read again, after SIGHUP."""
         reload.reload(self, config)
 
     def report(self) -> None:
@@ -157,21 +157,21 @@
         self.reporter.report()
 
     def inspect(self) -> None:
-        """Log the counters and the open requests: SIGUSR1 came."""
+        """Log the counters and the open requests, after SIGUSR1."""
         self.reporter.inspect()
 
     def open_resources(self) -> dict[str, int]:
-        """Return what is open, counted or held just now; see `Reporter.open_resources`."""
+        """Return the numbers of resources in use; see `Reporter.open_resources`."""
         return self.reporter.open_resources()
 
     # --- periodic work ---
 
     def heartbeat(self) -> None:
-        """Wake the event loop with nothing to do, so that a gap tells that the process was paused."""
+        """Wake the event loop regularly, so that a gap shows that the process was paused."""
         self.call_at(self.time + HEARTBEAT_INTERVAL, self.heartbeat)
 
     def run_maintenance(self) -> None:
-        """Close connections that are idle, or stand still within a message."""
+        """Close connections that are idle or stalled within a message."""
         self.call_at(self.time + self.maintenance_interval, self.run_maintenance)
         self.back.close_stalled()
         self.front.close_stalled(
@@ -181,11 +181,11 @@
         )
 
     def write_soon(self, conn: Connection) -> None:
-        """Try again to write to a connection, for which no thread could be started."""
+        """Schedule another write to a connection for which no writing thread could be started."""
         self.call_at(self.time + WRITE_RETRY_DELAY, conn.resume_writing)
 
     def connection_closing(self, names: list[str]) -> None:
-        """Check that this gateway may close a connection, on which requests of these names are open. Any
+        """Check that this gateway may close a connection on which requests of these names are open. Any
         thread may call this."""
         self.invariants.closed_with_open(names)
 
@@ -198,7 +198,7 @@
 
     @property
     def monotonic_time(self) -> Ticks:
-        """The monotonic clock's time, as of the last update."""
+        """The monotonic clock's time at the last update."""
         return self.clock.monotonic_time
 
     @property
@@ -216,10 +216,10 @@
         """Replace the timers; a handover drops those of what was handed over."""
         self.loop.timers = timers
 
-    # --- Host: what the decisions call; lilacloft/routing/host.py documents it ---
+    # --- Host: what the router calls; documented in lilacloft/routing/host.py ---
 
     def now(self) -> Ticks:
-        """Return the time."""
+        """Return the gateway's time."""
         return self.clock.time
 
     def dispatch(self, dispatch: Dispatch) -> None:
@@ -227,7 +227,7 @@
         self.dispatcher.dispatch(dispatch)
 
     def client_left_at(self, request: Request) -> Ticks | None:
-        """Return since when a request's client may have left."""
+        """Return since when a request's client may have disconnected."""
         return self.requests.client_left_at(request)
 
     def cancel(self, request: Request, attempt: int) -> None:
@@ -235,19 +235,19 @@
         self.dispatcher.cancel(request, attempt)
 
     def withdraw(self, request: Request, attempt: int) -> None:
-        """Take an attempt back if it has not gone out."""
+        """Withdraw an attempt that has not been sent."""
         self.dispatcher.withdraw(request, attempt)
 
     def reject(self, request: Request, retry_after: Ticks) -> None:
-        """Answer that a request is not served."""
+        """Send a rejection."""
         self.requests.reject(request, retry_after)
 
     def fail(self, request: Request) -> None:
-        """Answer that a request has failed."""
+        """Send the answer that a request has failed."""
         self.requests.fail(request)
 
     def wake(self, at: Ticks, timer: Timer) -> None:
-        """Have the router woken at a time."""
+        """Schedule a call of the router's `timer_fired`."""
         self.loop.call_at(at, self._timer_fired, timer)
 
     def _timer_fired(self, timer: Timer) -> None:
--- a/lilacloft/gateway/lifecycle.py
+++ b/lilacloft/gateway/lifecycle.py
@@ -1,6 +1,6 @@
-"""The life of a gateway process: its phase, and its graceful shutdown.
+"""The lifecycle of a gateway process: its phase, and its graceful shutdown.
 
-After SIGTERM clients may still connect for a while, as the protocol says; every request that was read is
+After SIGTERM clients may still connect for a while, as the protocol specifies; every request that was read is
 answered before the process may be killed. Then the listener and all connections are closed.
 """
 
@@ -15,21 +15,21 @@
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
 ARRIVALS_AFTER_STOP = 0.7  # seconds after SIGTERM in which clients may still send requests, by the protocol
-MAX_ARRIVAL_GAP = 0.2  # seconds without a request after those, until no more are expected
-LATEST_CLOSING = 1.5  # seconds after SIGTERM from which on connections are closed though requests still come
-CLIENT_CLOSE_GRACE = 0.3  # seconds left to clients to close their halves, once ours are closed
+MAX_ARRIVAL_GAP = 0.2  # seconds without a request, after those, until no more are expected
+LATEST_CLOSING = 1.5  # seconds after SIGTERM from which connections are closed although requests still arrive
+CLIENT_CLOSE_GRACE = 0.3  # seconds for clients to close their halves once ours are closed
 EARLIEST_KILL = 3.0  # seconds from the end of `ARRIVALS_AFTER_STOP` until the process may be killed
 MIN_CLOSING_INTERVAL: Ticks = 10  # between two checks of connections that are closing
 
 
 class Phase(Enum):
-    """Where a process is in its life; it only moves forwards. docs/gateway.md says what each phase owes."""
+    """The phases of a process, which only advance. docs/gateway.md specifies the duties of each."""
 
-    STARTING = auto()  # bound, and no client accepted yet
+    STARTING = auto()  # bound; no client accepted yet
     SERVING = auto()
-    DRAINING = auto()  # told to stop: clients may still come, and are answered
-    CLOSING = auto()  # no more clients: the listener is closed, and our half of each idle connection
-    ENDED = auto()  # nothing is left here, or another process is the gateway
+    DRAINING = auto()  # shutting down: clients may still connect, and are answered
+    CLOSING = auto()  # the listener is closed, and our half of each idle connection
+    ENDED = auto()  # everything is closed, or another process is the gateway
 
 
 class Lifecycle:
@@ -38,25 +38,25 @@
     def __init__(self, gateway: GatewayContext) -> None:
         self.gateway = gateway
         self.phase = Phase.STARTING
-        self.shutdown_started: Ticks = 0  # when SIGTERM came; 0: it has not
-        self.shutdown_deadline: Ticks = 0  # when all must be answered then
+        self.shutdown_started: Ticks = 0  # when SIGTERM was received; 0: not yet
+        self.shutdown_deadline: Ticks = 0  # by when all requests must be answered
         self.listener_closed_at: Ticks = 0
-        self.last_arrival: Ticks = 0  # of a request
+        self.last_arrival: Ticks = 0  # when the last request arrived
 
     def enter(self, phase: Phase) -> None:
-        """Change the phase, unless it is past this one already. Nothing else changes it."""
+        """Advance to a phase, unless it was reached already. Only this method changes the phase."""
         if phase.value > self.phase.value:
             self.phase = phase
 
     def stop(self) -> None:
-        """Start the graceful shutdown: SIGTERM came."""
+        """Start the graceful shutdown, after SIGTERM."""
         gateway = self.gateway
         if self.phase not in (Phase.STARTING, Phase.SERVING) or (
             gateway.upgrade and gateway.upgrade.forward_stop()
         ):
             return
         self.enter(Phase.DRAINING)
-        logger.info("told to stop: {} reqs are open", len(gateway.open_requests))
+        logger.info("told to stop: {} requests are open", len(gateway.open_requests))
         self.shutdown_started = now = gateway.clock.time
         arrivals = int(ARRIVALS_AFTER_STOP * TICKS_PER_SECOND)
         longest = min(gateway.max_client_timeout, int(EARLIEST_KILL * TICKS_PER_SECOND))
@@ -64,7 +64,7 @@
         gateway.loop.call_at(self.shutdown_deadline, self._reject_open_requests)
 
     def is_finished(self) -> bool:
-        """Is nothing owed any more? Moves the shutdown on where it can."""
+        """Advance the shutdown if possible, and return whether the process has nothing left to do."""
         if self.phase not in (Phase.DRAINING, Phase.CLOSING):
             return self.phase is Phase.ENDED
         is_busy = self._is_busy()
@@ -74,12 +74,12 @@
         last_moment = self.shutdown_deadline + self.gateway.maintenance_interval // 2
         if not is_settled and self.gateway.clock.time <= last_moment:
             return False
-        self.gateway.front.close_remaining()  # the process may live on for a while, and answers nothing then
+        self.gateway.front.close_remaining()  # the process may run on for a while, but answers nothing more
         return True
 
     def _is_busy(self) -> bool:
-        """Is a request open, or an answer unwritten? What a reader has taken may not be in `open_requests`
-        yet."""
+        """Return whether a request is open or an answer unwritten. A request that its reader has accepted may
+        not be in `open_requests` yet."""
         gateway = self.gateway
         return bool(gateway.open_requests) or any(
             client.open or client.unsent_bytes() for client in list(gateway.front.clients)
@@ -92,12 +92,12 @@
         )
 
     def _is_overdue(self) -> bool:
-        """Do clients go on sending for longer than the protocol lets them?"""
+        """Return whether clients have gone on sending for longer than the protocol allows."""
         return self.gateway.clock.time >= self.shutdown_started + LATEST_CLOSING * TICKS_PER_SECOND
 
     def _close_listener(self, is_busy: bool) -> None:
-        """Accept no more clients once arrivals are over, and no connection or message is unread. Who sends on
-        regardless does not delay that: its connection is closed when it is idle."""
+        """Stop accepting clients once arrivals are over and no connection or message is unread. Clients that
+        keep sending do not delay this: their connections are closed when idle."""
         front = self.gateway.front
         is_quiet = self._arrivals_are_over() and not is_busy and not front.has_unread()
         if is_quiet or (self._is_overdue() and not front.has_unaccepted()):
@@ -106,19 +106,19 @@
             front.stop_accepting()
 
     def _clients_are_closed(self, is_busy: bool) -> bool:
-        """Close our halves of connections on which nothing is owed; is that done, and had clients the time to
-        close theirs? Requests that cross our close are sent again elsewhere, and answers on their way still
-        arrive."""
+        """Close our halves of idle connections; return whether all are closed and clients had time to close
+        theirs. Requests that cross our close are sent again elsewhere by their clients, and answers already
+        sent still arrive."""
         gateway = self.gateway
-        remain = gateway.front.close_idle()
-        had_time = gateway.clock.time > self.listener_closed_at + CLIENT_CLOSE_GRACE * TICKS_PER_SECOND
-        if not is_busy and (not remain or (had_time and not gateway.front.has_unread())):
+        connections_remain = gateway.front.close_idle()
+        grace_is_over = gateway.clock.time > self.listener_closed_at + CLIENT_CLOSE_GRACE * TICKS_PER_SECOND
+        if not is_busy and (not connections_remain or (grace_is_over and not gateway.front.has_unread())):
             return True
         next_check = gateway.clock.time + max(gateway.granularity, MIN_CLOSING_INTERVAL)
-        gateway.loop.call_at(next_check, lambda: None)  # wakes the loop, which asks again
+        gateway.loop.call_at(next_check, lambda: None)  # wakes the loop, which checks again
         return False
 
     def _reject_open_requests(self) -> None:
-        """Reject what is still open at the shutdown's deadline."""
-        for call in list(self.gateway.open_requests.values()):
-            self.gateway.router.reject(call.request, RejectReason.ENDING)
+        """Reject the requests that are still open at the shutdown's deadline."""
+        for client_request in list(self.gateway.open_requests.values()):
+            self.gateway.router.reject(client_request.request, RejectReason.ENDING)
--- a/lilacloft/gateway/reload.py
+++ b/lilacloft/gateway/reload.py
@@ -13,22 +13,24 @@
 
 
 def reload(gateway: GatewayContext, config: dict[str, Any]) -> None:
-    """Apply a configuration that was read again, as far as it may change; all of that, or nothing where it
-    cannot be used. SIGHUP came. `listen` and `settings` need a restart, which is logged where they differ;
-    `name` and `known` are for the start only."""
+    """Apply a configuration that was read again after SIGHUP: all that may change, or nothing if it is
+    invalid.
+
+    Changes of `listen` and `settings` take effect only after a restart, which is logged; `name` and `known`
+    are used only at startup."""
     if gateway.upgrade and gateway.upgrade.forward_reload():
         return
     try:
         settings_validation.check_configuration(config)
         changelog = parse_address(config["changelog"])
-        found = budgets(config["limits"], descriptor_limit())
+        new_budgets = budgets(config["limits"], descriptor_limit())
         fixed = gateway.configuration.fixed
         ignored = [name for name, value in fixed.items() if config[name] != value]
-    except (KeyError, ValueError, TypeError, AttributeError) as wrong:
-        logger.error("the old configuration stays: it cannot be used: {!r}", wrong)
+    except (KeyError, ValueError, TypeError, AttributeError) as error:
+        logger.error("the old configuration stays: it cannot be used: {!r}", error)
         return
-    gateway.budgets = found
-    gateway.front.max_clients, gateway.back.max_connections = found.clients, found.caches
+    gateway.budgets = new_budgets
+    gateway.front.max_clients, gateway.back.max_connections = new_budgets.clients, new_budgets.caches
     gateway.limits = config["limits"]
     if gateway.feed.move(changelog):
         gateway.router.discovery_begins()
--- a/lilacloft/gateway/reporting.py
+++ b/lilacloft/gateway/reporting.py
@@ -1,6 +1,6 @@
 """Logs a gateway's counters, open requests, resources in use and violated invariants.
 
-The keys that are logged are read by tools and stay as they are.
+Tools read the logged keys; they must not change.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from lilacloft.net.processor_wait import processor_wait
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
-MAX_INSPECTED = 64  # open requests that are logged at once
+MAX_INSPECTED = 64  # open requests logged at once
 
 
 class Reporter:
@@ -26,10 +26,10 @@
 
     def __init__(self, gateway: GatewayContext) -> None:
         self.gateway = gateway
-        self.last_violation_at: Ticks = 0  # when one was last logged, by the monotonic clock
+        self.last_violation_at: Ticks = 0  # when a violation was last logged, by the monotonic clock
 
     def report(self) -> None:
-        """Log the counters that are not 0."""
+        """Log all counters that are not 0."""
         for name, counts in self._counts():
             counted = " ".join(f"{key.lower()}={count}" for key, count in counts.items() if count)
             logger.info("{}: {}", name, counted)
@@ -52,29 +52,34 @@
         yield "waited for a processor", asdict(processor_wait())
 
     def inspect(self) -> None:
-        """Log the counters, and what has become of the open requests. SIGUSR1 came."""
+        """Log the counters and the trace of open requests, after SIGUSR1."""
         self.report()
         gateway = self.gateway
-        for call in list(gateway.open_requests.values())[:MAX_INSPECTED]:
-            remaining = (call.request.deadline - gateway.clock.time) / TICKS_PER_SECOND
-            logger.info("open: {} with {:.3f} s left: {}", call.name, remaining, self._trail(call.name))
+        for client_request in list(gateway.open_requests.values())[:MAX_INSPECTED]:
+            remaining = (client_request.request.deadline - gateway.clock.time) / TICKS_PER_SECOND
+            logger.info(
+                "open: {} with {:.3f} s left: {}",
+                client_request.name,
+                remaining,
+                self._trail(client_request.name),
+            )
 
     def _trail(self, name: str) -> str:
         return "; ".join(str(step) for step in self.gateway.trace.trail(name))
 
     def report_violation(self, promise: Promise, name: str, detail: str) -> None:
-        """Log that an invariant is violated, or was about to be, with the request's trail; at most once a
+        """Log that an invariant is violated, or was about to be, with the request's trace; at most once per
         second. Any thread may call this."""
         now = monotonic_ticks()
         if now < self.last_violation_at + TICKS_PER_SECOND:
             return
         self.last_violation_at = now
-        trail = self._trail(name) or "no trail"
+        trail = self._trail(name) or "no trace"
         logger.error("invariant: {}: {} {}; {}", promise.value, name, detail, trail)
 
     def open_resources(self) -> dict[str, int]:
-        """Return what is open, counted or held just now: all 0, but for clients' connections and checks, once
-        nothing is owed any more."""
+        """Return the numbers of resources in use. Once no request is outstanding, all are 0 except client
+        connections and health checks."""
         gateway, backends = self.gateway, self.gateway.router.pools.backends
         in_flight = self._in_flight()
         limits = [backend.concurrency_limit for backend in backends if backend.concurrency_limit]
@@ -84,14 +89,16 @@
             "clients": len(gateway.front.clients),
             "parting": len(gateway.front.draining),
             "unwritten": sum(client.unsent_bytes() for client in list(gateway.front.clients)),
-            "out": sum(sent.call is not None for sent in in_flight),
-            "checks": sum(sent.call is None for sent in in_flight),
+            "out": sum(attempt.call is not None for attempt in in_flight),
+            "checks": sum(attempt.call is None for attempt in in_flight),
             "reqs": sum(len(backend.requests) for backend in backends),
             "trials": sum(backend.canary is not None for backend in backends),
             "limits": gateway.router.link_limit.in_flight + sum(limit.in_flight for limit in limits),
         }
 
     def _in_flight(self) -> list[Attempt]:
-        """Return the attempts and health checks that are out on connections."""
-        lines = [line for pool in self.gateway.back.pools.values() for line in pool.connections]
-        return [sent for line in lines for sent in line.in_flight.values()]
+        """Return the attempts and health checks in flight on connections."""
+        connections = [
+            connection for pool in self.gateway.back.pools.values() for connection in pool.connections
+        ]
+        return [attempt for connection in connections for attempt in connection.in_flight.values()]
--- a/lilacloft/gateway/wire_messages.py
+++ b/lilacloft/gateway/wire_messages.py
@@ -1,4 +1,4 @@
-"""Builds the message of an attempt as it goes to a backend. docs/gateway.md has its form."""
+"""Encodes the message that sends an attempt to a backend. docs/gateway.md specifies its format."""
 
 from __future__ import annotations
 
@@ -11,32 +11,34 @@
 DISPATCH = b"do"
 
 
-def encode_dispatch(call: ClientRequest, dispatch: Dispatch, vhost: str, source: Backend | None) -> bytes:
-    """Return an attempt's message. `vhost`: the virtual host's name; `source`: the backend that fills a miss,
-    None where nobody else does."""
+def encode_dispatch(
+    client_request: ClientRequest, dispatch: Dispatch, vhost: str, source: Backend | None
+) -> bytes:
+    """Return an attempt's message. `vhost`: the virtual host's name; `source`: the backend from which a miss
+    is filled, None for no other backend."""
     request = dispatch.request
     fields = (
         ("profile", vhost),
         ("thing", request.key),
         ("nth", request.part),
         ("max", attempt_milliseconds(dispatch)),
-        ("replay", call.replay),
+        ("replay", client_request.replay),
         ("next", source.name if source else None),
         ("admit", dispatch.cache_rank or None),
         ("agelim", _max_age_milliseconds(dispatch)),
         ("ways", _fill_flags(dispatch)),
-        ("cached", call.got),
+        ("cached", client_request.got),
     )
-    return encode(DISPATCH, call.name.encode(), encode_fields(fields), call.body)
+    return encode(DISPATCH, client_request.name.encode(), encode_fields(fields), client_request.body)
 
 
 def attempt_milliseconds(dispatch: Dispatch) -> int:
-    """Return the time limit that an attempt carries: never longer than the gateway will wait."""
+    """Return the time limit that an attempt carries; rounded down to at most what the gateway will wait."""
     return max(1, dispatch.timeout // TICKS_PER_MILLISECOND)
 
 
 def _max_age_milliseconds(dispatch: Dispatch) -> int | None:
-    """Return the age that a copy may have; None: any. 0 would mean the whole fresh time."""
+    """Return the maximum age of a copy, None for no limit. Never 0, which would mean the whole fresh time."""
     return max(1, dispatch.max_age // TICKS_PER_MILLISECOND) if dispatch.max_age else None
 
 
