--- a/lilacloft/gateway/reporting.py
+++ b/lilacloft/gateway/reporting.py
@@ -65,7 +65,7 @@
             )
 
     def _trail(self, name: str) -> str:
-        return "; ".join(str(step) for step in self.gateway.trace.trail(name))
+        return "; ".join(str(step) for step in self.gateway.trace.steps_of(name))
 
     def report_violation(self, promise: Promise, name: str, detail: str) -> None:
         """Log that an invariant is violated, or was about to be, with the request's trace; at most once per
--- a/lilacloft/net/__init__.py
+++ b/lilacloft/net/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on sockets: it carries what the decision module decides, and decides nothing."""
+"""The gateway's connections to clients, backends and discovery. Routing decisions are made elsewhere."""
--- a/lilacloft/net/attempt.py
+++ b/lilacloft/net/attempt.py
@@ -14,11 +14,11 @@
 from lilacloft.routing.retries import last_send_time
 from lilacloft.routing.units import TICKS_PER_MILLISECOND, Ticks
 
-TIME_LIMIT_MAX_AGE = 10  # ticks after which the time limit in an encoded dispatch is encoded again
+TIME_LIMIT_MAX_AGE = 10  # ticks after which the time limit in an encoded dispatch is updated
 
 
 def with_time_limit(dispatch: bytes, milliseconds: int) -> bytes:
-    """An encoded dispatch whose time limit (`max`) is at most `milliseconds`; it is never raised."""
+    """Return an encoded dispatch with its time limit (`max`) lowered to `milliseconds`, never raised."""
     buffer = MessageBuffer()
     buffer.append(dispatch)
     verb, name, field_list, body = buffer.next_message() or []
@@ -29,53 +29,55 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """A dispatch of a request, or a health check. Times but `at` are by the monotonic clock, 0: none."""
+    """A dispatch of a request, or a health check. Times, except `at` and `passed_on_at`, are by the monotonic
+    clock; 0: none."""
 
-    call: Any  # the client's request; None: a health check
+    call: Any  # the `ClientRequest`; None: a health check
     backend: Backend
-    seq: int  # the number of the attempt within its request
-    name: bytes  # the id under which the backend answers
-    connection: Connection | None = field(default=None, init=False)  # None: it has ended
+    seq: int  # number of the attempt within its request
+    name: bytes  # the id that the backend's answer carries
+    connection: Connection | None = field(default=None, init=False)  # None: not sent, or ended
     data: bytes  # the encoded message
-    position: int = field(default=0, init=False)  # where it ends in its connection's stream
-    at: Ticks  # when it was made, by the gateway's clock
-    passed_on_at: Ticks = field(default=0, init=False)  # to its connection, by the same clock; 0: not known
+    position: int = field(default=0, init=False)  # where the message ends in its connection's stream
+    at: Ticks  # when it was created, by the gateway's clock
+    # when it was passed to its connection, by the gateway's clock; 0: unknown
+    passed_on_at: Ticks = field(default=0, init=False)
     encoded_at: Ticks = 0  # when `data` was encoded
     time_limit: Ticks = 0  # the time limit that `data` holds
-    deadline: Ticks = 0  # when it times out
-    send_by: Ticks = 0  # from when on it may not be sent, if it was not before
+    deadline: Ticks = 0  # when the attempt times out
+    send_by: Ticks = 0  # from when on it may no longer be sent
     window_over: Ticks = 0  # when its idempotency window ends
-    expired_unsent: bool = field(default=False, init=False)  # removed from the backlog, as it had expired
-    confirmation: Attempt | None = field(default=None, init=False)  # the health check behind its cancellation
+    expired_unsent: bool = field(default=False, init=False)  # dropped from the backlog because it had expired
+    confirmation: Attempt | None = field(default=None, init=False)  # health check sent after its cancellation
     confirms: Attempt | None = field(default=None, init=False)  # of a health check: the cancelled attempt
 
     def has_waited(self, now: Ticks) -> bool:
-        """Has it waited since it was encoded, so that what was decided then may hold no more?"""
+        """Return whether it has waited since it was encoded, so that its contents may be outdated."""
         return now - self.encoded_at >= TIME_LIMIT_MAX_AGE
 
     def refresh(self) -> None:
-        """Lower the encoded time limit to the time that is left: it may have waited since it was encoded."""
+        """Lower the encoded time limit to the remaining time, if it has waited since it was encoded."""
         now = time.monotonic_ns() // NS_PER_TICK
         if self.deadline and self.has_waited(now):
             milliseconds = max(1, (self.deadline - now) // TICKS_PER_MILLISECOND)
             self.data = with_time_limit(self.data, milliseconds)
             self.encoded_at, self.time_limit = now, TICKS_PER_MILLISECOND * milliseconds
 
-    def begun(self, drained: Ticks) -> FirstByte:
-        """What the invariants check as its first byte is sent; `drained`: since when its backend drains."""
-        left = self.call.cancelled_at or self.call.client.input_ended or 0
+    def first_byte(self, drained: Ticks) -> FirstByte:
+        """Return the data for checking its first byte; `drained`: since when its backend drains."""
+        client_left_at = self.call.cancelled_at or self.call.client.input_ended or 0
         return FirstByte(
             self.name.decode(),
             time.monotonic_ns() // NS_PER_TICK,
             self.time_limit,
             self.deadline,
-            left,
+            client_left_at,
             self.window_over,
             drained,
         )
 
     def expired(self) -> bool:
-        """May it not be sent any more, as its time is up or its client may have disconnected?
+        """Return whether it must not be sent: its deadline has passed, or its client may have disconnected.
 
         Any thread may call this."""
         if self.call is None:
--- a/lilacloft/net/client_connection.py
+++ b/lilacloft/net/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its open requests, whether the client has disconnected, when it may be closed."""
+"""A client's connection: its open requests, detection of disconnects, and when it may be closed."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from lilacloft.routing.lag_margin import LagMargin
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
-STALL_TIMEOUT = 3.0  # seconds after which, by the protocol, a client that sends nothing usable is closed
-RESEND_WINDOW = 0.05  # seconds before our close within which clients send a request again, by the protocol
-PREDECESSOR_DETECTION_DELAY: Ticks = 10_000  # how late the end of the previous process may be detected
-MAX_ACCEPT_DELAY: Ticks = 500  # a longer one counts where requests are dated; the kernel counts in jiffies
+STALL_TIMEOUT = 3.0  # seconds; the protocol closes clients that send no valid message for this long
+RESEND_WINDOW = 0.05  # seconds; by the protocol, clients resend requests sent this shortly before our close
+PREDECESSOR_DETECTION_DELAY: Ticks = 10_000  # maximum delay in detecting the end of the previous process
+MAX_ACCEPT_DELAY: Ticks = 500  # a longer one affects requests' arrival times; the kernel counts in jiffies
 POLL_INTERVAL = 0.02  # seconds
 
 
 class RequestEvents(Protocol):
-    """What the gateway does about clients' requests, in the event loop's thread."""
+    """The gateway's handlers of clients' requests, called in the event loop's thread."""
 
     def arrived(self, request: ClientRequest) -> None:
         """Handle a new request."""
@@ -48,7 +48,7 @@
 
 
 class GatewaySide(Protocol):
-    """What clients' connections use of the gateway."""
+    """What client connections use of the gateway."""
 
     requests: RequestEvents
     lags: GatewayLags
@@ -56,19 +56,19 @@
     is_shutting_down: bool
 
     def paused_since(self) -> Ticks | None:
-        """Since when the process may have got no processor, None where it did."""
+        """Return since when the process may have been paused, None if it was not."""
 
     def write_soon(self, connection: Connection) -> None:
-        """Have writing resumed shortly."""
+        """Schedule a call of the connection's `resume_writing`."""
 
     def connection_closing(self, names: list[str]) -> None:
-        """A connection is closed by us although these requests are open on it."""
+        """Handle a close by this gateway while requests of these names are open on the connection."""
 
 
 class ConnectionOwner(Protocol):
-    """What a client's connection uses of the side that it belongs to (lilacloft/net/downstream.py)."""
+    """What a client's connection uses of its owner (lilacloft/net/downstream.py)."""
 
-    post: Callable[..., None]  # has a function called in the event loop's thread
+    post: Callable[..., None]  # queues a call for the event loop's thread
     gateway: GatewaySide
     counts: dict[str, int]
     requests_by_name: dict[str, ClientRequest]
@@ -81,17 +81,17 @@
         """Handle the end of a connection, in its thread."""
 
     def descriptor_closed(self, client: ClientConnection) -> None:
-        """A connection's descriptor was closed."""
+        """Handle the close of a connection's descriptor."""
 
     def add_draining(self, client: ClientConnection) -> None:
-        """Our half of a connection is closed, or about to be."""
+        """Add a connection of which our half is closed, or about to be."""
 
 
 class ClientConnection(Connection):
     """A client's connection.
 
-    `said`, `offences`, `taken`, `settled`, `used` and `moved` are handed over between processes under these
-    names."""
+    `said`, `offences`, `taken`, `settled`, `used` and `moved` are the names under which these attributes are
+    handed over between processes."""
 
     def __init__(self, downstream: ConnectionOwner, sock: socket.socket) -> None:
         super().__init__(
@@ -101,47 +101,48 @@
             buffer=MessageBuffer(CLIENT_MESSAGE_SIZES, SMALL_BUFFER),
         )
         self.downstream = downstream
-        self.said = self.offences = 0  # messages so far; unusable ones since the last request
-        self.taken = self.settled = 0  # requests accepted, by the reader; settled, by the event loop
+        self.said = self.offences = 0  # messages received; invalid ones since the last request
+        self.taken = self.settled = 0  # requests accepted by the reader, and settled by the event loop
         self.open: dict[bytes, ClientRequest] = {}  # by tag: the reader adds, the event loop removes
-        self.used = time.monotonic()  # when a message came last, or an answer was sent
-        self.moved = (0, self.used)  # bytes written, and since when no more were
-        self.input_ended: Ticks | None = None  # earliest possible time, by the monotonic clock
+        self.used = time.monotonic()  # when a message was last received or an answer sent
+        self.moved = (0, self.used)  # bytes written, and since when this count is unchanged
+        self.input_ended: Ticks | None = None  # the earliest possible time, by the monotonic clock
         self.connected_at: Ticks = 0  # by the monotonic clock; 0: unknown
-        self.accepted_late = False  # may input have lain unread from then until it was accepted?
+        self.accepted_late = False  # may there be input that arrived before it was accepted?
         self.emptied_at: Ticks = 0  # when all input had been read, by the monotonic clock; 0: unknown
-        self.unread_since = (0.0, 0)  # when it was last read from, and since when there is unread input
+        # `last_input_at` at the last check, and since when there is unread input
+        self.unread_since = (0.0, 0)
         downstream.unclosed[self] = None
 
-    # --- what the connection calls ---
+    # --- hooks of `Connection` ---
 
     def on_descriptor_closed(self) -> None:
-        """Make room for another client."""
+        """Notify the owner, which may then accept another client."""
         self.downstream.descriptor_closed(self)
 
     def write_soon(self) -> None:
-        """Have writing resumed shortly, by the event loop's thread."""
+        """Schedule `resume_writing` in the event loop's thread."""
         self.downstream.post(self.downstream.gateway.write_soon, self)
 
     def record_wait(self, seconds: float) -> None:
-        """An answer had to wait."""
+        """Record for how long an answer waited to be written."""
         self.downstream.gateway.lags.writes.record(int(seconds * TICKS_PER_SECOND))
 
     def apply_backpressure(self) -> None:
-        """Stop reading while the client does not read either; report its half close meanwhile."""
+        """Stop reading while the client does not read; report its half-close meanwhile."""
         reported = False
         while self.wait_for_backlog(MAX_PART_SIZE, POLL_INTERVAL):
             self.departed()
             if self.input_ended is not None and not reported:
-                reported = True  # its requests are rejected at once, not once all before the end is read
+                reported = True  # its requests are rejected now, not after all earlier input was read
                 events = self.downstream.gateway.requests
                 self.downstream.post(events.client_half_closed, self, self.input_ended, client=self)
 
     def wait_for_answers(self, reason: CloseReason) -> None:
-        """Wait for the answers to what was read: the client may have closed only its half.
+        """Wait for the answers to the requests that were read: the client may have closed only its half.
 
-        After input that could not be parsed, open requests are rejected, and only what can be written in time
-        is."""
+        After malformed input, open requests are rejected, and only answers that can be written in time are
+        sent."""
         if reason is CloseReason.CLOSED and self.input_ended is None:
             self.input_ended = self.last_byte_at()
         if self.close_reason is None and self._owes_answers():
@@ -150,7 +151,7 @@
             while self.close_reason is None and self._owes_answers():
                 if reason is CloseReason.GARBLED and time.monotonic() > until:
                     break
-                # no event is requested: only an error, which alone shows that the client has disconnected
+                # requests no events: errors are reported anyway, and only they show a disconnect here
                 if reason is CloseReason.CLOSED and poll_events(self.sock, 0, unknown=0):
                     self.close(CloseReason.RESET)
                     break
@@ -158,7 +159,7 @@
                     self.drained.wait(POLL_INTERVAL)
 
     def close_after_answers(self, reason: CloseReason) -> None:
-        """Close the connection; only our half where input may be unread, as a reset would discard answers."""
+        """Close the connection; only our half if input may be unread, as a reset would discard answers."""
         if reason is CloseReason.GARBLED:
             self.downstream.add_draining(self)
             self.half_close(reason)
@@ -166,11 +167,11 @@
             self.close(reason)
 
     def _owes_answers(self) -> bool:
-        """Is a request not settled yet, or an answer not written?"""
+        """Return whether a request is not settled yet, or an answer not written."""
         return bool(self.taken > self.settled or self.unsent_bytes())
 
     def _report_end_of_input(self, reason: CloseReason) -> None:
-        """Report why nothing more is read, and wait until the event loop has handled all that was read."""
+        """Report why reading ended, and wait until the event loop has handled all requests that were read."""
         handled = threading.Event()
         events = self.downstream.gateway.requests
         if reason is CloseReason.GARBLED:
@@ -181,21 +182,21 @@
         handled.wait()
 
     def _finish(self, reason: CloseReason, how: int = socket.SHUT_RDWR) -> None:
-        """Report a close by us while requests are open."""
+        """Report a close by this gateway while requests are open."""
         closed_by_us = reason in (CloseReason.RETIRED, CloseReason.FAULT)
         if self.close_reason is None and closed_by_us and self.open:
             self.downstream.gateway.connection_closing([request.name for request in self.open.values()])
         super()._finish(reason, how)
 
-    # --- has the client disconnected? ---
+    # --- detection of disconnects ---
 
     def departed(self) -> Ticks | None:
-        """Since when, by the monotonic clock, the client may have disconnected.
+        """Return since when, by the monotonic clock, the client may have disconnected.
 
-        0 where it certainly has; None where it is connected and all that it sent is read. Any thread may call
-        this. The kernel knows of an end of input before anybody has read up to it, but not since when; it
-        came no earlier than the last byte. Unread or unprocessed input may be a cancellation, since it was
-        first seen there, or since the last byte came."""
+        0 if it certainly has; None if it is connected and all its input was read. Any thread may call this.
+        The kernel reports an end of input before it is read, but not its time, which is no earlier than that
+        of the last byte. Unread or unprocessed input may contain a cancellation, received when the input was
+        first detected or when the last byte arrived, whichever is earlier."""
         if self.close_reason is not None:
             return 0
         if self.input_ended is not None:
@@ -210,23 +211,23 @@
             self.input_ended = since
         else:
             came, before = self.unread_since
-            if came == self.last_input_at:  # nothing was read meanwhile
+            if came == self.last_input_at:  # nothing was read since the last check
                 since = min(since, before)
             self.unread_since = (self.last_input_at, since)
         return since
 
     def _poll_input(self) -> int:
-        """The pending events of input and errors."""
+        """Return the pending input and error events."""
         try:
             return poll_events(self.sock, select.POLLIN | select.POLLRDHUP)
         except ValueError:
             return select.POLLNVAL  # the descriptor is closed
 
     def _has_unprocessed_input(self) -> bool:
-        """Has the reader read something that it has not passed on?
+        """Return whether the reader has input that it has not passed on.
 
-        The kernel is queried only where this process got no processor lately: else no reader has had input
-        for long."""
+        The kernel is queried only if this process was paused lately: otherwise readers pass input on without
+        delay."""
         if self.received != self.passed_on:
             return True
         return self.downstream.gateway.paused_since() is not None and self._has_delivered_bytes()
@@ -234,11 +235,11 @@
     # --- when messages arrived ---
 
     def last_byte_at(self) -> Ticks:
-        """When the last byte arrived, by the monotonic clock: now, where the kernel does not report it."""
+        """Return when the last byte arrived, by the monotonic clock; now if the kernel does not report it."""
         return time.monotonic_ns() // NS_PER_TICK - int(since_last_data(self.sock) * TICKS_PER_SECOND)
 
-    def note_connect_time(self) -> None:
-        """Note when it was connected, and whether it waited so long to be accepted that input lies there."""
+    def record_connect_time(self) -> None:
+        """Record when the connection was established, and whether input waited until it was accepted."""
         gateway, now = self.downstream.gateway, time.monotonic_ns() // NS_PER_TICK
         span = int(since_opened(self.sock) * TICKS_PER_SECOND)
         is_late = span > MAX_ACCEPT_DELAY
@@ -247,13 +248,12 @@
         self.accepted_late = is_late and bool(poll_events(self.sock, select.POLLIN))
 
     def arrived_at(self) -> Ticks:
-        """The earliest time at which the message just read may have arrived: with the last byte that the
-        kernel received.
+        """Return the earliest time at which the message just read may have arrived.
 
-        Where more input follows, that says little: the message may have been there for as long as this
-        process lags, or, if it was paused meanwhile, since then, or since the connection was made, where that
-        was accepted late and not all that lay there has been read since. But neither from before the
-        connection was made nor from before all input had been read."""
+        That is when the kernel received the last byte, unless more input follows. Then the message may have
+        been unread for as long as this process lags, or since the start of a pause, or, if the connection was
+        accepted late and its early input is not all read, since the connection was established. It is never
+        earlier than the time at which the connection was established or all input had been read."""
         last, paused_since = self.last_byte_at(), self.downstream.gateway.paused_since()
         now = time.monotonic_ns() // NS_PER_TICK
         lag = self.downstream.gateway.lag_margin.current(now)
@@ -268,39 +268,39 @@
         return min(last, max(since, self.connected_at, self.emptied_at))
 
     def _unread_since(self, paused_since: Ticks) -> Ticks:
-        """Since when input may lie unread after a pause."""
+        """Return since when input may have been unread, after a pause."""
         connected_since = self.connected_at > paused_since - PREDECESSOR_DETECTION_DELAY
         return self.connected_at if connected_since else paused_since
 
     # --- requests ---
 
     def accept_request(self, request: ClientRequest) -> bool:
-        """Add an open request; False where the connection is closed, as its client sends it again elsewhere
-        under the same name. Raises ValueError where another is open under its name."""
+        """Add an open request; False if the connection is closed: its client sends it again elsewhere under
+        the same name. Raises ValueError if another request of its name is open."""
         with self.lock:
             if self.close_reason is not None:
                 self._arrived_after_close(request)
                 return False
             if self.downstream.requests_by_name.setdefault(request.name, request) is not request:
-                raise ValueError("another request is open under its name")
+                raise ValueError("a request of this name is open already")
             self.open[request.tag] = request
             self.taken += 1
             return True
 
     def _arrived_after_close(self, request: ClientRequest) -> None:
-        """A request was read after our close. Its client sends it again if it was written within
-        `RESEND_WINDOW` before that; an earlier one is lost by our fault."""
+        """Count a request that was read after our close. Its client sends it again if it was sent within
+        `RESEND_WINDOW` before the close; an earlier one is lost through our fault, and is reported."""
         self.downstream.counts["crossed"] += 1
         window_start = int((self.closed_at - RESEND_WINDOW) * TICKS_PER_SECOND)
         if self.close_reason is CloseReason.RETIRED and request.at < window_start:
             self.downstream.gateway.connection_closing([request.name])
 
     def close_if_idle(self, how: int = socket.SHUT_WR, stalled: bool = False) -> bool:
-        """Close our half, or both (`how`), where no request is open, unread or unprocessed, and all answers
-        are written; False where that is not so.
+        """Close our half, or both (`how`), if no request is open, unread or unprocessed and all answers are
+        written; return whether it was closed.
 
-        `stalled`: a partly read message does not count, unless more of it has come. Runs under the lock that
-        requests are accepted under, so that none is accepted in part."""
+        `stalled`: ignores a partly read message, unless more of it has arrived. Holds the lock under which
+        requests are accepted, so that no request is accepted while the connection closes."""
         with self.lock:
             busy = self.open or self._owes_answers() or self.unread()
             if not stalled:
--- a/lilacloft/net/client_request.py
+++ b/lilacloft/net/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request as it was read, and its parsing."""
+"""A client's request as parsed from its message."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     input_ended: Ticks | None
 
     def departed(self) -> Ticks | None:
-        """Since when the client may have disconnected."""
+        """Return since when the client may have disconnected."""
 
 
 class ClientRequest:
-    """A client's request: the fields that are sent on unchanged, and where the answer goes.
+    """A client's request: the fields that are forwarded unchanged, and where its answer is sent.
 
-    The names of the fields that are handed over between processes are in `lilacloft.handover.messages`."""
+    `lilacloft.handover.messages` names the fields that are handed over between processes."""
 
     __slots__ = [
         "client",
@@ -57,7 +57,7 @@
         """Parse a message of verb, tag, virtual host, fields and, optionally, a body.
 
         `vhost`: the index of the virtual host; `at`: when the message arrived, by the monotonic clock. Raises
-        ValueError, KeyError or GarbledError where a field is missing or unusable."""
+        ValueError, KeyError or GarbledError if a field is missing or invalid."""
         pairs, body = parse_fields(items[3]), items[4] if len(items) > 4 else b""
         self.client, self.tag, self.vhost, self.body, self.at = client, items[1], vhost, body, at
         self.name = parse_hex(pairs["ref"], NAME_DIGITS)
@@ -65,35 +65,35 @@
         self.key = parse_hex(pairs["lookup"], KEY_DIGITS)
         self.part = parse_integer(pairs["nth"], 0, MAX_NUMBER)
         self.group = parse_integer(pairs["batch"], 0, MAX_GROUP)
-        size = pairs.get("room", "0")  # clients that do not send sizes leave them to the router's estimate
+        size = pairs.get("room", "0")  # if the client sends no size, the router estimates it
         if set(size) - DECIMAL_CHARACTERS:
-            raise ValueError("not a number")
+            raise ValueError("size is not a decimal number")
         self.kbytes = float(size)
         self.replay = parse_hex(pairs["replay"], IDEMPOTENCY_KEY_DIGITS) if "replay" in pairs else None
         self.got = parse_hex(pairs["got"], VERSION_DIGITS) if "got" in pairs else None
-        self.request: Any = None  # the router's Request, once the gateway has made it
+        self.request: Any = None  # the router's Request, once the gateway has created it
         self.attempt: Any = None  # the Attempt in flight
-        self.connections: list[Any] = []  # the upstream connections that its attempts used
+        self.connections: list[Any] = []  # the upstream connections used by its attempts
         self.cancelled_at: Ticks = 0  # when its client cancelled it, by the monotonic clock; 0: not
-        self.history: Any = None  # what the invariants check, once the gateway has made it
-        self.last_outcome = ""  # of its last attempt
+        self.history: Any = None  # state of the invariant checks, once the gateway has created it
+        self.last_outcome = ""  # of the last attempt
 
     def departed(self) -> Ticks | None:
-        """Since when, by the monotonic clock, nobody may be waiting for the answer: 0 where the request is
-        settled or cancelled, None where its client is connected. Any thread may call this."""
+        """Return since when, by the monotonic clock, nobody may be waiting for the answer: 0 if the request
+        is settled or cancelled, None if its client is connected. Any thread may call this."""
         return self.client.departed() if self.client.open.get(self.tag) is self else 0
 
 
 def parse_hex(text: str, digits: int) -> str:
-    """Check that a text is of so many hexadecimal digits. Raises ValueError."""
+    """Return a text after checking that it is `digits` hexadecimal digits. Raises ValueError."""
     if len(text) != digits or set(text) - HEX_DIGITS:
-        raise ValueError("not hexadecimal digits")
+        raise ValueError("not the expected number of hexadecimal digits")
     return text
 
 
 def parse_integer(text: str, least: int, most: int) -> int:
-    """Parse an integer between two limits, both included. Raises ValueError."""
+    """Parse an integer between two limits, inclusive. Raises ValueError."""
     is_number = text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_LENGTH
     if not (is_number and least <= int(text) <= most):
-        raise ValueError("not a number in range")
+        raise ValueError("not an integer within its limits")
     return int(text)
--- a/lilacloft/net/connection.py
+++ b/lilacloft/net/connection.py
@@ -1,7 +1,7 @@
 """A connection: its socket, its input buffer and its reading thread.
 
-Each connection reads in a thread of its own and passes whole messages to a callback. It does not interpret
-messages, does not block those who send, and is closed exactly once, for one reason.
+Each connection reads in its own thread and passes complete messages to a callback. It does not interpret
+messages, does not block senders, and is closed exactly once, for one reason.
 """
 
 from __future__ import annotations
@@ -31,32 +31,32 @@
 from lilacloft.net.tcp_info import bytes_received, since_last_data
 from lilacloft.net.write_backlog import BufferedSender
 
-CONNECT_RETRY_TIME = 0.05  # seconds in which a connect that fails for a local reason is retried
+CONNECT_RETRY_TIME = 0.05  # seconds for which a connect that fails for a local reason is retried
 SOCKET_OPTION_ATTEMPTS = 3
 DRAIN_TIME = 0.5  # seconds for which input after our close is discarded, so that no reset is sent
-DRAIN_BYTES = 1 << 20  # and the most that is discarded
+DRAIN_BYTES = 1 << 20  # the most input discarded after our close
 DRAIN_READ_SIZE = 1 << 16  # bytes
-READER_WAKEUP_TIME = 3.0  # seconds within which a reader gets to process what the kernel delivered to it
+READER_WAKEUP_TIME = 3.0  # seconds within which a reader processes what the kernel delivered to it
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectTarget:
-    """Where to connect, and within how long."""
+    """An address to connect to, and the timeout."""
 
     address: tuple[str, int]
     timeout: float  # seconds
 
 
-NO_TARGET = ConnectTarget(("", 0), 0.0)  # of an accepted socket
+NO_TARGET = ConnectTarget(("", 0), 0.0)  # for accepted sockets
 
 
 class Connection(BufferedSender):
-    """One connection, made of an accepted socket, or of an address to connect to within a timeout.
+    """One connection, created from an accepted socket or from an address to connect to within a timeout.
 
-    Where a process may hand its connections to another (`movable`, for all of them), a reader waits without
-    consuming input, and reads and passes on only under its gate. While gate and lock are both acquired
-    (`pause_reading`, `pause_writing`) the connection does not change: what the kernel has received is unread,
-    and what was read is in `MessageBuffer.unread` and the backlog."""
+    In a process that may hand its connections over to another (`movable`, for all of them), a reader waits
+    without consuming input, and reads and passes messages on only while it holds its gate. While gate and
+    lock are both acquired (`pause_reading`, `pause_writing`) the connection does not change: input is either
+    unread in the kernel or in `MessageBuffer.unread`, and output is in the backlog."""
 
     movable = False
 
@@ -68,8 +68,8 @@
         target: ConnectTarget | None = None,
         buffer: MessageBuffer | None = None,
     ) -> None:
-        """Both callbacks are called by the reading thread. Needs a connected `sock` or a `target`; `buffer`:
-        for the input, by default one for backends' messages."""
+        """Both callbacks are called in the reading thread. Needs a connected `sock` or a `target`; `buffer`:
+        the input buffer, by default one for backends' messages."""
         super().__init__(
             sock or socket.socket(socket.AF_INET, socket.SOCK_STREAM),
             ConnectionState.CONNECTING if sock is None else ConnectionState.OPEN,
@@ -77,15 +77,15 @@
         self.on_message, self.on_closed = on_message, on_closed
         self.target = target or NO_TARGET
         self.buffer = buffer or MessageBuffer(BACKEND_MESSAGE_SIZES, BACKEND_BUFFER)
-        # monotonic clock, seconds; the latter: when the first input of the current message came
+        # monotonic clock, seconds; `message_started_at`: when the first input of the current message was read
         self.last_input_at = self.message_started_at = time.monotonic()
         self.received = 0  # bytes read so far
-        self.passed_on = 0  # of those, the bytes whose messages were passed on, or are buffered in part
-        self.gate = threading.Lock()  # acquired while the reader reads, and to pause it
+        self.passed_on = 0  # of those, the bytes of messages passed on, and of a partial message
+        self.gate = threading.Lock()  # held by the reader while it reads, and acquired to pause it
 
     def start(self) -> None:
-        """Start the reading thread. Raises RuntimeError where no thread is available."""
-        # not threading.Thread: its start waits until the new thread has run
+        """Start the reading thread. Raises RuntimeError if no thread is available."""
+        # not threading.Thread, whose start blocks until the new thread runs
         _thread.start_new_thread(self._run, ())
 
     # --- pausing ---
@@ -99,27 +99,27 @@
         self.lock.acquire()
 
     def resume(self, writing_paused: bool = True) -> None:
-        """Resume reading, and writing where that was paused as well."""
+        """Resume reading, and writing if it was paused as well."""
         if writing_paused:
             self.lock.release()
         self.gate.release()
 
-    # --- what subclasses do ---
+    # --- hooks for subclasses ---
 
     def apply_backpressure(self) -> None:
-        """Called after each read, outside the gate: may block until the peer reads as well."""
+        """Block, if necessary, until the peer reads. Called after each read, outside the gate."""
 
     def wait_for_answers(self, reason: CloseReason) -> None:
-        """The input has ended: block as long as answers to earlier input are outstanding."""
+        """Block while answers to earlier input are outstanding. Called when the input has ended."""
 
     def close_after_answers(self, reason: CloseReason) -> None:
-        """Close the connection: no answer is outstanding any more."""
+        """Close the connection. Called when no answer is outstanding."""
         self.close(reason)
 
     # --- unread input ---
 
     def unread(self) -> bool:
-        """Is there input, or an end of input, that was not read or not processed yet?
+        """Return whether input, or an end of input, was not read or not processed yet.
 
         Called under the lock."""
         if self.state is ConnectionState.CLOSED:
@@ -131,21 +131,21 @@
         )
 
     def mark_passed_on(self) -> None:
-        """The current message is passed on; what follows it in the buffer is not."""
+        """Record that the current message is passed on, and the buffered input after it is not."""
         self.passed_on = self.received - self.buffer.unread_size()
 
     def _has_delivered_bytes(self) -> bool:
-        """Has the kernel delivered bytes to a reader that got no processor since?
+        """Return whether the kernel delivered bytes to a reader that has not run since.
 
-        Only the kernel's own count shows that; it is trusted for `READER_WAKEUP_TIME`, as it includes urgent
-        data too, which no reader receives."""
+        Only the kernel's byte count shows this. It is used only within `READER_WAKEUP_TIME` of the last data,
+        as it includes urgent data, which readers do not receive."""
         return bytes_received(self.sock) > self.passed_on and since_last_data(self.sock) < READER_WAKEUP_TIME
 
     # --- connecting ---
 
     def _connect(self) -> None:
-        """Connect and send what was queued meanwhile; closes the connection where that fails."""
-        self._set_socket_options()  # before anything is sent: a small write must not be delayed
+        """Connect, and send what was queued meanwhile; closes the connection on failure."""
+        self._set_socket_options()  # before anything is sent, so that small writes are not delayed
         try:
             self._connect_in_time()
         except ConnectionRefusedError:
@@ -162,7 +162,7 @@
         return None
 
     def _connect_in_time(self) -> None:
-        """Connect within the timeout; a transient local failure is retried. Raises OSError."""
+        """Connect within the timeout, retrying after transient local failures. Raises OSError."""
         started_at = time.monotonic()
         while True:
             time_left = started_at + self.target.timeout - time.monotonic()
@@ -176,8 +176,8 @@
             time.sleep(socket_errors.RETRY_INTERVAL)
 
     def _set_socket_options(self) -> None:
-        """Turn off Nagle's algorithm and size the send buffer."""
-        for _ in range(SOCKET_OPTION_ATTEMPTS):  # a broken socket reports its error when it is read
+        """Disable Nagle's algorithm and set the size of the send buffer."""
+        for _ in range(SOCKET_OPTION_ATTEMPTS):  # a persistent error is reported by the next read
             with contextlib.suppress(OSError):
                 self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_PART_SIZE)
@@ -186,7 +186,7 @@
     # --- the reading thread ---
 
     def _run(self) -> None:
-        """The reading thread: whatever fails, it closes the connection in order."""
+        """Run the reading thread. It closes the connection whatever fails."""
         reason = CloseReason.FAULT
         try:
             if self.state is ConnectionState.CONNECTING:
@@ -199,18 +199,18 @@
                     self._advance(ConnectionState.HALF_CLOSED)
                 self.wait_for_answers(reason)
         except Exception:
-            logger.exception("a connection's thread failed")
+            logger.exception("unhandled exception in a connection's reading thread")
         try:
             self.close_after_answers(reason)
             if self.state is ConnectionState.DRAINING:
                 self._discard_input()
         finally:
             with self.lock:
-                self._leave()
+                self._release()
             self.on_closed(self)
 
     def _read_all(self) -> CloseReason:
-        """Read and pass on messages until nothing more can be read; returns why."""
+        """Read and pass on messages until nothing more can be read; return the reason."""
         try:
             while self.close_reason is None:
                 if self.movable and not self._wait_for_input():
@@ -223,10 +223,10 @@
             return CloseReason.GARBLED
         except OSError as error:
             return close_reason_of(error)
-        return CloseReason.FAULT  # not used: it is closed already
+        return CloseReason.FAULT  # not used: the connection has a close reason already
 
     def _wait_for_input(self) -> bool:
-        """Wait for input without consuming any; False after a transient failure."""
+        """Wait for input without consuming it; False after a transient failure."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except OSError as error:
@@ -237,8 +237,8 @@
         return True
 
     def _read_once(self) -> bool:
-        """Read once, and pass on each message that is complete then; False at the end of the stream."""
-        fresh = not self.buffer.has_partial()
+        """Read once, and pass on all complete messages; False at the end of the stream."""
+        is_new_message = not self.buffer.has_partial()
         try:
             count = self.buffer.read_from(self.sock)
         except OSError as error:
@@ -251,22 +251,22 @@
         self.received += count
         self.last_input_at = time.monotonic()
         if self.close_reason is not None:
-            return True  # it was sent before the peer saw our close
+            return True  # discarded: sent before the peer saw our close
         try:
             while (items := self.buffer.next_message()) is not None:
-                fresh = True
+                is_new_message = True
                 self.on_message(self, items)
         except GarbledError:
             with self.lock:
                 self._advance(ConnectionState.UNREADABLE)
             raise
-        if fresh:
+        if is_new_message:
             self.message_started_at = self.last_input_at
         self.passed_on = self.received
         return True
 
     def _discard_input(self) -> None:
-        """After `half_close`: read and discard what still comes in."""
+        """Read and discard remaining input, after `half_close`."""
         until, bytes_left = time.monotonic() + DRAIN_TIME, DRAIN_BYTES
         with contextlib.suppress(OSError):
             while bytes_left > 0 and (time_left := until - time.monotonic()) > 0:
--- a/lilacloft/net/discovery_events.py
+++ b/lilacloft/net/discovery_events.py
@@ -1,6 +1,6 @@
-"""The events of discovery's change log: the endpoint list, changes of it, and purges.
+"""The events of discovery's change log: endpoint lists, changes to the list, and purges.
 
-They are read from the frames of a watch, and from the configuration, which has the same events as JSON.
+They are decoded from the frames of a watch, or read from the configuration, which has them as JSON.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 ENDPOINT = struct.Struct(">I4sHBBBHIQ")  # name, address, port, state, zone, kind, cell, capacity, start
 OBJECT_PURGE = struct.Struct(">QQ")  # key, time
 GROUP_PURGE = struct.Struct(">HQ")  # group, time
-MAX_EVENT_SIZE = ENDPOINT.size << 16  # bytes: a cell's number has two bytes, so no list is longer
-CAPACITY_UNIT = 1000  # capacities in frames are thousandths
+MAX_EVENT_SIZE = ENDPOINT.size << 16  # bytes; cell numbers have two bytes, which bounds the list
+CAPACITY_UNIT = 1000  # capacities in frames are in thousandths
 
 # kinds of frames
 HEARTBEAT, FULL_LIST, LIST_CHANGES, OBJECT_PURGED, GROUP_PURGED = range(5)
 
 STATUS_BY_NAME = {"active": 1, "leaving": 2, "left": 0}  # values of `BackendStatus`
-STATUS_BY_CODE = (1, 2, 0)  # the same in frames
+STATUS_BY_CODE = (1, 2, 0)  # indexed by the state's code in frames
 
 
 class EndpointEntry(NamedTuple):
@@ -39,9 +39,9 @@
 
 
 class Purge(NamedTuple):
-    """An object or a group of objects must not be served from copies made before a time."""
+    """A purge: copies of an object, or of a group of objects, from before a time must not be served."""
 
-    key: str  # empty: a group
+    key: str  # empty: the purge is of a group
     group: int
     time: int  # Unix time in milliseconds
 
@@ -49,7 +49,7 @@
 class DiscoveryEvent(NamedTuple):
     """One event of the change log."""
 
-    kind: Literal["full", "delta", "purge"]  # the whole list, changes of it, or a purge
+    kind: Literal["full", "delta", "purge"]  # the whole list, changes to it, or a purge
     content: list[EndpointEntry] | Purge
 
 
@@ -57,7 +57,7 @@
 
 
 def decode_event(number: int, kind: int, payload: bytes) -> DiscoveryEvent | None:
-    """Read the payload of a frame; None for a heartbeat. Raises GarbledError where it is no event."""
+    """Decode the payload of a frame; None for a heartbeat. Raises GarbledError if it is malformed."""
     if kind == HEARTBEAT and not payload:
         return None
     if kind in (FULL_LIST, LIST_CHANGES) and len(payload) % ENDPOINT.size == 0:
@@ -68,14 +68,14 @@
     if kind == GROUP_PURGED and len(payload) == GROUP_PURGE.size:
         group, time = GROUP_PURGE.unpack(payload)
         return DiscoveryEvent("purge", Purge("", group, time))
-    raise GarbledError(f"frame {number} of kind {kind} and {len(payload)} bytes")
+    raise GarbledError(f"malformed frame {number}: kind {kind}, payload of {len(payload)} bytes")
 
 
 def decode_entries(payload: bytes) -> Iterator[EndpointEntry]:
-    """Read the rows of a list's payload. Raises GarbledError for an unknown state."""
+    """Decode the rows of an endpoint list's payload. Raises GarbledError for an unknown state."""
     for name, address, port, state, zone, kind, cell, capacity, started in ENDPOINT.iter_unpack(payload):
         if state >= len(STATUS_BY_CODE):
-            raise GarbledError(f"state {state}")
+            raise GarbledError(f"unknown endpoint state {state}")
         yield EndpointEntry(
             f"s-{name:08x}",
             (socket.inet_ntoa(address), port),
@@ -91,7 +91,7 @@
 def events_of_config(
     results: list[dict[str, Any]], zones: list[str], kinds: list[str]
 ) -> Iterator[NumberedEvent]:
-    """Read the events that the configuration starts with (`known.results`), with their numbers."""
+    """Read the events in the configuration (`known.results`), with their numbers."""
     for result in results:
         if "fleet" in result:
             entries = [_entry_of_config(row, zones, kinds) for row in result["fleet"]["targets"]]
--- a/lilacloft/net/discovery_watch.py
+++ b/lilacloft/net/discovery_watch.py
@@ -1,7 +1,7 @@
 """The watch on discovery's change log: its thread, its connection, and the number of the last event.
 
-It hands each new event on once. It reconnects for as long as the process lives, and none of its own failures
-changes the endpoint list.
+Each new event is passed on exactly once. The watch reconnects for as long as the process runs, and none of
+its failures changes the endpoint list.
 """
 
 from __future__ import annotations
@@ -22,57 +22,57 @@
 from lilacloft.net.discovery_events import MAX_EVENT_SIZE, DiscoveryEvent, decode_event
 from lilacloft.net.exact_reads import read_before
 from lilacloft.net.polling import poll_events
-from lilacloft.net.read_barrier import RESUME, Address, answering_connection, connection_to_end
+from lilacloft.net.read_barrier import RESUME, Address, answering_connection, query_end
 from lilacloft.net.resp import GarbledError
 from lilacloft.protocol_settings import NS_PER_TICK
 
-HEADER = struct.Struct(">IQB")  # length of what follows it, number, kind
-LENGTH_SIZE = 4  # bytes of the header that its length does not count
+HEADER = struct.Struct(">IQB")  # length of the rest of the frame, number, kind
+LENGTH_SIZE = 4  # bytes of the header that are not counted in the length
 
-HEARTBEAT_INTERVAL = 1.0  # seconds between two frames of a live log, at most
-MAX_SILENCE = 2 * HEARTBEAT_INTERVAL  # after which the connection is given up
-MAX_SILENCE_JITTER = 0.1  # of that time, by which gateways differ
-MIN_RATE = 100_000  # bytes a second of a long frame
+HEARTBEAT_INTERVAL = 1.0  # maximum seconds between two frames of a live log
+MAX_SILENCE = 2 * HEARTBEAT_INTERVAL  # seconds after which the connection is given up
+MAX_SILENCE_JITTER = 0.1  # fraction of `MAX_SILENCE` by which gateways vary
+MIN_RATE = 100_000  # bytes per second that a long frame must arrive at
 CONNECT_TIMEOUT = HEARTBEAT_INTERVAL / 2  # seconds
 MIN_BACKOFF = HEARTBEAT_INTERVAL / 32
 MAX_BACKOFF = HEARTBEAT_INTERVAL / 2
-MORE_FRAMES_MS = 1  # what a log sends at once comes on a connection without longer pauses
-MAX_END_QUESTIONS = 4  # on one connection, to a log that has another event each time
+MORE_FRAMES_MS = 1  # frames that a log sends together arrive without longer gaps
+MAX_END_QUERIES = 4  # per connection; bounds queries of a log that has a new event each time
 HASH_MULTIPLIER = 0x9E3779B1  # odd, near 2**32 divided by the golden ratio
 
-EventHandler: TypeAlias = Callable[[DiscoveryEvent, int], None]  # an event and its number
+EventHandler: TypeAlias = Callable[[DiscoveryEvent, int], None]  # called with an event and its number
 
 
 class WatchChange(Enum):
-    """How the watch's hold on the change log has changed."""
+    """A change of the watch's state."""
 
-    CONNECTED = auto()  # the log has accepted a connection, and was asked for nothing on it yet
-    REPEATED = auto()  # the log has sent an event again on the connection, and nothing new yet
+    CONNECTED = auto()  # the log accepted a connection; nothing was requested on it yet
+    REPEATED = auto()  # the log has sent a known event again on the connection, and nothing new yet
     ANSWERED = auto()  # the log has sent its first new event or heartbeat on the connection
-    DISCONNECTED = auto()  # the connection has ended, or was given up
-    CAUGHT_UP = auto()  # all events that had waited were handed on
-    UNREACHABLE = auto()  # a connection was refused, or not made in time
+    DISCONNECTED = auto()  # the connection ended or was given up
+    CAUGHT_UP = auto()  # all waiting events were passed on
+    UNREACHABLE = auto()  # a connection was refused or timed out
 
 
 class WatchTarget(NamedTuple):
     """Which change log is followed."""
 
     address: Address
-    move: int  # how often the watch was moved before; an address may come back
+    move: int  # how often the watch was moved before; an address may be used again
 
 
-ChangeHandler: TypeAlias = Callable[[WatchChange, WatchTarget], None]  # a change, and of which log
+ChangeHandler: TypeAlias = Callable[[WatchChange, WatchTarget], None]  # with a change, and of which log
 
 
 class WatchStatus(NamedTuple):
-    """How current the watch is."""
+    """How up to date the watch is."""
 
-    at: int  # when its last frame came, or the watch began; `Ticks` of the monotonic clock
-    current: bool  # the connection that there is now has sent all events that had waited
+    at: int  # when the last frame was received, or the watch created; `Ticks` of the monotonic clock
+    current: bool  # the present connection has sent all events that were waiting
 
 
 class DiscoveryWatch:
-    """Follows the change log in a thread of its own."""
+    """Follows the change log in its own thread."""
 
     def __init__(
         self,
@@ -82,16 +82,16 @@
         gateway: str = "",
         on_change: ChangeHandler | None = None,
     ) -> None:
-        """`last`: the number of the last event that is there already; `on_event`, `on_change`: called in the
-        watch's thread, in the order in which things happen; without `on_change` no read barrier is asked for;
-        `gateway`: the gateway's name, which spreads the reconnections of a fleet over time."""
+        """`last`: the number of the last known event; `on_event`, `on_change`: called in the watch's thread,
+        in the order of occurrence; without `on_change` no read barrier is used; `gateway`: the gateway's
+        name, which spreads the reconnections of a fleet over time."""
         self.target = WatchTarget(address, 0)
-        self.tried_target: WatchTarget | None = None  # a connection to it was attempted
+        self.attempted_target: WatchTarget | None = None  # the target of the last connection attempt
         self.last, self.on_event, self.gateway, self.on_change = last, on_event, gateway, on_change
-        self.connects = self.events = 0  # connections made, events handed on
+        self.connects = self.events = 0  # connections established, events passed on
         self.status = WatchStatus(time.monotonic_ns() // NS_PER_TICK, current=False)
         self.address_changed = threading.Event()
-        self.gate = threading.Lock()  # held while something is handed on; who holds it stops all that
+        self.gate = threading.Lock()  # held while something is passed on; acquired by others to pause that
         self.sock: socket.socket | None = None
 
     def start(self) -> None:
@@ -99,8 +99,8 @@
         threading.Thread(target=self._run, daemon=True).start()
 
     def move(self, address: Address) -> bool:
-        """Follow the log at another address from now on, after the last event; from the gateway's thread.
-        Returns whether it is another one."""
+        """Follow the log at another address from now on, from the last event; called in the event loop's
+        thread. Return whether the address has changed."""
         if address == self.target.address:
             return False
         self.target = WatchTarget(address, self.target.move + 1)
@@ -108,7 +108,7 @@
         sock = self.sock
         if sock is not None:
             with contextlib.suppress(OSError):
-                sock.shutdown(socket.SHUT_RDWR)  # wakes the thread: the old connection brings nothing more
+                sock.shutdown(socket.SHUT_RDWR)  # wakes the thread: the old connection is not used any more
         return True
 
     def _run(self) -> None:
@@ -122,26 +122,26 @@
                 self._log_end(error, is_first=self.connects > connects or not is_logged)
                 is_logged = True
             except Exception:
-                logger.exception("the change log's thread failed")
-            # after a connection that was made the next attempt follows at once: the list grows old without it
+                logger.exception("change log: unhandled exception in the watch's thread")
+            # after an established connection, reconnect soon: without one the endpoint list becomes outdated
             reconnects = self.connects > connects or self.address_changed.is_set()
             backoff = MIN_BACKOFF if reconnects else min(2 * backoff, MAX_BACKOFF)
             self.address_changed.wait(backoff * (0.75 + self._jitter() / 4))
 
     def _log_end(self, error: Exception, is_first: bool) -> None:
-        """Log why a connection ended, or could not be made for the first time in a row."""
+        """Log why a connection ended; of consecutive failures to connect, only the first is logged."""
         if self.address_changed.is_set():
-            logger.info("change log: followed at another address after event {}", self.last)
+            logger.info("change log: moved to another address after event {}", self.last)
         elif is_first:
             logger.warning("change log: {} after event {}", error, self.last)
 
     def _follow(self) -> None:
-        """Follow the log on one connection, until it ends with an error."""
-        target, is_first_attempt = self.target, self.target != self.tried_target
-        self.tried_target = target
+        """Follow the log on one connection until it ends with an error."""
+        target, is_first_attempt = self.target, self.target != self.attempted_target
+        self.attempted_target = target
         with self._connect(target) as sock:
             self.sock = sock
-            if self.address_changed.is_set():  # since the loop began: this may be the old address
+            if self.address_changed.is_set():  # meanwhile: `target` may be the old address
                 return
             self._report(WatchChange.CONNECTED, target)
             try:
@@ -153,88 +153,88 @@
                 self._report(WatchChange.DISCONNECTED, target)
 
     def _receive_all(self, connected: socket.socket, target: WatchTarget, is_first_attempt: bool) -> None:
-        """Read frames until an error. Where the log was tried before, it is shown at once whether it answers:
-        what has waited in it meanwhile may be a purge. Where it has told something new, it is asked for its
-        end: there may be more behind that."""
-        sock, deadline, last_named = connected, self._silence_deadline(), self.last
-        questions = MAX_END_QUESTIONS if self.on_change else 0
+        """Read frames until an error. On a reconnection, a read barrier shows at once whether the log
+        answers, as a purge may be waiting in it. After new events, the log is queried for its end, as more
+        events may be waiting behind them."""
+        sock, deadline, last_queried = connected, self._silence_deadline(), self.last
+        queries_left = MAX_END_QUERIES if self.on_change else 0
         if self.on_change and not is_first_attempt:
             sock = answering_connection(connected, target.address, self.last, deadline)
         try:
             has_answered = False
             while True:
                 self.sock = sock
-                if self.address_changed.is_set():  # another connection may have been shut down for it
+                if self.address_changed.is_set():  # `move` may have shut down another connection
                     return
                 change = self._receive(sock, target, deadline)
                 if not has_answered:
                     self._report(change, target)
                     has_answered = change is WatchChange.ANSWERED
-                if questions and self.last > last_named and self._may_hold_more(sock):
-                    questions, last_named = questions - 1, self.last
-                    sock = connection_to_end(sock, target.address, last_named)
+                if queries_left and self.last > last_queried and self._end_is_unknown(sock):
+                    queries_left, last_queried = queries_left - 1, self.last
+                    sock = query_end(sock, target.address, last_queried)
                 deadline = self._silence_deadline()
         finally:
             sock.close()
 
-    def _may_hold_more(self, sock: socket.socket) -> bool:
-        """Has the log sent all that it sends at once, and not shown that this was all?"""
+    def _end_is_unknown(self, sock: socket.socket) -> bool:
+        """Return whether no more input follows and the log has not shown that this was its end."""
         return not self.status.current and not poll_events(sock, select.POLLIN, MORE_FRAMES_MS)
 
     def _connect(self, target: WatchTarget) -> socket.socket:
         try:
             return socket.create_connection(target.address, CONNECT_TIMEOUT)
-        except (ConnectionRefusedError, TimeoutError):  # other errors are this machine's and may pass
+        except (ConnectionRefusedError, TimeoutError):  # other errors are local and may be transient
             self._report(WatchChange.UNREACHABLE, target)
             raise
 
     def _report(self, change: WatchChange, target: WatchTarget) -> None:
         with self.gate:
-            self._change(change, target)
+            self._notify(change, target)
 
-    def _change(self, change: WatchChange, target: WatchTarget) -> None:
-        """Hand a change on; under the gate."""
+    def _notify(self, change: WatchChange, target: WatchTarget) -> None:
+        """Pass a change on. Called with the gate held."""
         if self.on_change:
             self.on_change(change, target)
 
     def _silence_deadline(self) -> float:
-        """Return when the connection is given up as silent; in monotonic seconds."""
+        """Return when a silent connection is given up, in monotonic seconds."""
         return time.monotonic() + MAX_SILENCE * (1 + MAX_SILENCE_JITTER * self._jitter())
 
     def _receive(self, sock: socket.socket, target: WatchTarget, deadline: float) -> WatchChange:
-        """Read one frame that has to come by a deadline, and hand its event on if it is new. Returns ANSWERED
-        for a new event or a heartbeat, REPEATED for an event that was handed on before."""
+        """Read one frame, which must arrive by a deadline, and pass its event on if it is new. Returns
+        ANSWERED for a new event or a heartbeat, REPEATED for an event that was passed on before."""
         length, number, kind = HEADER.unpack(read_before(sock, HEADER.size, deadline))
         size = length - (HEADER.size - LENGTH_SIZE)
         if not 0 <= size <= MAX_EVENT_SIZE:
-            raise GarbledError(f"a frame of {length} bytes")
+            raise GarbledError(f"invalid frame length {length}")
         event = decode_event(number, kind, read_before(sock, size, deadline + size / MIN_RATE))
         with self.gate:
             if event is None:
-                self._take_heartbeat(target)
+                self._handle_heartbeat(target)
             elif number > self.last:
-                self._take_event(event, number)
+                self._handle_event(event, number)
             else:
                 return WatchChange.REPEATED
         return WatchChange.ANSWERED
 
-    def _take_event(self, event: DiscoveryEvent, number: int) -> None:
-        """Hand a new event on; under the gate."""
+    def _handle_event(self, event: DiscoveryEvent, number: int) -> None:
+        """Pass a new event on. Called with the gate held."""
         self.on_event(event, number)
         self.events += 1
-        self.last = number  # not before: who reads it takes the event for handed on
+        self.last = number  # last: readers of `last` assume that the event was passed on
         self.status = self.status._replace(at=time.monotonic_ns() // NS_PER_TICK)
 
-    def _take_heartbeat(self, target: WatchTarget) -> None:
-        """All that had waited was handed on; under the gate."""
+    def _handle_heartbeat(self, target: WatchTarget) -> None:
+        """Record that all waiting events were passed on. Called with the gate held."""
         was_current = self.status.current
         self.status = WatchStatus(time.monotonic_ns() // NS_PER_TICK, current=True)
         if not was_current:
-            self._change(WatchChange.CAUGHT_UP, target)
+            self._notify(WatchChange.CAUGHT_UP, target)
 
     def _jitter(self) -> float:
-        """Return a number from 0 to 1 by name and connection, so that gateways that lose the log at once do
-        not all reconnect at once. The multiplication spreads checksums of names that differ in their last
-        digit alone, whose first bits are the same."""
+        """Return a number from 0 to 1 that depends on the gateway's name and the connection count, so that
+        gateways that lose the log at the same time do not all reconnect at the same time. The multiplication
+        spreads the checksums of names that differ only in their last digit, whose first bits are equal."""
         checksum = zlib.crc32(f"{self.gateway} {self.connects}".encode())
         return checksum * HASH_MULTIPLIER % 2**32 / 2**32
--- a/lilacloft/net/downstream.py
+++ b/lilacloft/net/downstream.py
@@ -1,7 +1,7 @@
-"""The clients' side: the listening socket, the clients' connections, and the handling of their messages.
+"""The downstream side: the listening socket, the clients' connections, and the handling of their messages.
 
-Requests are passed to the gateway in the event loop's thread. Messages that are no request are answered as
-failed in the thread that read them, so that many of them do not load the event loop.
+Requests are passed to the event loop's thread. Invalid messages are answered with an error in the thread that
+read them, so that many of them do not load the event loop.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from lilacloft.protocol_settings import NS_PER_TICK
 from lilacloft.routing.units import TICKS_PER_MILLISECOND, Ticks
 
-IDLE_TIMEOUT = 4.0  # seconds after which clients close idle connections themselves
-THREAD_RETRY_TIME = 1.0  # seconds in which the start of a client's thread is retried
+IDLE_TIMEOUT = 4.0  # seconds; by then clients close idle connections themselves
+THREAD_RETRY_TIME = 1.0  # seconds for which starting a client's thread is retried
 MAX_OPEN_REQUESTS = 32  # on one connection
 COUNT_NAMES = (  # stored
     "connections",
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenEndpoint:
-    """Where clients connect: an address, or a socket that is bound already."""
+    """Where clients connect: an address, or a socket that is already bound."""
 
     address: tuple[str, int]
     sock: socket.socket | None = None
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DownstreamLimits:
-    """The limits of the clients' side."""
+    """The limits of the downstream side."""
 
     max_clients: int
-    max_kbytes: float  # the most that can be sent within the longest client timeout: no object is larger
+    max_kbytes: float  # of an object: the most that can be sent within the longest client timeout
 
 
 class Downstream:
-    """All clients' connections."""
+    """The listening socket and all clients' connections."""
 
     def __init__(
         self,
@@ -74,8 +74,7 @@
         limits: DownstreamLimits,
         endpoint: ListenEndpoint,
     ) -> None:
-        """`post` has a function called in the event loop's thread, as `EventLoop.post`; any thread may call
-        it."""
+        """`post` queues a call for the event loop's thread, as `EventLoop.post`; any thread may call it."""
         self.post, self.gateway = post, gateway
         self.max_kbytes = limits.max_kbytes
         self.requests_by_name: dict[str, ClientRequest] = {}  # open ones: readers add, the event loop removes
@@ -83,13 +82,13 @@
         self.vhosts_with_keys = {index for index, vhost in enumerate(vhosts) if vhost["effect"] == "uniqued"}
         self.max_clients = limits.max_clients
         self.clients: dict[ClientConnection, None] = {}
-        self.draining: dict[ClientConnection, float] = {}  # our half is closed, and since when
-        self.unclosed: dict[ClientConnection, None] = {}  # whose descriptors are not closed yet
+        self.draining: dict[ClientConnection, float] = {}  # half-closed by us, and since when
+        self.unclosed: dict[ClientConnection, None] = {}  # connections whose descriptors are not closed yet
         self.descriptor_freed = threading.Condition()
         self.is_closed = False  # no more clients are accepted
         self.counts = dict.fromkeys(COUNT_NAMES, 0)
-        self.closes: Counter[str] = Counter()  # closed connections, by the reason's name
-        self.gate = threading.Lock()  # acquired while a client is accepted, and to pause that
+        self.closes: Counter[str] = Counter()  # closed connections by the close reason's name
+        self.gate = threading.Lock()  # held while a client is accepted, and acquired to pause accepting
         self.sock = endpoint.sock or socket_errors.retry_transient(
             lambda: socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         )
@@ -100,8 +99,8 @@
     # --- accepting ---
 
     def start(self) -> None:
-        """Listen, and accept clients in a thread of its own."""
-        self.sock.listen(socket.SOMAXCONN)  # where the queue is full, clients retry after a second
+        """Listen, and start the accepting thread."""
+        self.sock.listen(socket.SOMAXCONN)  # if the accept queue is full, clients retry after a second
         threading.Thread(target=self._accept, daemon=True).start()
 
     def stop_accepting(self) -> None:
@@ -112,7 +111,7 @@
                 self.sock.shutdown(socket.SHUT_RDWR)  # wakes the accepting thread
 
     def _accept(self) -> None:
-        """The accepting thread."""
+        """Run the accepting thread."""
         if Connection.movable:
             self.sock.setblocking(False)  # another process of this gateway may have accepted the client
         while True:
@@ -128,12 +127,12 @@
                     return
                 self._accept_failed(error)
             except Exception:
-                logger.exception("the accepting thread failed")
+                logger.exception("unhandled exception in the accepting thread")
 
     def _accept_failed(self, error: OSError) -> None:
-        """Wait after a transient failure: the client has disconnected, or a resource is short."""
+        """Wait after a failed accept: the client has disconnected, or a resource is short."""
         if not self.counts["not_taken"]:
-            logger.error("accept: {}", error)
+            logger.error("cannot accept a client: {}", error)
         self.counts["not_taken"] += 1
         if socket_errors.concerns_one_client(error):
             time.sleep(socket_errors.RETRY_INTERVAL)
@@ -149,7 +148,7 @@
             sock.close()
             return
         client = ClientConnection(self, sock)
-        client.note_connect_time()
+        client.record_connect_time()
         self.clients[client] = None
         if self._start_thread(client):
             self.counts["connections"] += 1
@@ -161,14 +160,14 @@
 
     @staticmethod
     def _start_thread(client: ClientConnection) -> bool:
-        """Start a client's thread, with retries, as what the client has sent already must not be lost."""
+        """Start a client's thread, with retries, so that input the client has already sent is not lost."""
         until = time.monotonic() + THREAD_RETRY_TIME
         while True:
             try:
                 client.start()
             except RuntimeError as error:
                 if time.monotonic() >= until:
-                    logger.error("no thread for a client: {}", error)
+                    logger.error("cannot start a client's thread: {}", error)
                     return False
                 time.sleep(POLL_INTERVAL)
             else:
@@ -200,22 +199,22 @@
             )
 
     def _make_room(self) -> bool:
-        """Close connections without open requests, which the protocol allows: first those that never sent a
-        request, then those idle for longest."""
+        """Close connections without open requests, as the protocol allows: first those that never sent a
+        request, then the longest idle."""
         idle = [client for client in list(self.clients) if not client.open and client.close_reason is None]
         idle.sort(key=lambda client: (client.taken > 0, client.used))
         closed = 0
         for client in idle:
-            if closed > len(idle) // MAX_OPEN_REQUESTS:  # several at once, as each search goes through all
+            if closed > len(idle) // MAX_OPEN_REQUESTS:  # several at once, as each search visits all
                 break
-            # a client that never sent a request has no answer that closing both halves could discard
+            # without any request there is no answer that closing both halves could discard
             closed += self._close_if_idle(client, socket.SHUT_WR if client.taken else socket.SHUT_RDWR)
         return closed > 0
 
     def _close_if_idle(
         self, client: ClientConnection, how: int = socket.SHUT_WR, stalled: bool = False
     ) -> bool:
-        """Close our half of a connection, or both (`how`), if it is idle; returns whether it was."""
+        """Close our half of a connection, or both (`how`), if it is idle; return whether it was."""
         if not client.close_if_idle(how, stalled):
             return False
         if how == socket.SHUT_WR:
@@ -225,20 +224,20 @@
         return True
 
     def add_draining(self, client: ClientConnection) -> None:
-        """Our half of a connection is closed, or about to be."""
+        """Add a connection of which our half is closed, or about to be."""
         self.draining[client] = time.monotonic()
         self.clients.pop(client, None)
 
     # --- messages, in the connections' threads ---
 
     def handle_message(self, client: ClientConnection, items: list[bytes]) -> None:
-        """Handle one message, which may have been unread for long. Raises GarbledError."""
+        """Handle one message, which may have waited unread. Raises GarbledError."""
         at = client.arrived_at()
         client.used = time.monotonic()
         client.said += 1
         verb, tag = items[0], items[1] if len(items) > 1 else b""
         if not tag.isdigit() or tag.startswith(b"0"):
-            raise GarbledError("no tag")
+            raise GarbledError("missing or invalid tag")
         if verb == b"EXEC":
             self._handle_request(client, items, at)
         elif verb == b"FORGET":
@@ -250,7 +249,7 @@
             self._reject(client, tag, ERROR)
 
     def connection_closed(self, client: ClientConnection) -> None:
-        """A connection has ended: count it, and report its open requests."""
+        """Handle the end of a connection: count it, and report its open requests."""
         self.clients.pop(client, None)
         self.draining.pop(client, None)
         self.closes[(client.close_reason or CloseReason.FAULT).name] += 1
@@ -258,11 +257,11 @@
             self.post(self.gateway.requests.client_disconnected, client, client=client)
 
     def _handle_request(self, client: ClientConnection, items: list[bytes], at: Ticks) -> None:
-        """Pass a request on, or answer it with an error where it is unusable."""
+        """Pass a request on, or answer with an error if it is invalid."""
         tag = items[1]
         self.gateway.lags.reads.record(max(0, time.monotonic_ns() // NS_PER_TICK - at))
         if tag in client.open:
-            raise GarbledError("a tag that is open already")  # its answer could not be told from the other's
+            raise GarbledError("tag of an open request")  # their answers could not be told apart
         try:
             request = self._parse_request(client, items, at)
             accepted = client.accept_request(request)
@@ -274,27 +273,27 @@
             client.offences = 0
             if accepted:
                 self.counts["reqs"] += 1
-                client.mark_passed_on()  # first: the event loop may handle it before this thread goes on
+                client.mark_passed_on()  # before posting: the event loop may handle it at once
                 due_at = request.at + request.allow * TICKS_PER_MILLISECOND
                 self.post(self.gateway.requests.arrived, request, client=client, due_at=due_at)
 
     def _parse_request(self, client: ClientConnection, items: list[bytes], at: Ticks) -> ClientRequest:
-        """Parse a request. Raises ValueError, KeyError or GarbledError where it is unusable, OverflowError
-        where too many are open."""
+        """Parse a request. Raises ValueError, KeyError or GarbledError if it is invalid, OverflowError if too
+        many are open."""
         if not 4 <= len(items) <= 5:
-            raise ValueError("not a request")
+            raise ValueError("wrong number of elements")
         if len(client.open) >= MAX_OPEN_REQUESTS:
             raise OverflowError("too many open requests")
         vhost = self.vhosts[items[2]]
         request = ClientRequest(client, items, vhost, at)
         if vhost in self.vhosts_with_keys and request.replay is None:
-            raise ValueError("no idempotency key")
+            raise ValueError("missing idempotency key")
         if not request.kbytes <= self.max_kbytes:
-            raise ValueError("larger than can be sent")
+            raise ValueError("object too large to be sent in time")
         return request
 
     def _handle_cancellation(self, client: ClientConnection, tag: bytes, at: Ticks) -> None:
-        """Close a request at once, as its client no longer counts it as open."""
+        """Close a cancelled request at once, as its client no longer counts it as open."""
         self.counts["forgotten"] += 1
         request = client.open.get(tag)
         if request is not None and self.close_request(request):
@@ -302,18 +301,18 @@
             self.post(self.gateway.requests.cancelled, request, client=client)
 
     def _reject(self, client: ClientConnection, tag: bytes, status: bytes) -> None:
-        """Answer an unusable message; raises GarbledError after `MAX_OPEN_REQUESTS` of them in a row."""
+        """Answer an invalid message. Raises GarbledError after `MAX_OPEN_REQUESTS` of them in a row."""
         self.counts["unusable"] += 1
         client.offences += 1
         self.answer(client, tag, status)
         if client.offences >= MAX_OPEN_REQUESTS:
-            raise GarbledError("too many unusable messages")
+            raise GarbledError("too many invalid messages")
 
     # --- requests and answers, in any thread ---
 
     def close_request(self, request: ClientRequest) -> bool:
-        """A request is no longer open; returns whether it was. Its reader and the event loop may both call
-        this."""
+        """Remove a request from the open ones; return whether it was open. Its reader and the event loop may
+        both call this."""
         tag, open_requests = request.tag, request.client.open
         if open_requests.get(tag) is not request or open_requests.pop(tag, None) is None:
             return False
@@ -329,7 +328,7 @@
         pairs: tuple[tuple[str, object], ...] = (),
         body: bytes = b"",
     ) -> None:
-        """Send an answer: its status, fields and body, the last two optional."""
+        """Send an answer: its status, and optionally fields and a body."""
         if pairs or body:
             client.send(encode(tag, status, encode_fields(pairs) if pairs else b"", body))
         else:
@@ -338,10 +337,10 @@
     # --- maintenance, in the event loop's thread ---
 
     def close_stalled(self, write_timeout: float, max_unsent: int, interval: float) -> None:
-        """Close connections that stalled; called every `interval` seconds.
+        """Close stalled connections; called every `interval` seconds.
 
-        Those that send no whole message in time or are idle; those that read nothing for `write_timeout`
-        seconds; and, while more than `max_unsent` bytes wait in all, those with the most of them."""
+        These are connections that send no complete message in time or are idle, those that read nothing for
+        `write_timeout` seconds and, while more than `max_unsent` bytes wait in total, those with the most."""
         now = time.monotonic()
         self._close_idle_or_partial(now, interval)
         for client, since in list(self.draining.items()):
@@ -350,7 +349,7 @@
         self._close_unreading(now, write_timeout, max_unsent)
 
     def _close_idle_or_partial(self, now: float, interval: float) -> None:
-        """Close those idle for long, and those that stalled within a message, unless more of it has come."""
+        """Close connections that are idle, or stalled within a message with no more of it received."""
         for client in list(self.clients):
             stalled = not client.said or client.buffer.has_partial()
             idle_time = now - (client.message_started_at if stalled else client.used)
@@ -359,7 +358,7 @@
                 self._close_if_idle(client, socket.SHUT_WR if client.taken else socket.SHUT_RDWR, stalled)
 
     def _close_unreading(self, now: float, write_timeout: float, max_unsent: int) -> None:
-        """Close those that do not read, and resume writing to the others."""
+        """Close connections that do not read, and resume writing to the others."""
         unsent = {client: client.unsent_bytes() for client in list(self.clients)}
         total = sum(unsent.values())
         for client in sorted(unsent, key=lambda client: -unsent[client]):
@@ -375,11 +374,11 @@
     # --- shutting down, in the event loop's thread ---
 
     def has_unaccepted(self) -> bool:
-        """Is there a client to accept?"""
+        """Return whether a client waits to be accepted."""
         return not self.is_closed and bool(poll_events(self.sock, select.POLLIN))
 
     def has_unread(self) -> bool:
-        """Is there a client to accept, or a message to read?"""
+        """Return whether a client waits to be accepted, or input to be read."""
         if self.has_unaccepted():
             return True
         for client in list(self.clients):
@@ -389,14 +388,14 @@
         return False
 
     def close_idle(self) -> bool:
-        """Close all idle connections; returns whether any connections are left."""
+        """Close all idle connections; return whether any connections are left."""
         for client in list(self.clients):
             self._close_if_idle(client)
         return bool(self.clients or self.draining)
 
     def close_remaining(self) -> None:
-        """Close our half of all connections, whatever is open on them: nothing is answered here any more. Who
-        sends right then sees its request cross the close, and sends it again elsewhere."""
+        """Close our half of all connections, even with open requests, as nothing is answered here any more. A
+        client whose request crosses this close sends it again elsewhere."""
         for client in list(self.clients):
             self.add_draining(client)
             client.half_close(CloseReason.RETIRED)
--- a/lilacloft/net/exact_reads.py
+++ b/lilacloft/net/exact_reads.py
@@ -1,4 +1,4 @@
-"""Reads of an exact number of bytes from blocking connections."""
+"""Reads an exact number of bytes from blocking connections."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 
 def read_exactly(stream: BinaryIO, count: int) -> bytes:
-    """Return `count` bytes of a connection's stream. Raises ConnectionResetError where it ends before."""
+    """Return `count` bytes of a connection's stream. Raises ConnectionResetError if it ends before that."""
     data = stream.read(count)
     if len(data) < count:
-        raise ConnectionResetError("closed")
+        raise ConnectionResetError("connection closed by the peer")
     return data
 
 
 def read_before(sock: socket.socket, count: int, deadline: float) -> bytes:
-    """Return `count` bytes of a connection, which are all there by a deadline in monotonic seconds: a peer
-    that sends byte by byte does not extend it.
+    """Return `count` bytes of a connection, all received by a deadline in monotonic seconds, which a peer
+    that sends byte by byte does not extend.
 
-    Raises ConnectionResetError where the connection ends before, TimeoutError at the deadline.
+    Raises ConnectionResetError if the connection ends before that, TimeoutError at the deadline.
     """
     data = bytearray()
     while len(data) < count:
         remaining = deadline - time.monotonic()
         if remaining <= 0:
-            raise TimeoutError("silent")
+            raise TimeoutError("no data received within the deadline")
         sock.settimeout(remaining)
-        piece = sock.recv(count - len(data))
-        if not piece:
-            raise ConnectionResetError("closed")
-        data += piece
+        chunk = sock.recv(count - len(data))
+        if not chunk:
+            raise ConnectionResetError("connection closed by the peer")
+        data += chunk
     return bytes(data)
--- a/lilacloft/net/lag_histogram.py
+++ b/lilacloft/net/lag_histogram.py
@@ -1,7 +1,7 @@
-"""Histograms of lags: how long something that was due, or there, waited until this process came to it.
+"""Histograms of lags: how long work that was due or ready waited until this process handled it.
 
-A process that gets too little processor time is late in each of its threads. One histogram a kind of work
-tells which of them was.
+A process that gets too little processor time may be late in any of its threads. One histogram per kind of
+work shows in which.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from lilacloft.routing.units import TICKS_PER_MILLISECOND, Ticks
 
-BOUNDS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000)  # upper bounds of the buckets but the last
+BOUNDS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000)  # upper bounds of all buckets but the last
 _BOUNDS = tuple(bound * TICKS_PER_MILLISECOND for bound in BOUNDS_MS)
 
 
 class LagHistogram:
-    """The lags of one kind of work. Any thread may record one."""
+    """The lags of one kind of work. Any thread may record lags."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BOUNDS_MS) + 1)
@@ -25,7 +25,7 @@
         self._lock = threading.Lock()
 
     def record(self, lag: Ticks) -> None:
-        """Count one lag."""
+        """Record one lag."""
         with self._lock:
             self.counts[bisect_left(_BOUNDS, lag)] += 1
             if lag > self.longest:
@@ -42,7 +42,7 @@
 class GatewayLags:
     """The lags of one gateway process, by kind of work."""
 
-    events: LagHistogram = field(default_factory=LagHistogram)  # from being posted to being taken
+    events: LagHistogram = field(default_factory=LagHistogram)  # from being posted to being run
     timers: LagHistogram = field(default_factory=LagHistogram)  # from being due to being run
-    reads: LagHistogram = field(default_factory=LagHistogram)  # from a request's last byte to being parsed
-    writes: LagHistogram = field(default_factory=LagHistogram)  # of what had to wait, to its first byte
+    reads: LagHistogram = field(default_factory=LagHistogram)  # from a request's last byte until it is parsed
+    writes: LagHistogram = field(default_factory=LagHistogram)  # of delayed messages, until their first byte
--- a/lilacloft/net/polling.py
+++ b/lilacloft/net/polling.py
@@ -12,10 +12,10 @@
 def poll_events(
     sock: socket.socket, events: int, milliseconds: int | None = 0, unknown: int = select.POLLIN
 ) -> int:
-    """The bits of `events` that are pending on a socket, within a timeout (None: without limit).
+    """Return the bits of `events` that are pending on a socket, within a timeout (None: no timeout).
 
-    Returns `unknown` where the poll failed with a transient error. Raises ValueError where the socket's
-    descriptor is closed, and OSError where the poll failed permanently."""
+    Returns `unknown` after a transient error of the poll. Raises ValueError if the socket's descriptor is
+    closed, and OSError if the poll failed permanently."""
     poller = select.poll()
     poller.register(sock, events)
     try:
@@ -28,11 +28,11 @@
 
 
 def any_readable(socks: Iterable[socket.socket]) -> bool:
-    """Has any of these sockets input, an end of input or an error? One system call for all; False where that
-    fails."""
+    """Return whether any of these sockets has input, an end of input or an error: one system call for all.
+    False if that fails."""
     poller = select.poll()
     for sock in socks:
-        if (descriptor := sock.fileno()) >= 0:  # else it is closed
+        if (descriptor := sock.fileno()) >= 0:  # negative: closed
             poller.register(descriptor, select.POLLIN)
     try:
         return bool(poller.poll(0))
--- a/lilacloft/net/processor_wait.py
+++ b/lilacloft/net/processor_wait.py
@@ -1,6 +1,6 @@
-"""How long the threads of this process waited for a processor, as the Linux kernel counts it.
+"""How long the threads of this process waited for a processor, as counted by the Linux kernel.
 
-Reads `/proc/self/task/*/schedstat` (proc(5)). A kernel that does not provide it is no error: all is 0.
+Reads `/proc/self/task/*/schedstat` (proc(5)). If the kernel does not provide it, all values are 0.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessorWait:
-    """What threads that are alive waited, in milliseconds, while they could have run."""
+    """How long the live threads waited while they were runnable, in milliseconds."""
 
     main_ms: int = 0  # the main thread, which is a gateway's event loop
     others_ms: int = 0  # all others together
-    longest_other_ms: int = 0  # the one of them that waited longest in all
+    longest_other_ms: int = 0  # the one with the longest total wait
     threads: int = 0
 
 
 def processor_wait(tasks: Path = TASKS) -> ProcessorWait:
-    """Return what the threads of this process waited since they began."""
+    """Return how long the threads of this process have waited since they started."""
     main, others = 0, []
     try:
         names = os.listdir(tasks)
@@ -40,7 +40,7 @@
 
 
 def _run_delay(path: Path) -> int:
-    """Return the run delay of one thread, in nanoseconds; 0 where it has ended."""
+    """Return the run delay of one thread, in nanoseconds; 0 if it has ended."""
     try:
         return int(path.read_text().split()[1])
     except (OSError, ValueError, IndexError):
--- a/lilacloft/net/read_barrier.py
+++ b/lilacloft/net/read_barrier.py
@@ -1,17 +1,16 @@
-"""Second connections to the change log, which show at once what the first one shows within a second.
+"""Second connections to the change log, which show at once what the first shows only within a second.
 
-The log sends on a connection the events behind the one whose number was written there, and a heartbeat each
-second. So a log that is well and has nothing new, and one that stands still while the operating system
-accepts connections for it, look the same for up to a second.
+On each connection the log sends the events after the number written there, and a heartbeat each second. So
+for up to a second, a healthy log without new events cannot be told from one that hangs while the operating
+system accepts connections for it.
 
-The read barrier shows that the log answers, also where it has nothing new to tell: a second connection asks
-for the last known event again. A log that is well sends it at once, and behind it, in order, all that has
-waited; so that connection is the one to follow from then on.
+The read barrier shows that the log answers even if it has no new events: a second connection requests the
+last known event again. A healthy log sends it at once, followed in order by all waiting events; so that
+connection is the one to follow from then on.
 
-The question for the end shows that nothing more has waited behind the events that were read: a second
-connection names the newest of them. A log that sends its first heartbeat as soon as it is asked answers with
-a heartbeat where there is no newer event, and with that event where there is one. By the protocol the log
-need not answer before a second is over.
+The end query shows whether more events wait behind those that were read: a second connection names the newest
+of them. A log that sends its first heartbeat as soon as it is asked answers with a heartbeat if there is no
+newer event, and with that event otherwise. By the protocol the log may take up to a second to answer.
 """
 
 from __future__ import annotations
@@ -25,10 +24,10 @@
 
 from lilacloft.net.polling import poll_events
 
-RESUME = struct.Struct(">Q")  # the first message of a connection: the number of the last event
+RESUME = struct.Struct(">Q")  # the first message on a connection: the number of the last known event
 MILLISECONDS_PER_SECOND = 1000
-HEAD_START_MS = 30  # a log that has something new sends it within that: no barrier is needed then
-MAX_ANSWER_TIME = 0.03  # seconds for the question for the end
+BARRIER_DELAY_MS = 30  # a log with new events sends them within this time; then no barrier is needed
+END_QUERY_TIMEOUT = 0.03  # seconds to wait for the answer to an end query
 
 Address: TypeAlias = tuple[str, int]  # host and port
 
@@ -36,26 +35,26 @@
 def answering_connection(
     first: socket.socket, address: Address, last_event: int, deadline: float
 ) -> socket.socket:
-    """Return the connection on which the log has something to read first, and close the other one.
+    """Return the connection on which the log sends first, and close the other one.
 
-    `first`: a connection on which the events after `last_event` were asked for; returned also where a barrier
-    cannot be had, ends, or there is no event to ask for again. `deadline`: in monotonic seconds.
+    `first`: a connection on which the events after `last_event` were requested; returned also if no second
+    connection can be made, it fails, or there is no event to request again. `deadline`: in monotonic seconds.
 
-    Raises TimeoutError where the log has sent nothing on either by the deadline.
+    Raises TimeoutError if the log has sent nothing on either by the deadline.
     """
-    if last_event == 0 or poll_events(first, select.POLLIN, HEAD_START_MS):
+    if last_event == 0 or poll_events(first, select.POLLIN, BARRIER_DELAY_MS):
         return first
     return _follow_first_readable(first, address, last_event - 1, deadline)
 
 
-def connection_to_end(first: socket.socket, address: Address, last_event: int) -> socket.socket:
-    """Ask for the end of the log behind `last_event`, and return the connection to follow; close the other.
+def query_end(first: socket.socket, address: Address, last_event: int) -> socket.socket:
+    """Query whether `last_event` is the end of the log; return the connection to follow, and close the other.
 
-    `first`: the connection that is followed; returned where it has something to read first, or where a second
-    one cannot be had or is not answered in `MAX_ANSWER_TIME`.
+    `first`: the connection that is followed so far; returned if it has input first, or if no second one can
+    be made or it is not answered within `END_QUERY_TIMEOUT`.
     """
     try:
-        return _follow_first_readable(first, address, last_event, time.monotonic() + MAX_ANSWER_TIME)
+        return _follow_first_readable(first, address, last_event, time.monotonic() + END_QUERY_TIMEOUT)
     except TimeoutError:
         return first
 
@@ -63,10 +62,10 @@
 def _follow_first_readable(
     first: socket.socket, address: Address, last_event: int, deadline: float
 ) -> socket.socket:
-    """Ask for the events after `last_event` on a second connection, and return the one that has input first;
-    close the other one. `first` where there is no second one. Raises TimeoutError at the deadline, with the
-    second one closed."""
-    second = _begin_to_connect(address)
+    """Request the events after `last_event` on a second connection; return the connection that has input
+    first, and close the other one. Returns `first` if no second one can be made. Raises TimeoutError at the
+    deadline, with the second one closed."""
+    second = _start_connecting(address)
     if second is None:
         return first
     try:
@@ -78,8 +77,8 @@
     return answering
 
 
-def _begin_to_connect(address: Address) -> socket.socket | None:
-    """Return a connection that is coming up; None where this machine or the log does not allow one."""
+def _start_connecting(address: Address) -> socket.socket | None:
+    """Return a connection that is being established; None if it fails at once."""
     with contextlib.ExitStack() as undo:
         try:
             second = undo.enter_context(socket.socket())
@@ -95,12 +94,12 @@
 def _first_readable(
     first: socket.socket, second: socket.socket, request: bytes, deadline: float
 ) -> socket.socket:
-    """Write a request on the second once that is connected, and return which of the two has input first.
-    A second one that fails is passed over. Raises TimeoutError at the deadline."""
+    """Send a request on the second connection once it is established; return which of the two has input
+    first. A failure of the second one is ignored. Raises TimeoutError at the deadline."""
     poller = select.poll()
     poller.register(first, select.POLLIN)
     poller.register(second, select.POLLOUT)
-    is_asked = False
+    is_requested = False
     while (remaining := deadline - time.monotonic()) > 0:
         ready = [descriptor for descriptor, _ in poller.poll(remaining * MILLISECONDS_PER_SECOND)]
         if first.fileno() in ready:
@@ -108,18 +107,18 @@
         if not ready:
             continue
         try:
-            if is_asked:
+            if is_requested:
                 _check_for_input(second)
                 return second
-            second.sendall(request)  # fails where the connect has
-            is_asked = True
+            second.sendall(request)  # fails if the connect failed
+            is_requested = True
             poller.modify(second, select.POLLIN)
         except OSError:
             poller.unregister(second)
-    raise TimeoutError("silent")
+    raise TimeoutError("no data received within the deadline")
 
 
 def _check_for_input(sock: socket.socket) -> None:
-    """Raise ConnectionResetError where a readable connection has ended, and OSError where it has failed."""
+    """Raise ConnectionResetError if a readable connection has ended, and OSError if it has failed."""
     if not sock.recv(1, socket.MSG_PEEK):
-        raise ConnectionResetError("closed")
+        raise ConnectionResetError("connection closed by the peer")
--- a/lilacloft/net/request_trace.py
+++ b/lilacloft/net/request_trace.py
@@ -1,6 +1,6 @@
-"""A bounded trace of what has lately become of requests, by their ids, for whoever looks into one.
+"""A bounded trace of recent steps of requests, by request id, for diagnosis.
 
-It costs one append a step, and is written nowhere unless it is asked for.
+It costs one append per step, and is logged only on request or with a violated invariant.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from lilacloft.routing.units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND, Ticks
 
 MAX_STEPS = 4096  # some hundred bytes each
-NOTABLE_WAIT: Ticks = 10 * TICKS_PER_MILLISECOND  # a longer one stands in the trace
+NOTABLE_WAIT: Ticks = 10 * TICKS_PER_MILLISECOND  # a longer wait is noted in the trace
 
 
 class Step(NamedTuple):
     """One change of a request's state."""
 
-    at: Ticks  # of the monotonic clock
+    at: Ticks  # by the monotonic clock
     name: str  # the request's id
     what: str  # arrived, sent, ended, left, or a final answer: done, denied, aborted
     detail: str = ""
@@ -27,22 +27,22 @@
 
 
 class Trace:
-    """The last steps of all requests. Any thread may add one."""
+    """The latest steps of all requests. Any thread may add a step."""
 
     def __init__(self, max_steps: int = MAX_STEPS) -> None:
         self.steps: deque[Step] = deque(maxlen=max_steps)
 
     def add(self, at: Ticks, name: str, what: str, detail: str = "") -> None:
-        """Add a step; the oldest one is dropped where there are too many."""
+        """Add a step; the oldest one is dropped if the trace is full."""
         self.steps.append(Step(at, name, what, detail))
 
     def add_late(self, at: Ticks, name: str, what: str, detail: str, waited: Ticks) -> None:
-        """Add a step that the event loop came to only `waited` after it could have; tells so where that is
-        long."""
+        """Add a step that the event loop handled `waited` ticks later than it could have; a long wait is
+        noted in the detail."""
         if waited > NOTABLE_WAIT:
             detail = f"{detail}, taken {waited / TICKS_PER_MILLISECOND:.1f} ms late"
         self.add(at, name, what, detail)
 
-    def trail(self, name: str) -> list[Step]:
+    def steps_of(self, name: str) -> list[Step]:
         """Return the steps of one request, oldest first."""
         return [step for step in list(self.steps) if step.name == name]
--- a/lilacloft/net/resource_limits.py
+++ b/lilacloft/net/resource_limits.py
@@ -1,6 +1,6 @@
-"""How a gateway shares out its memory and its descriptors between clients and backends.
+"""How a gateway divides its memory and descriptors between clients and backends.
 
-Arithmetic over the limits of the configuration and of the system; nothing is opened or closed here.
+Computes budgets from the limits of the configuration and of the system; nothing is opened or closed here.
 """
 
 from __future__ import annotations
@@ -10,21 +10,23 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-RESERVED = 10  # descriptors: standard streams, listening socket, change log twice, a file, one being accepted
+RESERVED = (
+    10  # descriptors: standard streams, listening socket, two for the change log, a file, one being accepted
+)
 
 
 class Budgets(NamedTuple):
-    """The most that may be in use of each."""
+    """The maximum in use of each resource."""
 
     unwritten: int  # bytes buffered for clients that do not read
-    clients: int  # connections of clients, those that close included
+    clients: int  # client connections, including those that are closing
     caches: int  # connections to caches, parents and the origin
 
 
 def budgets(limits: Mapping[str, Any], descriptors: int) -> Budgets:
-    """Return the budgets for the configuration's `limits`, and the system's limit on descriptors where that
-    is lower. By the protocol clients have a third of the descriptors at most; they get up to a half, as
-    connections that are closing still count. Backends get a third; what is left is reserved."""
+    """Return the budgets for the configuration's `limits` and the system's limit on descriptors, whichever is
+    lower. By the protocol clients use at most a third of the descriptors; they get up to a half, as
+    connections that are closing still count. Backends get a third; the rest is reserved."""
     sockets = min(int(limits["sockets"]), descriptors)
     free = max(2, sockets - RESERVED)
     return Budgets(
@@ -35,6 +37,6 @@
 
 
 def descriptor_limit() -> int:
-    """Return how many descriptors the system lets this process have."""
+    """Return how many descriptors the system allows this process."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return sys.maxsize if soft == resource.RLIM_INFINITY else soft
--- a/lilacloft/net/socket_errors.py
+++ b/lilacloft/net/socket_errors.py
@@ -1,7 +1,7 @@
-"""Which failures of system calls are transient, and which say that a peer has ended the connection.
+"""Classifies errors of system calls: transient ones, and those that show that the peer ended the connection.
 
-Errors are those that the Linux manual pages document for each call. A caller waits `RETRY_INTERVAL` between
-two attempts and bounds their total time itself; `retry_transient` does so for what a start needs.
+The errors are those documented for each call in the Linux manual pages. Callers wait `RETRY_INTERVAL` between
+attempts and bound their total time themselves; `retry_transient` does both for calls needed at startup.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from typing import TypeVar
 
 Result = TypeVar("Result")
-START_RETRY_TIME = 5.0  # seconds for which a call is repeated at a start, which is to be ready within ten
-RETRY_INTERVAL = 0.002  # seconds between two attempts of a call that fails for a moment
-# the machine is short of something, or a signal came: the connection itself is as it was
+START_RETRY_TIME = 5.0  # seconds for which a call is retried at startup, which must finish within ten
+RETRY_INTERVAL = 0.002  # seconds between two attempts of a call that fails transiently
+# out of memory or buffers, or interrupted by a signal: the connection itself is unaffected
 _TRANSIENT = frozenset((errno.EINTR, errno.ENOMEM, errno.ENOBUFS))
-# of a new connection: also what is short of descriptors, ports and routes
+# for new connections: also a lack of descriptors, ports or routes
 _TRANSIENT_CONNECT = _TRANSIENT | {
     errno.EAGAIN,
     errno.EADDRNOTAVAIL,
@@ -24,7 +24,7 @@
     errno.ENFILE,
     errno.EMFILE,
 }
-# of accept, about one connection that waited to be accepted; the next one may be sound
+# errors of accept about one waiting connection; the next one may succeed
 _ONE_CLIENT = frozenset(
     (
         errno.EINTR,
@@ -41,42 +41,42 @@
         errno.EPERM,
     )
 )
-# the peer itself has ended the connection: no request on it goes on there
+# the peer itself ended the connection: no request sent on it is still processed there
 _ENDED_BY_PEER = frozenset((errno.ECONNRESET, errno.EPIPE, errno.ECONNREFUSED))
 
 
 def is_transient(error: OSError) -> bool:
-    """Return whether the same read or write may succeed a moment later."""
+    """Return whether the same read or write may succeed if retried shortly."""
     return error.errno in _TRANSIENT
 
 
 def is_transient_connect(error: OSError) -> bool:
-    """Return whether a connect may succeed a moment later, as this machine caused its failure."""
+    """Return whether a connect may succeed if retried shortly, as its failure was local."""
     return error.errno in _TRANSIENT_CONNECT
 
 
 def is_local_fault(error: OSError) -> bool:
-    """Return whether a connect that failed for good says nothing of the peer. A missing route may."""
+    """Return whether a connect failed for a local reason. A missing route may be due to the peer."""
     return is_transient_connect(error) and error.errno != errno.ENETUNREACH
 
 
 def concerns_one_client(error: OSError) -> bool:
-    """Return whether a failure of accept concerns one client alone, which has disconnected."""
+    """Return whether an error of accept concerns only one client, which has disconnected."""
     return error.errno in _ONE_CLIENT
 
 
 def is_out_of_descriptors(error: OSError) -> bool:
-    """Return whether this process has no descriptor left."""
+    """Return whether this process has no descriptors left."""
     return error.errno == errno.EMFILE
 
 
 def is_ended_by_peer(error: OSError) -> bool:
-    """Return whether an error says that the peer has ended the connection; otherwise it may not know yet."""
+    """Return whether an error shows that the peer ended the connection; otherwise the peer may not know."""
     return error.errno in _ENDED_BY_PEER
 
 
 def retry_transient(call: Callable[[], Result], seconds: float = START_RETRY_TIME) -> Result:
-    """Return the result of a call that needs descriptors or memory, repeated for a while where those are
+    """Return the result of a call that needs descriptors or memory, retried for `seconds` while those are
     short. Raises the OSError of the last attempt."""
     deadline = time.monotonic() + seconds
     while True:
--- a/lilacloft/net/upstream.py
+++ b/lilacloft/net/upstream.py
@@ -1,7 +1,7 @@
-"""The gateway's connections to caches, parents and origin: attempts, health checks, and their answers.
+"""The upstream side: connections to caches, parents and origin, their attempts and health checks.
 
-All but the reading of answers runs in the event loop's thread. Which backend is used, and for how long, is
-decided elsewhere (lilacloft/routing). Two attempts of a request are never in flight at once.
+Everything but the reading of answers runs in the event loop's thread. Which backend is used, and for how
+long, is decided in lilacloft/routing. Two attempts of a request are never in flight at once.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from lilacloft.routing.model import Backend
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
-# reasons for which a connection ends without its backend knowing yet
+# reasons for which a connection may end without its backend knowing yet
 BACKEND_MAY_NOT_KNOW = frozenset(
     (
         CloseReason.GARBLED,
@@ -40,17 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamCallbacks:
-    """What the upstream side calls."""
+    """The callbacks of the upstream side."""
 
-    post: Callable[..., None]  # has a function called in the event loop's thread; any thread may call it
+    post: Callable[..., None]  # queues a call for the event loop's thread; any thread may call it
     now: Callable[[], Ticks]  # the gateway's time
-    attempt_ended: Callable[..., None]  # with the attempt, the reason and, where there is one, the Reply
+    attempt_ended: Callable[..., None]  # with the attempt, the reason and, if there is one, the Reply
     attempt_cancelled: Callable[..., None]  # with the attempt, the reason and when the backend knows of it
-    post_reply: Callable[..., None] | None = None  # as `post`, for backends' answers; None: `post` does it
+    post_reply: Callable[..., None] | None = None  # as `post`, for backends' answers; None: `post` is used
 
 
 class Upstream:
-    """The pools of all backends."""
+    """The connection pools of all backends."""
 
     def __init__(self, callbacks: UpstreamCallbacks, config: dict[str, Any], max_connections: int) -> None:
         limits = config["limits"]
@@ -62,13 +62,13 @@
         self.attempts_per_connection: int = limits["streams_per_conn"] or 1
         self.connect_timeout: Ticks = limits["connect_timeout"]
         keepalive = limits["keepalive"]
-        self.idle_timeout = max(keepalive - self.connect_timeout, keepalive // 2)  # before backends close
-        self.max_connections = max_connections  # of all pools
+        self.idle_timeout = max(keepalive - self.connect_timeout, keepalive // 2)  # below that of backends
+        self.max_connections = max_connections  # of all pools together
         self.load_names = config["stats"]["names"]
         self.may_check = bool(limits["probes"])  # are health checks allowed?
         self.invariants = Invariants(config)
         self.write_soon: Callable[[Connection], None] = Connection.resume_writing
-        self.closes: Counter[str] = Counter()  # closed connections, by the reason's name
+        self.closes: Counter[str] = Counter()  # closed connections by the close reason's name
         self.pools: dict[Backend, UpstreamPool] = {}
         self.checks = 0
         self.counts = dict.fromkeys(
@@ -78,8 +78,7 @@
     # --- the backends ---
 
     def add_backend(self, backend: Backend, address: tuple[str, int]) -> None:
-        """A backend is listed at an address; where that is a new one, or it has restarted, a new pool is
-        used."""
+        """Add a listed backend; if its address is new or it has restarted, it gets a new pool."""
         pool = self.pools.get(backend)
         if pool and (pool.address != address or pool.backend_started != backend.started):
             pool.retire()
@@ -88,18 +87,18 @@
             self.pools[backend] = UpstreamPool(backend, address, self)
 
     def remove_backend(self, backend: Backend) -> None:
-        """A backend is no longer listed."""
+        """Retire the pool of a backend that is no longer listed."""
         pool = self.pools.pop(backend, None)
         if pool:
             pool.retire()
 
     def connections_per_pool(self) -> int:
-        """How many connections one pool may have."""
+        """Return how many connections one pool may have."""
         return max(MIN_CONNECTIONS_PER_POOL, self.max_connections // max(1, len(self.pools)))
 
     def make_room(self) -> bool:
-        """May one more connection be made? At the limit the one idle for longest is closed for it: with many
-        backends the pools' minimum may exceed the limit for all."""
+        """Return whether one more connection may be made. At the limit the longest idle one is closed for it:
+        with many backends the sum of the pools' minimums may exceed the limit for all."""
         connections = [
             connection
             for pool in self.pools.values()
@@ -116,18 +115,18 @@
     # --- sending ---
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Check an attempt just before its first byte, with its time limit brought up to date: its thread may
-        have got no processor since it was decided. Any thread may call this."""
+        """Check an attempt just before its first byte is sent, and update its time limit: it may have waited
+        for a processor since it was decided on. Any thread may call this."""
         if attempt.call is None or not attempt.deadline:
             return True
         if attempt.has_waited(time.monotonic_ns() // NS_PER_TICK) and attempt.expired():
             return False
         attempt.refresh()
         drained = self.invariants.drained.get(attempt.backend.name)
-        return self.invariants.may_begin(attempt.begun(drained.steady if drained else 0))
+        return self.invariants.may_begin(attempt.first_byte(drained.steady if drained else 0))
 
     def dispatch(self, attempt: Attempt) -> CloseReason | None:
-        """Send an attempt; returns why it ended at once where it could not be sent."""
+        """Send an attempt; if it cannot be sent, return the reason for which it ended."""
         if not self.may_send(attempt):
             return CloseReason.UNWRITTEN
         pool = self.pools.get(attempt.backend)
@@ -148,7 +147,7 @@
         self.counts["dispatches" if attempt.call else "checks"] += 1
 
     def check(self, backend: Backend) -> tuple[Attempt, CloseReason | None]:
-        """Send a health check, which requests a load report where the settings name any.
+        """Send a health check, which requests a load report if the settings name load values.
 
         Returns the attempt and the result of `dispatch`."""
         attempt = self._make_check(backend, b"top" if self.load_names else b"ping")
@@ -162,27 +161,27 @@
     # --- cancelling ---
 
     def withdraw(self, attempt: Attempt) -> bool:
-        """Withdraw an attempt of which nothing was sent, so that it never ran; False where some was."""
+        """Withdraw an attempt of which nothing was sent, so that it was never executed; False if some was."""
         connection = attempt.connection
         if connection is None or not (connection.withdraw(attempt.position) or attempt.expired_unsent):
             return False
         self._detach(connection, attempt)
         if attempt.call and connection in attempt.call.connections:
-            attempt.call.connections.remove(connection)  # it never carried this request
+            attempt.call.connections.remove(connection)  # it did not carry this request
         return True
 
     def expired_in_backlog(self, attempt: Attempt) -> None:
-        """An attempt expired in the backlog of its connection: report its end."""
+        """Report the end of an attempt that expired in the backlog of its connection."""
         if self.withdraw(attempt):
             self.attempt_ended(attempt, CloseReason.UNWRITTEN)
 
     def cancel(self, attempt: Attempt, confirm: bool = False) -> Ticks:
         """Cancel an attempt, before anything else is sent for its request.
 
-        Returns from when on that may be: messages on two connections may be read in either order, those on a
-        new connection only once the backend has accepted it, and those on a slow link only after its delay.
-        With `confirm`, a slow link carries a health check (`attempt.confirmation`) behind the cancellation:
-        once that is answered, the backend has read both."""
+        Returns when the request may be sent again. Messages on two connections may be read in either order,
+        those on a new connection only once the backend has accepted it, and those on a slow link only after
+        its delay. With `confirm`, on a slow link a health check (`attempt.confirmation`) is sent after the
+        cancellation: once it is answered, the backend has read both."""
         connection, now = attempt.connection, self.now()
         if connection is None:
             return now
@@ -195,42 +194,42 @@
         if connection.close_reason is not None:
             return confirmed_at
         if attempt.call:
-            self._send_undo(connection, attempt)
+            self._send_cancellation(connection, attempt)
         if confirm and self._is_slow(connection):
             self._send_confirmation(connection, attempt)
         if connection.last_read_at < attempt.at and self.now() - attempt.at > self.connect_timeout:
-            connection.retiring = True  # nothing came in meanwhile: the next attempt uses a new one
+            connection.retiring = True  # nothing was received since: the next attempt uses a new connection
             if not connection.in_flight:
                 connection.close(CloseReason.SILENT)
         return confirmed_at
 
     def _backend_knows_at(self, connection: UpstreamConnection) -> Ticks:
-        """By when a backend has read what is sent on a connection now, or its end."""
+        """Return by when a backend has read what is sent on a connection now, or its close."""
         now = self.now()
         return now + max(self.answer_slack, connection.pool.link_delay.expected(now))
 
     def _is_slow(self, connection: UpstreamConnection) -> bool:
-        """Does the link of a connection delay messages for longer than is waited anyway?"""
+        """Return whether a connection's link delays messages for longer than the answer slack."""
         return connection.pool.link_delay.expected(self.now()) > self.answer_slack
 
     def _send_confirmation(self, connection: UpstreamConnection, attempt: Attempt) -> None:
-        """Send a health check behind the cancellation of an attempt, on the same connection."""
+        """Send a health check after the cancellation of an attempt, on the same connection."""
         if connection.close_reason is not None or not self.may_check:
             return
         check = self._make_check(attempt.backend, b"ping")
         attempt.confirmation, check.confirms = check, attempt
         self._send(connection, check)
 
-    def _send_undo(self, connection: UpstreamConnection, attempt: Attempt) -> None:
-        """Send the cancellation; a connection that does not take it at once is closed instead."""
+    def _send_cancellation(self, connection: UpstreamConnection, attempt: Attempt) -> None:
+        """Send the cancellation; if it cannot be sent at once, close the connection instead."""
         self.counts["undone"] += 1
         if not connection.has_sent(connection.send(encode(b"undo", attempt.name))):
             connection.close(CloseReason.CHOKED)
 
     def _detach(self, connection: UpstreamConnection, attempt: Attempt) -> None:
-        """An attempt is no longer in flight on its connection."""
+        """Remove an attempt from its connection's attempts in flight."""
         del connection.in_flight[attempt.name]
-        attempt.connection, attempt.data = None, b""  # its timer may keep it for long
+        attempt.connection, attempt.data = None, b""  # frees the message: a timer may keep the attempt
         connection.last_used_at = self.now()
         if connection.retiring and not connection.in_flight:
             connection.close(CloseReason.RETIRED)
@@ -240,7 +239,7 @@
     def read_answer(self, connection: UpstreamConnection, items: list[bytes]) -> None:
         """Parse one answer and pass it to the event loop. Raises GarbledError."""
         reply = parse_reply(items, self.load_names)
-        connection.mark_passed_on()  # first: the event loop may ask before this thread goes on
+        connection.mark_passed_on()  # before posting: the event loop may check at once
         self.post_reply(self.answered, connection, items[0], items[1], reply)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
@@ -250,7 +249,7 @@
     # --- answers, in the event loop's thread ---
 
     def answered(self, connection: UpstreamConnection, name: bytes, word: bytes, reply: Reply) -> None:
-        """Find the attempt or health check that an answer ends, and report its end."""
+        """Find the attempt or health check that an answer belongs to, and report its end."""
         has_answered, connection.last_read_at = connection.last_read_at > 0, self.now()
         attempt = connection.in_flight.get(name)
         if attempt is None:
@@ -258,49 +257,49 @@
             return
         reason = (ANSWER_STATUS if attempt.call else HEALTH_STATUS).get(word)
         if reason is None or (reason is CloseReason.UNCHANGED and not attempt.call.got):
-            connection.close(CloseReason.GARBLED)  # no answer to this message: the attempts in flight end too
+            connection.close(CloseReason.GARBLED)  # not a valid answer; ends all attempts in flight there
             return
         self.counts["answers"] += 1
-        if has_answered and attempt.passed_on_at:  # the first one may have waited for the connection
+        if has_answered and attempt.passed_on_at:  # the first attempt may have waited for the connect
             self._record_link_delay(connection, attempt, reply)
         self._detach(connection, attempt)
         self.attempt_ended(attempt, reason, reply)
 
     def _record_link_delay(self, connection: UpstreamConnection, attempt: Attempt, reply: Reply) -> None:
-        """Record what an answer shows of its link. That it waited here since it was read shows nothing."""
+        """Record the link delay that an answer shows, without its wait in this process since it was read."""
         waited_here = max(0, time.monotonic_ns() // NS_PER_TICK - reply.read_at)
         work = reply.queued + int(attempt.call.request.transfer_time) if attempt.call else 0
         now = self.now()
         connection.pool.link_delay.record(now - attempt.passed_on_at - waited_here - work, now)
 
     def connection_lost(self, connection: UpstreamConnection) -> None:
-        """A connection has ended, and with it all attempts in flight on it."""
+        """Handle the end of a connection, which ends all attempts in flight on it."""
         if connection in connection.pool.connections:
             connection.pool.connections.remove(connection)
         self.closes[(connection.close_reason or CloseReason.FAULT).name] += 1
         in_flight, connection.in_flight = connection.in_flight, {}
-        for attempt in in_flight.values():  # first of all: a report may cancel others that were in flight
+        for attempt in in_flight.values():  # before any report: a report may cancel others of these
             attempt.connection = None
         for attempt in in_flight.values():
             reason = self._reason_of_loss(connection, attempt)
-            if reason in BACKEND_MAY_NOT_KNOW:  # as in `cancel`
+            if reason in BACKEND_MAY_NOT_KNOW:  # wait until it must know, as in `cancel`
                 self.attempt_cancelled(attempt, reason, self._backend_knows_at(connection))
             else:
                 self.attempt_ended(attempt, reason)
 
     @staticmethod
     def _reason_of_loss(connection: UpstreamConnection, attempt: Attempt) -> CloseReason:
-        """Why an attempt ends with its connection."""
+        """Return the reason for which an attempt ends with its connection."""
         written = connection.has_sent(attempt.position) and not attempt.expired_unsent
         reason = connection.close_reason or CloseReason.FAULT
         if reason in (CloseReason.CLOSED, CloseReason.RESET) and connection.buffer.has_partial():
-            reason = CloseReason.GARBLED  # closed within an answer, the rest of which will not come
+            reason = CloseReason.GARBLED  # closed within an answer, which remains incomplete
         if not written and reason not in (CloseReason.REFUSED, CloseReason.UNMADE):
             reason = CloseReason.UNWRITTEN
         return reason
 
     def has_unread_answers(self) -> bool:
-        """May an answer to an attempt in flight have come that its reader has not passed on yet?"""
+        """Return whether an answer may have been received that its reader has not passed on yet."""
         awaited = [
             connection
             for pool in self.pools.values()
@@ -314,7 +313,7 @@
     # --- maintenance ---
 
     def close_stalled(self) -> None:
-        """Close connections that stalled within an answer, and those idle for long; resume writing."""
+        """Close connections that stalled within an answer or are idle; resume writing on the others."""
         now, stalled_since = self.now(), time.monotonic() - self.connect_timeout / TICKS_PER_SECOND
         for pool in self.pools.values():
             for connection in pool.connections:
--- a/lilacloft/net/upstream_pool.py
+++ b/lilacloft/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend, and how one of them is chosen for an attempt."""
+"""The connections to one backend, and the choice of one for an attempt."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class PoolOwner(Protocol):
-    """What a pool uses of the side that all pools belong to (lilacloft/net/upstream.py)."""
+    """What a pool uses of its owner (lilacloft/net/upstream.py)."""
 
-    post: Callable[..., None]  # has a function called in the event loop's thread
+    post: Callable[..., None]  # queues a call for the event loop's thread
     now: Callable[[], Ticks]
     write_soon: Callable[[Connection], None]
     attempts_per_connection: int
@@ -26,16 +26,16 @@
     counts: dict[str, int]
 
     def connections_per_pool(self) -> int:
-        """How many connections one pool may have."""
+        """Return how many connections one pool may have."""
 
     def make_room(self) -> bool:
-        """May one more connection be made?"""
+        """Return whether one more connection may be made."""
 
     def may_send(self, attempt: Attempt) -> bool:
-        """May the first byte of an attempt be sent?"""
+        """Return whether the first byte of an attempt may be sent."""
 
     def expired_in_backlog(self, attempt: Attempt) -> None:
-        """An attempt expired in the backlog of its connection."""
+        """Handle an attempt that expired in the backlog of its connection."""
 
     def read_answer(self, connection: UpstreamConnection, items: list[bytes]) -> None:
         """Handle a message of a connection, in its thread."""
@@ -51,17 +51,17 @@
         super().__init__(*args, **more)
         self.pool = pool
         self.in_flight: dict[bytes, Attempt] = {}  # by id
-        self.last_read_at: Ticks = 0  # 0: nothing was read yet
+        self.last_read_at: Ticks = 0  # 0: nothing read yet
         self.last_used_at: Ticks = 0  # when an attempt was last in flight on it
         self.created_at: Ticks = 0
         self.retiring = False  # accepts no new attempts
 
     def write_soon(self) -> None:
-        """Have writing resumed shortly, by the event loop's thread."""
+        """Schedule `resume_writing` in the event loop's thread."""
         self.pool.upstream.post(self.pool.upstream.write_soon, self)
 
     def refresh_message(self, position: int, message: memoryview) -> memoryview:
-        """A dispatch with the time that is left by now; empty where it has expired, which is reported."""
+        """Return a dispatch with its time limit updated; empty if it has expired, which is reported."""
         upstream = self.pool.upstream
         for attempt in list(self.in_flight.values()):
             if attempt.position != position:
@@ -75,7 +75,7 @@
 
 
 class UpstreamPool:
-    """The connections to one run of a backend's process at one address."""
+    """The connections to one run of a backend's process, at one address."""
 
     def __init__(self, backend: Backend, address: tuple[str, int], upstream: PoolOwner) -> None:
         self.backend, self.address, self.upstream = backend, address, upstream
@@ -84,14 +84,18 @@
         self.link_delay = LinkDelay()
 
     def connection_for(self, attempt: Attempt) -> UpstreamConnection | None:
-        """A connection for an attempt: the one idle for the shortest time, else a new one, else the one with
-        the fewest attempts in flight, as they would all fail with it; None where there is none.
+        """Return a connection for an attempt: the one idle for the shortest time, else a new one, else the
+        one with the fewest attempts in flight, as they would all fail with it; None if there is none.
 
-        Where the last connection of the same request broke, a new one: idle ones may be broken as well."""
+        If the request's previous connection broke, a new one is preferred: idle ones may be broken too."""
         best = self._least_loaded(attempt)
-        call = attempt.call
-        broke = call and call.connections and call.connections[-1].close_reason is not None
-        if best and not best.in_flight and not broke:
+        client_request = attempt.call
+        previous_broke = (
+            client_request
+            and client_request.connections
+            and client_request.connections[-1].close_reason is not None
+        )
+        if best and not best.in_flight and not previous_broke:
             return best
         if len(self.connections) >= self.upstream.connections_per_pool():
             return best
@@ -100,18 +104,18 @@
         return self._open() or best
 
     def retire(self) -> None:
-        """The backend is no longer listed, or has restarted: no new attempts, and a close once idle."""
+        """Accept no new attempts; close connections once idle. The backend is unlisted or was restarted."""
         for connection in list(self.connections):
             connection.retiring = True
             if not connection.in_flight:
                 connection.close(CloseReason.RETIRED)
 
     def _least_loaded(self, attempt: Attempt) -> UpstreamConnection | None:
-        """The connection with the fewest attempts in flight of those that may carry an attempt.
+        """Return the connection with the fewest attempts in flight of those that may carry an attempt.
 
-        None that carried its request before, nor carries another under its id: an id must stand for one
-        dispatch there."""
-        fitting = [
+        Connections that carried its request before, or carry an attempt with its id, are excluded: an id must
+        identify one dispatch per connection."""
+        candidates = [
             connection
             for connection in self.connections
             if len(connection.in_flight) < self.upstream.attempts_per_connection
@@ -120,10 +124,14 @@
             and attempt.name not in connection.in_flight
             and not (attempt.call and connection in attempt.call.connections)
         ]
-        return min(fitting, key=lambda one: (len(one.in_flight), -one.last_used_at), default=None)
+        return min(
+            candidates,
+            key=lambda candidate: (len(candidate.in_flight), -candidate.last_used_at),
+            default=None,
+        )
 
     def _open(self) -> UpstreamConnection | None:
-        """Begin to connect; None where no descriptor or no thread is available, which is transient."""
+        """Start connecting; None if no descriptor or no thread is available, which is transient."""
         upstream = self.upstream
         try:
             connection = UpstreamConnection(
@@ -135,7 +143,7 @@
             connection.start()
         except (OSError, RuntimeError) as error:
             if not upstream.counts["unmade"]:
-                logger.error("no connection to {}: {}", self.backend.name, error)
+                logger.error("cannot open a connection to {}: {}", self.backend.name, error)
             upstream.counts["unmade"] += 1
             return None
         self.connections.append(connection)
--- a/lilacloft/net/write_backlog.py
+++ b/lilacloft/net/write_backlog.py
@@ -1,6 +1,6 @@
-"""Sending on a connection without blocking: what the socket does not accept at once waits in a backlog.
+"""Non-blocking sends on a connection: data that the socket does not accept at once waits in a backlog.
 
-A writing thread is started for the backlog and ends when the backlog is empty.
+A writing thread is started when there is a backlog, and ends when the backlog is empty.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 class PendingMessage:
     """A message, or the remainder of one, that the socket has not accepted yet."""
 
-    position: int  # where it ends in the stream, in bytes
+    position: int  # where the message ends in the stream, in bytes
     unsent: memoryview
-    started: bool = False  # was any byte of it sent?
+    started: bool = False  # was any byte sent?
     queued_at: float = field(default_factory=time.monotonic)  # seconds
 
 
@@ -37,13 +37,13 @@
     def __init__(self, sock: socket.socket, state: ConnectionState) -> None:
         super().__init__(sock, state)
         self.backlog: deque[PendingMessage] = deque()
-        self.queued = self.written = 0  # bytes since the start; withdrawn messages count in both
-        self.sent_position = 0  # position in the stream up to which all that was not withdrawn was sent
-        self.writing = False  # is there a writing thread?
+        self.queued = self.written = 0  # bytes since the start; withdrawn messages count as both
+        self.sent_position = 0  # position in the stream up to which everything was sent or withdrawn
+        self.writing = False  # is a writing thread running?
         self.drained = threading.Condition(self.lock)
 
     def send(self, data: bytes) -> int:
-        """Send in order, without blocking; returns the position in the stream where the message ends."""
+        """Send in order, without blocking; return the position in the stream at which the message ends."""
         with self.lock:
             self.queued += len(data)
             if self.close_reason is None:
@@ -57,25 +57,25 @@
             return self.queued
 
     def withdraw(self, position: int) -> bool:
-        """Remove the message that ends at a position, if none of it was sent; False where some was."""
+        """Remove the message that ends at a position, if none of it was sent; return whether it was."""
         with self.lock:
             for message in self.backlog:
                 if message.position == position and not message.started:
                     self.backlog.remove(message)
-                    self.written += len(message.unsent)  # the positions of later messages stay as they are
+                    self.written += len(message.unsent)  # the positions of later messages stay valid
                     return True
         return False
 
     def has_sent(self, position: int) -> bool:
-        """Was everything sent up to a position in the stream?"""
+        """Return whether everything up to a position in the stream was sent."""
         return self.sent_position >= position
 
     def unsent_bytes(self) -> int:
-        """How many bytes were not sent yet."""
+        """Return the number of bytes not sent yet."""
         return self.queued - self.written
 
     def wait_for_backlog(self, limit: int, timeout: float) -> bool:
-        """Wait until no more than `limit` bytes are unsent, for `timeout` seconds at most.
+        """Wait until at most `limit` bytes are unsent, for up to `timeout` seconds.
 
         Returns whether more than that are still unsent."""
         with self.lock:
@@ -84,27 +84,27 @@
             return self.unsent_bytes() > limit and self.close_reason is None
 
     def resume_writing(self) -> None:
-        """Start a writing thread if the backlog needs one: there may have been none available before."""
+        """Start a writing thread if the backlog needs one, as an earlier start may have failed."""
         with self.lock:
             self._start_writer()
 
     def write_soon(self) -> None:
-        """No thread was available for the backlog: arrange for a call of `resume_writing` shortly.
+        """Schedule a call of `resume_writing`: no thread was available for the backlog.
 
-        Called under the lock."""
+        Called with the lock held."""
 
     def refresh_message(self, position: int, message: memoryview) -> memoryview:  # noqa: ARG002
-        """What is to be sent in place of a message that had to wait, and that ends at a position.
+        """Return what to send in place of a message that had to wait and that ends at a position.
 
-        Never longer than the message, and empty where it is not to be sent any more. Called under the lock,
-        by whichever thread is about to send."""
+        Never longer than the message; empty if it must not be sent any more. Called with the lock held, in
+        the thread that is about to send."""
         return message
 
     def record_wait(self, seconds: float) -> None:
-        """The first byte of a message went out after it had waited so long. Called under the lock."""
+        """Record how long a message waited for its first byte to be sent. Called with the lock held."""
 
     def _send_now(self, unsent: memoryview, position: int) -> memoryview:
-        """Send what the socket accepts at once of a message that ends at `position`; returns the rest."""
+        """Send what the socket accepts at once of a message that ends at `position`; return the rest."""
         try:
             count = self.sock.send(unsent, socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)
         except BlockingIOError:
@@ -119,7 +119,7 @@
         return unsent[count:]
 
     def _flush(self) -> None:
-        """Send what the socket accepts at once of the backlog. Called under the lock."""
+        """Send what the socket accepts at once of the backlog. Called with the lock held."""
         while self.backlog and self.close_reason is None:
             message = self.backlog.popleft()
             if not message.started and not self._start_message(message):
@@ -135,49 +135,49 @@
                 return
 
     def _start_message(self, message: PendingMessage) -> bool:
-        """Refresh a message that had to wait, before its first byte; False where it is dropped.
+        """Refresh a message that had to wait, before its first byte is sent; False if it is dropped.
 
-        What the refreshed message is shorter by counts as written, so that the positions of all that follows
-        stay as they are."""
-        fresh = self.refresh_message(message.position, message.unsent)
-        self.written += len(message.unsent) - len(fresh)
-        message.unsent = fresh
-        return bool(fresh)
+        The bytes by which the refreshed message is shorter count as written, so that the positions of later
+        messages stay valid."""
+        refreshed = self.refresh_message(message.position, message.unsent)
+        self.written += len(message.unsent) - len(refreshed)
+        message.unsent = refreshed
+        return bool(refreshed)
 
     def _start_writer(self) -> None:
-        """Start a writing thread if there is a backlog and none is running. Called under the lock."""
+        """Start a writing thread if there is a backlog and none is running. Called with the lock held."""
         connecting = self.state is ConnectionState.CONNECTING
         if not connecting and self.backlog and not self.writing and self.close_reason is None:
             self.writing = True
             self.threads += 1
             try:
                 _thread.start_new_thread(self._write, ())
-            except RuntimeError as error:  # no thread available: transient, `resume_writing` tries again
-                logger.error("no writing thread: {}", error)
+            except RuntimeError as error:  # no thread available: transient, `resume_writing` retries
+                logger.error("cannot start a writing thread: {}", error)
                 self.writing = False
                 self.threads -= 1
                 self.write_soon()
 
     def _write(self) -> None:
-        """The writing thread: runs until the backlog is empty."""
+        """Run the writing thread, until the backlog is empty."""
         while True:
             with self.lock:
                 if not self.backlog or self.close_reason is not None:
                     self.writing = False
                     self.drained.notify_all()
-                    self._leave()
+                    self._release()
                     return
             try:
-                # polled outside the lock; sent under it, so that writing can be paused
+                # polls without the lock, and sends with it, so that writing can be paused
                 poll_events(self.sock, select.POLLOUT, None)
                 with self.lock:
                     before = self.written
                     self._flush()
-                    stuck = self.written == before
-                if stuck:  # the socket is writable, and the system lacks some resource
+                    no_progress = self.written == before
+                if no_progress:  # the socket is writable, but the system is out of some resource
                     time.sleep(socket_errors.RETRY_INTERVAL)
             except Exception:
-                logger.exception("a connection's writing thread failed")
+                logger.exception("unhandled exception in a connection's writing thread")
                 self.close(CloseReason.FAULT)
 
     def _discard_backlog(self) -> None:
--- a/tests/test_lags.py
+++ b/tests/test_lags.py
@@ -65,7 +65,7 @@
     trace = Trace()
     trace.add_late(5, "a", "arrived", "clip", 100)
     trace.add_late(5, "a", "ended", "DATA", 101)
-    assert [step.detail for step in trace.trail("a")] == ["clip", "DATA, taken 10.1 ms late"]
+    assert [step.detail for step in trace.steps_of("a")] == ["clip", "DATA, taken 10.1 ms late"]
 
 
 def test_the_kernel_tells_what_threads_waited_for_a_processor(tmp_path):
--- a/tests/test_read_barrier.py
+++ b/tests/test_read_barrier.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from lilacloft.net.discovery_watch import MAX_END_QUESTIONS, MAX_SILENCE, MAX_SILENCE_JITTER
-from lilacloft.net.read_barrier import HEAD_START_MS, RESUME, answering_connection, connection_to_end
+from lilacloft.net.discovery_watch import MAX_END_QUERIES, MAX_SILENCE, MAX_SILENCE_JITTER
+from lilacloft.net.read_barrier import BARRIER_DELAY_MS, RESUME, answering_connection, query_end
 from lilacloft.routing.catch_up import MAX_LIMITED_TIME, MAX_UNTOLD_TIME, CatchUp
 from rigs.inprocess import until
 from rigs.model import SEC
@@ -55,7 +55,7 @@
 
     def _serve(self, sock):
         if int.from_bytes(sock.recv(8, socket.MSG_PEEK | socket.MSG_WAITALL), "big") == 1:
-            time.sleep(3 * HEAD_START_MS / 1000)
+            time.sleep(3 * BARRIER_DELAY_MS / 1000)
         super()._serve(sock)
 
 
@@ -172,11 +172,11 @@
     world = in_process()
     world.log.__class__ = HasOneMore
     reconnects(world)
-    asked_for = [world.log.since.get(timeout=1) for _ in range(MAX_END_QUESTIONS)]
-    assert asked_for == list(range(2, MAX_END_QUESTIONS + 2))
+    asked_for = [world.log.since.get(timeout=1) for _ in range(MAX_END_QUERIES)]
+    assert asked_for == list(range(2, MAX_END_QUERIES + 2))
     with pytest.raises(queue.Empty):
         world.log.since.get(timeout=0.3)
-    assert world.owner.feed.last == MAX_END_QUESTIONS + 2
+    assert world.owner.feed.last == MAX_END_QUERIES + 2
 
 
 def test_discovery_moves_while_neither_connection_is_answered(in_process):
@@ -253,7 +253,7 @@
         self.server = socket.create_server(("127.0.0.1", 0))
 
     def asks(self):
-        return connection_to_end(self.first, self.server.getsockname(), 7)
+        return query_end(self.first, self.server.getsockname(), 7)
 
     def answers(self):
         sock, _ = self.server.accept()
@@ -295,7 +295,7 @@
 def test_where_a_second_connection_is_refused_the_first_connection_is_followed(second_connection):
     address = second_connection.server.getsockname()
     second_connection.server.close()
-    assert connection_to_end(second_connection.first, address, 7) is second_connection.first
+    assert query_end(second_connection.first, address, 7) is second_connection.first
     assert second_connection.first.fileno() >= 0
 
 
