--- a/lilacloft/control/backend_stats.py
+++ b/lilacloft/control/backend_stats.py
@@ -1,4 +1,4 @@
-"""A gateway's own counts of its attempts at backends, from which its observations for planners are made."""
+"""Counts a gateway's attempts at backends; its observations for the planners are derived from them."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from lilacloft.control.health_aggregation import Observation
 from lilacloft.routing.units import Ticks
 
-IN_TIME, LATE, FAILED = "well", "late", "failed"  # results of attempts, as `lilacloft.failover` has them
+IN_TIME, LATE, FAILED = "well", "late", "failed"  # results of attempts, as in `lilacloft.failover`
 WINDOW: Ticks = 10_000  # an observation covers the current window and the previous one
-MAX_FAILURE_AGE: Ticks = 10_000  # older failures do not count as a streak
+MAX_FAILURE_AGE: Ticks = 10_000  # older failures do not count towards a streak
 
 
 @dataclass
 class WindowCounts:
-    """What ended in one window."""
+    """The attempts and fills that completed in one window."""
 
     in_time: int = 0
     late: int = 0
     failed: int = 0
-    fills: int = 0  # supplied as a source
+    fills: int = 0  # completed as the source
 
     def add(self, result: str) -> None:
         """Count an attempt's result."""
@@ -30,13 +30,13 @@
 
 @dataclass(frozen=True)
 class BackendState:
-    """What the gateway's decisions have of a backend now."""
+    """The current state of a backend in the gateway's router."""
 
     in_flight: int = 0
     is_ejected: bool = False  # by the gateway's own decision
     concurrency_limit: float = 0.0
-    overdue: int = 0  # attempts that should have been answered, with nothing received since
-    silent_for: Ticks = 0  # since the last answer, plus one; 0: it has never answered
+    overdue: int = 0  # attempts past their objective, with no answer from the backend since they were sent
+    silent_for: Ticks = 0  # time since the last answer, plus one; 0: it has never answered
     missing_fills: int = 0
 
 
@@ -49,10 +49,10 @@
     state: BackendState = BackendState()
     failures: int = 0  # since the last answer
     last_failure_at: Ticks = 0
-    failure_streak: int = 0  # as of the last state
+    failure_streak: int = 0  # as of the last update
 
     def observation(self) -> Observation:
-        """Return the observation over both windows."""
+        """Return the observation for both windows together."""
         return Observation(
             self.current.in_time + self.previous.in_time,
             self.current.late + self.previous.late,
@@ -75,7 +75,7 @@
         self.window_start = now
 
     def record_attempt(self, backend: str, result: str, now: Ticks) -> None:
-        """Count an attempt that has ended: IN_TIME, LATE or FAILED."""
+        """Count a completed attempt. `result`: IN_TIME, LATE or FAILED."""
         counts = self._of(backend)
         counts.current.add(result)
         if result == FAILED:
@@ -84,11 +84,11 @@
             counts.failures = 0
 
     def record_fill(self, source: str) -> None:
-        """Count a fill that a backend has supplied."""
+        """Count a fill that a backend has completed as the source."""
         self._of(source).current.fills += 1
 
     def update(self, backend: str, state: BackendState, now: Ticks) -> None:
-        """Take over a backend's state. Old failures without an attempt since do not count, or else a location
+        """Update a backend's state. Old failures with no attempt since do not count: otherwise a location
         that returns slice by slice would be taken out of use for the results of its canary requests."""
         counts = self._of(backend)
         counts.state = state
@@ -99,7 +99,7 @@
         return self.counts.setdefault(backend, BackendCounts())
 
     def observations(self, now: Ticks) -> dict[str, Observation]:
-        """Return the observations of all backends with any activity."""
+        """Return the observations of all backends with recent activity."""
         while now - self.window_start >= WINDOW:
             self.window_start += WINDOW
             for counts in self.counts.values():
@@ -113,6 +113,6 @@
 
 
 def _has_activity(observation: Observation) -> bool:
-    ended = observation.in_time or observation.late or observation.failed or observation.fills
+    completed = observation.in_time or observation.late or observation.failed or observation.fills
     state = observation.in_flight or observation.is_ejected or observation.failure_streak
-    return bool(ended or state)
+    return bool(completed or state)
--- a/lilacloft/control/ejection_planning.py
+++ b/lilacloft/control/ejection_planning.py
@@ -1,4 +1,5 @@
-"""Plans which backends all gateways eject, and which gateway sends canary requests to them."""
+"""Plans which backends are ejected by all gateways, and which gateway sends canary requests to each of
+them."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 
 
 def plan_ejections(verdicts: Mapping[str, Verdict], backends: Backends) -> dict[str, str]:
-    """Return the backends to eject, each with the reason."""
+    """Return the backends to eject, with the reasons."""
     failing = [
         backend
         for backend, verdict in sorted(verdicts.items())
@@ -20,8 +21,8 @@
 
 
 def _without_shared_causes(failing: Sequence[str], backends: Backends) -> list[str]:
-    """Return the failing backends of those locations in which no more than half of a kind's ready backends
-    fail: what most of them show has a cause outside of them."""
+    """Return the failing backends without those of a kind and location of which more than half of the ready
+    backends fail: such a failure has a cause outside of the backends, and ejecting them would not help."""
     result = []
     for zone in sorted({backends[backend].zone for backend in failing}):
         for kind in (CACHE, PARENT):
@@ -44,8 +45,8 @@
     by_zone: Mapping[int, Sequence[str]],
     now: Ticks,
 ) -> dict[str, str]:
-    """Return for each ejected backend the gateway that may send it canary requests now. Caches get them from
-    the gateways of their location (`by_zone`), other backends from any."""
+    """Return for each ejected backend the gateway that may send it canary requests now: for a cache one of
+    its own location (`by_zone`), for other backends any gateway."""
     assigned: dict[str, str] = {}
     for name in ejections:
         backend = backends[name]
--- a/lilacloft/control/fleet_state.py
+++ b/lilacloft/control/fleet_state.py
@@ -1,4 +1,4 @@
-"""What a planner knows of an installation: its settings, the backend list, and the gateways' last reports."""
+"""A planner's view of an installation: its settings, the backend list and the last reports of gateways."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from lilacloft.routing.units import Ticks
 
 CACHE, PARENT, ORIGIN = "cache", "parent", "origin"  # kinds of backends
-UNKNOWN_AGE: Ticks = 1 << 40  # of a backend whose start is not known: it counts as warm
+UNKNOWN_AGE: Ticks = 1 << 40  # of a backend whose start time is unknown: it is treated as warm
 
 
 @dataclass(frozen=True)
 class ListedBackend:
-    """A backend as the list has it."""
+    """A backend in the endpoint list."""
 
     name: str
     zone: int
     kind: str  # CACHE, PARENT or ORIGIN
     is_ready: bool = True
     is_cold: bool = False
-    capacity: float = 1.0  # transfers at full rate, where the site lists capacities
+    capacity: float = 1.0  # in transfers at full rate, if the site lists capacities
     age: Ticks = UNKNOWN_AGE  # since its start
 
 
 @dataclass
 class SiteSettings:
-    """The settings of an installation; rates in KB a second."""
+    """The settings of an installation; rates in KB/s."""
 
     planners: tuple[str, ...]
     transfer_rate: float  # of one transfer at full rate
@@ -37,8 +37,8 @@
     origin_rate: float = float("inf")
     quota_window: Ticks = 10_000
     location_failover: bool = False  # whether whole locations may be taken out of use
-    cross_location: bool = False  # and other locations' caches used in their place
-    lists_capacities: bool = False  # whether the backend list has capacities
+    cross_location: bool = False  # whether other locations' caches serve in their place
+    lists_capacities: bool = False  # whether the endpoint list has capacities
     cache_warming: recovery_ramp.SlowStartProfile = field(default_factory=recovery_ramp.SlowStartProfile)
     parent_warming: recovery_ramp.SlowStartProfile = field(default_factory=recovery_ramp.SlowStartProfile)
 
@@ -49,21 +49,21 @@
 
     report: LoadReport
     received_at: Ticks
-    # the planner's own quota requests to the gateway that are not answered, and when they were made
+    # the planner's unanswered quota requests to this gateway, with the times when they were made
     pending_requests: dict[int, tuple[QuotaRequest, Ticks]] = field(default_factory=dict)
 
 
 @dataclass
 class LocationLoad:
-    """The load of a location, of all its gateways together; rates in KB a second but for requests."""
+    """The load of a location, summed over its gateways; rates in KB/s, except for `request_rate`."""
 
     request_rate: float = 0.0
     requested_rate: float = 0.0
     fill_rate: float = 0.0
-    uncached_rate: float = 0.0  # of the fills, those that bypass the caches
+    uncached_rate: float = 0.0  # part of the fills, bypassing the caches
 
     def add(self, report: LoadReport) -> None:
-        """Add the load of one gateway."""
+        """Add the load that one gateway reports."""
         self.request_rate += report.request_rate
         self.requested_rate += report.requested_rate
         self.fill_rate += sum(report.fill_rates.values())
@@ -80,7 +80,7 @@
 
 
 def gateways_by_zone(gateways: Gateways) -> dict[int, list[str]]:
-    """Return the names of each location's gateways, in the order of locations and of the given names."""
+    """Return the names of the gateways by location, sorted by location, names in the given order."""
     zones = sorted({gateway.report.zone for gateway in gateways.values()})
     return {
         zone: [name for name, gateway in gateways.items() if gateway.report.zone == zone] for zone in zones
--- a/lilacloft/control/leader_lease.py
+++ b/lilacloft/control/leader_lease.py
@@ -2,10 +2,10 @@
 
 Plans are ordered by epoch, number and planner: the higher id takes precedence everywhere, and no leader is
 required for serving requests. A planner issues plans while it is the first by name among the planners that it
-hears from, and hears from a majority of all configured ones. Whenever it starts to issue, its epoch is higher
-than any it has seen. So in a network partition at most one side issues plans; a planner that returns starts
-with a new epoch above those of the other side. A gateway applies a plan for a limited time from when it asked
-for it. The module does no I/O; times are `Ticks` of the caller's own monotonic clock.
+can reach, and these are a majority of all configured planners. Whenever it starts to issue, it uses an epoch
+higher than any it has seen. So in a network partition at most one side issues plans, and a planner that
+rejoins starts with a new epoch above those of the other side. A gateway applies a plan for a limited time
+from when it requested it. The module does no I/O; times are `Ticks` of the caller's own monotonic clock.
 """
 
 from __future__ import annotations
@@ -33,10 +33,11 @@
     """Decides when one planner may issue plans."""
 
     def __init__(self, name: str, planners: Iterable[str], epoch: int = 0) -> None:
-        """`planners`: all configured planners. `epoch`: the highest one known before this process started."""
+        """`planners`: all configured planners. `epoch`: the highest epoch known before this process
+        started."""
         self.name, self.planners = name, sorted(set(planners) | {name})
         self.highest_epoch = epoch  # seen anywhere
-        self.epoch = self.plan_number = 0  # of the last plan of this planner
+        self.epoch = self.plan_number = 0  # of this planner's last plan
         self.is_leader = False
 
     def observe_epoch(self, epoch: int) -> None:
@@ -44,13 +45,14 @@
         self.highest_epoch = max(self.highest_epoch, epoch)
 
     def update(self, alive: Iterable[str]) -> bool:
-        """Decide whether this planner is the leader while it hears from some planners (it always hears from
-        itself); return whether it has just become the leader."""
+        """Decide whether this planner is the leader, given the planners that it can reach (itself is always
+        one of them); return whether it has just become the leader."""
         reachable = {self.name, *alive} & set(self.planners)
         is_majority = len(reachable) * 2 > len(self.planners)
         is_leader = is_majority and min(reachable) == self.name
         became_leader = is_leader and not self.is_leader
-        was_overtaken = is_leader and self.highest_epoch > self.epoch  # another planner has issued since
+        # another planner has issued plans since this one did
+        was_overtaken = is_leader and self.highest_epoch > self.epoch
         if became_leader or was_overtaken:
             self.epoch = self.highest_epoch = self.highest_epoch + 1
             self.plan_number = 0
@@ -73,7 +75,7 @@
 
     def accept(self, plan_id: PlanId, requested_at: Ticks, duration: Ticks, now: Ticks) -> bool:
         """Accept a plan that is valid for a duration from when it was requested; return whether it is a new
-        plan. For the current plan only the lease is extended."""
+        plan. The current plan only has its lease extended."""
         expires_at = requested_at + shortest(duration)
         if expires_at <= now or plan_id < self.plan_id:
             self.rejected += 1
@@ -85,5 +87,5 @@
         return True
 
     def is_valid(self, now: Ticks) -> bool:
-        """Return whether a plan applies now."""
+        """Return whether the plan is still valid."""
         return now < self.expires_at
--- a/lilacloft/control/limit_planning.py
+++ b/lilacloft/control/limit_planning.py
@@ -1,5 +1,5 @@
-"""Plans limits for all gateways together: concurrency at backends, fills over links, and each gateway's share
-of them."""
+"""Plans limits that apply to all gateways together: the concurrency at backends and the fills over links, and
+each gateway's share of them."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from lilacloft.control.fleet_state import PARENT, Backends, Gateways, SiteSettings
 from lilacloft.control.health_aggregation import HealthAggregator
 
-MIN_CHANGE = 0.1  # relative change of a limit, below which the previous one stays
-MIN_ANSWERS = 4  # from a backend, before its late ones count
-MAX_LATE_SHARE = 0.2  # of a backend's answers, above which it needs a common limit
-FILL_HEADROOM = 1.3  # of a fill limit over the admitted rate, so that gateways can learn that there is more
-ORIGIN_SHARE = 0.5  # of parents' fills that are assumed to come from the origin
-EVEN_SHARE = 0.5  # of a gateway's share that does not depend on its load
+MIN_CHANGE = 0.1  # relative; smaller changes of a limit are not applied
+MIN_ANSWERS = 4  # from a backend, before its late answers are considered
+MAX_LATE_SHARE = 0.2  # of a backend's answers; above it the backend gets a common limit
+FILL_HEADROOM = 1.3  # fill limit relative to the admitted rate, so that gateways can detect spare capacity
+ORIGIN_SHARE = 0.5  # of parents' fills, assumed to come from the origin
+EVEN_SHARE = 0.5  # part of a gateway's share that does not depend on its load
 
 
 def damp(previous: float | None, value: float) -> float:
-    """Return a value rounded to three digits, or the previous one if the change is small."""
+    """Return a value rounded to three significant digits, or the previous one if the change is small."""
     value = float(f"{value:.3g}")
     return previous if previous and abs(value - previous) <= MIN_CHANGE * previous else value
 
@@ -26,8 +26,8 @@
 def plan_concurrency(
     backends: Backends, health: HealthAggregator, gateways: Gateways, previous: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return limits on the attempts in flight at backends that are overloaded: the sums of what the gateways
-    have learned. Without a common limit each gateway adapts its own."""
+    """Return limits on the attempts in flight at overloaded backends: the sums of the limits that the
+    gateways have learned. For other backends each gateway adapts its own limit."""
     limits: dict[str, float] = {}
     for backend in sorted(backends):
         observations = [
@@ -45,7 +45,8 @@
 
 
 class FillLimitPlanner:
-    """Plans the fills in flight of each location; remembers the last allocation, from which changes cost."""
+    """Plans limits on the fills in flight of each location; keeps the last allocation, as changes from it
+    have a cost."""
 
     def __init__(self, site: SiteSettings) -> None:
         self.site = site
@@ -53,7 +54,8 @@
         self.greedy_allocations = 0
 
     def plan(self, backends: Backends, gateways: Gateways, previous: Mapping[int, float]) -> dict[int, float]:
-        """Return limits by location, where the demand exceeds what links, parents or the origin can carry."""
+        """Return limits by location, for those whose demand exceeds the capacity of links, parents or the
+        origin."""
         parents = sorted(
             backend.name for backend in backends.values() if backend.kind == PARENT and backend.is_ready
         )
@@ -80,7 +82,7 @@
 def _fill_demands(
     gateways: Gateways, parents: Sequence[str]
 ) -> dict[allocation.DemandKey, allocation.Demand]:
-    """Return the fill rates that gateways report, summed by location and virtual host."""
+    """Return the fill rates reported by gateways, summed by location and virtual host."""
     demands: dict[allocation.DemandKey, allocation.Demand] = {}
     parent_share = 1 / len(parents) if parents else 0.0
     for gateway in gateways.values():
@@ -100,7 +102,7 @@
 def plan_gateway_shares(
     gateways: Gateways, by_zone: Mapping[int, Sequence[str]], previous: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return each gateway's share of its location's limits: half of it even, half by its request rate."""
+    """Return each gateway's share of its location's limits: half is divided evenly, half by request rate."""
     shares = {}
     for names in by_zone.values():
         total = sum(gateways[name].report.request_rate for name in names)
--- a/lilacloft/control/quota.py
+++ b/lilacloft/control/quota.py
@@ -1,17 +1,17 @@
-"""The quota ledger: which shares of a cold backend's start budget a party may use, and what it has lent.
+"""The quota ledger: the shares of a cold backend's start budget that a party may use, and those it has lent.
 
-The start budget bounds what all gateways together send to a cold backend in any window. Without a
-planner each gateway has its own share, 1/N, that needs no coordination. Shares that are not needed are
-leased: a gateway to a planner, and the planner to another gateway. Whatever the number of planners, whatever
-they assume and whichever messages are lost, no share is used by two parties within one window, as each party
-lends only what it has:
+The start budget bounds what all gateways together send to a cold backend in any window. Without a planner
+each of N gateways uses its own share, 1/N, which needs no coordination. A gateway leases shares that it does
+not need to a planner, which leases them to another gateway. No share is used by two parties within one
+window, for any number of planners, any views they have and any loss of messages, as each party lends only
+what it has:
 
-- A lender stops using a share when it answers, and uses it again only when the lease has surely expired.
+- A lender stops using a share when it answers, and uses it again only once the lease has certainly expired.
 - A borrower counts the duration from before it sent its request, so that no two clocks are compared.
-- A borrower starts using a share one window after the lender stopped, and a lender starts again one window
-  after the lease expires: until then what the other party has sent still counts.
+- A borrower starts using a share one window after the lender stopped, and a lender resumes one window after
+  the lease expires: until then requests sent by the other party still count.
 
-The clocks are assumed to run at the same rate, except for `MAX_CLOCK_DRIFT`. The module does no I/O; times
+Clocks are assumed to run at the same rate, within `MAX_CLOCK_DRIFT`. The module does no I/O; times
 are `Ticks` of each party's own monotonic clock; shares are fractions of the whole budget, from 0 to 1.
 """
 
@@ -22,20 +22,20 @@
 
 from lilacloft.routing.units import Ticks
 
-MAX_CLOCK_DRIFT = 0.001  # by which one clock may run faster than another, as a fraction
-MIN_SHARE = 1e-9  # smaller shares count as none
-MAX_LEASE: Ticks = 50_000  # for which a share is lent at most
+MAX_CLOCK_DRIFT = 0.001  # fraction by which one clock may run faster than another
+MIN_SHARE = 1e-9  # smaller shares are treated as zero
+MAX_LEASE: Ticks = 50_000  # longest duration of a lease
 NEVER: Ticks = 1 << 62
 
 
 @dataclass
 class ShareEntry:
-    """One share in a ledger, for a limited time, less what is lent out of it."""
+    """One share in a ledger with its period of validity, and the leases granted out of it."""
 
     share: float
     usable_from: Ticks
     expires_at: Ticks
-    lent: list[tuple[float, Ticks]] = field(default_factory=list)  # shares, and when each returns
+    lent: list[tuple[float, Ticks]] = field(default_factory=list)  # share and return time of each lease
 
     def usable(self, now: Ticks) -> float:
         """Return the share that may be used now."""
@@ -44,12 +44,12 @@
         return self.lendable(now)
 
     def lendable(self, now: Ticks) -> float:
-        """Return the share that is not lent, whether it may be used already or not."""
+        """Return the part that is not lent, whether it is usable yet or not."""
         self.lent = [(share, returns_at) for share, returns_at in self.lent if returns_at > now]
         return max(0.0, self.share - sum(share for share, _ in self.lent))
 
     def remaining(self, now: Ticks) -> Ticks:
-        """Return the time until the share expires; `NEVER` for a party's own share."""
+        """Return the time until the share expires; `NEVER` for a permanent share."""
         return self.expires_at - now if self.expires_at < NEVER else NEVER
 
 
@@ -64,12 +64,12 @@
 
 
 class QuotaLedger:
-    """One party's shares of one budget."""
+    """The shares of one budget that one party holds."""
 
     def __init__(self, own_share: float, window: Ticks, usable_from: Ticks = 0) -> None:
-        """`own_share`: the share that this party has permanently, usable from `usable_from` on: a restarted
-        process does not know what the earlier one had lent, and waits until all of it has surely returned.
-        `window`: the period to which the budget applies."""
+        """`own_share`: this party's permanent share, usable from `usable_from` on: a restarted process does
+        not know what the previous one had lent, and waits until all of it has certainly returned. `window`:
+        the period to which the budget applies."""
         self.window, self.own_share = window, own_share
         self.entries = [ShareEntry(own_share, usable_from, NEVER)] if own_share > 0 else []
 
@@ -85,8 +85,8 @@
         return sum(entry.lendable(now) for entry in self.entries if entry.remaining(now) >= required)
 
     def lend(self, now: Ticks, share: float, duration: Ticks) -> LeaseTerms | None:
-        """Lend up to a share for up to a duration, out of the entry with the most time left; return None
-        where nothing can be lent. The share is given up at once, whether the answer arrives or not."""
+        """Lend at most a share for at most a duration, out of the entry with the most time left; return None
+        if nothing can be lent. The share is given up at once, whether the answer arrives or not."""
         self._remove_expired(now)
         entries = [
             entry
@@ -95,11 +95,14 @@
         ]
         if not entries or share <= MIN_SHARE or duration <= 2 * self.window:
             return None
-        entry = max(entries, key=lambda one: (min(one.expires_at, now + duration), one.lendable(now)))
+        entry = max(
+            entries,
+            key=lambda candidate: (min(candidate.expires_at, now + duration), candidate.lendable(now)),
+        )
         lent = min(share, entry.lendable(now))
         lease_duration = min(duration, entry.remaining(now))
-        # the share goes out of use now and may be used elsewhere one window after the answer arrives; where
-        # it was not usable here yet, the borrower waits for that as well
+        # the share goes out of use now and may be used by the borrower one window after the answer arrives;
+        # if it is not usable here yet, the remaining time is added to the delay
         delay = self.window + max(0, entry.usable_from - now)
         if lease_duration <= delay:
             return None
@@ -108,7 +111,7 @@
         return LeaseTerms(lent, delay, lease_duration)
 
     def borrow(self, terms: LeaseTerms, requested_at: Ticks, received_at: Ticks) -> bool:
-        """Add a share that was lent to this party; return False if the lease has no usable time left."""
+        """Add a share that was lent to this party; return False if no usable time is left of the lease."""
         usable_from = received_at + longest(terms.delay)
         expires_at = requested_at + shortest(terms.duration)
         if expires_at <= usable_from or terms.share <= MIN_SHARE:
@@ -117,7 +120,7 @@
         return True
 
     def is_settled(self, now: Ticks) -> bool:
-        """Return whether nothing is lent and nothing borrowed."""
+        """Return whether no share is lent or borrowed."""
         self._remove_expired(now)
         return all(entry.expires_at == NEVER and entry.lendable(now) == entry.share for entry in self.entries)
 
@@ -141,8 +144,8 @@
 
 
 def max_min_fair(demands: Mapping[str, float], supply: float) -> dict[str, float]:
-    """Divide a supply by max-min fairness: small demands are met, the rest is divided evenly. The order of
-    names decides the order of the computation, so that all parties get equal results from equal input."""
+    """Divide a supply by max-min fairness: small demands are met, the rest is divided evenly. The computation
+    follows the order of names, so that all parties get equal results from equal input."""
     result = dict.fromkeys(demands, 0.0)
     pending = sorted(name for name in demands if demands[name] > MIN_SHARE)
     remaining = supply
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -362,8 +362,8 @@
     effects = [one.effect(2_700) for one in many]
     assert all(set(effect.ejections) == {"b1"} for effect in effects)
     assert sorted(effect.ejections["b1"] == 0 for effect in effects) == [False, False, False, True]
-    assert "left alone: 3 of 3" in "\n".join(explain(plan, "b1", 2_700))
-    assert "f0 sees it fail" in explain(plan, "b1", 2_700)
+    assert "is ejected: 3 of 3" in "\n".join(explain(plan, "b1", 2_700))
+    assert "f0 reports it as failing" in explain(plan, "b1", 2_700)
 
 
 def test_a_plan_that_is_over_leaves_a_gateway_alone_and_what_was_told_later_beats_it():
@@ -391,8 +391,10 @@
             one.record_attempt(backend, "failed")
         talk(one, plan, 10)
     plan.tick(2_500)
-    assert plan.plan.ejections == {} and "so do most of its kind" in "\n".join(explain(plan, "b0", 2_600))
-    assert "not listed" in "\n".join(explain(plan, "b9", 1))
+    assert plan.plan.ejections == {} and "as most backends of its kind fail" in "\n".join(
+        explain(plan, "b0", 2_600)
+    )
+    assert "not in the backend list" in "\n".join(explain(plan, "b9", 1))
 
 
 def test_plans_go_out_whole_once_and_then_as_changes_and_replies_that_are_late_or_old_are_passed_over():
@@ -506,7 +508,7 @@
 def test_a_planner_without_a_majority_makes_no_plans_and_one_that_left_is_forgotten():
     plan, one = planner(others=()), follower()
     assert plan.receive_report(one.make_report("p0", 10), 10).plan is None and not plan.tick(20)
-    assert "does not issue" in explain(plan, "b0", 30)[0]
+    assert "is not the leader" in explain(plan, "b0", 30)[0]
     plan.receive_report(dataclasses.replace(one.make_report("p0", 40), is_leaving=True), 40)
     assert plan.gateways == {} and plan.table.members["f0"].state == LEFT
     assert one.preferred_planner(10) == "p0" and REQUEST_TIMEOUT > 0
