--- a/lilacloft/control/codec.py
+++ b/lilacloft/control/codec.py
@@ -1,9 +1,10 @@
-"""The wire format between gateways and planners: protobuf messages in frames with a length. It does no I/O.
+"""The wire format between gateways and planners: length-prefixed protobuf messages. The module does no I/O.
 
-A frame is a head (magic, version, length) and one `Frame` message, which contains one of the others. The
-first frame in each direction is a hello with the versions that its sender reads; both sides then use the
-lower of the two newest ones. Unknown fields are skipped, as usual with protobuf. `wire_schema` has the
-schema; `WIRE_FIELDS` and `WIRE_SECTIONS` map its names to the attributes of the records in `messages`.
+A frame is a header (magic, version, length) and one `Frame` message, which contains one of the other
+messages. The first frame in each direction is a hello with the range of versions that its sender reads; both
+sides then use the lower of the two newest versions. Unknown fields are skipped, as usual with protobuf.
+`wire_schema` has the schema; `WIRE_FIELDS` and `WIRE_SECTIONS` map its names to the attributes of the records
+in `messages`.
 """
 
 from __future__ import annotations
@@ -33,13 +34,13 @@
 from lilacloft.failover.substitutes import ZoneWeight
 from lilacloft.membership.table import MemberRow
 
-VERSION = 1  # the newest that is read and written here
-OLDEST_VERSION = 1  # that is read here
+VERSION = 1  # the newest version that is supported
+OLDEST_VERSION = 1  # the oldest version that is supported
 MAGIC = b"llpl"
 HEAD = struct.Struct(">4sBI")
-MAX_MESSAGE_BYTES = 8 << 20  # a plan of 10,000 backends has half a megabyte
+MAX_MESSAGE_BYTES = 8 << 20  # a plan for 10,000 backends takes half a megabyte
 
-# by record: its scalar attributes and their fields on the wire
+# by record type: wire fields by scalar attribute
 WIRE_FIELDS: Mapping[type, Mapping[str, str]] = {
     PlanId: {"epoch": "epoch", "number": "number", "planner": "planner"},
     Observation: {
@@ -91,7 +92,7 @@
     MemberRow: {name: name for name in MemberRow._fields},
 }
 
-# sections of a plan: their fields on the wire, and what a delta calls the section of a removed entry
+# wire fields by section of a plan; a delta also uses these names for the section of a removed entry
 WIRE_SECTIONS: Mapping[str, str] = {
     "ejections": "out",
     "canary_gateways": "trials",
@@ -107,29 +108,31 @@
 
 
 class WireError(Exception):
-    """The data received is not a valid message; the text says why."""
+    """The received data is not a valid message."""
 
 
 # --- frames ---
 
 
 def encode_frame(message: Any) -> bytes:
-    """Return the frame of a `Frame` message."""
+    """Return the frame for a `Frame` message."""
     data = message.SerializeToString()
     if len(data) > MAX_MESSAGE_BYTES:
-        raise WireError(f"a message of {len(data)} bytes, {MAX_MESSAGE_BYTES} at most")
+        raise WireError(f"message of {len(data)} bytes exceeds the maximum of {MAX_MESSAGE_BYTES}")
     return HEAD.pack(MAGIC, VERSION, len(data)) + data
 
 
 def message_length(head: bytes) -> int:
-    """Return the length of the message after a frame's head."""
+    """Return the length of the message that follows a frame's header."""
     magic, version, length = HEAD.unpack(head)
     if magic != MAGIC:
-        raise WireError("no frame")
+        raise WireError("not a frame: wrong magic bytes")
     if version < OLDEST_VERSION:
-        raise WireError(f"version {version}; {OLDEST_VERSION} and later are read here")
+        raise WireError(
+            f"frame version {version} is not supported; the oldest supported version is {OLDEST_VERSION}"
+        )
     if length > MAX_MESSAGE_BYTES:
-        raise WireError(f"a message of {length} bytes, {MAX_MESSAGE_BYTES} at most")
+        raise WireError(f"message of {length} bytes exceeds the maximum of {MAX_MESSAGE_BYTES}")
     return length
 
 
@@ -138,7 +141,7 @@
     try:
         return FRAME.FromString(data)
     except DecodeError as error:
-        raise WireError(f"no message: {error}") from error
+        raise WireError(f"invalid message: {error}") from error
 
 
 def encode_hello(name: str, role: str, incarnation: int) -> bytes:
@@ -156,7 +159,9 @@
     """Return the version to use with the sender of a hello."""
     if hello.newest < OLDEST_VERSION or hello.oldest > VERSION:
         theirs = f"{hello.oldest} to {hello.newest}"
-        raise WireError(f"{hello.name} reads versions {theirs}, here {OLDEST_VERSION} to {VERSION}")
+        raise WireError(
+            f"{hello.name} supports versions {theirs}, this process {OLDEST_VERSION} to {VERSION}"
+        )
     return min(VERSION, hello.newest)
 
 
@@ -170,7 +175,7 @@
 
 
 def _read_scalars(kind: type, source: Any) -> dict[str, Any]:
-    """Return the scalar attributes of a record of a kind, from a message."""
+    """Return the scalar attributes of a record type, read from a message."""
     return {attribute: getattr(source, field) for attribute, field in WIRE_FIELDS[kind].items()}
 
 
@@ -295,7 +300,7 @@
     for removed in source.gone:
         section = sections.get(removed.value)
         if section is None:
-            raise WireError(f"no part {removed.value!r} of a plan")
+            raise WireError(f"unknown section {removed.value!r} of a plan")
         key = int(removed.key) if section in SECTIONS_BY_LOCATION else removed.key
         changes.setdefault(section, {})[key] = None
     return PlanDelta(_read(PlanId, source.since), changed.plan_id, changed.list_version, changes)
--- a/lilacloft/control/follower.py
+++ b/lilacloft/control/follower.py
@@ -1,10 +1,10 @@
 """A gateway's side of the control plane: makes load reports, and applies the plan with the highest id.
 
-While a plan is valid, its effect is: which backends are ejected and when this gateway may send them canary
-requests, its share of common limits, and its turn at revalidations. When the plan has expired, none of that
-remains, and the gateway decides by itself. Shares of cold budgets that it has lent stay lent until they
-return, with or without a plan. The change log has precedence over plans: a plan that was made from an older
-list says nothing of backends that have changed since.
+A valid plan determines which backends are ejected and when this gateway may send them canary requests, its
+share of common limits, and its turn at revalidations. Once the plan has expired none of that applies, and the
+gateway decides on its own. Shares of slow-start budgets that it has lent stay lent until the leases expire,
+with or without a plan. The change log has precedence over plans: a plan that was made from an older list does
+not apply to backends that have changed since.
 
 The module does no I/O. Times are `Ticks` of the gateway's own monotonic clock.
 """
@@ -23,25 +23,25 @@
 from lilacloft.routing.units import Ticks
 
 REPORT_INTERVAL: Ticks = 2_500
-PLANNER_TIMEOUT: Ticks = 20_000  # without a reply: another planner is asked for quota
-MAX_REPLY_TIME: Ticks = 40_000  # after which a report's reply is ignored
+PLANNER_TIMEOUT: Ticks = 20_000  # without a reply, after which quota is requested from another planner
+MAX_REPLY_TIME: Ticks = 40_000  # replies to older reports are ignored
 
 
 @dataclass(frozen=True)
 class FollowerSettings:
-    """What a gateway's side needs to know."""
+    """The settings of a gateway's side of the control plane."""
 
     name: str
     incarnation: int
     zone: int
     planners: Collection[str]
     quota_window: Ticks
-    own_share: float  # of each cold budget without planners
+    own_share: float  # of each cold backend's start budget, without planners
 
 
 @dataclass
 class LoadRates:
-    """The gateway's load, per second, smoothed; in KB but for requests."""
+    """The gateway's smoothed load; rates in KB/s, except for `request_rate`."""
 
     request_rate: float = 0.0
     fill_rates: dict[str, float] = field(default_factory=dict)  # by virtual host
@@ -52,15 +52,15 @@
 
 @dataclass(frozen=True)
 class PlanEffect:
-    """What applies to the gateway's decisions now."""
+    """What the control plane sets for the gateway's routing decisions now."""
 
     plan_id: PlanId = PlanId()
-    ejections: Mapping[str, Ticks] = field(default_factory=dict)  # until when; 0: canaries may go there
-    concurrency_limits: Mapping[str, float] = field(default_factory=dict)  # this gateway's shares, by backend
-    fill_limit: float = 0.0  # likely fills in flight; 0: none
-    budget_factors: Mapping[str, float] = field(default_factory=dict)  # of cold budgets, over the own share
-    revalidation_turn: tuple[int, int] = (0, 1)  # index and number of gateways
-    failovers: Mapping[int, SliceFailover] = field(default_factory=dict)  # locations that are not all in use
+    ejections: Mapping[str, Ticks] = field(default_factory=dict)  # end time; 0: canary requests allowed
+    concurrency_limits: Mapping[str, float] = field(default_factory=dict)  # this gateway's share, by backend
+    fill_limit: float = 0.0  # of likely fills in flight; 0: no limit
+    budget_factors: Mapping[str, float] = field(default_factory=dict)  # of start budgets, per own share
+    revalidation_turn: tuple[int, int] = (0, 1)  # index of this gateway, number of gateways
+    failovers: Mapping[int, SliceFailover] = field(default_factory=dict)  # of locations not completely in use
 
 
 class Follower:
@@ -73,8 +73,8 @@
         restarted: bool = False,
         keeper: LocalFailover | None = None,
     ) -> None:
-        """`restarted`: an earlier process under this name may have lent shares, which are usable only once
-        they have surely returned. `keeper`: decides on whole locations, if these may be out of use."""
+        """`restarted`: a previous process under this name may have lent shares, which are usable only once
+        they have certainly returned. `keeper`: handles location failover, if that is enabled."""
         self.settings, self.now, self.keeper = settings, now, keeper
         self.planners = sorted(settings.planners)
         usable_from = now + MAX_LEASE + 2 * settings.quota_window if restarted else now
@@ -83,28 +83,29 @@
         self.load = LoadRates()
         self.lease, self.plan = PlanLease(), Plan(PlanId())
         self.list_version = 0
-        self._changed_at: dict[str, int] = {}  # by backend: the list version of its last change
+        self._changed_at: dict[str, int] = {}  # list version of the last change, by backend
         self._report_numbers = dict.fromkeys(self.planners, 0)
         self._reports_sent: dict[str, dict[int, Ticks]] = {planner: {} for planner in self.planners}
         self._incarnations: dict[str, int] = {}  # of planners
         self._last_replies: dict[str, Ticks] = {}  # of planners
         self._quota_leases: dict[str, list[QuotaLease]] = {planner: [] for planner in self.planners}
-        self.plans = 0  # accepted
+        self.plans = 0  # number of plans accepted
 
     # --- input ---
 
     def record_attempt(self, backend: str, result: str) -> None:
-        """Count an attempt that has ended: IN_TIME, LATE or FAILED of `backend_stats`."""
+        """Count a completed attempt. `result`: IN_TIME, LATE or FAILED of `backend_stats`."""
         self.stats.record_attempt(backend, result, self.now)
 
     def update_state(self, backend: str, state: BackendState) -> None:
-        """Take over what the decisions have of a backend now."""
+        """Update the state of a backend."""
         self.stats.update(backend, state, self.now)
 
     def update_list(
         self, changed: Iterable[str], list_version: int, cold: Collection[str], now: Ticks
     ) -> None:
-        """Take over the backends that have changed, as of a change log number, and those that are cold."""
+        """Record the backends that have changed, as of a change log number, and update those that are
+        cold."""
         self.list_version = max(self.list_version, list_version)
         for backend in changed:
             self._changed_at[backend] = list_version
@@ -118,8 +119,8 @@
         number = self._report_numbers[planner]
         sent = self._reports_sent[planner]
         sent[number] = now
-        for old in [old for old, sent_at in sent.items() if now - sent_at > MAX_REPLY_TIME]:
-            del sent[old]
+        for expired in [expired for expired, sent_at in sent.items() if now - sent_at > MAX_REPLY_TIME]:
+            del sent[expired]
         observations = self.stats.observations(now)
         leases, self._quota_leases[planner] = tuple(self._quota_leases[planner]), []
         cold_shares = self.quota.cold_shares(now)
@@ -146,8 +147,8 @@
         )
 
     def preferred_planner(self, now: Ticks) -> str:
-        """Return the planner that is asked for quota: the issuer of the plan if it replies, else the first
-        that does."""
+        """Return the planner from which quota is requested: the issuer of the current plan if it replies,
+        else the first planner that does."""
         replying = [
             name
             for name in self.planners
@@ -160,8 +161,8 @@
         return self.planners[0] if self.planners else ""
 
     def receive_reply(self, reply: PlanReply, now: Ticks) -> bool:
-        """Take in a planner's reply; return whether another plan applies now. A reply to no known report, or
-        from a planner's earlier process, is ignored."""
+        """Process a planner's reply; return whether the plan has changed. A reply to an unknown report, or
+        from an earlier process of the planner, is ignored."""
         requested_at = self._reports_sent.get(reply.planner, {}).get(reply.number)
         if requested_at is None or reply.incarnation < self._incarnations.get(reply.planner, 0):
             return False
@@ -189,7 +190,7 @@
     # --- effect ---
 
     def effect(self, now: Ticks) -> PlanEffect:
-        """Return what applies now."""
+        """Return the effect of the control plane now."""
         budget_factors = self.quota.budget_factors(now)
         is_valid = self.lease.is_valid(now)
         locations = self.plan.locations if is_valid else None
@@ -208,7 +209,7 @@
         )
 
     def _is_outdated(self, backend: str) -> bool:
-        """Return whether a backend has changed since the list from which the plan was made."""
+        """Return whether a backend has changed since the list version from which the plan was made."""
         return self._changed_at.get(backend, -1) > self.plan.list_version
 
     def _ejections(self) -> dict[str, Ticks]:
--- a/lilacloft/control/gateway_agent.py
+++ b/lilacloft/control/gateway_agent.py
@@ -1,5 +1,5 @@
-"""A gateway's connections to the planners: sends its load reports and applies the plans. All but the
-connections runs in the gateway's thread. It decides nothing."""
+"""A gateway's connections to the planners: sends load reports and applies plans. Everything but the
+connections runs in the gateway's thread. The module makes no decisions."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 from lilacloft.routing.host import Endpoint, ListMode
 from lilacloft.routing.units import Ticks
 
-FLUSH_SECONDS = 0.05  # for the last reports to be sent
+FLUSH_SECONDS = 0.05  # time allowed for sending the last reports
 
 
 class GatewayAgent:
-    """One gateway's."""
+    """The control plane agent of one gateway."""
 
     def __init__(
         self, gateway: Any, name: str, planners: Mapping[str, Address], leave: str = "never"
     ) -> None:
-        """`leave`: whether whole locations may be out of use, `past` their caches, or `across`, with other
-        locations' caches in their place."""
+        """`leave`: the mode of location failover: `never`, `past` (requests bypass the caches of a location
+        that has failed over) or `across` (other locations' caches serve them)."""
         self.gateway = gateway
         self.follower = self._make_follower(name, planners, leave)
         self.observer = GatewayObserver(
@@ -39,10 +39,11 @@
         )
         self.counted_requests = 0
         self.clients = {
-            other: Client(address, self._make_hello, self._on_message) for other, address in planners.items()
+            planner: Client(address, self._make_hello, self._on_message)
+            for planner, address in planners.items()
         }
         self.plan_id = self.follower.lease.plan_id
-        self.slices_in_use: dict[int, int] = {}  # of locations that are not all in use
+        self.slices_in_use: dict[int, int] = {}  # by location, of those not completely in use
         gateway.agent = self
         if leave == "across":
             self._enable_cross_location()
@@ -66,7 +67,7 @@
         )
 
     def _enable_cross_location(self) -> None:
-        """Have the decisions use other locations' caches, which are in the list already."""
+        """Enable the use of other locations' caches, and pass the known endpoints to the router again."""
         router = self.gateway.router
         router.settings.cross_location = True
         router.endpoints_changed(
@@ -86,11 +87,11 @@
         )
 
     def start(self) -> None:
-        """Begin to report; the gateway runs."""
+        """Start reporting, once the gateway runs."""
         self._report()
 
     def close(self) -> None:
-        """Tell the planners that this process ends, and close the connections."""
+        """Report to the planners that this process is ending, and close the connections."""
         for name, client in self.clients.items():
             report = self.follower.make_report(name, self.gateway.monotonic_time)
             client.send(codec.encode_report(dataclasses.replace(report, is_leaving=True)))
@@ -105,7 +106,7 @@
     # --- called by the gateway ---
 
     def attempt_ended(self, call: Any, backend: Any, outcome: str, took: Ticks, note: int) -> None:
-        """Count an attempt that has ended."""
+        """Count a completed attempt."""
         request = call.request
         self.observer.attempt_ended(
             EndedAttempt(
@@ -121,7 +122,7 @@
         )
 
     def backends_changed(self, names: Iterable[str]) -> None:
-        """Take in the backends that the change log has changed."""
+        """Record the backends that the change log has changed."""
         gateway = self.gateway
         self.observer.backends_changed(names, gateway.feed.last, gateway.time, gateway.monotonic_time)
 
@@ -140,7 +141,7 @@
         gateway.call_at(gateway.time + REPORT_INTERVAL, self._report)
 
     def _apply(self) -> None:
-        """Have the decisions follow the plan; log and record a change of it."""
+        """Apply the plan to the router; log and record a change of plan."""
         effect = self.observer.apply(self.gateway.time, self.gateway.monotonic_time)
         plan_id = effect.plan_id
         if plan_id.planner != self.plan_id.planner:
@@ -151,7 +152,7 @@
         self._note_locations()
 
     def _note_locations(self) -> None:
-        """Log and record changes of locations' use."""
+        """Log and record changes in the use of locations."""
         keeper = self.follower.keeper
         current = keeper.statuses() if keeper else {}
         for zone in sorted(current.keys() | self.slices_in_use.keys()):
@@ -166,12 +167,12 @@
         names = self.gateway.settings["zones"]
         name = names[zone] if 0 <= zone < len(names) else str(zone)
         location = self.follower.plan.locations.get(zone) if has_plan else None
-        why = location.reason if location else ""
+        reason = location.reason if location else ""
         if in_use in (0, SLICE_COUNT) or before == 0:
-            suffix = f" ({why})" if why else "" if has_plan else " (without a plan)"
-            logger.info("location {}: {} of {} slices at home{}", name, in_use, SLICE_COUNT, suffix)
+            suffix = f" ({reason})" if reason else "" if has_plan else " (without a plan)"
+            logger.info("location {}: {} of {} slices in use{}", name, in_use, SLICE_COUNT, suffix)
         if self.gateway.recorder:
-            self.gateway.recorder.location_changed(name, in_use, failed_returns, why, not has_plan)
+            self.gateway.recorder.location_changed(name, in_use, failed_returns, reason, not has_plan)
 
     # --- connections ---
 
--- a/lilacloft/control/gateway_observer.py
+++ b/lilacloft/control/gateway_observer.py
@@ -1,9 +1,9 @@
-"""Connects a gateway's decisions to its side of the control plane: counts what the attempts came to, and
-applies what a plan sets.
+"""Connects a gateway's router to its side of the control plane: counts the results of attempts, and applies
+plans.
 
-The same for a real gateway and one in the emulator: the caller reports ended attempts, calls `observe` once
-per report interval, and transports the messages. The module does no I/O. `time` is the decisions' clock,
-`steady` the gateway's own monotonic clock, both in `Ticks`.
+It is used by real gateways and in the emulator: the caller reports completed attempts, calls `observe` once
+per report interval, and transports the messages. The module does no I/O. `time` is the router's clock,
+`monotonic_time` the gateway's own monotonic clock, both in `Ticks`.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from lilacloft.routing.router import Router
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
-OVERDUE_SHARE = 0.5  # of its latency objective, after which an attempt counts as not answered
-OVERDUE_FILL_SHARE = 1.0  # the same for a likely fill, as its source may be slow
-RATE_WEIGHT = 1 / 4  # of one interval in the smoothed rates
-SIZE_WEIGHT = 1 / 16  # of one answer in the mean size
+OVERDUE_SHARE = 0.5  # of the latency objective, after which an attempt counts as overdue
+OVERDUE_FILL_SHARE = 1.0  # the same for a likely fill, whose source may be slow
+RATE_WEIGHT = 1 / 4  # weight of one interval in the smoothed rates
+SIZE_WEIGHT = 1 / 16  # weight of one answer in the mean size
 ANSWERED = ("done", "miss", "full", "error")  # outcomes of attempts
 UNANSWERED = ("timeout", "reset", "unreached")
-FILLED_NOTES = (2, 3)  # of answers that were filled for this request
+FILLED_NOTES = (2, 3)  # notes of answers that a cache filled for the request
 
 
 @dataclass(frozen=True)
 class EndedAttempt:
-    """An attempt that has ended."""
+    """A completed attempt."""
 
     backend: Backend
     vhost: int
@@ -38,11 +38,11 @@
     transfer_time: float  # of the request
     note: int  # of the answer
     kbytes: float
-    source: Backend  # that was to fill it; the backend itself without one
+    source: Backend  # of the fill; the backend itself if there is none
 
 
 class GatewayObserver:
-    """One gateway's."""
+    """Counts and applies for one gateway."""
 
     def __init__(self, router: Router, vhosts: Sequence[str], follower: Follower) -> None:
         """`vhosts`: the names of the virtual hosts, by index."""
@@ -54,7 +54,7 @@
     # --- attempts ---
 
     def attempt_ended(self, attempt: EndedAttempt) -> None:
-        """Count an attempt that has ended."""
+        """Count a completed attempt."""
         result = self._result(attempt)
         if result:
             self.follower.record_attempt(attempt.backend.name, result)
@@ -63,7 +63,7 @@
             self._count_answer(attempt, result)
 
     def _result(self, attempt: EndedAttempt) -> str:
-        """Return what an attempt says of its backend; empty for nothing."""
+        """Return the result that counts for the backend; empty if the attempt does not count."""
         if attempt.outcome in ANSWERED:
             return LATE if self._is_late(attempt) else IN_TIME
         return FAILED if attempt.outcome in UNANSWERED else ""
@@ -77,7 +77,7 @@
         if not keeper:
             return
         if attempt.outcome == "cancelled" and self._is_late(attempt):
-            result = FAILED  # of a canary request that was cancelled after its objective
+            result = FAILED  # a canary request, cancelled after its latency objective
         if not result or self.router.pools.is_origin(attempt.backend):
             return
         is_hit = attempt.outcome == "done" and attempt.note not in FILLED_NOTES
@@ -102,26 +102,29 @@
 
     # --- state ---
 
-    def backends_changed(self, names: Iterable[str], list_version: int, time: Ticks, steady: Ticks) -> None:
-        """Take in the backends that the change log has changed, as of a number."""
+    def backends_changed(
+        self, names: Iterable[str], list_version: int, time: Ticks, monotonic_time: Ticks
+    ) -> None:
+        """Record the backends that the change log has changed, as of a change log number."""
         slow_start = self.router.settings.cache_slow_start.duration
         cold = {
             backend.name
             for backend in self.router.pools.caches
             if backend.started and time - backend.started < slow_start + TICKS_PER_SECOND
         }
-        self.follower.update_list(names, list_version, cold, steady)
+        self.follower.update_list(names, list_version, cold, monotonic_time)
 
-    def observe(self, requests: int, list_version: int, time: Ticks, steady: Ticks) -> None:
-        """Take over the decisions' state, and the number of requests since the last call."""
+    def observe(self, requests: int, list_version: int, time: Ticks, monotonic_time: Ticks) -> None:
+        """Update the backends' states from the router. `requests`: the number of requests since the last
+        call."""
         follower, router = self.follower, self.router
-        follower.now = steady
+        follower.now = monotonic_time
         self._update_rates(requests)
         for backend in router.pools.backends:
-            # the origin's answers tell a bad path of this gateway from a location that fails
+            # the origin's answers distinguish a bad path of this gateway from a failing location
             if not router.pools.is_origin(backend) or follower.keeper:
                 follower.update_state(backend.name, self._state(backend, time))
-        self.backends_changed((), list_version, time, steady)
+        self.backends_changed((), list_version, time, monotonic_time)
         follower.quota.update_used(
             {
                 backend.name: router.slow_start.used_share(backend, time)
@@ -153,8 +156,8 @@
         )
 
     def _overdue(self, backend: Backend, time: Ticks) -> tuple[int, int]:
-        """Return how many attempts at a backend are overdue without anything received from it since, and for
-        how many overdue fills it is the source while their caches answer other requests."""
+        """Return the number of overdue attempts at a backend that has not answered since they were sent, and
+        the number of overdue fills of which it is the source while their caches answer other requests."""
         attempts = fills = 0
         for request in backend.requests:
             if not self._is_overdue(request, time):
@@ -172,11 +175,12 @@
 
     # --- plans ---
 
-    def apply(self, time: Ticks, steady: Ticks) -> PlanEffect:
-        """Have the decisions follow what applies now; return it."""
-        effect = self.follower.effect(steady)
+    def apply(self, time: Ticks, monotonic_time: Ticks) -> PlanEffect:
+        """Apply the control plane's current effect to the router, and return it."""
+        effect = self.follower.effect(monotonic_time)
         ejections = {
-            backend: until + time - steady if until else 0 for backend, until in effect.ejections.items()
+            backend: until + time - monotonic_time if until else 0
+            for backend, until in effect.ejections.items()
         }
         self.router.plan_changed(
             PlanUpdate(
--- a/lilacloft/control/messages.py
+++ b/lilacloft/control/messages.py
@@ -1,6 +1,6 @@
-"""The messages between gateways and planners, as records; `codec` has their form on the wire.
+"""The messages between gateways and planners, as records; `codec` defines their wire format.
 
-Times are durations in `Ticks`: no two clocks are compared. Rates are per second, shares are fractions of a
+Times are durations in `Ticks`, as no two clocks are compared. Rates are per second, shares are fractions of a
 whole budget or limit.
 """
 
@@ -29,8 +29,8 @@
 
 @dataclass(frozen=True)
 class QuotaLease:
-    """The answer: a share, usable `delay` after its arrival, until `duration` after the request was sent. A
-    share of 0 refuses the request."""
+    """The answer to a quota request: a share, usable from `delay` after the answer arrives until `duration`
+    after the request was sent. A share of 0 refuses the request."""
 
     number: int  # of the request
     backend: str
@@ -41,44 +41,45 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What a gateway reports to a planner, four times a second."""
+    """A gateway's report to a planner, four times a second."""
 
     name: str
     incarnation: int
-    number: int  # of this report, rising
+    number: int  # of this report, increasing
     zone: int = 0
     list_version: int = 0  # number of the last change log entry that the gateway has applied
     request_rate: float = 0.0
-    fill_rates: dict[str, float] = field(default_factory=dict)  # by virtual host, KB a second
+    fill_rates: dict[str, float] = field(default_factory=dict)  # by virtual host, in KB/s
     values_per_kb: dict[str, float] = field(default_factory=dict)  # by virtual host
     observations: dict[str, Observation] = field(default_factory=dict)  # by backend
-    cold_shares: dict[str, tuple[float, float]] = field(default_factory=dict)  # by backend: usable, in use
+    # usable share and share in use, by backend
+    cold_shares: dict[str, tuple[float, float]] = field(default_factory=dict)
     quota_requests: tuple[QuotaRequest, ...] = ()
     quota_leases: tuple[QuotaLease, ...] = ()  # answers to the planner's requests
     plan_id: PlanId = PlanId()  # of the plan that the gateway applies
     is_leaving: bool = False
-    requested_rate: float = 0.0  # KB a second that clients request
-    uncached_rate: float = 0.0  # KB a second of fills that bypass the caches
-    tallies: dict[int, OutcomeCounts] = field(default_factory=dict)  # by location, since the process began
-    location_states: dict[int, tuple[int, int]] = field(default_factory=dict)  # of locations not all in use
+    requested_rate: float = 0.0  # KB/s requested by clients
+    uncached_rate: float = 0.0  # KB/s of fills that bypass the caches
+    tallies: dict[int, OutcomeCounts] = field(default_factory=dict)  # by location, since the process started
+    location_states: dict[int, tuple[int, int]] = field(default_factory=dict)  # by location
 
 
 @dataclass(frozen=True)
 class Plan:
-    """A plan. A gateway reads only what concerns its own location."""
+    """A plan. A gateway reads only the entries that concern its own location."""
 
     plan_id: PlanId
     list_version: int = 0  # of the backend list from which the plan was made
-    ejections: dict[str, str] = field(default_factory=dict)  # by backend: the reason
+    ejections: dict[str, str] = field(default_factory=dict)  # reasons by ejected backend
     canary_gateways: dict[str, str] = field(default_factory=dict)  # by ejected backend
     concurrency_limits: dict[str, float] = field(default_factory=dict)  # by backend, of all gateways together
     fill_limits: dict[int, float] = field(default_factory=dict)  # by location, of all gateways together
     gateway_shares: dict[str, float] = field(default_factory=dict)  # of a location's limits
     revalidation_order: dict[int, tuple[str, ...]] = field(default_factory=dict)  # gateways by location
-    locations: dict[int, FailoverDirective] = field(default_factory=dict)  # that are not all in use
+    locations: dict[int, FailoverDirective] = field(default_factory=dict)  # not completely in use
 
 
-SECTIONS = (  # of a plan: maps whose changes a delta carries, in this order
+SECTIONS = (  # the maps of a plan, in the order in which a delta carries their changes
     "ejections",
     "canary_gateways",
     "concurrency_limits",
@@ -92,7 +93,7 @@
 
 @dataclass(frozen=True)
 class PlanDelta:
-    """The difference between two plans: by section the changed entries; the value None removes an entry."""
+    """The difference between two plans: the changed entries by section. The value None removes an entry."""
 
     base: PlanId
     plan_id: PlanId
@@ -106,22 +107,22 @@
 
     planner: str
     incarnation: int
-    number: int  # of the report that it answers: durations count from when that was sent
-    duration: Ticks = 0  # for which the plan is valid
+    number: int  # of the report that it answers; durations count from when that was sent
+    duration: Ticks = 0  # of the validity of the plan
     plan: Plan | None = None
     delta: PlanDelta | None = None
     quota_requests: tuple[QuotaRequest, ...] = ()
     quota_leases: tuple[QuotaLease, ...] = ()
-    is_first: bool = False  # the planner knew nothing of this process before
+    is_first: bool = False  # whether this is the first report of the process to this planner
 
 
 @dataclass(frozen=True)
 class GossipMessage:
-    """What a planner tells the other planners, four times a second."""
+    """A planner's gossip to the other planners, four times a second."""
 
     name: str
     incarnation: int
-    epoch: int  # of its plans; 0: it issues none
+    epoch: int  # of its plans; 0: it is not the leader
     highest_epoch: int
     members: tuple[MemberRow, ...] = ()
 
@@ -143,7 +144,7 @@
 
 
 def apply_delta(before: Plan, delta: PlanDelta) -> Plan | None:
-    """Return the plan after a change; None if the delta is based on another plan."""
+    """Return a plan with a delta applied; None if the delta is based on another plan."""
     if delta.base != before.plan_id:
         return None
     sections = {}
--- a/lilacloft/control/plan_distribution.py
+++ b/lilacloft/control/plan_distribution.py
@@ -1,4 +1,5 @@
-"""Distributes plans: each gateway gets what concerns its location, as a delta where that is smaller."""
+"""Distributes plans: each gateway gets the entries that concern its location, as a delta if that is
+smaller."""
 
 from __future__ import annotations
 
@@ -9,31 +10,31 @@
 from lilacloft.control.leader_lease import PlanId
 from lilacloft.control.messages import SECTIONS, Plan, PlanDelta, diff
 
-KEPT_PLANS = 64  # that a delta can be based on
+MAX_RECENT_PLANS = 64  # on which a delta can be based
 
-PlanOrDelta = tuple[Plan | None, PlanDelta | None]  # one of both
+PlanOrDelta = tuple[Plan | None, PlanDelta | None]  # exactly one is set
 Value = TypeVar("Value")
 
 
 class PlanDistributor:
-    """The current plan of a planner, and recent ones."""
+    """The current plan of a planner, and its recent plans."""
 
     def __init__(self) -> None:
         self.plan = Plan(PlanId())
         self._recent: dict[PlanId, Plan] = {}
-        self._updates: dict[tuple[int, PlanId], PlanOrDelta] = {}  # by location and the plan that it has
+        self._updates: dict[tuple[int, PlanId], PlanOrDelta] = {}  # by location and applied plan
 
     def publish(self, plan: Plan) -> None:
-        """Make a plan the current one."""
+        """Make a plan the current plan."""
         self.plan = plan
         self._recent[plan.plan_id] = plan
         self._updates.clear()
-        while len(self._recent) > KEPT_PLANS:
+        while len(self._recent) > MAX_RECENT_PLANS:
             del self._recent[next(iter(self._recent))]
 
     def update_for(self, zone: int, applied: PlanId, backends: Backends) -> PlanOrDelta:
-        """Return what a gateway of a location needs that applies some plan. All gateways of the location that
-        apply the same plan share one update."""
+        """Return the update for a gateway of a location that applies the plan `applied`. Gateways of a
+        location that apply the same plan share one update."""
         if applied == self.plan.plan_id:
             return None, PlanDelta(applied, applied, self.plan.list_version)
         key = zone, applied
@@ -42,18 +43,18 @@
         return self._updates[key]
 
     def _make_update(self, zone: int, applied: PlanId, backends: Backends) -> PlanOrDelta:
-        whole, before = plan_for_location(self.plan, zone, backends), self._recent.get(applied)
+        full_plan, before = plan_for_location(self.plan, zone, backends), self._recent.get(applied)
         if before is None:
-            return whole, None
-        delta = diff(plan_for_location(before, zone, backends), whole)
-        size = sum(len(getattr(whole, section)) for section in SECTIONS)
+            return full_plan, None
+        delta = diff(plan_for_location(before, zone, backends), full_plan)
+        size = sum(len(getattr(full_plan, section)) for section in SECTIONS)
         if 2 * sum(map(len, delta.changes.values())) >= size > 0:
-            return whole, None
+            return full_plan, None
         return None, delta
 
 
 def plan_for_location(plan: Plan, zone: int, backends: Backends) -> Plan:
-    """Return the part of a plan that the gateways of a location need."""
+    """Return the part of a plan that concerns the gateways of a location."""
     gateways = plan.revalidation_order.get(zone, ())
     zones = {zone} | parent_zones(backends.values())
     return Plan(
@@ -70,7 +71,7 @@
 
 
 def _relevant(by_backend: Mapping[str, Value], zone: int, backends: Backends) -> dict[str, Value]:
-    """Return the entries of backends that the gateways of a location send requests to."""
+    """Return the entries of backends to which the gateways of a location send requests."""
     entries = {}
     for name, value in by_backend.items():
         backend = backends.get(name)
--- a/lilacloft/control/planner.py
+++ b/lilacloft/control/planner.py
@@ -1,7 +1,7 @@
 """A planner: receives load reports and gossip, and makes plans while it is the leader.
 
-A plan is made on each tick on which it would differ from the last one by more than noise. The class joins the
-modules that decide on each section of a plan; it does no I/O. Times are `Ticks` of its own monotonic clock.
+On each tick a new plan is made if it differs from the last one by more than noise. The class combines the
+modules that decide on the sections of a plan; it does no I/O. Times are `Ticks` of its own monotonic clock.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 )
 from lilacloft.routing.units import Ticks
 
-PLAN_DURATION: Ticks = 30_000  # for which a plan is valid, about ten reports
+PLAN_DURATION: Ticks = 30_000  # for which a plan is valid: about ten report intervals
 REPORT_TIMEOUT: Ticks = 2 * PLAN_DURATION  # after which a silent gateway's report is discarded
 
 
@@ -37,7 +37,7 @@
     """One planner."""
 
     def __init__(self, name: str, incarnation: int, site: SiteSettings, epoch: int = 0) -> None:
-        """`epoch`: the highest one that earlier processes under this name have known."""
+        """`epoch`: the highest epoch known to earlier processes under this name."""
         self.name, self.site = name, site
         self.table = MemberTable(name, incarnation)
         self.election = LeaderElection(name, site.planners, epoch)
@@ -53,7 +53,7 @@
 
     @property
     def plan(self) -> Plan:
-        """The last plan of this planner."""
+        """The last plan made by this planner."""
         return self.distributor.plan
 
     @property
@@ -71,21 +71,21 @@
     # --- input ---
 
     def update_backends(self, backends: Iterable[ListedBackend], list_version: int) -> None:
-        """Take over the backend list, as of a change log number."""
+        """Update the backend list, as of a change log number."""
         self.backends = {backend.name: backend for backend in backends}
         self.list_version = max(self.list_version, list_version)
         self.health.retain(self.backends)
         self.quota.update_backends(self.backends)
 
     def receive_gossip(self, gossip: GossipMessage, now: Ticks) -> None:
-        """Take in another planner's gossip."""
+        """Process another planner's gossip."""
         self.election.observe_epoch(max(gossip.epoch, gossip.highest_epoch))
         heartbeat = self.table.record_heartbeat(gossip.name, PLANNER, gossip.incarnation, now)
         for change in (heartbeat, *self.table.merge(gossip.members, now)):
             self._on_membership_change(change)
 
     def gossip(self, now: Ticks) -> GossipMessage:
-        """Return the gossip for other planners."""
+        """Return the gossip to send to other planners."""
         return GossipMessage(
             self.name,
             self.table.incarnation,
@@ -95,8 +95,8 @@
         )
 
     def receive_report(self, report: LoadReport, now: Ticks) -> PlanReply:
-        """Take in a gateway's report and return the reply. A report that is out of order, or of an earlier
-        process, gets an empty one."""
+        """Process a gateway's report and return the reply: an empty one if the report is out of order or from
+        an earlier process."""
         gateway = self.gateways.get(report.name)
         if gateway and (report.incarnation, report.number) <= (
             gateway.report.incarnation,
@@ -148,7 +148,7 @@
             self.quota.record_lease(gateway, lease, now)
 
     def _on_membership_change(self, change: MembershipChange | None) -> None:
-        """Discard what is known of a gateway that has ended or was restarted."""
+        """Discard the state of a gateway that has stopped or restarted."""
         if change is None or not (change.is_new_process or change.member.state in (DEAD, LEFT)):
             return
         member = change.member
@@ -160,7 +160,7 @@
         if gateway is None or gateway.report.incarnation > member.incarnation:
             return
         if change.is_new_process and gateway.report.incarnation == member.incarnation:
-            return  # its own first report
+            return  # the change was caused by its own first report
         del self.gateways[member.name]
 
     # --- plans ---
@@ -169,10 +169,10 @@
         """Re-evaluate everything; return whether a new plan was made."""
         for change in self.table.expire(now):
             self._on_membership_change(change)
-        silent = [
+        timed_out = [
             name for name, gateway in self.gateways.items() if now - gateway.received_at > REPORT_TIMEOUT
         ]
-        for name in silent:
+        for name in timed_out:
             del self.gateways[name]
         became_leader = self.election.update(self._alive_planners())
         if self.site.location_failover:
@@ -187,12 +187,12 @@
         return True
 
     def _alive_planners(self) -> list[str]:
-        """Return the planners that count for leadership. A suspected one does not: its followers would wait
-        for it, and two leaders at a time are ordered by their epochs."""
+        """Return the planners that are considered in the leader election. Suspected planners are not: the
+        others would wait for a suspected leader, while two leaders at a time are ordered by their epochs."""
         return [name for name in self.table.alive(PLANNER) if self.table.members[name].state == ALIVE]
 
     def _is_current(self, draft: Plan) -> bool:
-        """Return whether a draft says what the last plan says, and that is of the current epoch."""
+        """Return whether a draft equals the last plan, and that is of the current epoch."""
         return (
             all(getattr(draft, section) == getattr(self.plan, section) for section in SECTIONS)
             and draft.list_version == self.plan.list_version
--- a/lilacloft/control/planner_server.py
+++ b/lilacloft/control/planner_server.py
@@ -1,5 +1,5 @@
 """A planner process: the thread that owns the planner, the connections to gateways, other planners and
-operators, and the change log. It decides nothing."""
+operators, and the change log. The module makes no decisions."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 NANOSECONDS_PER_TICK = 100_000
 TICKS_PER_MILLISECOND = 10
 # kinds of records in the planner's store
-EPOCH_RECORD = 7  # the highest epoch
-STARTS_RECORD = 8  # how often a process has started
+EPOCH_RECORD = 7  # the highest known epoch
+STARTS_RECORD = 8  # the number of process starts
 
 
 class PlannerServer:
@@ -52,22 +52,25 @@
         folder: str = "",
         leave: str = "never",
     ) -> None:
-        """`folder`: of the planner's store; empty for none. `leave`: whether whole locations may be out of
-        use, `past` their caches, or `across`, with other locations' caches in their place."""
-        found = from_protocol(settings_validation.with_defaults(config["settings"]))
-        family = found["family"]
+        """`folder`: the directory of the planner's store; empty for none. `leave`: the mode of location
+        failover: `never`, `past` (requests bypass the caches of a location that has failed over) or `across`
+        (other locations' caches serve them)."""
+        settings = from_protocol(settings_validation.with_defaults(config["settings"]))
+        family = settings["family"]
         self.name = name
         self.kinds = {family["source_kind"]: ORIGIN, family["parent_kind"]: PARENT}
-        self.cold_duration: Ticks = found["rules"]["cold"]
+        self.cold_duration: Ticks = settings["rules"]["cold"]
         self.store = self._open_store(folder)
         epoch, incarnation = self._begin()
-        site = _site_settings(found, planners, leave)
+        site = _site_settings(settings, planners, leave)
         self.planner = Planner(name, incarnation, site, epoch)
         self.stored_epoch = epoch
         self.queue: queue.SimpleQueue[tuple[Callable[..., None], tuple[Any, ...]]] = queue.SimpleQueue()
         self.backends: dict[str, tuple[Any, ...]] = {}
         self.list_version = config["known"]["seq"]
-        for number, event in events_of_config(config["known"]["results"], found["zones"], found["kinds"]):
+        for number, event in events_of_config(
+            config["known"]["results"], settings["zones"], settings["kinds"]
+        ):
             self._on_list_event(event, number)
         self.feed = DiscoveryWatch(
             address(config["changelog"]),
@@ -95,8 +98,8 @@
         return Store(StoreDirectory(folder))
 
     def _begin(self) -> tuple[int, int]:
-        """Return the highest known epoch, and this process's incarnation. Without a store the incarnation is
-        the wall clock's milliseconds."""
+        """Return the highest known epoch and this process's incarnation. Without a store the incarnation is
+        the wall clock time in milliseconds."""
         if self.store is None:
             return 0, max(1, time.time_ns() // 1_000_000)
         epoch, starts = self._load(EPOCH_RECORD), self._load(STARTS_RECORD)
@@ -115,14 +118,14 @@
 
     @staticmethod
     def now() -> Ticks:
-        """Return the monotonic clock's time."""
+        """Return the time of the monotonic clock."""
         return time.monotonic_ns() // NANOSECONDS_PER_TICK
 
     def run(self) -> None:
         """Run until `is_closed` is set."""
         self.feed.start()
         next_tick = time.monotonic()
-        logger.info("planner {} listens, with {} bes listed", self.name, len(self.backends))
+        logger.info("planner {} is listening; {} backends listed", self.name, len(self.backends))
         while not self.is_closed:
             next_tick = max(next_tick + TICK_SECONDS, time.monotonic())
             self._tick()
@@ -132,12 +135,12 @@
             client.close()
 
     def _post(self, handler: Callable[..., None], *arguments: Any) -> None:
-        """Have a handler called in the planner's thread."""
+        """Queue a call of a handler in the planner's thread."""
         self.queue.put((handler, arguments))
 
     def _handle_events(self, until: float) -> None:
-        """Call the handlers that wait, and those that come until a time of the monotonic clock, in seconds.
-        Those that wait have their turn also where that time is over: a tick may take long."""
+        """Call the queued handlers, and those queued until a time of the monotonic clock, in seconds.
+        Handlers that are already queued are called even if that time has passed, as a tick may take long."""
         for _ in range(self.queue.qsize()):
             self._call(*self.queue.get_nowait())
         while (timeout := until - time.monotonic()) > 0:
@@ -149,11 +152,11 @@
 
     @staticmethod
     def _call(handler: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        """Call a handler; what fails in one ends nothing else."""
+        """Call a handler; an exception is logged and does not affect others."""
         try:
             handler(*arguments)
         except Exception:
-            logger.exception("planner: one event failed")
+            logger.exception("planner: event handler failed")
 
     def _tick(self) -> None:
         now = self.now()
@@ -162,10 +165,10 @@
         if self.planner.tick(now):
             self.previous_plan = before
             plan = self.planner.plan
-            left_out = sorted(plan.ejections)
-            logger.bind(plan=str(plan.plan_id), left_out=left_out).debug("plan {}", plan.plan_id)
+            ejected = sorted(plan.ejections)
+            logger.bind(plan=str(plan.plan_id), left_out=ejected).debug("plan {}", plan.plan_id)
         epoch = max(self.planner.election.highest_epoch, self.planner.election.epoch)
-        if epoch > self.stored_epoch:  # stored before it is sent
+        if epoch > self.stored_epoch:  # must be stored before it is sent
             self.stored_epoch = epoch
             self._save(EPOCH_RECORD, epoch)
         gossip = codec.encode_gossip(self.planner.gossip(now))
@@ -191,7 +194,7 @@
         self.planner.update_backends(listed, self.list_version)
 
     def _listed(self, row: tuple[Any, ...], now: float) -> ListedBackend:
-        """Return a backend from its row of the change log. `now`: the wall clock's time in ticks."""
+        """Return a backend from its row in the change log. `now`: wall clock time in ticks."""
         name, _, zone, kind_name, _, status, capacity, started_ms = row
         kind = self.kinds.get(kind_name, CACHE)
         age = now - started_ms * TICKS_PER_MILLISECOND
@@ -227,7 +230,7 @@
     # --- operators' queries ---
 
     def answer(self, query: str, now: Ticks) -> list[str]:
-        """Return the lines for a query: `diff`, `explain` with a subject, or anything else for the plan."""
+        """Return the lines that answer a query: `diff`, `explain SUBJECT`, or anything else for the plan."""
         if query == "diff":
             return self._describe_change()
         if query.startswith("explain "):
@@ -235,7 +238,7 @@
         return self._describe_plan()
 
     def _describe_change(self) -> list[str]:
-        """Return what the last plan has changed."""
+        """Return lines on the changes made by the last plan."""
         before, plan = self.previous_plan, self.planner.plan
         changes = diff(before, plan).changes
         lines = [f"{before.plan_id} -> {plan.plan_id}"]
@@ -248,7 +251,7 @@
         return lines
 
     def _describe_plan(self) -> list[str]:
-        """Return the plan, the counters and the members."""
+        """Return lines on the plan, the counters and the members."""
         planner, plan = self.planner, self.planner.plan
         issues = "issues" if planner.election.is_leader else "does not issue"
         lines = [
@@ -267,9 +270,9 @@
         return lines
 
 
-def _site_settings(found: Mapping[str, Any], planners: Mapping[str, Address], leave: str) -> SiteSettings:
-    """Return the planner's settings from the platform's."""
-    family, rules = found["family"], found["rules"]
+def _site_settings(settings: Mapping[str, Any], planners: Mapping[str, Address], leave: str) -> SiteSettings:
+    """Return the planner's settings, from those of the platform."""
+    family, rules = settings["family"], settings["rules"]
     links = {zone: float(rate) for zone, rate in enumerate(family.get("feed_kb_per_s") or []) if rate}
     return SiteSettings(
         tuple(sorted(planners)),
@@ -278,7 +281,7 @@
         quota_window=rules["fall"],
         location_failover=leave != "never",
         cross_location=leave == "across",
-        lists_capacities=found.get("weight_source", "silent") != "silent",
+        lists_capacities=settings.get("weight_source", "silent") != "silent",
         cache_warming=SlowStartProfile(rules["start_capacity"], rules["cold"], rules["tip_multiple"]),
         parent_warming=SlowStartProfile(
             family["parent_floor"], family["parent_warms_in"], family["parent_breaks_at"]
--- a/lilacloft/control/quota_broker.py
+++ b/lilacloft/control/quota_broker.py
@@ -1,7 +1,7 @@
 """The planner's part in leasing quota: it requests unused shares from gateways and lends them to others.
 
-Quota is not part of plans: a planner that is not the leader lends shares as well, as the ledgers ensure that
-no share is used by two parties, whatever the planners assume.
+Quota is not part of plans: planners that are not the leader lend shares as well, as the ledgers ensure that
+no share is used by two parties, even if the planners disagree.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from lilacloft.control.quota import MAX_LEASE, MIN_SHARE, LeaseTerms, QuotaLedger, max_min_fair
 from lilacloft.routing.units import Ticks
 
-REQUESTED_SHARE = 0.8  # of what a gateway does not use
+REQUESTED_SHARE = 0.8  # of a gateway's unused share
 
 
 class QuotaBroker:
     """The quota ledgers of one planner, by cold backend."""
 
     def __init__(self, window: Ticks, gateways: Gateways) -> None:
-        """`gateways`: the planner's gateways, which it keeps up to date."""
+        """`gateways`: owned and updated by the planner."""
         self.window, self.gateways = window, gateways
         self.backends: Backends = {}
         self.ledgers: dict[str, QuotaLedger] = {}
@@ -28,7 +28,7 @@
         self.lent = self.borrowed = 0
 
     def update_backends(self, backends: Backends) -> None:
-        """Take over the backend list, and drop the ledgers of backends that are no longer cold."""
+        """Update the backend list, and drop the ledgers of backends that are no longer cold."""
         self.backends = backends
         for name in [name for name in self.ledgers if not self._is_cold(name)]:
             del self.ledgers[name]
@@ -37,7 +37,7 @@
         return name in self.backends and self.backends[name].is_cold
 
     def lend(self, request: QuotaRequest, now: Ticks) -> QuotaLease:
-        """Answer a gateway's request with a fair share of what can be lent."""
+        """Answer a gateway's request with a max-min fair part of the lendable share."""
         ledger = self.ledgers.get(request.backend)
         if ledger is None or request.share <= MIN_SHARE:
             return QuotaLease(request.number, request.backend)
@@ -56,7 +56,7 @@
         return sum(request.share for request in gateway.report.quota_requests if request.backend == backend)
 
     def requests_to(self, gateway: GatewayState, now: Ticks) -> Iterator[QuotaRequest]:
-        """Return the requests to a gateway for most of what it does not use, where other gateways want it."""
+        """Return requests to a gateway for most of its unused shares, where other gateways need them."""
         expired = [
             number for number, (_, sent_at) in gateway.pending_requests.items() if now - sent_at > MAX_LEASE
         ]
@@ -85,7 +85,7 @@
         )
 
     def record_lease(self, gateway: GatewayState, lease: QuotaLease, now: Ticks) -> None:
-        """Add a share that a gateway has lent to this planner; ignore one that was not requested."""
+        """Add a share that a gateway has lent to this planner; a lease that was not requested is ignored."""
         request, sent_at = gateway.pending_requests.pop(lease.number, (None, 0))
         if request is None or request.backend != lease.backend or lease.share <= MIN_SHARE:
             return
--- a/lilacloft/control/quota_client.py
+++ b/lilacloft/control/quota_client.py
@@ -1,4 +1,4 @@
-"""A gateway's part in leasing quota: it lends unused shares to planners, and requests more where it needs
+"""A gateway's part in leasing quota: it lends unused shares to planners, and requests shares where it needs
 more."""
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from lilacloft.control.quota import MAX_LEASE, MIN_SHARE, LeaseTerms, QuotaLedger
 from lilacloft.routing.units import Ticks
 
-REQUEST_TIMEOUT: Ticks = 20_000  # after which a request may be repeated, also to another planner
-HIGH_USE = 0.7  # fraction of a share in use, above which more is requested
+REQUEST_TIMEOUT: Ticks = 20_000  # after which a request may be repeated, possibly to another planner
+HIGH_USE = 0.7  # of a share; from this use on more is requested
 
 
 @dataclass(frozen=True)
 class PendingRequest:
-    """A request that is not answered yet."""
+    """An unanswered request."""
 
     request: QuotaRequest
     sent_at: Ticks
@@ -26,17 +26,17 @@
     """One gateway's quota ledgers, by cold backend."""
 
     def __init__(self, own_share: float, window: Ticks, usable_from: Ticks) -> None:
-        """`own_share`: this gateway's share of each budget; `usable_from`: when the leases of an earlier
-        process have surely expired."""
+        """`own_share`: this gateway's share of each budget; `usable_from`: the time when all leases of an
+        earlier process have certainly expired."""
         self.own_share, self.window, self.usable_from = own_share, window, usable_from
         self.ledgers: dict[str, QuotaLedger] = {}
-        self.used: dict[str, float] = {}  # fraction in use of what is usable
+        self.used: dict[str, float] = {}  # fraction of the usable share that is in use
         self.pending: dict[int, PendingRequest] = {}
         self.last_request = 0
 
     def update_cold(self, cold: Collection[str], now: Ticks) -> None:
-        """Take over which backends are cold. The ledger of one that is warm stays while something is lent:
-        the backend may restart, and be cold again, before that returns."""
+        """Update the set of cold backends. The ledger of a warm backend is kept while shares are lent: the
+        backend may restart and be cold again before these return."""
         for backend in sorted(set(cold) - self.ledgers.keys()):
             self.ledgers[backend] = QuotaLedger(self.own_share, self.window, self.usable_from)
         for backend in [backend for backend in self.ledgers if backend not in cold]:
@@ -44,7 +44,7 @@
                 del self.ledgers[backend]
 
     def update_used(self, used: Mapping[str, float]) -> None:
-        """Take over the fraction in use of what is usable, by backend."""
+        """Update the fraction of the usable share that is in use, by backend."""
         self.used = dict(used)
 
     def cold_shares(self, now: Ticks) -> dict[str, tuple[float, float]]:
@@ -64,14 +64,16 @@
         }
 
     def remove_timed_out(self, now: Ticks) -> None:
-        """Forget requests without an answer."""
-        timed_out = [number for number, one in self.pending.items() if now - one.sent_at > REQUEST_TIMEOUT]
+        """Drop requests that were not answered in time."""
+        timed_out = [
+            number for number, entry in self.pending.items() if now - entry.sent_at > REQUEST_TIMEOUT
+        ]
         for number in timed_out:
             del self.pending[number]
 
     def new_requests(self, now: Ticks) -> Iterator[QuotaRequest]:
-        """Return requests for budgets of which nearly the whole share is in use."""
-        pending = {one.request.backend for one in self.pending.values()}
+        """Return requests for the budgets of which this gateway uses most of its share."""
+        pending = {entry.request.backend for entry in self.pending.values()}
         for backend, ledger in sorted(self.ledgers.items()):
             if backend not in pending and self.used.get(backend, 0.0) >= HIGH_USE:
                 self.last_request += 1
@@ -81,7 +83,7 @@
                 yield request
 
     def lend(self, request: QuotaRequest, now: Ticks) -> QuotaLease:
-        """Answer a planner's request out of what is not in use."""
+        """Answer a planner's request out of the unused share."""
         refusal = QuotaLease(request.number, request.backend)
         ledger = self.ledgers.get(request.backend)
         if ledger is None:
@@ -95,8 +97,8 @@
         return QuotaLease(request.number, request.backend, terms.share, terms.delay, terms.duration)
 
     def record_lease(self, lease: QuotaLease, requested_at: Ticks, now: Ticks) -> None:
-        """Add a share that a planner has lent; ignore one that was not requested. `requested_at`: when the
-        report was sent that the planner has answered."""
+        """Add a share that a planner has lent; a lease that was not requested is ignored. `requested_at`:
+        when the report was sent that the planner answers."""
         pending, ledger = self.pending.pop(lease.number, None), self.ledgers.get(lease.backend)
         if pending is None or ledger is None:
             return
--- a/lilacloft/control/transport.py
+++ b/lilacloft/control/transport.py
@@ -1,6 +1,6 @@
-"""Connections between gateways and planners: frames over TCP, with two threads for each connection.
+"""Connections between gateways and planners: frames over TCP, with two threads per connection.
 
-A sender never blocks: the queue of a slow connection is bounded, and drops its oldest frames.
+Sending never blocks: the queue of a connection is bounded, and drops its oldest frames.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from lilacloft.control.codec import HEAD, WireError
 from lilacloft.net.exact_reads import read_exactly
 
-MAX_QUEUED_FRAMES = 4  # of one connection
+MAX_QUEUED_FRAMES = 4  # per connection
 CONNECT_TIMEOUT = 1.0  # seconds
-SILENCE_TIMEOUT = 5.0  # seconds without a frame, after which a connection is closed
+SILENCE_TIMEOUT = 5.0  # seconds without data, after which a connection is closed
 RECONNECT_DELAY = 0.25  # seconds
-MAX_CONNECTIONS = 4096  # that a planner accepts
+MAX_CONNECTIONS = 4096  # accepted by a planner
 LISTEN_BACKLOG = 256
 
 Address = tuple[str, int]
 
 
 class Connection:
-    """One connection: a thread reads, another one writes the queued frames."""
+    """One connection: one thread reads messages, another writes the queued frames."""
 
     def __init__(
         self,
@@ -38,8 +38,8 @@
         on_message: Callable[[Connection, Any], None],
         on_close: Callable[[Connection], None],
     ) -> None:
-        """`hello`: the frame that is sent first, whatever is queued by then. `on_message`, `on_close`: called
-        in the reading thread."""
+        """`hello`: the frame that is sent before all queued frames. `on_message`, `on_close`: called in the
+        reading thread."""
         self.sock, self.on_message, self.on_close = sock, on_message, on_close
         self.hello = hello
         self.queue: deque[bytes] = deque()
@@ -48,7 +48,7 @@
         self.peer_hello: Any = None
         self.dropped = 0  # frames
         sock.settimeout(SILENCE_TIMEOUT)
-        with contextlib.suppress(OSError):  # a socket pair has no such option
+        with contextlib.suppress(OSError):  # not supported by socket pairs
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def start(self) -> None:
@@ -57,7 +57,7 @@
             threading.Thread(target=target, daemon=True).start()
 
     def send(self, frame: bytes) -> None:
-        """Queue a frame; return at once."""
+        """Queue a frame without blocking."""
         with self.changed:
             if len(self.queue) >= MAX_QUEUED_FRAMES:
                 self.queue.popleft()
@@ -66,7 +66,7 @@
             self.changed.notify()
 
     def close(self) -> None:
-        """Close the connection; the threads end."""
+        """Close the connection and stop its threads."""
         with self.changed:
             self.is_closed = True
             self.changed.notify()
@@ -91,32 +91,33 @@
         try:
             self._read_messages()
         except WireError as error:
-            logger.warning("plan: a connection is ended: {}", error)
+            logger.warning("control plane: connection closed: {}", error)
         except OSError:
             pass
         except Exception:
-            logger.exception("plan: a connection's thread failed")
+            logger.exception("control plane: the reading thread of a connection failed")
         finally:
             self.close()
             self.sock.close()
             self.on_close(self)
 
     def _read_messages(self) -> None:
-        """Read messages until the connection ends with an `OSError`; raise `WireError` for an invalid one."""
+        """Read messages until the connection fails with an `OSError`; raise `WireError` for an invalid
+        one."""
         with self.sock.makefile("rb") as stream:
             while True:
                 length = codec.message_length(read_exactly(stream, HEAD.size))
                 message = codec.decode_message(read_exactly(stream, length))
                 if self.peer_hello is None:
                     if not message.HasField("hello"):
-                        raise WireError("no hello")
+                        raise WireError("the first message is not a hello")
                     codec.negotiate_version(message.hello)
                     self.peer_hello = message.hello
                 self.on_message(self, message)
 
 
 class Client:
-    """A connection to one peer that is made again whenever it ends. Frames that are sent without one are
+    """A connection to one peer, with automatic reconnect. Frames sent while there is no connection are
     dropped, as the next report or gossip replaces them."""
 
     def __init__(
@@ -140,14 +141,14 @@
         return True
 
     def close(self) -> None:
-        """Close the connection, and make no other."""
+        """Close the connection, and stop reconnecting."""
         self.is_closed.set()
         if self.connection:
             self.connection.close()
 
     def _run(self) -> None:
         while not self.is_closed.is_set():
-            ended = threading.Event()
+            closed = threading.Event()
             try:
                 sock = socket.create_connection(self.address, CONNECT_TIMEOUT)
             except OSError:
@@ -155,16 +156,16 @@
                 continue
             self.connects += 1
             connection = Connection(
-                sock, self.make_hello(), self.on_message, lambda _, ended=ended: ended.set()
+                sock, self.make_hello(), self.on_message, lambda _, closed=closed: closed.set()
             )
             self.connection = connection
             connection.start()
-            ended.wait()
+            closed.wait()
             self.is_closed.wait(RECONNECT_DELAY)
 
 
 class Server:
-    """Accepts connections."""
+    """Accepts connections from peers."""
 
     def __init__(
         self,
@@ -192,7 +193,7 @@
                 self.connections[connection] = None
             try:
                 connection.start()
-            except RuntimeError:  # no thread can be started
+            except RuntimeError:  # the system cannot start another thread
                 connection.close()
                 self._remove(connection)
 
@@ -201,7 +202,7 @@
             self.connections.pop(connection, None)
 
     def close(self) -> None:
-        """Accept no more connections, and close all."""
+        """Stop accepting connections, and close all of them."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
--- a/lilacloft/control/wire_schema.py
+++ b/lilacloft/control/wire_schema.py
@@ -1,7 +1,7 @@
-"""The protobuf schema of what gateways and planners exchange, and the classes that protobuf builds from it.
+"""The protobuf schema of the messages between gateways and planners, and the classes built from it.
 
-The names in the schema are those of the wire and stay as they are; `codec` maps them to attributes. New
-fields go to the end of their message, as the position of a field is its number.
+The names in the schema are part of the wire format and must not change; `codec` maps them to attributes. New
+fields must be added at the end of their message, as the position of a field determines its number.
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
-# message: its fields in the order of their numbers, as name:type; s, u, i, d, b are the types in SCALAR_TYPES
+# fields by message, in the order of their numbers, as `name:type`; `*` marks repeated fields, and
+# SCALAR_TYPES has the one-letter types
 SCHEMA = {
     "Hello": "name:s role:s incarnation:u newest:u oldest:u",
     "Name": "epoch:u number:u planner:s",
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -104,7 +104,7 @@
     assert codec.decode_gossip(codec.decode_message(newer).word) == GossipMessage("p0", 1, 2, 3)
     old = FRAME()
     old.hello.name, old.hello.newest, old.hello.oldest = "x", 9, 5
-    with pytest.raises(WireError, match="reads versions 5 to 9"):
+    with pytest.raises(WireError, match="supports versions 5 to 9"):
         codec.negotiate_version(old.hello)
     bad = body(codec.encode_reply(PlanReply("p0", 1, 2, 3, None, diff(Plan(PlanId(1)), Plan(PlanId(2))))))
     bad.reply.delta.gone.add(key="b", value="weather")
