--- a/lilacloft/handover/channel.py
+++ b/lilacloft/handover/channel.py
@@ -1,8 +1,8 @@
-"""A Unix socket between two processes of a gateway, or to the upgrade command, that carries frames and
-descriptors.
+"""Sends and receives frames and file descriptors over a Unix socket.
 
-No call waits without a limit, and no frame is read that is longer than its kind may be. What a frame is for
-is not known here.
+The peer is another process of the same gateway, or the upgrade command. Every call has a timeout, and the
+payload of a frame that is longer than its message kind allows is not read. This module does not interpret
+messages.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
     verify_payload,
 )
 
-DESCRIPTORS_PER_MESSAGE = 100  # the kernel takes 253
-READ_BYTES = 1 << 16  # at most in one read
+DESCRIPTORS_PER_MESSAGE = 100  # the kernel accepts at most 253 (SCM_MAX_FD)
+READ_BYTES = 1 << 16  # maximum for one read
 SEND_TIMEOUT = 5.0  # seconds
 MIN_SOCKET_TIMEOUT = 0.001  # seconds; 0 would make the socket non-blocking
 DESCRIPTOR_BYTES = 4
@@ -35,46 +35,46 @@
 
 
 class ChannelError(Exception):
-    """The other side cannot be talked to; the text says why."""
+    """The channel failed; the text gives the reason."""
 
 
 class ChannelClosedError(ChannelError):
-    """The other side has ended."""
+    """The peer has closed its end of the channel."""
 
 
 class ChannelTimeoutError(ChannelError):
-    """Nothing came within the time."""
+    """No message arrived within the timeout."""
 
 
 class Peer(NamedTuple):
-    """Who is at the other side, as the kernel knows it."""
+    """The peer's credentials, as reported by the kernel."""
 
     pid: int
     uid: int
 
 
 class Frame(NamedTuple):
-    """A frame that was received."""
+    """A received frame."""
 
     kind: MessageKind
     payload: bytes
 
     def decode(self, message_type: Any) -> Any:
-        """Return its message of a type; raises FormatError if it holds none."""
+        """Return the payload as a `message_type`; raises FormatError if it cannot be decoded as one."""
         return decode(self.payload, message_type)
 
 
 class Channel:
-    """One end of the channel. One thread may send while another receives."""
+    """One end of a channel. One thread may send while another receives."""
 
     def __init__(self, sock: socket.socket) -> None:
-        """Take over a connected socket; `close` closes it."""
+        """Take ownership of a connected socket; `close` closes it."""
         self.sock = sock
         self._received = bytearray()
-        self._descriptors: deque[int] = deque()  # received, and not taken yet
+        self._descriptors: deque[int] = deque()  # received, and not yet popped
 
     def peer(self) -> Peer:
-        """Return the process and the user at the other side."""
+        """Return the process and the user of the peer."""
         size = struct.calcsize(PEER_CREDENTIALS)
         data = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size)
         pid, uid, _ = struct.unpack(PEER_CREDENTIALS, data)
@@ -87,9 +87,9 @@
         descriptors: tuple[int, ...] = (),
         timeout: float = SEND_TIMEOUT,
     ) -> None:
-        """Write one frame, and its descriptors before it, within a time in seconds.
+        """Write one frame, preceded by its descriptors, within `timeout` seconds.
 
-        Raises ChannelError if the other side does not take it, FormatError if the message is too long.
+        Raises ChannelError if the frame cannot be written, FormatError if the message is too long.
         """
         data = memoryview(encode_frame(kind, message))
         self.sock.settimeout(timeout)
@@ -100,22 +100,22 @@
                 self.sock.settimeout(max(MIN_SOCKET_TIMEOUT, deadline - time.monotonic()))
                 data = data[self.sock.send(data) :]
         except (OSError, ValueError) as error:
-            raise ChannelError(f"cannot be written to: {error}") from error
+            raise ChannelError(f"write failed: {error}") from error
 
     def _send_descriptors(self, descriptors: tuple[int, ...]) -> None:
-        """Write descriptors, in as many messages as they need."""
+        """Write descriptors, in batches of DESCRIPTORS_PER_MESSAGE."""
         for start in range(0, len(descriptors), DESCRIPTORS_PER_MESSAGE):
             batch = descriptors[start : start + DESCRIPTORS_PER_MESSAGE]
             frame = encode_frame(MessageKind.DESCRIPTORS, len(batch))
             rights = (socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", batch))
             if self.sock.sendmsg([frame], [rights]) < len(frame):
-                raise ChannelError("the other side does not read")
+                raise ChannelError("descriptors could not be written: the peer is not reading")
 
     def receive(self, timeout: float, kinds: tuple[MessageKind, ...] = ()) -> Frame:
-        """Return the next frame within a time in seconds; descriptors before it wait for `pop_descriptors`.
+        """Return the next frame within `timeout` seconds; keep descriptors before it for `pop_descriptors`.
 
-        `kinds`: those that are expected; empty: any. Raises ChannelClosedError, ChannelTimeoutError or
-        another ChannelError if none comes, and FormatError if it is not as expected.
+        `kinds`: the kinds that are accepted; empty: any. Raises ChannelClosedError, ChannelTimeoutError or
+        another ChannelError if no frame arrives, and FormatError if the frame is invalid or of another kind.
         """
         deadline = time.monotonic() + timeout
         while True:
@@ -126,15 +126,15 @@
                 continue
             if kinds and header.kind not in kinds:
                 expected = " or ".join(kind.name for kind in kinds)
-                raise FormatError(f"{header.kind.name} instead of {expected}")
+                raise FormatError(f"received {header.kind.name}, expected {expected}")
             return Frame(header.kind, payload)
 
     def _read(self, size: int, deadline: float) -> bytes:
-        """Return the next bytes, which may have been received before."""
+        """Return the next `size` bytes, from the buffer as far as it has them."""
         while len(self._received) < size:
             remaining_seconds = deadline - time.monotonic()
             if remaining_seconds <= 0:
-                raise ChannelTimeoutError("nothing came in time")
+                raise ChannelTimeoutError("no message arrived in time")
             self.sock.settimeout(remaining_seconds)
             self._receive_more(size - len(self._received))
         data = bytes(self._received[:size])
@@ -142,7 +142,7 @@
         return data
 
     def _receive_more(self, missing: int) -> None:
-        """Read once from the socket; `missing`: bytes that are waited for."""
+        """Read once from the socket into the buffer. `missing`: the number of bytes still needed."""
         try:
             data, ancillary, _, _ = self.sock.recvmsg(
                 min(READ_BYTES, max(missing, HEADER.size)),
@@ -150,30 +150,30 @@
                 socket.MSG_CMSG_CLOEXEC,
             )
         except TimeoutError:
-            return  # the socket's limit may have been that of another thread that sends
+            return  # the timeout may be one that a sending thread set on the same socket
         except OSError as error:
-            raise ChannelError(f"broken: {error}") from error
+            raise ChannelError(f"read failed: {error}") from error
         for level, message_type, content in ancillary:
             if level == socket.SOL_SOCKET and message_type == socket.SCM_RIGHTS:
                 descriptors = array.array("i")
                 descriptors.frombytes(content[: len(content) - len(content) % descriptors.itemsize])
                 self._descriptors.extend(descriptors)
         if not data:
-            raise ChannelClosedError("the other side has ended")
+            raise ChannelClosedError("the peer closed the channel")
         self._received += data
 
     def pop_sockets(self, count: int) -> list[socket.socket]:
-        """Return the next descriptors that were received as sockets; see `pop_descriptors`."""
+        """Return the next received descriptors as sockets; see `pop_descriptors`."""
         return [socket.socket(fileno=descriptor) for descriptor in self.pop_descriptors(count)]
 
     def pop_descriptors(self, count: int) -> list[int]:
-        """Return the next descriptors that were received; raises FormatError if there are fewer."""
+        """Return the next received descriptors; raises FormatError if fewer were received."""
         if len(self._descriptors) < count:
-            raise FormatError(f"{len(self._descriptors)} descriptors instead of {count}")
+            raise FormatError(f"received {len(self._descriptors)} descriptors, expected {count}")
         return [self._descriptors.popleft() for _ in range(count)]
 
     def close(self) -> None:
-        """Close it, and the descriptors that were not taken."""
+        """Close the socket, and received descriptors that were not popped."""
         while self._descriptors:
             os.close(self._descriptors.popleft())
         with contextlib.suppress(OSError):
--- a/lilacloft/handover/connections.py
+++ b/lilacloft/handover/connections.py
@@ -1,4 +1,4 @@
-"""Which connections of a gateway there are, and which of them can be transferred by themselves."""
+"""Lists the connections of a gateway, and tells which of them have no request on them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def is_idle(client: ClientConnection) -> bool:
-    """Return whether nothing is open, half read or half written on a client's connection."""
+    """Return whether a client's connection has no open request, unsettled answer or partial message."""
     return not (
         client.open
         or client.buffer.has_partial()
@@ -25,26 +25,26 @@
     )
 
 
-def carries_nothing(line: UpstreamConnection) -> bool:
-    """Return whether nothing is in flight, half read or half written on a connection to a backend."""
-    return not (line.in_flight or line.buffer.has_partial() or line.unsent_bytes())
+def is_idle_upstream(upstream: UpstreamConnection) -> bool:
+    """Return whether a connection to a backend has no attempt in flight and no partial message."""
+    return not (upstream.in_flight or upstream.buffer.has_partial() or upstream.unsent_bytes())
 
 
 def backend_connections(gateway: Gateway) -> list[UpstreamConnection]:
-    """Return all connections to backends, also to unlisted ones that still answer something."""
-    found = dict.fromkeys(line for pool in gateway.back.pools.values() for line in pool.connections)
-    for call in gateway.open_requests.values():
-        if call.attempt and call.attempt.connection:
-            found[call.attempt.connection] = None
+    """Return all connections to backends, including unlisted backends with attempts in flight."""
+    found = dict.fromkeys(upstream for pool in gateway.back.pools.values() for upstream in pool.connections)
+    for client_request in gateway.open_requests.values():
+        if client_request.attempt and client_request.attempt.connection:
+            found[client_request.attempt.connection] = None
     return list(found)
 
 
 def all_connections(gateway: Gateway) -> list[Connection]:
-    """Return all connections of clients and to backends."""
-    clients = list(gateway.front.clients)  # a copy at once: other threads add to it
+    """Return all client and backend connections."""
+    clients = list(gateway.front.clients)  # a copy, because other threads add to it
     return [*clients, *backend_connections(gateway)]
 
 
 def is_unreadable_client(conn: Connection) -> bool:
-    """Return whether a connection is a client's that has sent malformed data."""
+    """Return whether a connection belongs to a client that has sent malformed data."""
     return isinstance(conn, ClientConnection) and conn.state is ConnectionState.UNREADABLE
--- a/lilacloft/handover/counters.py
+++ b/lilacloft/handover/counters.py
@@ -1,4 +1,4 @@
-"""A gateway's counters: exported with the state, and added to those of the next process."""
+"""Exports a gateway's counters with its state, and adds them to the counters of the receiver."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _groups(gateway: Gateway) -> GroupedCounts:
-    """Return the gateway's own counters but those of discovery, by group."""
+    """Return the gateway's counters by group, without those of discovery."""
     return {
         "answers": gateway.answer_counts,
         "front": gateway.front.counts,
@@ -29,7 +29,7 @@
 
 
 def add_counters(gateway: Gateway, exported: GroupedCounts) -> None:
-    """Add what another process has counted; counters that this gateway does not have are passed over."""
+    """Add the counters of another process; those that this gateway does not have are ignored."""
     for group, own in _groups(gateway).items():
         for name, count in exported.get(group, {}).items():
             if name in own:
@@ -40,7 +40,7 @@
 
 
 def counted_since(gateway: Gateway, exported: GroupedCounts) -> GroupedCounts:
-    """Return what a gateway has counted since its counters were exported."""
+    """Return by how much each counter has grown since the counters were exported."""
     return {
         group: {name: count - exported.get(group, {}).get(name, 0) for name, count in counts.items()}
         for group, counts in export_counters(gateway).items()
--- a/lilacloft/handover/event_loop.py
+++ b/lilacloft/handover/event_loop.py
@@ -11,18 +11,18 @@
 
 Result = TypeVar("Result")
 
-POLL_SECONDS = 2.0  # between two checks whether the event loop still runs
+POLL_SECONDS = 2.0  # interval at which a waiting thread checks whether the event loop still runs
 
 
 def run_on_event_loop(gateway: Gateway, function: Callable[..., Result], *arguments: Any) -> Result | None:
-    """Run a function in the thread of a gateway's event loop, and wait until it has.
+    """Run a function in the thread of a gateway's event loop, and wait for its result.
 
-    Returns its result; None if it raises, or if the gateway ends before it runs.
+    Returns None if the function raises an exception, or if the gateway ends before it runs.
     """
     results: queue.SimpleQueue[Result | None] = queue.SimpleQueue()
 
     def run() -> None:
-        """Run the function, and release the waiting thread whatever happens."""
+        """Run the function, and release the waiting thread even if it raises an exception."""
         result = None
         try:
             result = function(*arguments)
--- a/lilacloft/handover/messages.py
+++ b/lilacloft/handover/messages.py
@@ -1,10 +1,10 @@
 """Messages between two processes of a gateway, and between a gateway and the upgrade command.
 
-Each message is a MessagePack map of its fields in the order in which they are defined here, by the names that
-`lilacloft.handover.wire_names` pins. `lilacloft.handover.framing` puts messages in frames.
+Each message is a MessagePack map of its fields, in the order in which they are defined here and under the
+names given by `lilacloft.handover.wire_names`. `lilacloft.handover.framing` encodes messages as frames.
 
-Times are `Ticks` of the gateway's own time unless said otherwise. Monotonic times are of the machine's
-monotonic clock, which both processes share. Connections and requests refer to each other by index.
+Times are `Ticks` of the gateway's own clock unless stated otherwise. Monotonic times are those of the
+machine's monotonic clock, which both processes share. Connections and requests refer to each other by index.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 from lilacloft.handover.framing import OLDEST_READER_VERSION, STATE_VERSION
 from lilacloft.routing.units import Ticks
 
-MAX_REASON_CHARACTERS = 4096  # of a text that says why
+MAX_REASON_CHARACTERS = 4096  # longer reasons are truncated
 
 # --- upgrade command and gateway ---
 
 
 class UpgradeRequest(Struct, rename=wire_names.UPGRADE_REQUEST_KEYS):
-    """Asks a gateway to be replaced."""
+    """Asks a gateway to start a handover."""
 
-    command: str = ""  # what starts the new process; empty: what started this one
-    mode: str = ""  # a HandoverMode; empty: as the gateway's settings say
+    command: str = ""  # starts the new process; empty: the command that started the gateway
+    mode: str = ""  # a HandoverMode; empty: the mode from the gateway's settings
 
 
 class PhaseReport(Struct, rename=wire_names.PHASE_REPORT_KEYS):
-    """Says that a phase of the handover has begun."""
+    """Reports that a phase of the handover has begun."""
 
     phase: str
     reason: str = ""
     previous_phase_seconds: float = 0.0
-    pid: int = 0  # of the new process; 0: there is none yet
+    pid: int = 0  # of the new process; 0: not started yet
     is_final: bool = False
     succeeded: bool = False
 
@@ -42,7 +42,7 @@
 
 
 class Reason(Struct, rename=wire_names.REASON_KEYS):
-    """Why a receiver is dismissed, or refuses."""
+    """Why the sender dismisses the receiver, or the receiver refuses the state."""
 
     reason: str = ""
 
@@ -51,9 +51,9 @@
     """The first message of a receiver."""
 
     version: str
-    state_version: int  # the newest that it reads
+    state_version: int  # the newest version that it can read
     vhosts: list[str] = []
-    store_folder: str = ""  # empty: it has no store
+    store_folder: str = ""  # empty: no store is configured
 
 
 class ListedBackend(Struct, rename=wire_names.LISTED_BACKEND_KEYS):
@@ -65,13 +65,13 @@
     zone: int
     kind: int
     cell: int
-    status: int  # a BackendStatus; GONE: not listed any more, but requests are in flight there
+    status: int  # a BackendStatus; GONE: no longer listed, but with requests in flight
     capacity: float
     started: Ticks
 
 
 class WarmUp(Struct, rename=wire_names.WARM_UP_KEYS):
-    """What a receiver can prepare while the sender still serves."""
+    """What the receiver can prepare while the sender still serves."""
 
     sender_pid: int
     oldest_reader: int = OLDEST_READER_VERSION
@@ -83,18 +83,18 @@
 
 
 class FinalCounters(Struct):
-    """What a sender has counted since its state was exported, by group and name."""
+    """What the sender has counted since its state was exported, by group and name."""
 
     counts: dict[str, dict[str, int]] = {}
 
 
 class StoreRecord(Struct):
-    """A record that a sender needs in the store, which is the receiver's now."""
+    """A record that a draining sender needs written to the store, which the receiver now owns."""
 
     ticket: int
     kind: int
     key: bytes
-    value: bytes | None = None  # None: a removal
+    value: bytes | None = None  # None: removes the key
 
 
 # --- the state: store ---
@@ -112,16 +112,16 @@
 
 
 class StoreState(Struct, rename=wire_names.STORE_STATE_KEYS):
-    """What the store's writer continues with. The lock of its folder is the last descriptor."""
+    """The state of the store's writer. The lock on the store's folder is sent as the last descriptor."""
 
     folder: str
     effects: list[EffectState] = []
-    attempts: list[tuple[str, bytes]] = []  # token and key of each that is in flight
+    attempts: list[tuple[str, bytes]] = []  # token and key of each attempt in flight
     budgets: dict[str, int] = {}
     counts: dict[str, int] = {}
 
 
-# --- the state: decisions (what `snapshot.export_state` returns) ---
+# --- the state: routing (as `snapshot.export_state` returns it) ---
 
 
 class LimitState(Struct, rename=wire_names.LIMIT_KEYS):
@@ -135,12 +135,12 @@
 
 
 class BackendState(Struct, rename=wire_names.BACKEND_KEYS):
-    """What was learned of a backend, and what is in flight there."""
+    """Learned state of a backend, and its requests in flight."""
 
     started: Ticks
     concurrency_limit: LimitState | None = None
     canary: int | None = None  # index of a request
-    requests: list[int] = []  # indices of those in flight, in the order in which they were sent
+    requests: list[int] = []  # indices of requests in flight, in the order in which they were sent
     reported_load: float | UnsetType = UNSET
     saturation_in_flight: float | UnsetType = UNSET
     health_checked_at: Ticks | UnsetType = UNSET
@@ -154,7 +154,7 @@
 
 
 class ObjectPartState(Struct, rename=wire_names.OBJECT_PART_KEYS):
-    """What is known of the cached copies of one part of an object."""
+    """Known state of the cached copies of one object part."""
 
     part_key: tuple[str, int]
     last_served_by: str | None = None
@@ -165,7 +165,7 @@
 
 
 class RequestState(Struct, rename=wire_names.REQUEST_KEYS):
-    """An open request as the decisions know it; backends by name."""
+    """An open request as the router sees it; backends are given by name."""
 
     key: str
     part: int
@@ -194,11 +194,11 @@
     first_executed_by: str | None = None
     failed_backends: list[str] = []
     cached: bool = False
-    fill_limit: str | None = None  # empty: the link's; else the source whose limit counts the fill
+    fill_limit: str | None = None  # empty: the link limit; else the source whose limit counts the fill
 
 
 class RouterState(Struct, rename=wire_names.ROUTER_KEYS):
-    """All that the decisions continue with."""
+    """The whole state of the router."""
 
     router: dict[str, int | float]
     vhosts: list[dict[str, int | float]]
@@ -207,23 +207,23 @@
     purges: list[tuple[str | int, Ticks]] = []
     object_parts: list[ObjectPartState] = []
     requests: list[RequestState] = []
-    deadlines: list[tuple[Ticks, int, int]] = []  # when, index of the request, number of the attempt
+    deadlines: list[tuple[Ticks, int, int]] = []  # time, index of the request, number of the attempt
 
 
-# --- the state: connections and what is open on them ---
+# --- the state: connections, and the requests and attempts on them ---
 
 
 class ConnectionState(Struct, rename=wire_names.CONNECTION_KEYS):
-    """A connection at rest; its times are monotonic, in seconds."""
+    """A quiesced connection; its times are monotonic, in seconds."""
 
-    descriptor: int  # index among the descriptors that are sent
-    partial_message: bytes = b""  # what was read of a message that is not complete
-    unsent: list[tuple[int, bytes]] = []  # messages: end in the stream of bytes sent, what is left of each
+    descriptor: int  # index among the transferred descriptors
+    partial_message: bytes = b""  # received bytes of an incomplete message
+    unsent: list[tuple[int, bytes]] = []  # for each message: end position in the outgoing stream, unsent rest
     queued_bytes: int = 0
     written_bytes: int = 0
     last_read_at: float = 0.0
     message_began_at: float = 0.0
-    consumed_bytes: int = -1  # bytes read; -1: a sender that did not count them
+    consumed_bytes: int = -1  # bytes read; -1: the sender did not count them
 
 
 class ClientConnectionState(ConnectionState, kw_only=True, rename=wire_names.CLIENT_CONNECTION_KEYS):
@@ -232,9 +232,9 @@
     message_count: int = 0
     useless_message_count: int = 0  # since the last request
     request_count: int = 0
-    settled_request_count: int = 0  # those that are owed no answer any more
+    settled_request_count: int = 0  # requests that need no answer any more
     last_used_at: float = 0.0
-    write_progress: tuple[int, float] = (0, 0.0)  # bytes written, and since when no more were
+    write_progress: tuple[int, float] = (0, 0.0)  # bytes written, and the time of the last progress
 
 
 class BackendConnectionState(ConnectionState, kw_only=True, rename=wire_names.BACKEND_CONNECTION_KEYS):
@@ -247,13 +247,13 @@
     last_answer_at: Ticks = 0
     last_used_at: Ticks = 0
     created_at: Ticks = 0
-    is_retired: bool = False  # takes no new attempts
+    is_retired: bool = False  # gets no new attempts
 
 
 class ClientRequestState(Struct, rename=wire_names.CLIENT_REQUEST_KEYS):
     """An open request as its client sent it."""
 
-    client: int  # descriptor of its connection
+    client: int  # descriptor index of its connection
     tag: bytes
     name: str
     vhost: int
@@ -267,7 +267,7 @@
     cached_version: str | None = None
     body: bytes = b""
     is_open: bool = True
-    connections: list[int] = []  # indices of those it was sent on; -1: one that has ended
+    connections: list[int] = []  # indices of the connections it was sent on; -1: the connection has ended
 
 
 class AttemptState(Struct, rename=wire_names.ATTEMPT_KEYS):
@@ -279,17 +279,19 @@
     name: bytes
     data: bytes
     sent_at: Ticks
-    connection: int | None = None  # index; None: it has none
-    stream_end: int = 0  # where it ends in the stream of bytes sent
+    connection: int | None = None  # index; None: not sent on a connection
+    stream_end: int = 0  # end position in the outgoing stream
     deadline: Ticks | None = None
-    pending_end: tuple[str, Ticks] | None = None  # given up: name of its end, and when it is reported
+    pending_end: tuple[str, Ticks] | None = (
+        None  # set for an abandoned attempt: name of its end, and when that is reported
+    )
 
 
 class ClockOffsetState(Struct, rename=wire_names.CLOCK_OFFSET_KEYS):
-    """What `lilacloft.clock_offset` has estimated of discovery's clock.
+    """The estimate by `lilacloft.clock_offset` of the offset of discovery's clock.
 
-    `backend_starts`: by backend the stamp of its start, what that means in the gateway's time, and whether it
-    may be corrected.
+    `backend_starts`: for each backend the time stamp of its start, that time by the gateway's clock, and
+    whether it may still be corrected.
     """
 
     minimum_lag: Ticks | None = None
@@ -298,7 +300,7 @@
 
 
 class GatewayState(Struct, rename=wire_names.GATEWAY_KEYS):
-    """A whole gateway at rest."""
+    """The state of a quiesced gateway."""
 
     version: int = STATE_VERSION
     oldest_reader: int = OLDEST_READER_VERSION
@@ -306,7 +308,7 @@
     time: Ticks = 0
     monotonic_time: Ticks = 0
     vhosts: list[str] = []
-    last_event: int = 0  # number of the last event of discovery
+    last_event: int = 0  # number of the last event from discovery
     backends: list[ListedBackend] = []
     clock_offset: ClockOffsetState | None = None
     router: RouterState | None = None
@@ -317,5 +319,5 @@
     requests: list[ClientRequestState] = []
     attempts: list[AttemptState] = []
     descriptor_count: int = 0
-    must_reload: bool = False  # SIGHUP came on the way
+    must_reload: bool = False  # SIGHUP was received during the handover
     store: StoreState | None = None
--- a/lilacloft/handover/phase_reporter.py
+++ b/lilacloft/handover/phase_reporter.py
@@ -1,4 +1,4 @@
-"""Reports the phases of a handover: to the log, the records and the upgrade command."""
+"""Reports the phases of a handover to the log, the event records and the upgrade command."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from lilacloft.gateway.gateway import Gateway
 
-SEND_TIMEOUT = 0.02  # seconds, as an upgrade command may not read
+SEND_TIMEOUT = 0.02  # seconds; short, because an upgrade command that does not read must not delay serving
 
 
 class PhaseReporter:
@@ -23,10 +23,10 @@
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.control: Channel | None = None  # to the upgrade command, until its last report
+        self.control: Channel | None = None  # to the upgrade command; None after the final report
 
     def report(self, phase: Phase, reason: str, previous_phase_seconds: float, pid: int) -> None:
-        """Report that a phase has begun. `pid`: of the new process; 0: there is none."""
+        """Report that a phase has begun. `pid`: of the new process; 0: not started."""
         log = logger.bind(phase=str(phase), why=reason, took=round(previous_phase_seconds, 4), new=pid)
         text = f"upgrade: {phase.label}" + f": {reason}" * bool(reason)
         (log.warning if phase == Phase.IDLE else log.info)("{}", text)
@@ -36,7 +36,7 @@
             self._send(phase, reason, previous_phase_seconds, pid)
 
     def _send(self, phase: Phase, reason: str, previous_phase_seconds: float, pid: int) -> None:
-        """Send a phase to the upgrade command, the last one of a handover as such."""
+        """Send a phase to the upgrade command; the last phase of a handover is marked as final."""
         assert self.control is not None
         is_final = phase in (Phase.IDLE, Phase.DONE)
         reason = reason[:MAX_REASON_CHARACTERS]
--- a/lilacloft/handover/phases.py
+++ b/lilacloft/handover/phases.py
@@ -1,14 +1,16 @@
 """State machines of a handover: the sender's phases with their time limits, and when the receiver may serve.
 
-No I/O, and no clock but the host's. The phases of the sender, the process that is replaced, are
+They do no I/O, and get the time from `SenderActions.now`. The phases of the sender, the process that is
+replaced, are
 
     idle - starting - warming - ready - taking - committed - letting_go - gone
 
-From each phase up to `committed` a failure leads back to idle, with the sender serving as before. From
-`letting_go` it does so too, but what was transferred is lost with the receiver, as with any process that
-dies. `commit` with its acknowledgement is the one message that decides: see `SenderStateMachine.lost`.
+A failure in any phase up to `committed` leads back to `idle`, with the sender serving as before. A failure in
+`letting_go` does so too, but the transferred connections and requests are lost with the receiver, as in any
+crash. The `commit` message and its acknowledgement decide which process is the gateway: see
+`SenderStateMachine.receiver_failed`.
 
-Times are seconds as floats, by a monotonic clock.
+Times are monotonic seconds as floats.
 """
 
 from __future__ import annotations
@@ -22,7 +24,7 @@
 
 
 class Phase(StrEnum):
-    """A phase of the sender; its value is in settings, logs, records and the upgrade command's output."""
+    """A phase of the sender; the values are in settings, logs, records and the upgrade command's output."""
 
     IDLE = "idle"
     STARTING = "starting"
@@ -35,19 +37,19 @@
 
     @property
     def label(self) -> str:
-        """The phase as it is printed."""
+        """The phase as it appears in messages."""
         return self.replace("_", " ")
 
 
 class HandoverMode(StrEnum):
-    """What happens to open requests."""
+    """How open requests are handled."""
 
-    WHOLE = "whole"  # they go over
+    WHOLE = "whole"  # they are transferred to the receiver
     DRAIN = "drain"  # the sender finishes them
 
 
-# Seconds that each phase may take unless settings say otherwise. Nothing is served from TRANSFERRING to
-# COMMITTED.
+# Seconds that each phase may take, unless overridden in the settings. No request is served from TRANSFERRING
+# to COMMITTED.
 DEFAULT_PHASE_LIMITS: Mapping[str, float] = {
     Phase.STARTING: 10.0,
     Phase.WARMING: 10.0,
@@ -56,57 +58,57 @@
     Phase.COMMITTED: 0.3,
     Phase.DRAINING: 8.0,
 }
-FLUSH_SECONDS = 1.0  # for the answers of requests that were rejected at the end of DRAINING to be written
+FLUSH_SECONDS = 1.0  # to write the answers to requests that are rejected at the end of DRAINING
 
 
 class SenderActions(Protocol):
-    """What a `SenderStateMachine` does. Each call returns at once; what follows comes back as an event."""
+    """The actions of a `SenderStateMachine`. They do not wait: their outcome is reported as an event."""
 
     def now(self) -> float:
         """Return the time in seconds."""
 
     def start_receiver(self) -> None:
-        """Start the new process; it answers with `hello`."""
+        """Start the receiver; it answers with `hello`."""
 
     def send_warm_up(self) -> None:
-        """Send what the receiver can prepare while this process serves; it answers with `ready`."""
+        """Send what the receiver can prepare while the sender serves; it answers with `ready`."""
 
     def transfer_state(self, mode: HandoverMode) -> None:
-        """Quiesce and send the state; the receiver answers that it has restored it."""
+        """Quiesce, and send the state; the receiver answers once it has restored the state."""
 
     def send_commit(self) -> None:
-        """Notify the receiver that it is the gateway; it acknowledges."""
+        """Notify the receiver that it is the gateway; it acknowledges that."""
 
     def resume(self, transferred_is_lost: bool) -> None:
-        """Serve again: everything at rest, or only what had not been transferred."""
+        """Serve again: all connections, or, if the transferred ones are lost, the remaining ones."""
 
     def drain(self, mode: HandoverMode) -> None:
-        """Finish what was not transferred."""
+        """Finish the requests that were not transferred."""
 
     def reject_open_requests(self) -> None:
-        """Reject what is still open here, and read nothing more."""
+        """Reject the requests that are still open in the sender, and stop reading from clients."""
 
     def exit(self) -> None:
-        """End this process: the receiver is the gateway, and nothing is open here."""
+        """End the sender: the receiver is the gateway, and no request is open in the sender."""
 
     def kill_receiver(self) -> None:
-        """Kill the new process and return once it has ended; its earlier messages can still be read."""
+        """Kill the receiver and wait for its exit; messages that it sent before can still be read."""
 
     def was_acknowledged(self) -> bool:
-        """Return whether the receiver, which has ended, had acknowledged `commit`."""
+        """Return whether the receiver, which has exited, had acknowledged `commit`."""
 
     def dismiss_receiver(self, reason: str) -> None:
-        """Notify the receiver that it is not wanted."""
+        """Notify the receiver that the handover is aborted."""
 
     def report_phase(self, phase: Phase, reason: str, previous_phase_seconds: float) -> None:
-        """Report that a phase has begun; for IDLE with the reason."""
+        """Report that a phase has begun; `reason` says why a handover returned to IDLE."""
 
 
 class SenderStateMachine:
-    """One gateway process that can be replaced, again and again until a handover succeeds."""
+    """The sender's phases. After a failed handover another one may begin."""
 
     def __init__(self, actions: SenderActions, limits: Mapping[str, float] | None = None) -> None:
-        """`limits`: seconds by phase, where they are not those of DEFAULT_PHASE_LIMITS."""
+        """`limits`: seconds by phase, overriding DEFAULT_PHASE_LIMITS."""
         self.actions = actions
         self.limits = {**DEFAULT_PHASE_LIMITS, **(limits or {})}
         self.phase = Phase.IDLE
@@ -114,20 +116,20 @@
         self.requested_mode = HandoverMode.WHOLE
         self.phase_began_at = 0.0
         self.deadline = 0.0
-        self.is_stopping = False  # SIGTERM came
-        self.has_rejected = False  # what was still open at the end of DRAINING
+        self.is_stopping = False  # SIGTERM was received
+        self.has_rejected = False  # requests that were still open at the end of DRAINING
 
     # --- events ---
 
     def upgrade_requested(self, mode: str, used: ResourceUsage, limits: Mapping[str, float]) -> str:
-        """Begin a handover; returns why it does not begin, or an empty text.
+        """Begin a handover; returns why it cannot begin, or an empty string.
 
-        `used`: what this process uses of the resources that `limits` names.
+        `used`: the sender's use of the resources that `limits` limits.
         """
         if self.phase != Phase.IDLE:
-            return f"another upgrade is {self.phase.label}"
+            return f"another upgrade is in progress (phase: {self.phase.label})"
         if self.is_stopping:
-            return "this gateway is about to end"
+            return "this gateway is shutting down"
         if mode not in tuple(HandoverMode):
             return f"unknown mode {mode!r}: {HandoverMode.WHOLE} or {HandoverMode.DRAIN} expected"
         missing = missing_capacity(used, limits)
@@ -140,51 +142,52 @@
         return ""
 
     def hello_received(self, accepts_requests: bool, reason: str = "") -> None:
-        """The receiver runs. `reason`: why it cannot continue with open requests, if it cannot."""
+        """The receiver has started. `reason`: why it does not accept open requests, if so."""
         if self.phase != Phase.STARTING:
-            return self.lost(f"hello while {self.phase}")
+            return self.receiver_failed("unexpected HELLO message")
         self.mode = self.requested_mode if accepts_requests else HandoverMode.DRAIN
         downgraded = self.mode != self.requested_mode
-        self._enter(Phase.WARMING, f"drain: {reason}" if downgraded else "")
+        self._enter(Phase.WARMING, f"falling back to drain mode: {reason}" if downgraded else "")
         return self.actions.send_warm_up()
 
     def ready_received(self) -> None:
-        """The receiver has prepared what it was sent, and waits for the state."""
+        """The receiver has processed the warm-up data, and waits for the state."""
         if self.phase != Phase.WARMING:
-            return self.lost(f"ready while {self.phase}")
+            return self.receiver_failed("unexpected READY message")
         self._enter(Phase.READY)
         return None
 
     def begin_transfer(self) -> None:
-        """The event loop has come to it: nothing is served from here until the handover is decided."""
+        """The event loop begins the transfer: it serves no requests until the handover is decided."""
         if self.phase == Phase.READY:
             self._enter(Phase.TRANSFERRING)
             self.actions.transfer_state(self.mode)
 
     def quiesce_failed(self, reason: str) -> None:
-        """Not everything could be brought to rest in time."""
-        self.lost(reason)
+        """The connections or the store could not be quiesced in time."""
+        self.receiver_failed(reason)
 
     def state_restored(self) -> None:
-        """The receiver has the whole state."""
+        """The receiver has restored the state."""
         if self.phase != Phase.TRANSFERRING:
-            return self.lost(f"have while {self.phase}")
+            return self.receiver_failed("unexpected STATE_RESTORED message")
         self._enter(Phase.COMMITTED)
         return self.actions.send_commit()
 
     def commit_acknowledged(self) -> None:
-        """The receiver is the gateway."""
+        """The receiver has become the gateway."""
         if self.phase != Phase.COMMITTED:
-            return self.lost(f"taken while {self.phase}")
+            return self.receiver_failed("unexpected COMMIT_ACKNOWLEDGED message")
         self._enter(Phase.DRAINING)
         return self.actions.drain(self.mode)
 
-    def check_drained(self, receiver_serves: bool, is_empty: bool) -> None:
-        """End this process once the receiver serves and nothing is open here.
+    def check_drained(self, receiver_is_serving: bool, is_empty: bool) -> None:
+        """End the sender once the receiver serves and the sender has no open requests or clients.
 
-        What is still open at the end of the phase is rejected; its answers get FLUSH_SECONDS to be written.
+        Requests that are still open when the phase's time limit expires are rejected; FLUSH_SECONDS are
+        allowed for writing the answers.
         """
-        if self.phase != Phase.DRAINING or not receiver_serves:
+        if self.phase != Phase.DRAINING or not receiver_is_serving:
             return
         is_late = self.actions.now() >= self.deadline
         if is_empty or (is_late and self.has_rejected):
@@ -195,13 +198,13 @@
             self.deadline = self.actions.now() + FLUSH_SECONDS
             self.actions.reject_open_requests()
 
-    def lost(self, reason: str) -> None:
-        """The receiver has ended, broken off, refused, or sent what was not expected.
+    def receiver_failed(self, reason: str) -> None:
+        """The receiver has exited, closed the channel, refused, timed out, or sent an unexpected message.
 
-        Before `commit` was sent it is not the gateway, whatever it has. After that, if it ended without an
-        acknowledgement, it has read and written nothing on what it was sent, as it acknowledges first:
-        everything resumes here. After the acknowledgement it was the gateway: what it had is lost with it,
-        and this process serves without.
+        Until `commit` is sent the receiver is not the gateway, whatever part of the state it has. If it exits
+        after that without an acknowledgement, it has neither read nor written on the transferred
+        connections, because it acknowledges first: the sender resumes all of them. Once it has acknowledged,
+        it was the gateway: the transferred connections are lost with it, and the sender serves the others.
         """
         if self.phase in (Phase.IDLE, Phase.DONE):
             return
@@ -209,28 +212,28 @@
         self.actions.dismiss_receiver(reason)
         self.actions.kill_receiver()
         if phase == Phase.COMMITTED and self.actions.was_acknowledged():
-            phase = Phase.DRAINING  # it acknowledged before it ended
+            phase = Phase.DRAINING  # the acknowledgement was sent but not read yet
         self._enter(Phase.IDLE, f"{reason} while {phase.label}")
         if phase in (Phase.TRANSFERRING, Phase.COMMITTED, Phase.DRAINING):
             self.actions.resume(transferred_is_lost=phase == Phase.DRAINING)
 
     def stop_requested(self) -> None:
-        """SIGTERM came.
+        """SIGTERM was received.
 
-        Before the commit the handover is aborted, and this process ends as without one. After it the receiver
-        is the gateway, and is notified.
+        Before the commit the handover is aborted, and the sender shuts down as usual. After it the receiver
+        is the gateway, and the signal is forwarded to it.
         """
         self.is_stopping = True
         if self.phase in (Phase.STARTING, Phase.WARMING, Phase.READY, Phase.TRANSFERRING):
-            self.lost("the gateway was told to stop")
+            self.receiver_failed("the gateway received SIGTERM")
 
     def check_time_limit(self) -> None:
-        """Abort the handover if the phase takes longer than it may."""
+        """Abort the handover if the phase has exceeded its time limit."""
         if self.phase not in (Phase.IDLE, Phase.DONE) and self.actions.now() >= self.deadline:
-            self.lost(f"more than {self.limits[self.phase]:g} s")
+            self.receiver_failed(f"time limit of {self.limits[self.phase]:g} s exceeded")
 
     def remaining_seconds(self) -> float:
-        """Return the seconds until the phase's limit; infinite in a phase without one."""
+        """Return the seconds until the phase's time limit; infinite in a phase without one."""
         if self.phase in (Phase.IDLE, Phase.DONE):
             return math.inf
         return max(0.0, self.deadline - self.actions.now())
@@ -245,43 +248,43 @@
 
 
 class ReceiverStateMachine:
-    """The new process: when it is the gateway, and what follows if the sender ends."""
+    """Decides when the receiver is the gateway, also if the sender exits during the handover."""
 
     def __init__(self) -> None:
         self.has_state = False
         self.is_gateway = False
-        self.is_over = False  # it will never be the gateway
-        self.reason = ""  # why it is over, or why it serves without a commit
+        self.is_aborted = False  # the receiver will not become the gateway
+        self.reason = ""  # why it was aborted, or why the receiver serves without a commit
 
     def state_restored(self) -> bool:
-        """The whole state is here; returns whether it is of use."""
-        self.has_state = not self.is_over
+        """The state is restored; returns False if the handover has been aborted."""
+        self.has_state = not self.is_aborted
         return self.has_state
 
     def commit_received(self) -> bool:
-        """The sender says that this process is the gateway; returns whether it is.
+        """The sender has committed; returns whether the receiver is the gateway.
 
-        It is acknowledged before anything is read or written, so that no acknowledgement means that nothing
-        was touched.
+        The commit is acknowledged before the receiver reads or writes on any connection: without an
+        acknowledgement the sender knows that all connections are unchanged.
         """
-        self.is_gateway = self.has_state and not self.is_over
+        self.is_gateway = self.has_state and not self.is_aborted
         return self.is_gateway
 
     def dismissed(self, reason: str) -> None:
-        """The sender goes on as the gateway."""
+        """The sender has aborted the handover, and remains the gateway."""
         if not self.is_gateway:
-            self.is_over, self.reason = True, reason
+            self.is_aborted, self.reason = True, reason
 
     def channel_broken(self, sender_lives: bool) -> bool:
-        """The channel has ended without a message; returns whether this process is the gateway.
+        """The channel broke without a dismissal; returns whether the receiver is the gateway.
 
-        Whoever is dismissed is notified or killed, so the sender has died. With its whole state this process
-        is all that remains of the gateway, and the listening socket would be closed otherwise. What was at
-        rest is still at rest, so that nothing is done twice.
+        A receiver that is dismissed is notified or killed, so if the sender no longer runs, it has crashed.
+        A receiver with the whole state then takes over; the listening socket would be closed otherwise. The
+        connections are still quiesced, so no request is sent or answered twice.
         """
         if not self.is_gateway:
-            self.is_gateway = self.has_state and not self.is_over and not sender_lives
-            self.is_over = not self.is_gateway
-            default = "the old process broke off" if sender_lives else "the old process ended"
+            self.is_gateway = self.has_state and not self.is_aborted and not sender_lives
+            self.is_aborted = not self.is_gateway
+            default = "the old process closed the channel" if sender_lives else "the old process exited"
             self.reason = self.reason or default
         return self.is_gateway
--- a/lilacloft/handover/process.py
+++ b/lilacloft/handover/process.py
@@ -1,4 +1,4 @@
-"""Assembles a gateway process that can be replaced, or that takes over from another."""
+"""Prepares a gateway process that can be replaced, or that takes over from another."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
     from lilacloft.gateway.gateway import Gateway
 
 MakeGateway = Callable[[dict[str, Any], socket.socket | None, bool], "Gateway"]
-DEFAULT_STORE_TIMEOUT = 0.05  # seconds that an attempt waits for the store
+DEFAULT_STORE_TIMEOUT = 0.05  # seconds for which an attempt waits for the store
 
 
 @dataclass(frozen=True)
 class ProcessOptions:
-    """What a gateway process is started with besides its configuration.
+    """The options of a gateway process besides its configuration.
 
     From the command line: `handover`, the path of the Unix socket for upgrade requests; `takeover`, `status`
     and `listener`, descriptors (lilacloft/handover/process_arguments.py); `unserved_since`, in monotonic
     seconds.
     From the settings: `limits`, seconds by phase; `mode`, a HandoverMode; `record`, `store` and `plan`, the
-    sections of these names.
+    sections with these names.
     """
 
     handover: str = ""
@@ -51,23 +51,23 @@
 
 
 class PreparedGateway(NamedTuple):
-    """A gateway that is ready to run, and what is left to do right before it does."""
+    """A gateway that is ready to run, and a function to be called right before it runs."""
 
     gateway: Gateway
     begin: Callable[[], None]
 
 
 @dataclass(frozen=True)
-class _Assembly:
-    """What the two ways to start a gateway have in common."""
+class _ComponentFactory:
+    """Makes the optional components of a gateway, for a fresh start and for a takeover."""
 
     config: dict[str, Any]
     options: ProcessOptions
 
     def open_store(self, gateway: Gateway, **restored: Any) -> Any:
-        """Return the writer of the store, if the settings name a folder for one.
+        """Return the store's writer; None if the settings name no folder for a store.
 
-        `restored`: what a process that takes over continues with.
+        `restored`: fields of an InheritedStore, in a process that takes over.
         """
         store = self.options.store
         if not store or "folder" not in store:
@@ -82,8 +82,8 @@
         except StoreError as error:
             raise UnusableError(str(error)) from error
 
-    def agent(self, gateway: Gateway) -> Any:
-        """Return what talks to planners, if the settings name some."""
+    def make_agent(self, gateway: Gateway) -> Any:
+        """Return the agent that connects to planners; None if the settings name no planners."""
         plan = self.options.plan
         if not plan or not plan.get("planners"):
             return None
@@ -93,8 +93,8 @@
         name = str(self.config.get("name", "gateway"))
         return GatewayAgent(gateway, name, plan["planners"], plan.get("zones", {}).get("leave", "never"))
 
-    def recorder(self, gateway: Gateway) -> Any:
-        """Return what records events, if the settings name a folder for them."""
+    def make_recorder(self, gateway: Gateway) -> Any:
+        """Return the event recorder; None if the settings name no folder for records."""
         record = self.options.record
         if not record or "folder" not in record:
             return None
@@ -109,39 +109,39 @@
         )
         return Recorder(gateway, options)
 
-    def sender(self, gateway: Gateway, upgrade_socket: socket.socket) -> HandoverSender:
-        """Return what lets a gateway be replaced."""
+    def make_sender(self, gateway: Gateway, upgrade_socket: socket.socket) -> HandoverSender:
+        """Return the sender that lets the gateway be replaced."""
         options = self.options
         return HandoverSender(gateway, upgrade_socket, options.limits, options.status, options.mode)
 
 
 def prepare(config: dict[str, Any], make_gateway: MakeGateway, options: ProcessOptions) -> PreparedGateway:
-    """Prepare a gateway: one that takes over, if the options name a channel to a sender, else a fresh one.
+    """Prepare a gateway: one that takes over if the options give a channel to a sender, else a fresh one.
 
-    `make_gateway`: makes one from a configuration, a listening socket (None: it binds its own), and whether
-    it takes over. Raises NotWantedError if the sender goes on as the gateway, OSError if the path for upgrade
-    requests cannot be had, UnusableError if a store cannot be used.
+    `make_gateway`: makes a gateway from a configuration, a listening socket (None: it binds its own), and
+    whether it takes over. Raises NotWantedError if the sender remains the gateway, OSError if the socket for
+    upgrade requests cannot be bound, UnusableError if the store cannot be used.
     """
     Connection.movable = bool(options.handover) or options.takeover >= 0
-    assembly = _Assembly(config, options)
+    factory = _ComponentFactory(config, options)
     if options.takeover >= 0:
-        return _prepare_takeover(HandoverReceiver(options.takeover), make_gateway, assembly)
-    return _prepare_fresh(make_gateway, assembly)
+        return _prepare_takeover(HandoverReceiver(options.takeover), make_gateway, factory)
+    return _prepare_fresh(make_gateway, factory)
 
 
-def _prepare_fresh(make_gateway: MakeGateway, assembly: _Assembly) -> PreparedGateway:
-    """Prepare a gateway without state; a supervisor may have given it the listening socket."""
-    options = assembly.options
+def _prepare_fresh(make_gateway: MakeGateway, factory: _ComponentFactory) -> PreparedGateway:
+    """Prepare a gateway without inherited state; a supervisor may provide the listening socket."""
+    options = factory.options
     has_listener = options.listener >= 0
     listener = socket.socket(fileno=options.listener) if has_listener else None
-    gateway = make_gateway(assembly.config, listener, False)
-    sender = assembly.sender(gateway, bind_upgrade_socket(options.handover)) if options.handover else None
-    recorder = assembly.recorder(gateway)
-    store = assembly.open_store(gateway)
-    agent = assembly.agent(gateway)
+    gateway = make_gateway(factory.config, listener, False)
+    sender = factory.make_sender(gateway, bind_upgrade_socket(options.handover)) if options.handover else None
+    recorder = factory.make_recorder(gateway)
+    store = factory.open_store(gateway)
+    agent = factory.make_agent(gateway)
 
     def begin() -> None:
-        """Serve from here on."""
+        """Start the components; the gateway serves from now on."""
         if has_listener and options.unserved_since:
             gateway.record_pause(int(options.unserved_since * TICKS_PER_SECOND))
         if store:
@@ -157,24 +157,24 @@
 
 
 def _prepare_takeover(
-    receiver: HandoverReceiver, make_gateway: MakeGateway, assembly: _Assembly
+    receiver: HandoverReceiver, make_gateway: MakeGateway, factory: _ComponentFactory
 ) -> PreparedGateway:
-    """Prepare a gateway with the state of the process that started this one."""
-    store = _receive(receiver, make_gateway, assembly)
+    """Prepare a gateway with the state of the sender, which started this process."""
+    store = _receive(receiver, make_gateway, factory)
     gateway, restorer = receiver.gateway, receiver.restorer
-    sender = assembly.sender(gateway, receiver.upgrade_socket) if assembly.options.handover else None
-    recorder = assembly.recorder(gateway)
-    agent = assembly.agent(gateway)
+    sender = factory.make_sender(gateway, receiver.upgrade_socket) if factory.options.handover else None
+    recorder = factory.make_recorder(gateway)
+    agent = factory.make_agent(gateway)
 
     def begin() -> None:
-        """Take over, or raise NotWantedError if the sender goes on."""
-        # all else is ready: nothing can fail between the acknowledgement and the first read
+        """Take over; raises NotWantedError if the sender remains the gateway."""
+        # everything else is ready, so nothing can fail between the acknowledgement and the first read
         receiver.receive_commit()
         if store:
             gateway.post(store.start)
         restorer.start()
         logger.bind(reqs=len(gateway.open_requests), connections=len(restorer.connections)).info(
-            "upgrade: this process is the gateway, with {} open reqs and {} connections",
+            "upgrade: this process is the gateway, with {} open requests and {} connections",
             len(gateway.open_requests),
             len(restorer.connections),
         )
@@ -191,13 +191,13 @@
     return PreparedGateway(gateway, begin)
 
 
-def _receive(receiver: HandoverReceiver, make_gateway: MakeGateway, assembly: _Assembly) -> Any:
-    """Receive the state into a gateway; returns the writer of its store, or None.
+def _receive(receiver: HandoverReceiver, make_gateway: MakeGateway, factory: _ComponentFactory) -> Any:
+    """Receive and restore the state; returns the writer of the gateway's store, or None.
 
-    Whatever fails, the sender is notified of it, and goes on.
+    On any failure the sender is notified, and remains the gateway.
     """
-    folder = str((assembly.options.store or {}).get("folder", ""))
-    config = assembly.config
+    folder = str((factory.options.store or {}).get("folder", ""))
+    config = factory.config
     try:
         receiver.send_hello([vhost["name"] for vhost in config["settings"]["classes"]], folder)
         receiver.receive_warm_up()
@@ -206,7 +206,7 @@
         reader = _store_reader(folder)
         receiver.send_ready()
         receiver.receive_state()
-        store = _restore_store(receiver, assembly, reader)
+        store = _restore_store(receiver, factory, reader)
         receiver.send_state_restored()
     except NotWantedError:
         raise
@@ -220,7 +220,10 @@
 
 
 def _store_reader(folder: str) -> Any:
-    """Return a reader that reads most of a store while the sender still writes it; None without a store."""
+    """Return a reader of the store, which the sender still writes; None without a store.
+
+    Most of the store is read here, before the state is transferred.
+    """
     if not folder or not os.path.isdir(folder):
         return None
     from lilacloft.store.gateway_store import StoreReader
@@ -228,11 +231,11 @@
     return StoreReader(folder)
 
 
-def _restore_store(receiver: HandoverReceiver, assembly: _Assembly, reader: Any) -> Any:
-    """Return the writer of the store, with the sender's open effects if it had a store."""
+def _restore_store(receiver: HandoverReceiver, factory: _ComponentFactory, reader: Any) -> Any:
+    """Return the store's writer, with the sender's open effects if the sender had a store."""
     store = receiver.restorer.state.store
     if not store:
-        return assembly.open_store(receiver.gateway)
-    return assembly.open_store(
+        return factory.open_store(receiver.gateway)
+    return factory.open_store(
         receiver.gateway, reader=reader, state=to_plain(store), lock_fd=receiver.store_lock
     )
--- a/lilacloft/handover/process_arguments.py
+++ b/lilacloft/handover/process_arguments.py
@@ -1,4 +1,4 @@
-"""Command-line arguments by which one process of a gateway starts another."""
+"""Command-line arguments that one process of a gateway passes to another that it starts."""
 
 from __future__ import annotations
 
@@ -7,15 +7,17 @@
 TAKEOVER = "--takeover"  # descriptor of the channel to the sender
 STATUS = "--status"  # descriptor of the pipe to the supervisor
 LISTENER = "--listener"  # descriptor of the listening socket
-UNSERVED_SINCE = "--unserved-since"  # monotonic seconds since which nobody has accepted connections
-SUPERVISED = "--supervised"  # a flag: run as the supervisor
+UNSERVED_SINCE = (
+    "--unserved-since"  # monotonic time in seconds since which no process has accepted connections
+)
+SUPERVISED = "--supervised"  # flag: run as the supervisor
 
-# Options that one process gives another, each with a value.
+# Options that one process passes to another; each has a value.
 INTERNAL_OPTIONS = (TAKEOVER, STATUS, LISTENER, UNSERVED_SINCE)
 
 
 def original_command(arguments: Sequence[str]) -> list[str]:
-    """Return the command that a process was started by, without what another process of it added."""
+    """Return the command that started a process, without the internal options."""
     command = []
     is_value = False
     for argument in arguments:
--- a/lilacloft/handover/quiesce.py
+++ b/lilacloft/handover/quiesce.py
@@ -1,7 +1,8 @@
-"""Brings a gateway's connections to rest, and resumes them: the sender's part on its event loop's thread.
+"""Quiesces and resumes the connections of a gateway: the sender's part that runs in the event loop's thread.
 
-Nothing here waits for a peer. No connection that stays here is left at rest, and none that was transferred is
-closed: that would end it for the receiver as well.
+A quiesced connection neither reads nor writes. Nothing here waits for a peer. Connections that stay with the
+sender are resumed in the end. Those that were transferred are not closed: a shutdown would end them for the
+receiver as well.
 """
 
 from __future__ import annotations
@@ -23,41 +24,46 @@
 if TYPE_CHECKING:
     from lilacloft.gateway.gateway import Gateway
 
-RETRY_SECONDS = 0.002  # between two attempts to bring all connections to rest
+RETRY_SECONDS = 0.002  # between two attempts to quiesce all connections
 
 
 class IdleClient(NamedTuple):
-    """A client's connection that was brought to rest by itself, and its state."""
+    """An idle client's connection that was quiesced, and its state."""
 
     connection: ClientConnection
     state: messages.ClientConnectionState
 
 
 class Quiescer:
-    """One gateway, at rest or not.
+    """Quiesces and resumes the connections of one gateway.
 
-    A connection's reading is brought to rest first, then its writing. `quiesced` has the connections at rest;
-    the value says whether their writing is, too.
+    A connection's reading is paused first, then its writing. The keys of `quiesced` are the connections whose
+    reading is paused; the value tells whether writing is paused as well.
     """
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
         self.quiesced: dict[Connection, bool] = {}
-        self.is_accept_held = False  # are accepting connections and discovery at rest?
-        self.requests_before_table = 0  # count of requests when the object parts were listed
-        self.transferred: list[Connection] = []  # stay at rest, unless the receiver dies
-        self.parts_in_use: list[PartKey] = []  # may change after they were exported
+        self.is_accepting_paused = False  # are accepting connections and discovery paused?
+        self.request_count_at_listing = 0  # request count when the object parts were listed
+        self.transferred: list[Connection] = []  # remain quiesced unless the receiver fails
+        self.requested_parts: list[
+            PartKey
+        ] = []  # those of open requests: may change after they were exported
 
     # --- while the gateway serves ---
 
     def list_object_parts(self) -> list[PartKey]:
         """Return the keys of all object parts, least recently requested first.
 
-        What changes from now on is in `changed_object_parts`.
+        `changed_object_parts` returns those that change from now on.
         """
         router = self.gateway.router
-        self.requests_before_table = router.load_reports.request_count
-        self.parts_in_use = [(call.key, call.part) for call in self.gateway.open_requests.values()]
+        self.request_count_at_listing = router.load_reports.request_count
+        self.requested_parts = [
+            (client_request.key, client_request.part)
+            for client_request in self.gateway.open_requests.values()
+        ]
         return list(router.freshness.object_parts)
 
     def export_object_parts(self, part_keys: list[PartKey]) -> list[dict[str, Any]]:
@@ -65,49 +71,49 @@
         return export_object_parts(self.gateway.router, part_keys)
 
     def changed_object_parts(self) -> list[PartKey]:
-        """Return the object parts that may have changed since `list_object_parts`.
+        """Return the keys of object parts that may have changed since `list_object_parts`.
 
-        Each request moves its own to the end of the table.
+        Each request moves its object part to the end of the table.
         """
         router = self.gateway.router
-        request_count = router.load_reports.request_count - self.requests_before_table
-        recent: list[PartKey] = []
+        request_count = router.load_reports.request_count - self.request_count_at_listing
+        recently_requested: list[PartKey] = []
         for part_key in reversed(router.freshness.object_parts):
-            if len(recent) >= request_count:
+            if len(recently_requested) >= request_count:
                 break
-            recent.append(part_key)
-        return [*self.parts_in_use, *reversed(recent)]
+            recently_requested.append(part_key)
+        return [*self.requested_parts, *reversed(recently_requested)]
 
-    # --- to rest ---
+    # --- quiescing ---
 
-    def quiesce(self, deadline: float, is_wanted: Callable[[], bool]) -> str:
-        """Bring everything to rest, with no event left in the queue.
+    def quiesce(self, deadline: float, should_continue: Callable[[], bool]) -> str:
+        """Quiesce all connections, accepting and discovery, and process all events in the queue.
 
-        `deadline`: monotonic seconds. `is_wanted`: asked after each event, as one may abort the handover.
-        Returns why it failed, or an empty text.
+        `deadline`: monotonic seconds. `should_continue`: called after the events, because one of them may
+        abort the handover. Returns why it failed, or an empty string.
         """
         gateway = self.gateway
         gateway.front.gate.acquire()
         gateway.feed.gate.acquire()
-        self.is_accept_held = True
+        self.is_accepting_paused = True
         while True:
-            self._hold_reading()
+            self._pause_readers()
             self._end_unreadable_clients()
             self.process_events()
-            if not is_wanted():
-                return "called off"
-            if self._hold_writing():
+            if not should_continue():
+                return "the handover was aborted"
+            if self._pause_writers():
                 break
             if time.monotonic() > deadline:
-                return "not all could be brought to rest in time"
+                return "connections could not be quiesced in time"
             for conn in self.quiesced:
                 self._resume_writing(conn)
             time.sleep(RETRY_SECONDS)
         gateway.update_clock()
         return ""
 
-    def _hold_reading(self) -> None:
-        """Let the readers of all connections wait between two messages."""
+    def _pause_readers(self) -> None:
+        """Pause the readers of all connections between two messages."""
         for conn in all_connections(self.gateway):
             if (
                 conn not in self.quiesced
@@ -118,7 +124,7 @@
                 self.quiesced[conn] = False
 
     def _end_unreadable_clients(self) -> None:
-        """Give up what is open for clients that sent malformed data; their connections end here."""
+        """End the open requests of clients that sent malformed data, which are not transferred."""
         for client in [conn for conn in self.quiesced if is_unreadable_client(conn)]:
             self.resume_connection(client)
             self.gateway.run_callback(self.gateway.requests.client_sent_malformed, (client,))
@@ -130,24 +136,24 @@
         while (event := gateway.next_event()) is not None:
             gateway.loop.run_event(event)
 
-    def _hold_writing(self) -> bool:
-        """Hold the writing of all connections as well; returns whether everything is at rest."""
+    def _pause_writers(self) -> bool:
+        """Pause the writers of all connections as well; returns whether everything is quiesced."""
         current = {conn for conn in all_connections(self.gateway) if not is_unreadable_client(conn)}
         for conn in list(self.quiesced):
             if conn in current and not self.quiesced[conn]:
                 conn.pause_writing()
                 self.quiesced[conn] = True
-        # one that ended meanwhile is resumed, as its reader needs the gate to report the end
+        # a connection that has ended is resumed: its reader needs the gate to report the end
         ended = [conn for conn in current if conn.close_reason is not None]
         for conn in [*ended, *(conn for conn in self.quiesced if conn not in current)]:
             self.resume_connection(conn)
-        is_quiet = not ended and all(self.quiesced.get(conn) for conn in current)
-        return is_quiet and self.gateway.queue.empty()
+        is_quiesced = not ended and all(self.quiesced.get(conn) for conn in current)
+        return is_quiesced and self.gateway.queue.empty()
 
-    # --- back to work ---
+    # --- resuming ---
 
     def resume_connection(self, conn: Connection) -> None:
-        """Let a connection go on, if it is at rest."""
+        """Resume a connection, if it is quiesced."""
         if conn in self.quiesced:
             conn.resume(self.quiesced.pop(conn))
 
@@ -157,18 +163,18 @@
             conn.lock.release()
 
     def resume_all(self, accept: bool = True) -> None:
-        """Let all connections at rest go on; `accept`: accepting connections and discovery too."""
+        """Resume all quiesced connections; `accept`: also resume accepting connections and discovery."""
         for conn in list(self.quiesced):
             self.resume_connection(conn)
-        if accept and self.is_accept_held:
-            self.is_accept_held = False
+        if accept and self.is_accepting_paused:
+            self.is_accepting_paused = False
             self.gateway.feed.gate.release()
             self.gateway.front.gate.release()
 
     # --- after the transfer ---
 
     def mark_transferred(self, connections: list[Connection]) -> None:
-        """Give connections to the receiver. They stay at rest here."""
+        """Remove connections that the receiver has from the gateway. They remain quiesced here."""
         gateway = self.gateway
         for conn in connections:
             self.quiesced.pop(conn, None)
@@ -178,23 +184,23 @@
                 conn.pool.connections.remove(conn)
         self.transferred += connections
 
-    def forget_transferred_requests(self) -> None:
-        """Forget the requests whose clients' connections were transferred, and all timers for them."""
+    def discard_transferred_requests(self) -> None:
+        """Discard the requests whose clients' connections were transferred, and the timers of requests."""
         gateway = self.gateway
         transferred = set(self.transferred)
-        for request, call in list(gateway.open_requests.items()):
-            if call.client in transferred:
+        for request, client_request in list(gateway.open_requests.items()):
+            if client_request.client in transferred:
                 del gateway.open_requests[request]
-                gateway.front.requests_by_name.pop(call.name, None)
+                gateway.front.requests_by_name.pop(client_request.name, None)
         gateway.timers = [
             entry for entry in gateway.timers if entry[2] in (gateway.run_maintenance, gateway.heartbeat)
         ]
 
-    def close_lost(self, connections: list[Connection]) -> None:
-        """Close connections that the receiver had when it died.
+    def close_transferred(self, connections: list[Connection]) -> None:
+        """Close connections that the receiver had when it failed.
 
-        What was open on them is lost, as with any process that dies. The requests end first, so that none is
-        sent again; then the connections.
+        The requests on them are lost, as in any crash. They are ended before the connections are closed, so
+        that none of them is sent again.
         """
         gateway = self.gateway
         for conn in connections:
@@ -210,21 +216,21 @@
                 conn.gate.release()
         self.transferred = [conn for conn in self.transferred if conn not in connections]
 
-    def hold_idle_clients(self) -> list[IdleClient]:
-        """Bring to rest the clients' connections on which nothing is open any more, and return them."""
-        found = []
+    def quiesce_idle_clients(self) -> list[IdleClient]:
+        """Quiesce and return the clients' connections that have become idle."""
+        idle_clients = []
         for client in list(self.gateway.front.clients):
             if not is_idle(client):
                 continue
-            was_quiesced = client in self.quiesced  # nothing more is read there in any case
+            was_quiesced = client in self.quiesced  # its reading has been paused for good
             if not was_quiesced:
                 client.pause_reading()
             client.pause_writing()
             self.quiesced[client] = True
             if is_idle(client):
-                found.append(IdleClient(client, export_client(client, 0)))
+                idle_clients.append(IdleClient(client, export_client(client, 0)))
             elif was_quiesced:
                 self._resume_writing(client)
             else:
                 self.resume_connection(client)
-        return found
+        return idle_clients
--- a/lilacloft/handover/receiver.py
+++ b/lilacloft/handover/receiver.py
@@ -1,7 +1,7 @@
-"""The receiver of a handover: the new process, over the channel from the process that has started it.
+"""The receiver of a handover: the new process, which takes over from the process that started it.
 
-Carries out what `phases.ReceiverStateMachine` decides. Nothing that it was sent is read or written before
-`commit` is acknowledged, no address is bound, and a process that is not the gateway ends.
+Carries out the decisions of `phases.ReceiverStateMachine`. No transferred connection is read or written
+before `commit` is acknowledged, no address is bound, and a receiver that does not become the gateway exits.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
 if TYPE_CHECKING:
     from lilacloft.gateway.gateway import Gateway
 
-SENDER_TIMEOUT = 30.0  # seconds without a message from the sender, whose own limits are far below
-EXIT_DETECTION_SECONDS = 0.5  # in which the end of a process that has closed everything is seen
+SENDER_TIMEOUT = 30.0  # seconds without a message; the sender's own time limits are much shorter
+EXIT_DETECTION_SECONDS = 0.5  # within which the exit of a process is detected after its sockets were closed
 EXIT_POLL_SECONDS = EXIT_DETECTION_SECONDS / 50
 SYNCED_SEND_TIMEOUT = 0.1  # seconds
 NO_DESCRIPTOR = -1
 
 
 def make_hello(vhosts: list[str], store_folder: str = "") -> messages.Hello:
-    """Return the first message of a receiver. `store_folder`: empty if it has no store."""
+    """Return the receiver's first message. `store_folder`: empty if it has no store."""
     folder = os.path.realpath(store_folder) if store_folder else ""
     return messages.Hello(__version__, STATE_VERSION, vhosts, folder)
 
 
 class HandoverReceiver:
-    """One takeover. Each step is a method, in the order in which they are called."""
+    """One takeover. Its steps are methods, in the order in which they are called."""
 
     def __init__(self, descriptor: int) -> None:
         """`descriptor`: of the channel to the sender."""
@@ -57,7 +57,7 @@
         self.store_lock = NO_DESCRIPTOR
 
     def send_hello(self, vhosts: list[str], store_folder: str = "") -> None:
-        """Notify the sender of what this process is."""
+        """Send this process's version, virtual hosts and store folder to the sender."""
         self.channel.send(MessageKind.HELLO, make_hello(vhosts, store_folder))
 
     def receive_warm_up(self) -> None:
@@ -65,7 +65,8 @@
         warm_up = self._receive(MessageKind.WARM_UP).decode(messages.WarmUp)
         if warm_up.oldest_reader > STATE_VERSION:
             raise FormatError(
-                f"the old process writes form {warm_up.oldest_reader}, {STATE_VERSION} is read here"
+                f"the old process requires a reader of state version {warm_up.oldest_reader}, "
+                f"this process reads {STATE_VERSION}"
             )
         self.sender_pid, self.backends = warm_up.sender_pid, warm_up.backends
         self.listener, self.upgrade_socket = self.channel.pop_sockets(2)
@@ -79,41 +80,41 @@
         return self._receive(MessageKind.OBJECT_PARTS).decode(list[messages.ObjectPartState])
 
     def send_ready(self) -> None:
-        """Notify the sender that this process waits for the state."""
+        """Notify the sender that this process is ready for the state."""
         self.channel.send(MessageKind.READY)
 
     def receive_state(self) -> None:
-        """Receive the state and restore a whole gateway from it, which does not start yet."""
+        """Receive the state and restore the gateway from it; the gateway does not start yet."""
         frame = self._receive(MessageKind.STATE)
         began_at = time.monotonic()
         state = frame.decode(messages.GatewayState)
         if state.oldest_reader > STATE_VERSION:
-            raise FormatError(f"the state is of form {state.version}, {STATE_VERSION} is read here")
+            raise FormatError(f"the state has version {state.version}, this process reads {STATE_VERSION}")
         has_store = state.store is not None
         sockets = self.channel.pop_sockets(state.descriptor_count - has_store)
-        if has_store:  # its lock is sent after all connections
+        if has_store:  # the store's lock is sent after all connections
             self.store_lock = self.channel.pop_descriptors(1)[0]
         read_at = time.monotonic()
         self.restorer.restore(state, sockets.__getitem__)
         logger.debug(
-            "upgrade: read in {:.1f} ms, made in {:.1f} ms",
+            "upgrade: state decoded in {:.1f} ms, restored in {:.1f} ms",
             1000 * (read_at - began_at),
             1000 * (time.monotonic() - read_at),
         )
         self.state_machine.state_restored()
 
     def send_state_restored(self) -> None:
-        """Notify the sender that everything is here.
+        """Notify the sender that the state is restored.
 
-        If the sender has just died, the wait for its commit finds that out.
+        If the sender has crashed meanwhile, `receive_commit` detects that.
         """
         with contextlib.suppress(ChannelError):
             self.channel.send(MessageKind.STATE_RESTORED)
 
     def receive_commit(self) -> None:
-        """Wait for the commit, and acknowledge it; raises NotWantedError if none comes.
+        """Wait for the commit, and acknowledge it; raises NotWantedError if this process must not serve.
 
-        If the sender has died with everything at rest, this process is the gateway without a commit.
+        If the sender has crashed after it sent the state, this process becomes the gateway without a commit.
         """
         try:
             self._receive(MessageKind.COMMIT)
@@ -127,10 +128,10 @@
         try:
             self.channel.send(MessageKind.COMMIT_ACKNOWLEDGED)
         except ChannelError:
-            logger.warning("upgrade: the old process has ended just before the answer")
+            logger.warning("upgrade: the old process exited before it got the acknowledgement of the commit")
 
     def send_serving(self) -> None:
-        """Notify the sender that this process serves, and follow what it still sends."""
+        """Notify the sender that this process serves, and handle its further messages in a thread."""
         try:
             self.channel.send(MessageKind.SERVING)
         except ChannelError as error:
@@ -138,14 +139,14 @@
         threading.Thread(target=self._follow_sender, daemon=True).start()
 
     def refuse(self, reason: str) -> None:
-        """Notify the sender that this process cannot continue."""
+        """Notify the sender that this process cannot take over."""
         try:
             self.channel.send(MessageKind.REFUSE, messages.Reason(reason[: messages.MAX_REASON_CHARACTERS]))
         except (ChannelError, FormatError):
             logger.error("upgrade: {}", reason)
 
     def _receive(self, kind: MessageKind) -> Frame:
-        """Return the next frame, of a kind; raises NotWantedError if this process is dismissed instead."""
+        """Return the next frame, which must be of a kind; raises NotWantedError if it is a dismissal."""
         frame = self.channel.receive(SENDER_TIMEOUT, (kind, MessageKind.DISMISS))
         if frame.kind is MessageKind.DISMISS:
             reason = frame.decode(messages.Reason).reason
@@ -154,7 +155,10 @@
         return frame
 
     def _sender_lives(self) -> bool:
-        """Return whether the sender runs: its end closes its sockets a moment before it is seen."""
+        """Return whether the sender still runs.
+
+        Polled for a while: an exiting process closes its sockets shortly before its exit can be observed.
+        """
         deadline = time.monotonic() + EXIT_DETECTION_SECONDS
         while os.getppid() == self.sender_pid:
             if time.monotonic() > deadline:
@@ -165,7 +169,7 @@
     # --- after the commit, in a thread of its own ---
 
     def _follow_sender(self) -> None:
-        """Handle what a sender that drains still sends, until it has ended."""
+        """Handle the messages of a draining sender until it closes the channel."""
         try:
             while True:
                 self._handle(
@@ -181,12 +185,12 @@
                     )
                 )
         except (ChannelError, FormatError, OSError) as error:
-            logger.info("upgrade: the old process is done ({})", error)
+            logger.info("upgrade: the channel to the old process has ended: {}", error)
         finally:
             self.channel.close()
 
     def _handle(self, frame: Frame) -> None:
-        """Pass one message of a sender that drains to the event loop."""
+        """Pass one message of a draining sender to the event loop."""
         gateway = self.gateway
         if frame.kind is MessageKind.IDLE_CLIENT:
             state = frame.decode(messages.ClientConnectionState)
@@ -215,5 +219,5 @@
             self.channel.send(MessageKind.STORE_RECORDS_SYNCED, ticket, timeout=SYNCED_SEND_TIMEOUT)
 
     def _start_client(self, state: messages.ClientConnectionState, sock: socket.socket) -> None:
-        """Serve a client's connection that became idle at the sender."""
+        """Serve a client's connection that became idle in the sender."""
         self.restorer.restore_client(state, sock).start()
--- a/lilacloft/handover/request.py
+++ b/lilacloft/handover/request.py
@@ -1,4 +1,4 @@
-"""The upgrade command's side: requests a gateway's replacement and reports its phases."""
+"""Requests an upgrade of a gateway and follows its phases, for the upgrade command."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class UpgradeResult(NamedTuple):
-    """Whether the new process serves and the old one has ended; if not, why."""
+    """Whether the new process serves and the old one has exited; if not, the reason."""
 
     succeeded: bool
     reason: str
@@ -29,10 +29,10 @@
     on_phase: Callable[[PhaseReport], None],
     timeout: float = DEFAULT_TIMEOUT,
 ) -> UpgradeResult:
-    """Replace the gateway that offers a handover at a path, and wait for the end of it.
+    """Replace the gateway that accepts upgrade requests at a path, and wait until the old process has exited.
 
-    `command` starts the new process; empty: the command that started the old one. `mode`: a HandoverMode, or
-    empty for that of the gateway's settings. `on_phase` gets each phase as it begins. `timeout`: seconds.
+    `command` starts the new process; empty: the command that started the old one. `mode`: a HandoverMode;
+    empty: the mode from the gateway's settings. `on_phase` is called when a phase begins. `timeout`: seconds.
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     sock.settimeout(CONNECT_TIMEOUT)
@@ -51,8 +51,8 @@
 def _follow(
     channel: Channel, request: UpgradeRequest, on_phase: Callable[[PhaseReport], None], deadline: float
 ) -> UpgradeResult:
-    """Send a request and follow the phases to the last. `deadline`: monotonic seconds."""
-    last_phase = "nothing"
+    """Send a request and follow the phases to the final one. `deadline`: monotonic seconds."""
+    last_phase = "the request"
     try:
         channel.send(MessageKind.UPGRADE_REQUEST, request)
         while True:
@@ -70,14 +70,14 @@
 
 
 def _wait_for_end(channel: Channel, deadline: float) -> UpgradeResult:
-    """Wait until the old process has closed the channel with its end."""
+    """Wait until the old process closes the channel by its exit."""
     try:
         channel.receive(_seconds_until(deadline))
     except ChannelClosedError:
         return UpgradeResult(True, "")
     except ChannelError:
-        return UpgradeResult(False, "the old process does not end")
-    return UpgradeResult(False, "the old process goes on talking")
+        return UpgradeResult(False, "the old process did not exit in time")
+    return UpgradeResult(False, "the old process sent a message after its final report")
 
 
 def _seconds_until(deadline: float) -> float:
--- a/lilacloft/handover/sender.py
+++ b/lilacloft/handover/sender.py
@@ -1,8 +1,8 @@
-"""The sender of a handover: the process that is replaced starts the new one and hands everything over.
+"""The sender of a handover: the process that is replaced starts the receiver and transfers its state to it.
 
-Carries out what `phases.SenderStateMachine` decides. Until the receiver is ready a thread of its own drives
-the handover while the event loop serves; from there on the event loop's thread does. Serving is never held up
-without a limit, and the channel to a receiver that still runs is never given up.
+Carries out the decisions of `phases.SenderStateMachine`. Until the receiver is ready, a separate thread
+drives the handover while the event loop serves; after that the event loop's thread does. The time without
+service is limited, and the channel stays open for as long as the receiver runs.
 """
 
 from __future__ import annotations
@@ -38,16 +38,16 @@
 if TYPE_CHECKING:
     from lilacloft.gateway.gateway import Gateway
 
-DRAIN_POLL_SECONDS = 0.02  # between two checks of what became idle
+DRAIN_POLL_SECONDS = 0.02  # between two checks for idle clients
 STORE_RECORD_TIMEOUT = 0.1  # seconds
-MAX_DRAIN_WAIT = 2.0  # seconds for one message of a receiver that serves
+MAX_DRAIN_WAIT = 2.0  # seconds to wait for one message of a receiver that serves
 MAX_RECEIVE_SECONDS = 3600.0
-OBJECT_PARTS_PER_MESSAGE = 2000  # exported in one event, between which the event loop serves
-INTERNAL_FAULT = "a fault of ours"
+OBJECT_PARTS_PER_MESSAGE = 2000  # exported in one event; the event loop serves between these events
+INTERNAL_ERROR = "internal error in the old process"
 
 
 class HandoverSender:
-    """One gateway that can be replaced; the actions of its `SenderStateMachine`."""
+    """Lets one gateway be replaced; carries out the actions of its `SenderStateMachine`."""
 
     def __init__(
         self,
@@ -57,9 +57,9 @@
         status: int = NO_DESCRIPTOR,
         mode: str = HandoverMode.WHOLE,
     ) -> None:
-        """Let a gateway be replaced, once `start` is called.
+        """Upgrade requests are accepted once `start` is called.
 
-        `upgrade_socket`: where requests are accepted. `limits`: seconds by phase. `status`: descriptor of the
+        `upgrade_socket`: where they are accepted. `limits`: seconds by phase. `status`: descriptor of the
         pipe to a supervisor. `mode`: a HandoverMode, for requests that name none.
         """
         self.gateway = gateway
@@ -67,34 +67,34 @@
         self.status = status
         self.default_mode = mode
         self.state_machine = SenderStateMachine(self, limits)
-        self.listener = UpgradeListener(upgrade_socket, self._upgrade, self._on_fault)
-        self.lock = threading.RLock()  # the driving thread, and the event loop's when it is told to stop
+        self.listener = UpgradeListener(upgrade_socket, self._upgrade, self._on_internal_error)
+        self.lock = threading.RLock()  # held by the driving thread, and by the event loop's thread on SIGTERM
         self.quiescer = Quiescer(gateway)
-        self.command: list[str] = []  # starts the receiver
+        self.command: list[str] = []  # the command that starts the receiver
         self.receiver = ReceiverProcess(status)
         self.reporter = PhaseReporter(gateway)
-        self.connections: list[Connection] = []  # are transferred
+        self.connections: list[Connection] = []  # connections that are transferred
         self.exported_counts: GroupedCounts = {}
-        self.receiver_serves = False
-        self.was_reloaded = False  # SIGHUP came during the handover
+        self.receiver_is_serving = False
+        self.was_reloaded = False  # SIGHUP was received during the handover
         gateway.upgrade = self
 
     def start(self) -> None:
-        """This process is the gateway: accept upgrade requests from now on."""
+        """Report that this process is the gateway, and accept upgrade requests from now on."""
         self._report_gateway()
         self.listener.start()
 
     # --- the driving thread ---
 
     def _upgrade(self, request: messages.UpgradeRequest, control: Channel) -> None:
-        """Carry out an upgrade request; `control` gets the phases."""
+        """Carry out an upgrade request; the phases are reported on `control`."""
         self._begin(request, control)
         try:
             if self.receiver.start_error:
                 raise ChannelError(self.receiver.start_error)
             self._drive()
         except HANDOVER_ERRORS as error:
-            self._run_on_event_loop(self._lost, self.receiver.describe_loss(error))
+            self._run_on_event_loop(self._receiver_failed, self.receiver.describe_failure(error))
         finally:
             if self.state_machine.phase == Phase.IDLE:
                 self.receiver.close_channel()
@@ -104,7 +104,7 @@
         with self.lock:
             if self.state_machine.phase == Phase.IDLE:
                 self.reporter.control = control
-                self.receiver_serves = self.was_reloaded = False
+                self.receiver_is_serving = self.was_reloaded = False
                 self.command = self._command_of(request)
             refusal = self.state_machine.upgrade_requested(
                 request.mode or self.default_mode,
@@ -124,52 +124,52 @@
         except ValueError as error:
             raise UpgradeRefusedError(f"--to {request.command!r}: {error}") from None
 
-    def _on_fault(self, reason: str) -> None:
-        """Something unexpected failed in the driving thread."""
-        self._run_on_event_loop(self._lost, reason)
+    def _on_internal_error(self, reason: str) -> None:
+        """Abort the handover after an internal error in the driving thread."""
+        self._run_on_event_loop(self._receiver_failed, reason)
 
     def _drive(self) -> None:
-        """Drive the handover from the start of the receiver to its end or ours."""
+        """Drive the handover, from the start of the receiver until it fails or this process exits."""
         frame = self._receive(MessageKind.HELLO, MessageKind.REFUSE)
         if frame.kind is MessageKind.REFUSE:
-            return self._refused(frame)
+            return self._handle_refusal(frame)
         self._check_hello(frame.decode(messages.Hello))
         self._send_warm_up()
         frame = self._receive(MessageKind.READY, MessageKind.REFUSE)
         if frame.kind is MessageKind.REFUSE:
-            return self._refused(frame)
+            return self._handle_refusal(frame)
         with self.lock:
             self.state_machine.ready_received()
         self._run_on_event_loop(self._transfer)
-        # from here on the event loop's thread acts; this one reads, so that an end is seen at once
+        # from here on the event loop's thread acts; this one reads, to detect an exit of the receiver at once
         while self.state_machine.phase == Phase.DRAINING:
             self._follow_receiver()
         return None
 
-    def _refused(self, frame: Frame) -> None:
-        self._run_on_event_loop(self._lost, frame.decode(messages.Reason).reason)
+    def _handle_refusal(self, frame: Frame) -> None:
+        self._run_on_event_loop(self._receiver_failed, frame.decode(messages.Reason).reason)
 
     def _check_hello(self, hello: messages.Hello) -> None:
-        """Accept a receiver; raises FormatError if it cannot continue with the state at all."""
+        """Accept a receiver; raises FormatError if it cannot take over at all."""
         vhosts = [vhost["name"] for vhost in self.gateway.vhosts]
-        reason = ""  # why it cannot continue with open requests
+        reason = ""  # why the receiver cannot take over open requests
         if hello.state_version < STATE_VERSION:
-            reason = f"form {hello.state_version} cannot hold open reqs"
+            reason = f"state version {hello.state_version} cannot contain open requests"
         elif hello.vhosts != vhosts:
-            reason = f"vhosts {hello.vhosts} are not {vhosts}"
+            reason = f"the new process has virtual hosts {hello.vhosts}, the old one {vhosts}"
         store = self.gateway.store.path if self.gateway.store else ""
-        if store and hello.store_folder != store:  # whoever continues must know what was sent
+        if store and hello.store_folder != store:  # the new gateway needs the record of what was sent
             raise FormatError(f"the new process keeps {hello.store_folder or 'no store'} instead of {store}")
         if hello.state_version < OLDEST_READER_VERSION:
             raise FormatError(
-                f"lilacloft {hello.version} reads form {hello.state_version}, "
+                f"lilacloft {hello.version} reads state version {hello.state_version}, "
                 f"not {OLDEST_READER_VERSION} or later"
             )
         with self.lock:
             self.state_machine.hello_received(not reason, reason)
 
     def _send_warm_up(self) -> None:
-        """Send what the receiver can prepare while this process serves."""
+        """Send the sockets, the endpoint list and the object parts, while this process serves."""
         gateway, receiver = self.gateway, self.receiver
         backends = self._run_on_event_loop(lambda: list(export_backends(gateway)))
         receiver.send(
@@ -192,22 +192,22 @@
             if frame.kind is MessageKind.STORE_RECORDS_SYNCED:
                 self.gateway.post(self.gateway.store.relayed_records_durable, frame.decode(int))
                 return
-            self.receiver_serves = True
+            self.receiver_is_serving = True
             self._run_on_event_loop(self._check_drained, False)
         except ChannelTimeoutError:
             pass
         except HANDOVER_ERRORS as error:
-            self._run_on_event_loop(self._lost, str(error))
+            self._run_on_event_loop(self._receiver_failed, str(error))
 
     def _run_on_event_loop(self, function: Callable[..., Result], *arguments: Any) -> Result | None:
         return run_on_event_loop(self.gateway, function, *arguments)
 
     def _receive(self, *kinds: MessageKind) -> Frame:
-        """Return the next frame of the receiver, within the time limit of the phase."""
+        """Return the receiver's next frame, within the time limit of the phase."""
         timeout = min(self.state_machine.remaining_seconds(), MAX_RECEIVE_SECONDS)
         return self.receiver.receive(timeout, kinds)
 
-    # --- the event loop's thread; nothing is served meanwhile ---
+    # --- the event loop's thread; no request is served meanwhile ---
 
     def _transfer(self) -> None:
         """Quiesce, send the state, commit, and begin to drain."""
@@ -222,14 +222,14 @@
             self._send_state()
             self._commit()
         except HANDOVER_ERRORS as error:
-            return self._lost(self.receiver.describe_loss(error))
+            return self._receiver_failed(self.receiver.describe_failure(error))
         except Exception:
-            self._lost(INTERNAL_FAULT)
+            self._receiver_failed(INTERNAL_ERROR)
             raise
         return self._check_drained()
 
     def _quiesce(self) -> str:
-        """Bring connections and store to rest; returns why that failed, or an empty text."""
+        """Quiesce the connections and the store; returns why that failed, or an empty string."""
         machine = self.state_machine
         deadline = time.monotonic() + machine.remaining_seconds()
         failure = self.quiescer.quiesce(deadline, lambda: machine.phase == Phase.TRANSFERRING)
@@ -250,7 +250,7 @@
         self.receiver.send(MessageKind.STATE, state, tuple(descriptors), timeout)
 
     def _commit(self) -> None:
-        """Commit once the receiver has restored the state, and wait until it serves what was transferred."""
+        """Commit once the receiver has restored the state; in WHOLE mode, wait until it serves."""
         machine = self.state_machine
         frame = self._receive(MessageKind.STATE_RESTORED, MessageKind.REFUSE)
         if frame.kind is MessageKind.REFUSE:
@@ -258,46 +258,46 @@
         machine.state_restored()
         self._receive(MessageKind.COMMIT_ACKNOWLEDGED)
         machine.commit_acknowledged()
-        if machine.mode == HandoverMode.WHOLE and not self.receiver_serves:
-            # store records that are reported as synced are of no use here any more
+        if machine.mode == HandoverMode.WHOLE and not self.receiver_is_serving:
+            # reports of synced store records need no handling here any more
             while frame.kind is not MessageKind.SERVING:
                 frame = self._receive(MessageKind.SERVING, MessageKind.STORE_RECORDS_SYNCED)
-            self.receiver_serves = True
-            self.quiescer.forget_transferred_requests()
+            self.receiver_is_serving = True
+            self.quiescer.discard_transferred_requests()
             self.quiescer.resume_all(accept=False)
 
     def _check_drained(self, repeat: bool = True) -> None:
-        """Transfer what became idle, and end this process once nothing is open; else check again later."""
+        """Transfer idle clients, and end this process once no request is open; else check again later."""
         machine, gateway = self.state_machine, self.gateway
         if machine.phase != Phase.DRAINING:
             return
         try:
-            for client in self.quiescer.hold_idle_clients():
+            for client in self.quiescer.quiesce_idle_clients():
                 descriptor = client.connection.sock.fileno()
                 self.receiver.send(MessageKind.IDLE_CLIENT, client.state, (descriptor,))
                 self.quiescer.mark_transferred([client.connection])
         except HANDOVER_ERRORS as error:
-            return self._lost(str(error))
-        machine.check_drained(self.receiver_serves, not (gateway.open_requests or gateway.front.clients))
+            return self._receiver_failed(str(error))
+        machine.check_drained(self.receiver_is_serving, not (gateway.open_requests or gateway.front.clients))
         if repeat and machine.phase == Phase.DRAINING:
             gateway.call_at(gateway.time + int(DRAIN_POLL_SECONDS * TICKS_PER_SECOND), self._check_drained)
 
-    def _lost(self, reason: str) -> None:
+    def _receiver_failed(self, reason: str) -> None:
         with self.lock:
-            self.state_machine.lost(reason)
+            self.state_machine.receiver_failed(reason)
 
     # --- signals, in the event loop's thread ---
 
     def forward_stop(self) -> bool:
-        """SIGTERM came; returns whether the receiver is the gateway, and was notified."""
+        """Handle SIGTERM; returns whether it was forwarded because the receiver is the gateway."""
         with self.lock:
             self.state_machine.stop_requested()
         return self._forward(MessageKind.STOP)
 
     def forward_reload(self) -> bool:
-        """SIGHUP came, and the configuration was read; returns whether the receiver was notified instead.
+        """Handle SIGHUP; returns whether it was forwarded because the receiver is the gateway.
 
-        Before the commit the receiver reads the configuration again once it serves.
+        If it comes before the state is sent, the receiver reads the configuration again once it serves.
         """
         self.was_reloaded = True
         return self._forward(MessageKind.RELOAD)
@@ -316,35 +316,37 @@
         return time.monotonic()
 
     def start_receiver(self) -> None:
-        """Start the new process."""
+        """Start the receiver."""
         self.receiver.start(self.command)
 
     def send_warm_up(self) -> None:
-        """Nothing: the driving thread does it, outside the lock."""
+        """Do nothing: the driving thread does this in `_send_warm_up`, without holding the lock."""
 
     def transfer_state(self, mode: HandoverMode) -> None:
-        """Nothing: the event loop's thread does it in `_transfer`."""
+        """Do nothing: the event loop's thread does this in `_transfer`."""
 
     def send_commit(self) -> None:
         """Notify the receiver that it is the gateway."""
         self.receiver.send(MessageKind.COMMIT)
 
     def was_acknowledged(self) -> bool:
-        """Return whether a receiver that has ended had acknowledged `commit`."""
+        """Return whether the receiver, which has exited, had acknowledged `commit`."""
         return self.receiver.has_acknowledged()
 
     def kill_receiver(self) -> None:
-        """Kill the new process and wait for its end."""
+        """Kill the receiver and wait for its exit."""
         self.receiver.kill()
 
     def dismiss_receiver(self, reason: str) -> None:
-        """Notify the receiver that it is not wanted."""
+        """Notify the receiver that the handover is aborted."""
         self.receiver.dismiss(reason)
 
     def resume(self, transferred_is_lost: bool) -> None:
-        """Serve again; if what was transferred is lost with the receiver, without that."""
+        """Serve again; transferred connections that are lost with the receiver are closed."""
         if transferred_is_lost:
-            self.quiescer.close_lost(list(dict.fromkeys([*self.connections, *self.quiescer.transferred])))
+            self.quiescer.close_transferred(
+                list(dict.fromkeys([*self.connections, *self.quiescer.transferred]))
+            )
             self.gateway.router.set_standby(False)
         self.connections = []
         if self.gateway.store:
@@ -353,7 +355,7 @@
         self._report_gateway()
 
     def drain(self, mode: HandoverMode) -> None:
-        """Give the transferred connections up, and finish what stays here."""
+        """Remove the transferred connections, and in DRAIN mode serve the remaining ones."""
         self.quiescer.mark_transferred(self.connections)
         if self.gateway.store:
             self.gateway.store.delegate_writes(self._send_store_record)
@@ -362,23 +364,26 @@
             self.quiescer.resume_all(accept=False)
 
     def _send_store_record(self, ticket: int, kind: int, key: bytes, value: bytes | None) -> None:
-        """Send a record of a request that is still open here to the receiver, which has the store."""
+        """Send a record of a request that is still open here to the receiver, which owns the store."""
         record = messages.StoreRecord(ticket, kind, key, value)
         try:
             self.receiver.send(MessageKind.STORE_RECORD, record, timeout=STORE_RECORD_TIMEOUT)
-        except (ChannelError, FormatError) as error:  # what waits for it is rejected at its deadline
-            logger.warning("upgrade: a record cannot be handed on: {}", error)
+        except (
+            ChannelError,
+            FormatError,
+        ) as error:  # an attempt that waits for the record is rejected at its deadline
+            logger.warning("upgrade: a store record could not be sent to the new process: {}", error)
 
     def reject_open_requests(self) -> None:
-        """Reject what is still open here, and read nothing more from clients."""
-        for call in list(self.gateway.open_requests.values()):
-            self.gateway.router.reject(call.request, RejectReason.ENDING)
+        """Reject the requests that are still open here, and stop reading from clients."""
+        for client_request in list(self.gateway.open_requests.values()):
+            self.gateway.router.reject(client_request.request, RejectReason.ENDING)
         for client in list(self.gateway.front.clients):
-            client.pause_reading()  # what is unread goes over with the connection
+            client.pause_reading()  # unread data is transferred with the connection
             self.quiescer.quiesced[client] = False
 
     def exit(self) -> None:
-        """Send the last counters, and end this process."""
+        """Send the final counters, and end this process."""
         counters = messages.FinalCounters(counted_since(self.gateway, self.exported_counts))
         with contextlib.suppress(ChannelError, FormatError):
             self.receiver.send(MessageKind.DRAINED, counters)
@@ -389,7 +394,7 @@
         self.reporter.report(phase, reason, previous_phase_seconds, self.receiver.pid)
 
     def _report_gateway(self) -> None:
-        """Report to a supervisor that this process is the gateway."""
+        """Report to the supervisor, if there is one, that this process is the gateway."""
         if self.status >= 0:
             with contextlib.suppress(OSError):
                 os.write(self.status, b"gateway %d\n" % os.getpid())
--- a/lilacloft/handover/state_export.py
+++ b/lilacloft/handover/state_export.py
@@ -1,7 +1,7 @@
-"""Exports the state of a gateway at rest for the process that continues with it.
+"""Exports the state of a quiesced gateway for the process that takes over.
 
-The connections are at rest (lilacloft/handover/quiesce.py). Nothing is read, written or closed: connections
-are numbers in the state, and the caller sends the descriptors. What the decisions continue with is exported
+The connections have been quiesced (lilacloft/handover/quiesce.py). They are not read, written or closed here:
+the state refers to them by index, and the caller sends the descriptors. The state of the router is exported
 by `lilacloft.routing.snapshot`.
 """
 
@@ -14,7 +14,7 @@
 import msgspec
 
 from lilacloft.handover import messages
-from lilacloft.handover.connections import backend_connections, carries_nothing, is_idle
+from lilacloft.handover.connections import backend_connections, is_idle, is_idle_upstream
 from lilacloft.handover.counters import export_counters
 from lilacloft.handover.phases import HandoverMode
 from lilacloft.net.attempt import Attempt
@@ -32,7 +32,7 @@
 
 Item = TypeVar("Item")
 
-# What goes over as it is: by field of the message, the attribute of the gateway's own object.
+# Values that are transferred unchanged: attribute of the gateway's object by field of the message.
 CLIENT_ATTRIBUTES = {
     "message_count": "said",
     "useless_message_count": "offences",
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class ExportedGateway:
-    """The state of a gateway, and the connections that go over in the order of their descriptors."""
+    """The state of a gateway, and the transferred connections in the order of their descriptors."""
 
     state: messages.GatewayState
     connections: list[Connection]
@@ -68,24 +68,24 @@
 
 @dataclass(frozen=True)
 class _Selection:
-    """What goes over, each with its index."""
+    """The connections and requests that are transferred, with their indices."""
 
     descriptors: dict[Connection, int]
     clients: list[ClientConnection]
-    lines: dict[UpstreamConnection, int]
-    calls: dict[ClientRequest, int]
+    upstreams: dict[UpstreamConnection, int]
+    client_requests: dict[ClientRequest, int]
 
 
 def export_gateway(gateway: Gateway, mode: str, part_keys: Iterable[PartKey]) -> ExportedGateway:
-    """Export a gateway at rest.
+    """Export a quiesced gateway.
 
-    `mode`: in WHOLE all that can go over does, in DRAIN the connections on which nothing is open.
-    `part_keys`: the object parts that go over besides those of open requests.
+    `mode`: WHOLE exports all connections that can be transferred and their requests, DRAIN only idle
+    connections. `part_keys`: the object parts to export in addition to those of open requests.
     """
     selected = _select(gateway, mode == HandoverMode.WHOLE)
-    calls = list(selected.calls)
+    client_requests = list(selected.client_requests)
     part_keys = dict.fromkeys(part_keys)
-    part_keys.update(((call.key, call.part), None) for call in calls)
+    part_keys.update(((client_request.key, client_request.part), None) for client_request in client_requests)
     state = messages.GatewayState(
         mode=mode,
         time=gateway.time,
@@ -94,23 +94,26 @@
         last_event=gateway.feed.last,
         backends=list(export_backends(gateway)),
         clock_offset=_export_clock_offset(gateway),
-        router=export_state(gateway.router, [call.request for call in calls], part_keys),
+        router=export_state(
+            gateway.router, [client_request.request for client_request in client_requests], part_keys
+        ),
         counts=export_counters(gateway),
         health_check_count=gateway.back.checks,
         clients=[export_client(client, selected.descriptors[client]) for client in selected.clients],
         backend_connections=[
-            _export_backend_connection(line, selected.descriptors[line]) for line in selected.lines
+            _export_backend_connection(upstream, selected.descriptors[upstream])
+            for upstream in selected.upstreams
         ],
-        requests=[_export_request(call, selected) for call in calls],
+        requests=[_export_request(client_request, selected) for client_request in client_requests],
         attempts=list(_export_attempts(gateway, selected)) if mode == HandoverMode.WHOLE else [],
         descriptor_count=len(selected.descriptors) + bool(gateway.store),
-        store=_export_store(gateway, calls),
+        store=_export_store(gateway, client_requests),
     )
     return ExportedGateway(state, list(selected.descriptors))
 
 
 def export_backends(gateway: Gateway) -> Iterator[messages.ListedBackend]:
-    """Export the endpoint list, with backends that are not listed any more but have something in flight."""
+    """Export the endpoint list, including unlisted backends that still have attempts in flight."""
     for name, backend in gateway.backends.items():
         pool = gateway.back.pools.get(backend)
         host, port = pool.address if pool else ("", 0)
@@ -128,28 +131,34 @@
 
 
 def export_client(client: ClientConnection, descriptor: int) -> messages.ClientConnectionState:
-    """Export a client's connection. `descriptor`: its index among the descriptors."""
+    """Export a client's connection. `descriptor`: the index of its descriptor."""
     own = {field: getattr(client, attribute) for field, attribute in CLIENT_ATTRIBUTES.items()}
     return messages.ClientConnectionState(**_export_connection(client, descriptor), **own)
 
 
 def _select(gateway: Gateway, is_whole: bool) -> _Selection:
-    """Select what goes over; unless all of it does, connections on which nothing is open."""
+    """Select the connections and requests to transfer: all of them, or only idle connections."""
     clients = [
         client
         for client in gateway.front.clients
         if client.state is not ConnectionState.UNREADABLE and (is_whole or is_idle(client))
     ]
-    lines = [
-        line
-        for line in backend_connections(gateway)
-        if line.state is not ConnectionState.CONNECTING and (is_whole or carries_nothing(line))
+    upstreams = [
+        upstream
+        for upstream in backend_connections(gateway)
+        if upstream.state is not ConnectionState.CONNECTING and (is_whole or is_idle_upstream(upstream))
     ]
-    descriptors = _indices([*clients, *lines])
-    calls = (
-        [call for call in gateway.open_requests.values() if call.client in descriptors] if is_whole else []
+    descriptors = _indices([*clients, *upstreams])
+    client_requests = (
+        [
+            client_request
+            for client_request in gateway.open_requests.values()
+            if client_request.client in descriptors
+        ]
+        if is_whole
+        else []
     )
-    return _Selection(descriptors, clients, _indices(lines), _indices(calls))
+    return _Selection(descriptors, clients, _indices(upstreams), _indices(client_requests))
 
 
 def _indices(items: Iterable[Item]) -> dict[Item, int]:
@@ -157,11 +166,11 @@
 
 
 def _export_connection(conn: Connection, descriptor: int) -> dict[str, Any]:
-    """Return the fields of a ConnectionState."""
+    """Return the fields that all connections have in common."""
     return {
         "descriptor": descriptor,
         "partial_message": conn.buffer.unread(),
-        "unsent": [(waiting.position, bytes(waiting.unsent)) for waiting in conn.backlog],
+        "unsent": [(pending.position, bytes(pending.unsent)) for pending in conn.backlog],
         "queued_bytes": conn.queued,
         "written_bytes": conn.written,
         "last_read_at": conn.last_input_at,
@@ -170,40 +179,44 @@
     }
 
 
-def _export_backend_connection(line: UpstreamConnection, descriptor: int) -> messages.BackendConnectionState:
-    host, port = line.pool.address
+def _export_backend_connection(
+    upstream: UpstreamConnection, descriptor: int
+) -> messages.BackendConnectionState:
+    host, port = upstream.pool.address
     return messages.BackendConnectionState(
-        backend=line.pool.backend.name,
+        backend=upstream.pool.backend.name,
         host=host,
         port=port,
-        backend_started=line.pool.backend_started,
-        last_answer_at=line.last_read_at,
-        last_used_at=line.last_used_at,
-        created_at=line.created_at,
-        is_retired=line.retiring,
-        **_export_connection(line, descriptor),
+        backend_started=upstream.pool.backend_started,
+        last_answer_at=upstream.last_read_at,
+        last_used_at=upstream.last_used_at,
+        created_at=upstream.created_at,
+        is_retired=upstream.retiring,
+        **_export_connection(upstream, descriptor),
     )
 
 
-def _export_request(call: ClientRequest, selected: _Selection) -> messages.ClientRequestState:
+def _export_request(client_request: ClientRequest, selected: _Selection) -> messages.ClientRequestState:
     return messages.ClientRequestState(
-        client=selected.descriptors[call.client],
-        is_open=call.client.open.get(call.tag) is call,
-        connections=[selected.lines.get(line, NO_CONNECTION) for line in call.connections],
-        **{field: getattr(call, attribute) for field, attribute in REQUEST_ATTRIBUTES.items()},
+        client=selected.descriptors[client_request.client],
+        is_open=client_request.client.open.get(client_request.tag) is client_request,
+        connections=[
+            selected.upstreams.get(upstream, NO_CONNECTION) for upstream in client_request.connections
+        ],
+        **{field: getattr(client_request, attribute) for field, attribute in REQUEST_ATTRIBUTES.items()},
     )
 
 
 @dataclass(frozen=True)
 class _AttemptTimers:
-    """What the gateway's timers will do with attempts."""
+    """The gateway's timers for attempts: their deadlines, and ends that are reported later."""
 
     deadlines: dict[Attempt, Ticks]
     pending_ends: dict[Attempt, tuple[str, Ticks]]  # name of the end, and when it is reported
 
     @classmethod
     def of(cls, gateway: Gateway) -> _AttemptTimers:
-        """Read a gateway's timers."""
+        """Collect the timers of a gateway's attempts."""
         found = cls({}, {})
         for timer in gateway.timers:
             if timer.callback == gateway.attempt_timed_out:
@@ -214,25 +227,34 @@
 
 
 def _export_attempts(gateway: Gateway, selected: _Selection) -> Iterator[messages.AttemptState]:
-    """Export attempts of the requests that go over, and health checks on the connections that do."""
+    """Export the attempts of transferred requests, and the health checks on transferred connections."""
     timers = _AttemptTimers.of(gateway)
-    held = set(gateway.store.withdrawn) if gateway.store else ()  # wait for the store, and are sent again
-    in_flight = [call.attempt for call in selected.calls if call.attempt is not None]
-    in_flight += [sent for line in selected.lines for sent in line.in_flight.values() if sent.call is None]
-    for sent in in_flight:
-        if sent.connection is None and sent not in timers.pending_ends and sent not in held:
-            continue  # its end was reported in this very turn
+    withdrawn = set(gateway.store.withdrawn) if gateway.store else ()  # waiting for the store: sent again
+    attempts = [
+        client_request.attempt
+        for client_request in selected.client_requests
+        if client_request.attempt is not None
+    ]
+    attempts += [
+        attempt
+        for upstream in selected.upstreams
+        for attempt in upstream.in_flight.values()
+        if attempt.call is None
+    ]
+    for attempt in attempts:
+        if attempt.connection is None and attempt not in timers.pending_ends and attempt not in withdrawn:
+            continue  # its end was reported in this iteration of the event loop
         yield messages.AttemptState(
-            request=selected.calls.get(sent.call) if sent.call else None,
-            backend=sent.backend.name,
-            seq=sent.seq,
-            name=sent.name,
-            data=sent.data,
-            sent_at=sent.at,
-            connection=selected.lines.get(sent.connection) if sent.connection else None,
-            stream_end=sent.position,
-            deadline=timers.deadlines.get(sent),
-            pending_end=timers.pending_ends.get(sent),
+            request=selected.client_requests.get(attempt.call) if attempt.call else None,
+            backend=attempt.backend.name,
+            seq=attempt.seq,
+            name=attempt.name,
+            data=attempt.data,
+            sent_at=attempt.at,
+            connection=selected.upstreams.get(attempt.connection) if attempt.connection else None,
+            stream_end=attempt.position,
+            deadline=timers.deadlines.get(attempt),
+            pending_end=timers.pending_ends.get(attempt),
         )
 
 
@@ -245,14 +267,16 @@
     return messages.ClockOffsetState(clock_offset.min_lag, clock_offset.learned_at, starts)
 
 
-def _export_store(gateway: Gateway, calls: Iterable[ClientRequest]) -> messages.StoreState | None:
-    """Export what the store's writer continues with; None if the gateway has no store."""
+def _export_store(gateway: Gateway, client_requests: Iterable[ClientRequest]) -> messages.StoreState | None:
+    """Export the state of the store's writer; None if the gateway has no store."""
     if gateway.store is None:
         return None
-    exported = gateway.store.export_state({call.name: call for call in calls})
+    exported = gateway.store.export_state(
+        {client_request.name: client_request for client_request in client_requests}
+    )
     return store_state(gateway.store.path, exported)
 
 
 def store_state(folder: str, exported: Mapping[str, Any]) -> messages.StoreState:
-    """Return the message of what the store's keeper exports, a map by the names on the wire."""
+    """Return the message for what the store's writer exports, a map by wire names."""
     return msgspec.convert({"folder": folder, **exported}, messages.StoreState)
--- a/lilacloft/handover/state_restore.py
+++ b/lilacloft/handover/state_restore.py
@@ -1,7 +1,7 @@
 """Restores the state of a gateway in a process that has read its configuration and does not serve yet.
 
-Nothing is read, written or closed before `GatewayRestorer.start`. What the decisions continue with is
-restored by `lilacloft.routing.snapshot`.
+No connection is read, written or closed before `GatewayRestorer.start`. The state of the router is restored
+by `lilacloft.routing.snapshot`.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class EndedConnection:
-    """Stands for a connection that carried a request and has ended: the next attempt takes another."""
+    """Placeholder for a connection that carried a request and has ended: the next attempt uses another."""
 
     close_reason = CloseReason.RESET
 
@@ -40,14 +40,14 @@
 
 
 class GatewayRestorer:
-    """Restores one gateway: first what can be prepared, then the state, then it starts."""
+    """Restores one gateway: prepares what it can in advance, restores the state, and starts serving."""
 
     def __init__(self, gateway: Gateway) -> None:
-        """`gateway`: made from the configuration, and not running."""
+        """`gateway`: made from the configuration, and not running yet."""
         self.gateway = gateway
         self.state = messages.GatewayState()
-        self.connections: list[Connection] = []  # are started once this process is the gateway
-        self.unsent_attempts: list[Attempt] = []  # their connections had not come up: they are sent again
+        self.connections: list[Connection] = []  # started once this process is the gateway
+        self.unsent_attempts: list[Attempt] = []  # had no established connection: sent again
 
     # --- before the state ---
 
@@ -56,7 +56,7 @@
         backends: list[messages.ListedBackend],
         object_parts: Iterable[list[messages.ObjectPartState]],
     ) -> None:
-        """Restore what the sender can send while it serves: the endpoint list and most object parts."""
+        """Restore what the sender sends while it serves: the endpoint list and most object parts."""
         self._restore_backends(backends)
         for batch in object_parts:
             restore_object_parts(self.gateway.router, to_plain(batch), self.gateway.backends)
@@ -64,28 +64,30 @@
     # --- the state ---
 
     def restore(self, state: messages.GatewayState, socket_at: Callable[[int], socket.socket]) -> None:
-        """Restore everything. `socket_at`: returns the socket of a descriptor's index.
+        """Restore the whole state. `socket_at`: returns the socket for a descriptor index.
 
         Raises FormatError if the state cannot be restored here.
         """
         self.state, gateway = state, self.gateway
         if state.router is None:
-            raise FormatError("a state without the module's part")
-        own_vhosts = [vhost["name"] for vhost in gateway.vhosts]
-        if state.requests and state.vhosts != own_vhosts:
-            raise FormatError(f"open reqs of vhosts {state.vhosts}, known are {own_vhosts}")
+            raise FormatError("the state has no router section")
+        configured_vhosts = [vhost["name"] for vhost in gateway.vhosts]
+        if state.requests and state.vhosts != configured_vhosts:
+            raise FormatError(
+                f"open requests of virtual hosts {state.vhosts}, configured are {configured_vhosts}"
+            )
         # the gateway's time continues: both processes read the same monotonic clock
         gateway.resume_clock(state.time, state.monotonic_time)
         try:
-            requests = self._restore_decisions(state, own_vhosts)
+            requests = self._restore_decisions(state, configured_vhosts)
             add_counters(gateway, state.counts)
             gateway.feed.last = max(gateway.feed.last, state.last_event)
             gateway.back.checks = state.health_check_count
             self._restore_open(state, requests, socket_at)
         except (KeyError, IndexError, ValueError, TypeError, AttributeError) as error:
-            raise FormatError(f"a state that does not fit together: {error!r}") from error
+            raise FormatError(f"inconsistent state: {error!r}") from error
 
-    def _restore_decisions(self, state: messages.GatewayState, own_vhosts: list[str]) -> list[Request]:
+    def _restore_decisions(self, state: messages.GatewayState, configured_vhosts: list[str]) -> list[Request]:
         """Restore the endpoint list and the router; returns the open requests in their order."""
         gateway = self.gateway
         self._restore_backends(state.backends)
@@ -93,32 +95,32 @@
         if offset:
             gateway.clock_offset.restore(offset.minimum_lag, offset.measured_at, offset.backend_starts)
         exported = to_plain(state.router)
-        # by name, as the order of virtual hosts may have changed
+        # matched by name, because the order of virtual hosts may have changed
         by_vhost = dict(zip(state.vhosts, exported["vhosts"], strict=False))
-        exported["vhosts"] = [by_vhost.get(name, {}) for name in own_vhosts]
+        exported["vhosts"] = [by_vhost.get(name, {}) for name in configured_vhosts]
         return restore_state(gateway.router, exported, gateway.backends)
 
     def _restore_open(
         self, state: messages.GatewayState, requests: list[Request], socket_at: Callable[[int], socket.socket]
     ) -> None:
-        """Restore the connections, and the requests and attempts that are open on them."""
+        """Restore the connections, and the open requests and attempts on them."""
         clients = {
             client.descriptor: self.restore_client(client, socket_at(client.descriptor))
             for client in state.clients
         }
-        lines = [
-            self._restore_backend_connection(line, socket_at(line.descriptor))
-            for line in state.backend_connections
+        upstreams = [
+            self._restore_backend_connection(exported, socket_at(exported.descriptor))
+            for exported in state.backend_connections
         ]
-        calls = [
-            self._restore_request(sent, request, clients[sent.client], lines)
-            for sent, request in zip(state.requests, requests, strict=True)
+        client_requests = [
+            self._restore_request(exported, request, clients[exported.client], upstreams)
+            for exported, request in zip(state.requests, requests, strict=True)
         ]
         for attempt in state.attempts:
-            self._restore_attempt(attempt, calls, lines)
+            self._restore_attempt(attempt, client_requests, upstreams)
 
     def _restore_backends(self, backends: list[messages.ListedBackend]) -> None:
-        """Restore the endpoint list, and the backends that are unlisted but have something in flight."""
+        """Restore the endpoint list, and the unlisted backends that still have attempts in flight."""
         gateway = self.gateway
         rows = [
             (
@@ -150,7 +152,7 @@
     # --- connections ---
 
     def restore_client(self, state: messages.ClientConnectionState, sock: socket.socket) -> ClientConnection:
-        """Restore a client's connection, which is not started yet."""
+        """Restore a client's connection without starting it."""
         front = self.gateway.front
         client = ClientConnection(front, sock)
         for field, attribute in CLIENT_ATTRIBUTES.items():
@@ -166,20 +168,19 @@
         pool = back.pools.get(backend)
         address = (state.host, state.port)
         if pool is None or (pool.address, pool.backend_started) != (address, state.backend_started):
-            pool = UpstreamPool(
-                backend, address, back
-            )  # of an earlier start, or unlisted: it gets nothing new
-        line = UpstreamConnection(pool, back.read_answer, back.connection_closed, sock=sock)
-        pool.connections.append(line)
-        line.last_read_at = state.last_answer_at
-        line.last_used_at = state.last_used_at
-        line.created_at = state.created_at
-        line.retiring = state.is_retired or back.pools.get(backend) is not pool
-        self._restore_connection(line, state)
-        return line
+            # the backend has restarted or is unlisted: this pool gets no new attempts
+            pool = UpstreamPool(backend, address, back)
+        upstream = UpstreamConnection(pool, back.read_answer, back.connection_closed, sock=sock)
+        pool.connections.append(upstream)
+        upstream.last_read_at = state.last_answer_at
+        upstream.last_used_at = state.last_used_at
+        upstream.created_at = state.created_at
+        upstream.retiring = state.is_retired or back.pools.get(backend) is not pool
+        self._restore_connection(upstream, state)
+        return upstream
 
     def _restore_connection(self, conn: Connection, state: messages.ConnectionState) -> None:
-        """Restore what clients' connections and those to backends have in common."""
+        """Restore the fields that client and backend connections have in common."""
         conn.buffer.append(state.partial_message)
         conn.backlog.extend(PendingMessage(end, memoryview(rest), started=True) for end, rest in state.unsent)
         conn.queued = state.queued_bytes
@@ -198,79 +199,86 @@
         state: messages.ClientRequestState,
         request: Request,
         client: ClientConnection,
-        lines: list[UpstreamConnection],
+        upstreams: list[UpstreamConnection],
     ) -> ClientRequest:
-        """Restore an open request as its client sent it. `lines`: the connections to backends, by index."""
-        call = ClientRequest.__new__(ClientRequest)
+        """Restore an open request as its client sent it. `upstreams`: the connections to backends."""
+        client_request = ClientRequest.__new__(ClientRequest)
         for field, attribute in REQUEST_ATTRIBUTES.items():
-            setattr(call, attribute, getattr(state, field))
-        call.client, call.request, call.attempt = client, request, None
-        call.cancelled_at, call.last_outcome, call.history = (
+            setattr(client_request, attribute, getattr(state, field))
+        client_request.client, client_request.request, client_request.attempt = client, request, None
+        client_request.cancelled_at, client_request.last_outcome, client_request.history = (
             0,
             "",
-            self.gateway.request_history(call, request),
+            self.gateway.request_history(client_request, request),
         )
-        call.connections = [ENDED_CONNECTION if index < 0 else lines[index] for index in state.connections]
+        client_request.connections = [
+            ENDED_CONNECTION if index < 0 else upstreams[index] for index in state.connections
+        ]
         if state.is_open:
-            client.open[call.tag] = call
-            self.gateway.front.requests_by_name[call.name] = call
+            client.open[client_request.tag] = client_request
+            self.gateway.front.requests_by_name[client_request.name] = client_request
         else:
             request.finished = True
-        self.gateway.open_requests[request] = call
-        return call
+        self.gateway.open_requests[request] = client_request
+        return client_request
 
     def _restore_attempt(
-        self, state: messages.AttemptState, calls: list[ClientRequest], lines: list[UpstreamConnection]
+        self,
+        state: messages.AttemptState,
+        client_requests: list[ClientRequest],
+        upstreams: list[UpstreamConnection],
     ) -> None:
-        """Restore an attempt or a health check, and the timers that wait for it."""
+        """Restore an attempt or a health check, and its timers."""
         gateway = self.gateway
-        call = None if state.request is None else calls[state.request]
-        sent = self._make_attempt(state, call)
-        if call:
-            call.attempt = sent
-            if call.request.send_by:
-                gateway.call_at(call.request.send_by, gateway.send_deadline_passed, call)
+        client_request = None if state.request is None else client_requests[state.request]
+        attempt = self._make_attempt(state, client_request)
+        if client_request:
+            client_request.attempt = attempt
+            if client_request.request.send_by:
+                gateway.call_at(client_request.request.send_by, gateway.send_deadline_passed, client_request)
         if state.pending_end:
             end, due_at = state.pending_end
-            gateway.call_at(due_at, gateway.attempt_ended, sent, CloseReason[end])
+            gateway.call_at(due_at, gateway.attempt_ended, attempt, CloseReason[end])
             return
         if state.connection is None:
-            self.unsent_attempts.append(sent)
+            self.unsent_attempts.append(attempt)
         else:
-            self._put_on_connection(sent, lines[state.connection])
+            self._attach_to_connection(attempt, upstreams[state.connection])
         if state.deadline is not None:
-            gateway.call_at(state.deadline, gateway.attempt_timed_out, sent)
+            gateway.call_at(state.deadline, gateway.attempt_timed_out, attempt)
 
-    def _make_attempt(self, state: messages.AttemptState, call: ClientRequest | None) -> Attempt:
+    def _make_attempt(self, state: messages.AttemptState, client_request: ClientRequest | None) -> Attempt:
         gateway = self.gateway
-        sent = Attempt(
-            call,
+        attempt = Attempt(
+            client_request,
             gateway.backends[state.backend],
             state.seq,
             state.name,
             state.data,
             state.sent_at,
             encoded_at=gateway.to_monotonic(state.sent_at),
-            deadline=gateway.to_monotonic(state.deadline or call.request.deadline) if call else 0,
-            send_by=gateway.to_monotonic(call.request.send_by) if call else 0,
-            window_over=gateway.idempotency_deadline(call.history) if call else 0,
+            deadline=gateway.to_monotonic(state.deadline or client_request.request.deadline)
+            if client_request
+            else 0,
+            send_by=gateway.to_monotonic(client_request.request.send_by) if client_request else 0,
+            window_over=gateway.idempotency_deadline(client_request.history) if client_request else 0,
         )
-        sent.position = state.stream_end
-        return sent
+        attempt.position = state.stream_end
+        return attempt
 
     @staticmethod
-    def _put_on_connection(sent: Attempt, line: UpstreamConnection) -> None:
-        """Restore an attempt as in flight on a connection, where some of it may have to be written yet."""
-        sent.connection = line
-        line.in_flight[sent.name] = sent
-        for waiting in line.backlog:
-            if waiting.position == sent.position:
-                waiting.started = len(waiting.unsent) < len(sent.data)
+    def _attach_to_connection(attempt: Attempt, upstream: UpstreamConnection) -> None:
+        """Restore an attempt in flight on a connection, which may not have been fully written yet."""
+        attempt.connection = upstream
+        upstream.in_flight[attempt.name] = attempt
+        for pending in upstream.backlog:
+            if pending.position == attempt.position:
+                pending.started = len(pending.unsent) < len(attempt.data)
 
     # --- this process is the gateway ---
 
     def start(self) -> None:
-        """Read and write on all connections, and send the attempts that could not be sent."""
+        """Start all connections, and send the attempts that the sender could not send."""
         gateway = self.gateway
         gateway.record_pause(self.state.monotonic_time)
         for conn in self.connections:
@@ -279,21 +287,21 @@
             conn.start()
         if gateway.store:
             gateway.store.adopt_attempts(
-                call.attempt
-                for call in gateway.open_requests.values()
-                if call.attempt and call.attempt not in self.unsent_attempts
+                client_request.attempt
+                for client_request in gateway.open_requests.values()
+                if client_request.attempt and client_request.attempt not in self.unsent_attempts
             )
-        for sent in self.unsent_attempts:
-            self._send_again(sent)
+        for attempt in self.unsent_attempts:
+            self._send_unsent(attempt)
 
-    def _send_again(self, sent: Attempt) -> None:
+    def _send_unsent(self, attempt: Attempt) -> None:
         gateway = self.gateway
-        sent.at = gateway.time
-        if sent.expired():
+        attempt.at = gateway.time
+        if attempt.expired():
             end: CloseReason | None = CloseReason.UNWRITTEN
         elif gateway.store:
-            end = gateway.store.dispatch(sent, sent.call.request.deadline)
+            end = gateway.store.dispatch(attempt, attempt.call.request.deadline)
         else:
-            end = gateway.back.dispatch(sent)
+            end = gateway.back.dispatch(attempt)
         if end is not None:
-            gateway.report_end(sent, end)
+            gateway.report_end(attempt, end)
--- a/lilacloft/handover/supervisor.py
+++ b/lilacloft/handover/supervisor.py
@@ -1,6 +1,6 @@
-"""The supervisor: a foreground process that keeps the listening socket open while its workers change.
+"""The supervisor: a foreground process that keeps the listening socket open while its workers are replaced.
 
-Carries out what `watchdog.WorkerWatchdog` decides. It accepts no connection and reads no traffic.
+Carries out the decisions of `watchdog.WorkerWatchdog`. It neither accepts connections nor reads traffic.
 """
 
 from __future__ import annotations
@@ -20,7 +20,9 @@
 from lilacloft.handover import process_arguments
 from lilacloft.handover.watchdog import WorkerWatchdog
 
-PR_SET_CHILD_SUBREAPER = 36  # prctl(2): processes that workers started become children of the supervisor
+PR_SET_CHILD_SUBREAPER = (
+    36  # prctl(2): orphaned processes that workers started become children of the supervisor
+)
 SIGNAL_NAMES = {
     signal.SIGTERM: "TERM",
     signal.SIGHUP: "HUP",
@@ -30,11 +32,11 @@
 SIGNALS = {"TERM": signal.SIGTERM, "HUP": signal.SIGHUP, "USR1": signal.SIGUSR1}
 PIPE_READ_BYTES = 4096
 MAX_WAIT_SECONDS = 3600.0
-STATUS_GATEWAY = b"gateway"  # first word of a worker's line on the status pipe; the second is its pid
+STATUS_GATEWAY = b"gateway"  # first word of a worker's line on the status pipe; the second word is its pid
 
 
 class Supervisor:
-    """Runs the workers of one gateway; the actions of a `WorkerWatchdog`."""
+    """Runs the workers of one gateway; carries out the actions of a `WorkerWatchdog`."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         """Bind and listen; raises OSError if the address cannot be bound."""
@@ -45,9 +47,9 @@
             os.set_blocking(descriptor, False)
         signal.set_wakeup_fd(wakeup_writer, warn_on_full_buffer=False)
         for number in (*SIGNAL_NAMES, signal.SIGCHLD):
-            signal.signal(number, lambda *_: None)  # the wake-up descriptor tells of it
+            signal.signal(number, lambda *_: None)  # the signal is read from the wake-up descriptor
         if ctypes.CDLL(None, use_errno=True).prctl(PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0):
-            raise OSError(ctypes.get_errno(), "cannot become the parent of its workers' workers")
+            raise OSError(ctypes.get_errno(), "prctl(PR_SET_CHILD_SUBREAPER) failed")
         self.worker_command = [
             argument
             for argument in process_arguments.original_command(sys.orig_argv)
@@ -56,7 +58,7 @@
         self.exit_code: int | None = None
         self.partial_status = b""
         self.workers: list[subprocess.Popen[bytes]] = []
-        self.unserved_since = time.monotonic()  # since when nobody accepts connections, if nobody does
+        self.unserved_since = time.monotonic()  # since when no worker accepts connections, if none does
         self.watchdog = WorkerWatchdog(self)
 
     @staticmethod
@@ -64,11 +66,11 @@
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(address)
-        listener.listen(socket.SOMAXCONN)  # connections that come between two workers wait
+        listener.listen(socket.SOMAXCONN)  # connections that arrive between two workers wait in the backlog
         return listener
 
     def run(self) -> int:
-        """Run until the gateway has ended for good; returns the exit code."""
+        """Run until the watchdog decides to exit; returns the exit code."""
         self.watchdog.start_first_worker()
         while self.exit_code is None:
             wait = min(self.watchdog.seconds_until_start(), MAX_WAIT_SECONDS)
@@ -76,7 +78,7 @@
             signals = b""
             with contextlib.suppress(BlockingIOError):
                 signals = os.read(self.wakeup_reader, PIPE_READ_BYTES)
-            self._read_status()  # before exits: a worker that is replaced ends after its successor reports
+            self._read_status()  # before exits: a replaced worker exits after its successor has reported
             for number in signals:
                 if number in SIGNAL_NAMES:
                     self.watchdog.signal_received(SIGNAL_NAMES[signal.Signals(number)])
@@ -129,16 +131,18 @@
         except OSError as error:
             logger.error("supervisor: {}", error)
             return 0
-        self.workers.append(worker)  # an unreferenced Popen object would be waited for by the library
+        self.workers.append(
+            worker
+        )  # the subprocess module waits for the children of unreferenced Popen objects
         return worker.pid
 
     def send_signal(self, pid: int, name: str) -> None:
-        """Send a signal to a worker that may have ended."""
+        """Send a signal to a worker, which may have exited."""
         with contextlib.suppress(ProcessLookupError):
             os.kill(pid, SIGNALS[name])
 
     def exit(self, code: int) -> None:
-        """Let `run` return a code."""
+        """Let `run` return with an exit code."""
         self.exit_code = code
 
     def log(self, text: str) -> None:
--- a/lilacloft/handover/upgrade_listener.py
+++ b/lilacloft/handover/upgrade_listener.py
@@ -1,6 +1,6 @@
 """The Unix socket on which a gateway accepts upgrade requests.
 
-Only root and the gateway's own user may connect, and nobody who does can hold the serving up.
+Only root and the gateway's own user may connect, and a client of this socket cannot delay serving.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 from lilacloft.handover.framing import FormatError, MessageKind
 from lilacloft.handover.messages import PhaseReport, UpgradeRequest
 
-MAX_CONNECTIONS = 4  # at once; more are closed
-REQUEST_TIMEOUT = 2.0  # seconds in which one that has connected sends its request
+MAX_CONNECTIONS = 4  # at the same time; further connections are closed
+REQUEST_TIMEOUT = 2.0  # seconds within which a client must send its request
 ACCEPT_TIMEOUT = 1.0  # seconds
 PAUSE_AFTER_ERROR = 2.0  # seconds
-OWNER_ONLY = 0o177  # umask of a socket that only its user may connect to
+OWNER_ONLY = 0o177  # umask for a socket to which only its owner may connect
 ROOT_UID = 0
-PHASE_REFUSED = "refused"  # in place of a phase, if no handover begins
+PHASE_REFUSED = "refused"  # sent instead of a phase if no handover begins
 
 RequestHandler = Callable[[UpgradeRequest, Channel], None]
 
 
 class UpgradeRefusedError(Exception):
-    """A handover does not begin; the text says why."""
+    """An upgrade request is refused; the text gives the reason."""
 
 
 def bind_upgrade_socket(path: str) -> socket.socket:
-    """Return a listening socket at a path; a stale one there is replaced.
+    """Return a listening socket at a path; a stale socket file there is replaced.
 
-    Raises OSError if the path is in use or cannot be had.
+    Raises OSError if the path is in use or cannot be bound.
     """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
         try:
@@ -46,9 +46,9 @@
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(path)
         else:
-            raise OSError(errno.EADDRINUSE, "another gateway offers a handover there")
+            raise OSError(errno.EADDRINUSE, "another gateway accepts upgrade requests on this socket")
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    previous_mask = os.umask(OWNER_ONLY)  # not open to others for a moment
+    previous_mask = os.umask(OWNER_ONLY)  # so that the socket is never accessible to other users
     try:
         sock.bind(path)
     finally:
@@ -58,18 +58,18 @@
 
 
 class UpgradeListener:
-    """Accepts upgrade requests, each in a thread of its own."""
+    """Accepts upgrade requests; each is handled in its own thread."""
 
     def __init__(
-        self, sock: socket.socket, handle: RequestHandler, on_fault: Callable[[str], object]
+        self, sock: socket.socket, handle: RequestHandler, on_internal_error: Callable[[str], object]
     ) -> None:
-        """`handle` carries a request out, or raises UpgradeRefusedError; it gets the channel for its reports.
+        """`handle` carries out a request, reporting on the channel, or raises UpgradeRefusedError.
 
-        `on_fault` is called with a reason if `handle` fails in any other way.
+        `on_internal_error` is called with a reason if `handle` fails unexpectedly.
         """
         self.sock = sock
         self.handle = handle
-        self.on_fault = on_fault
+        self.on_internal_error = on_internal_error
         self.slots = threading.BoundedSemaphore(MAX_CONNECTIONS)
 
     def start(self) -> None:
@@ -92,23 +92,23 @@
                 time.sleep(PAUSE_AFTER_ERROR)
 
     def _serve(self, control: Channel) -> None:
-        """Serve one that has connected; whatever it does, the gateway goes on."""
+        """Serve one connection; errors on it do not affect the gateway."""
         pid = 0
         try:
             pid, uid = control.peer()
             if uid not in (ROOT_UID, os.getuid()):
-                raise UpgradeRefusedError(f"user {uid} may not ask for an upgrade")
+                raise UpgradeRefusedError(f"user {uid} is not allowed to request an upgrade")
             frame = control.receive(REQUEST_TIMEOUT, (MessageKind.UPGRADE_REQUEST,))
             self.handle(frame.decode(UpgradeRequest), control)
         except (FormatError, ChannelError, OSError) as error:
-            logger.warning("handover: process {} is let go: {}", pid, error)
+            logger.warning("handover: closing the connection of process {}: {}", pid, error)
         except UpgradeRefusedError as error:
-            logger.warning("handover: process {} is refused: {}", pid, error)
+            logger.warning("handover: refused the request of process {}: {}", pid, error)
             with contextlib.suppress(ChannelError):
                 control.send(MessageKind.PHASE, PhaseReport(PHASE_REFUSED, str(error), is_final=True))
         except Exception:
             logger.exception("handover failed")
-            self.on_fault("a fault of ours")
+            self.on_internal_error("internal error in the old process")
         finally:
             control.close()
             self.slots.release()
--- a/lilacloft/handover/watchdog.py
+++ b/lilacloft/handover/watchdog.py
@@ -1,7 +1,7 @@
-"""Decides what a supervisor does: when a worker is restarted, which one gets signals, when it exits.
+"""Decides for the supervisor when a worker is restarted, which worker gets signals, and when to exit.
 
-A worker is a gateway process under the supervisor. No I/O, and no clock but the host's. Times are monotonic
-seconds as floats.
+A worker is a gateway process under the supervisor. This module does no I/O, and gets the time from
+`WatchdogActions.now`. Times are monotonic seconds as floats.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 from lilacloft.errors import UNUSABLE
 
-STABLE_AFTER_SECONDS = 1.0  # of serving, after which the next worker is started at once
-INITIAL_BACKOFF_SECONDS = 0.25  # doubled with each start in a row that failed
+STABLE_AFTER_SECONDS = 1.0  # a worker that has served for so long is restarted without backoff
+INITIAL_BACKOFF_SECONDS = 0.25  # doubled for each consecutive failed start
 MAX_BACKOFF_SECONDS = 8.0
-MAX_FAILED_STARTS = 6  # in a row; with more the supervisor gives up
+MAX_FAILED_STARTS = 6  # consecutive; after more the supervisor exits
 EXIT_FAILED = 1
 
 
 class WatchdogActions(Protocol):
-    """What a `WorkerWatchdog` does."""
+    """The actions of a `WorkerWatchdog`."""
 
     def now(self) -> float:
         """Return the time in seconds."""
@@ -38,26 +38,26 @@
 
 
 class WorkerWatchdog:
-    """The decisions of one supervisor. A worker that is replaced is followed to its successor."""
+    """The decisions of one supervisor. When a worker is replaced, its successor is supervised."""
 
     def __init__(self, actions: WatchdogActions) -> None:
         self.actions = actions
-        self.gateway = 0  # pid of the worker that is the gateway; 0: none is
+        self.gateway = 0  # pid of the worker that is the gateway; 0: none
         self.gateway_since = 0.0
-        self.failed_starts = 0  # in a row
-        self.is_serving = False  # does the worker serve?
-        self.has_served = False  # has any?
-        self.start_at = math.inf  # when a worker is to be started
+        self.failed_starts = 0  # consecutive
+        self.is_serving = False  # has the current worker reported that it serves?
+        self.has_served = False  # has any worker served?
+        self.start_at = math.inf  # when the next worker is to be started
         self.is_stopping = False
         self.has_exited = False
-        self.stopped_workers: set[int] = set()  # those that got SIGTERM
+        self.stopped_workers: set[int] = set()  # workers that were sent SIGTERM
 
     def start_first_worker(self) -> None:
         """Start the first worker."""
         self._start_worker()
 
     def worker_serving(self, pid: int) -> None:
-        """A worker reports that it is the gateway: at its start, after an upgrade, or after a failed one."""
+        """A worker has reported that it is the gateway: at its start, or after an upgrade or a failed one."""
         if pid != self.gateway or not self.is_serving:
             after = f" after {self.gateway}" if self.gateway not in (0, pid) else ""
             self.actions.log(f"worker {pid} is the gateway{after}")
@@ -70,9 +70,9 @@
             self._stop_worker()
 
     def worker_exited(self, pid: int, code: int) -> None:
-        """A process has ended with a code, or minus the number of the signal that ended it.
+        """A process has exited. `code`: its exit code, or minus the number of the signal that killed it.
 
-        Only the gateway's end matters: others were replaced, or never became the gateway.
+        Only the exit of the gateway matters: other processes were replaced, or never became the gateway.
         """
         if pid != self.gateway or self.has_exited:
             return
@@ -83,17 +83,17 @@
             return self._exit(code)
         self.failed_starts += not self.is_serving
         if self.failed_starts > MAX_FAILED_STARTS:
-            self.actions.log(f"{MAX_FAILED_STARTS} starts in a row came to nothing")
+            self.actions.log(f"more than {MAX_FAILED_STARTS} consecutive starts failed")
             return self._exit(EXIT_FAILED)
         now = self.actions.now()
         was_stable = self.is_serving and now - self.gateway_since >= STABLE_AFTER_SECONDS
         pause = 0.0 if was_stable else self._backoff()
-        self.actions.log(f"worker {pid} ended with {code}; the next is started in {pause:g} s")
+        self.actions.log(f"worker {pid} exited with code {code}; restarting in {pause:g} s")
         self.start_at = now + pause
         return self.start_if_due()
 
     def signal_received(self, name: str) -> None:
-        """The supervisor got a signal: TERM, HUP or USR1."""
+        """The supervisor has received a signal: TERM, HUP or USR1."""
         if name == "TERM":
             self.is_stopping = True
             if not self.gateway:
@@ -104,16 +104,16 @@
         return None
 
     def start_if_due(self) -> None:
-        """Start a worker if it is time to."""
+        """Start a worker if its start is due."""
         if self.actions.now() >= self.start_at and not self.has_exited:
             self._start_worker()
 
     def seconds_until_start(self) -> float:
-        """Return the seconds until `start_if_due` has something to do; infinite if it has not."""
+        """Return the seconds until the next start is due; infinite if none is planned."""
         return max(0.0, self.start_at - self.actions.now())
 
     def _backoff(self) -> float:
-        """Return the seconds before the next start after failed ones."""
+        """Return the seconds to wait before the next start, by the number of failed starts."""
         return min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**self.failed_starts)
 
     def _start_worker(self) -> None:
--- a/lilacloft/handover/wire_names.py
+++ b/lilacloft/handover/wire_names.py
@@ -1,8 +1,8 @@
-"""Names of the messages' fields on the wire, where they are not those of the attributes.
+"""Names of message fields on the wire, where they differ from the names of the attributes.
 
-One table for each message of `lilacloft.handover.messages`, from attribute to name on the wire. A gateway of
-another version must read what this one writes, and the reverse: the names here never change. Those of the
-decisions' records are pinned in `lilacloft.routing.snapshot`.
+There is one table for each message of `lilacloft.handover.messages`, from attribute to wire name. Gateways of
+other versions must be able to read what this one writes, and the reverse, so the wire names never change.
+Those of the router's state are defined in `lilacloft.routing.snapshot`.
 """
 
 from __future__ import annotations
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -255,10 +255,10 @@
     thread.start()
     world.told("upgrade: starting")
     done, why = world.upgrade()
-    assert not done and "another upgrade is starting" in why
+    assert not done and "another upgrade is in progress (phase: starting)" in why
     world.process.terminate()
     thread.join(10)
-    assert first[0][0] is False and "told to stop" in first[0][1]
+    assert first[0][0] is False and "received SIGTERM" in first[0][1]
     sock.sendall(booked_answer(items[1]))
     assert asker.answer() == [tag, b"200", b"", b"booked"]
     assert world.process.wait(10) == 0
@@ -281,9 +281,12 @@
     [
         ("/nowhere/lilacloft serve", "cannot be run"),
         ("'half a word", "No closing quotation"),
-        (f"{sys.executable} -c pass", "ended with code 0"),
-        (f"{sys.executable} -m lilacloft serve --config /nowhere", "ended with code 2"),
-        (f"{sys.executable} -c 'import time; time.sleep(60)'", "more than 3 s|nothing came in time"),
+        (f"{sys.executable} -c pass", "exited with code 0"),
+        (f"{sys.executable} -m lilacloft serve --config /nowhere", "exited with code 2"),
+        (
+            f"{sys.executable} -c 'import time; time.sleep(60)'",
+            "time limit of 3 s exceeded|no message arrived in time",
+        ),
     ],
 )
 def test_a_command_that_does_not_serve_is_reported_and_the_sender_resumes(world, to, told):
@@ -298,7 +301,7 @@
 def test_an_upgrade_without_capacity_is_refused_before_anything_starts(world):
     world = world(serves(), memory_mb=40)
     done, why = world.upgrade()
-    assert not done and "no room" in why and len(world.pids) == 1
+    assert not done and "insufficient resources" in why and len(world.pids) == 1
 
 
 @pytest.mark.parametrize(
@@ -322,7 +325,7 @@
         sock.settimeout(5)
         with contextlib.suppress(ConnectionResetError):  # what was not read makes it one
             assert sock.recv(100) == b""
-    world.told("is let go")
+    world.told("handover: closing the connection of process")
     asker = world.asker()
     asker.ask()
     assert asker.answer()[1] == b"200"
@@ -349,7 +352,11 @@
     listener.slots = threading.BoundedSemaphore(1)
     listener.slots.acquire()
     listener._serve(control)
-    assert control.closed and control.sent[0].is_final and "may not ask" in control.sent[0].reason
+    assert (
+        control.closed
+        and control.sent[0].is_final
+        and "not allowed to request an upgrade" in control.sent[0].reason
+    )
 
 
 def test_connections_above_the_limit_are_closed(world):
--- a/tests/test_handover_phases.py
+++ b/tests/test_handover_phases.py
@@ -76,7 +76,7 @@
         "drain",
         "exit",
     ]
-    machine.lost("its channel has ended")
+    machine.receiver_failed("its channel has ended")
     machine.stop_requested()
     assert machine.phase == Phase.DONE and actions.calls[-1] == ("exit",)
 
@@ -97,7 +97,7 @@
     elif failure == "stop":
         machine.stop_requested()
     else:
-        machine.lost("the new process ended with code 1")
+        machine.receiver_failed("the new process exited with code 1")
     calls = actions.calls[len(before) :]
     if failure == "stop" and phase in (Phase.COMMITTED, Phase.DRAINING):
         assert machine.phase == phase and not calls
@@ -120,7 +120,7 @@
         step(machine)
     assert machine.phase == Phase.COMMITTED
     actions.answered = True
-    machine.lost("nothing came in time")
+    machine.receiver_failed("nothing came in time")
     assert ("resume", True) in actions.calls and machine.phase == Phase.IDLE
 
 
@@ -142,14 +142,16 @@
 
 def test_an_upgrade_is_refused_if_one_runs_or_resources_lack_or_the_mode_is_unknown_or_the_gateway_stops():
     machine, actions = started_sender()
-    assert "another upgrade is starting" in machine.upgrade_requested("whole", OWN, ALLOWED)
-    machine.lost("over")
+    assert "another upgrade is in progress (phase: starting)" in machine.upgrade_requested(
+        "whole", OWN, ALLOWED
+    )
+    machine.receiver_failed("over")
     before = list(actions.calls)
-    assert "no room" in machine.upgrade_requested("whole", ResourceUsage(95.0, 10), ALLOWED)
-    assert "no room" in machine.upgrade_requested("whole", ResourceUsage(9.0, 500), ALLOWED)
+    assert "insufficient resources" in machine.upgrade_requested("whole", ResourceUsage(95.0, 10), ALLOWED)
+    assert "insufficient resources" in machine.upgrade_requested("whole", ResourceUsage(9.0, 500), ALLOWED)
     assert "unknown mode" in machine.upgrade_requested("fast", OWN, ALLOWED)
     machine.stop_requested()
-    assert "about to end" in machine.upgrade_requested("whole", OWN, ALLOWED)
+    assert "shutting down" in machine.upgrade_requested("whole", OWN, ALLOWED)
     assert actions.calls == before and machine.phase == Phase.IDLE
 
 
@@ -298,7 +300,7 @@
                 "taken": self.sender.commit_acknowledged,
             }[message]()
         elif not self.receiver_lives:
-            self.sender.lost("ended")
+            self.sender.receiver_failed("ended")
         elif self.sender.phase == Phase.READY:
             self.sender.begin_transfer()
 
@@ -333,7 +335,7 @@
         pair.receiver_lives,
         receiver.has_state,
         receiver.is_gateway,
-        receiver.is_over,
+        receiver.is_aborted,
         pair.resumed_with,
     )
     if place in seen:
@@ -365,7 +367,7 @@
 def test_a_receiver_does_not_serve_while_a_silent_sender_lives():
     receiver = ReceiverStateMachine()
     receiver.state_restored()
-    assert not receiver.channel_broken(sender_lives=True) and receiver.is_over
+    assert not receiver.channel_broken(sender_lives=True) and receiver.is_aborted
     receiver = ReceiverStateMachine()
     assert not receiver.channel_broken(
         sender_lives=False
