--- a/lilacloft/handover/quiesce.py
+++ b/lilacloft/handover/quiesce.py
@@ -47,9 +47,7 @@
         self.is_accepting_paused = False  # are accepting connections and discovery paused?
         self.request_count_at_listing = 0  # request count when the object parts were listed
         self.transferred: list[Connection] = []  # remain quiesced unless the receiver fails
-        self.requested_parts: list[
-            PartKey
-        ] = []  # those of open requests: may change after they were exported
+        self.requested_parts: list[PartKey] = []  # of open requests: may change after the export
 
     # --- while the gateway serves ---
 
--- a/lilacloft/handover/sender.py
+++ b/lilacloft/handover/sender.py
@@ -368,10 +368,8 @@
         record = messages.StoreRecord(ticket, kind, key, value)
         try:
             self.receiver.send(MessageKind.STORE_RECORD, record, timeout=STORE_RECORD_TIMEOUT)
-        except (
-            ChannelError,
-            FormatError,
-        ) as error:  # an attempt that waits for the record is rejected at its deadline
+        except (ChannelError, FormatError) as error:
+            # an attempt that waits for the record is rejected at its deadline
             logger.warning("upgrade: a store record could not be sent to the new process: {}", error)
 
     def reject_open_requests(self) -> None:
--- a/lilacloft/handover/supervisor.py
+++ b/lilacloft/handover/supervisor.py
@@ -131,9 +131,8 @@
         except OSError as error:
             logger.error("supervisor: {}", error)
             return 0
-        self.workers.append(
-            worker
-        )  # the subprocess module waits for the children of unreferenced Popen objects
+        # kept: the subprocess module waits for the children of unreferenced Popen objects
+        self.workers.append(worker)
         return worker.pid
 
     def send_signal(self, pid: int, name: str) -> None:
