--- a/lilacloft/store/background_records.py
+++ b/lilacloft/store/background_records.py
@@ -1,4 +1,4 @@
-"""Writes once a second what a gateway stores without any event: slow-start work and learned state."""
+"""Periodically writes the records that no event triggers: slow-start work and learned state."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from lilacloft.store.record_types import RecordKind, retention_limits
 
 INTERVAL: Ticks = TICKS_PER_SECOND
-LEARNED_STATE_EVERY = 5  # intervals; with thousands of backends an export takes milliseconds
-CLEANUP_EVERY = 60  # intervals
+LEARNED_STATE_INTERVALS = 5  # an export takes milliseconds with thousands of backends
+CLEANUP_INTERVALS = 60
 
 
 class BackgroundRecords:
-    """The periodic records of one gateway, in the thread of its event loop."""
+    """The periodic records of one gateway. Runs in the thread of its event loop."""
 
     def __init__(
         self,
@@ -33,12 +33,12 @@
         self.intervals = 0
 
     def write(self) -> None:
-        """Write what is due, and set a timer for the next time."""
+        """Write the records that are due and schedule the next call."""
         self._write_work()
         self.intervals += 1
-        if self.intervals % LEARNED_STATE_EVERY == 0:
+        if self.intervals % LEARNED_STATE_INTERVALS == 0:
             self._write_learned_state()
-        if self.intervals % CLEANUP_EVERY == 0:
+        if self.intervals % CLEANUP_INTERVALS == 0:
             limits = retention_limits(self.purge_lifetime, self.gateway.max_client_timeout, 0)
             self.gate.remove_expired(limits[RecordKind.INTENT].max_age)
         self.gateway.call_at(self.gateway.time + INTERVAL, self.write)
@@ -51,7 +51,7 @@
         router = self.gateway.router
         for backend in router.pools.backends:
             slow_start = router.slow_start.profile(backend).duration
-            self.gate.work_sent(backend.name, backend.started, backend.recent_work, slow_start)
+            self.gate.write_work(backend.name, backend.started, backend.recent_work, slow_start)
 
     def _write_learned_state(self) -> None:
         exported = snapshot.export_state(self.gateway.router, (), ())
--- a/lilacloft/store/crash_recovery.py
+++ b/lilacloft/store/crash_recovery.py
@@ -1,4 +1,4 @@
-"""Restores the decisions of a gateway from its store at a start, before any request has come."""
+"""Restores the routing state of a gateway from its store at a start, before any request arrives."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def recover_endpoint_rows(recovered: RecoveredState) -> EndpointRows:
-    """Return the rows of the endpoint list that were stored."""
+    """Return the stored rows of the endpoint list."""
     endpoint_rows = EndpointRows()
     stored = {key: unpack_row(data) for key, data in recovered.rows.items()}
     endpoint_rows.restore(stored, recovered.rows_complete_from)
@@ -20,7 +20,7 @@
 
 
 def restore_decisions(gateway: Any, endpoint_rows: EndpointRows, recovered: RecoveredState) -> None:
-    """Apply what was recovered to a gateway whose decisions only know its configuration."""
+    """Apply the recovered state to a gateway whose routing state is that of its configuration."""
     _restore_endpoints(gateway, endpoint_rows, recovered)
     _restore_learned_state(gateway, recovered)
     _restore_purges(gateway, recovered)
--- a/lilacloft/store/directory.py
+++ b/lilacloft/store/directory.py
@@ -1,7 +1,7 @@
-"""What the log needs of a directory, and how the files in it are named.
+"""The file operations that the log needs, and the names of its files.
 
-`log-N` is a segment of the log. `snap-N` is a snapshot of all that was stored when the segment `log-N`
-began. `snap-N.part` is a snapshot that is still being written.
+`log-N` is a segment of the log. `snap-N` is a snapshot of all records stored when the segment `log-N` began.
+`snap-N.part` is a snapshot that is still being written.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 
 
 class Directory(Protocol):
-    """A directory of files. After an OSError of any method nothing is known about its effect."""
+    """A directory of files. If a method raises OSError, its effect is unknown."""
 
     def names(self) -> list[str]:
         """Return the names of all files."""
 
     def read(self, name: str) -> bytes:
-        """Return all bytes of a file."""
+        """Return the contents of a file."""
 
     def create(self, name: str) -> None:
-        """Create an empty file, or truncate one."""
+        """Create an empty file, or truncate an existing one."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Write to the end of a file."""
+        """Append to a file."""
 
     def sync(self, name: str) -> None:
-        """Return once all that was written to a file is durable."""
+        """Return once all data written to a file is durable."""
 
     def sync_directory(self) -> None:
-        """Return once all files created, renamed and removed are durably so."""
+        """Return once all creations, renames and removals of files are durable."""
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file, replacing any file with the new name."""
@@ -44,7 +44,7 @@
 
 
 class NumberedFile(NamedTuple):
-    """What the name of a segment or a snapshot says."""
+    """The name of a segment or snapshot, parsed."""
 
     name: str
     kind: str  # SEGMENT or SNAPSHOT
@@ -63,7 +63,7 @@
 
 
 def numbered_files(names: list[str]) -> list[NumberedFile]:
-    """Return the segments and snapshots among some files, in the order of the names."""
+    """Return the segments and snapshots among the given file names, in the same order."""
     matches = [match for name in names if (match := FILE_NAME.match(name))]
     return [
         NumberedFile(match.string, match[1], int(match[2]), match.end() < len(match.string))
--- a/lilacloft/store/durability.py
+++ b/lilacloft/store/durability.py
@@ -1,12 +1,13 @@
-"""Decides when a dispatch may go out, given what must be durable before it, and what is stored about it.
+"""Decides when a dispatch may be sent and which records are stored about it.
 
-The gate stands between the routing decisions and the connections. A dispatch that is not safe to repeat waits
-until its write-ahead intent is durable; it is rejected if the disk does not answer in time, as it was surely
-not executed. Requests that an earlier process may have sent are recognized by their keys. There is no I/O
-here: a `DurabilityHost` queues the records and reports when they are durable. Times are `Ticks` of Unix time.
+The gate sits between the routing decisions and the connections. A dispatch that is not safe to repeat waits
+until its write-ahead intent is durable. If the disk does not confirm the intent in time, the dispatch is
+rejected: it is certain not to have been executed. Requests that an earlier process may have sent are
+recognized by their keys. This module does no I/O: a `DurabilityHost` queues the records and reports when they
+are durable. Times are `Ticks` of Unix time.
 
-A key identifies requests with one effect. It is the client's idempotency key, or else the request's name, as
-a request that crosses the end of a connection is sent again under its name.
+A key identifies requests that have the same effect. It is the client's idempotency key, or else the request's
+name: a client whose connection ends before the answer arrives sends the request again under the same name.
 """
 
 from __future__ import annotations
@@ -23,60 +24,60 @@
 from lilacloft.store.record_types import EventNumbers, Intent, PurgeTarget, RecordKind, Work
 from lilacloft.store.recovered_state import WORK_INTERVAL, RecoveredState
 
-# How long a dispatch waits for the disk. After that an attempt elsewhere serves the client better.
+# Time limit for making an intent durable. After that the client is better served by a retry elsewhere.
 DEFAULT_DURABILITY_TIMEOUT: Ticks = TICKS_PER_SECOND // 20
 
-# Counters, by the names under which they are handed over.
+# Counters, by their names in the state that is handed over to the next process.
 INTENTS_WRITTEN = "kept"
 DISPATCHES_DELAYED = "held"
-DISPATCHES_REJECTED = "refused"  # as the disk did not answer in time
-KEYS_BARRED = "barred"  # as an earlier process may have sent them
+DISPATCHES_REJECTED = "refused"  # the intent was not durable in time
+UNSAFE_REPEATS = "barred"  # an earlier process may have had the request executed
 
 
 class DurabilityHost(Protocol):
-    """How a gate acts. All calls return at once."""
+    """The operations that a gate needs from its environment. No call blocks."""
 
     def now(self) -> Ticks:
-        """Return the time."""
+        """Return the current time."""
 
     def write_record(self, kind: int, key: bytes, value: bytes | None) -> int:
-        """Queue a record (None: a removal); returns its ticket. Tickets rise.
+        """Queue a record (value None: a removal) and return its ticket. Tickets are in ascending order.
 
-        Once records are durable, the host calls `DurabilityGate.records_durable`.
+        The host calls `DurabilityGate.records_durable` when records have become durable.
         """
 
     def release(self, token: str) -> None:
-        """Send a dispatch that was pending."""
+        """Send a pending dispatch."""
 
     def reject(self, token: str) -> None:
-        """Drop a dispatch that was pending; it was not executed."""
+        """Drop a pending dispatch, which was not executed."""
 
 
 @dataclass
 class KeyUse:
-    """All dispatches of this process under one key that are pending or in flight.
+    """The dispatches of this process under one key that are pending or in flight.
 
-    There may be several at a time, as attempts of one request can overlap.
+    There can be several at a time, since attempts of one request can overlap.
     """
 
-    earlier: Intent | None  # what was stored under the key before the first of them
-    dispatches: int = 0  # how many are pending or in flight
-    may_have_executed: bool = False  # whether any has gone out and may have been executed
+    earlier: Intent | None  # the intent stored under the key before the first of these dispatches
+    dispatches: int = 0  # number of dispatches pending or in flight
+    may_have_executed: bool = False  # whether any of them was sent and may have been executed
     intent_durable: bool = False
 
 
 @dataclass
 class PendingDispatch:
-    """A dispatch that waits for its intent."""
+    """A dispatch that waits until its intent is durable."""
 
     token: str
     key: bytes
     ticket: int
-    expires_at: Ticks  # rejected from then on: the disk is too slow, the client gone or the window over
+    expires_at: Ticks  # rejected from then on: disk too slow, client gone or idempotency window over
 
 
 class DurabilityGate:
-    """The gate of one gateway, which passes it each dispatch under a token of its own."""
+    """The durability gate of one gateway. Each dispatch has a unique token."""
 
     def __init__(
         self,
@@ -86,14 +87,14 @@
     ) -> None:
         self.host, self.durability_timeout = host, durability_timeout
         self.intents: dict[bytes, Intent] = dict(recovered.intents) if recovered else {}
-        self.earlier_keys = set(self.intents)  # keys that an earlier process has used
+        self.earlier_keys = set(self.intents)  # keys with an intent of an earlier process
         self.key_uses: dict[bytes, KeyUse] = {}
         self.in_flight: dict[str, bytes] = {}  # keys by token
         self.pending: dict[str, PendingDispatch] = {}
-        self.pending_order: deque[PendingDispatch] = deque()  # by ticket; some are not pending any more
-        self.work_written_at: dict[str, Ticks] = {}  # when each backend's work was last written
+        self.pending_order: deque[PendingDispatch] = deque()  # by ticket; some are no longer pending
+        self.work_written_at: dict[str, Ticks] = {}  # time of the last work record of each backend
         self.counts = dict.fromkeys(
-            (INTENTS_WRITTEN, DISPATCHES_DELAYED, DISPATCHES_REJECTED, KEYS_BARRED), 0
+            (INTENTS_WRITTEN, DISPATCHES_DELAYED, DISPATCHES_REJECTED, UNSAFE_REPEATS), 0
         )
 
     # --- dispatches ---
@@ -104,37 +105,39 @@
         key: bytes,
         policy: IdempotencyPolicy,
         cell: int,
-        latest: Ticks | None = None,
+        deadline: Ticks | None = None,
     ) -> Verdict:
         """Decide on a dispatch to a backend in `cell`.
 
-        After WAIT the host is called with `release`, or with `reject` at `latest` at the latest: early enough
-        for the client to get an answer that says that nothing was executed. An earlier process may have had
-        the request executed: then it is rejected if all attempts under its key count as one anywhere, so that
-        a retry is harmless, and fails otherwise.
+        After WAIT the gate calls `release` or `reject` of the host; `reject` no later than `deadline`, early
+        enough to tell the client that nothing was executed. If an earlier process may have had the request
+        executed and it cannot be repeated here, the verdict is REJECT if all backends recognize its key, as
+        a retry elsewhere is harmless then, and FAIL otherwise.
         """
         if not needs_durable_intent(policy.idempotency):
             return Verdict.SEND
         now, stored = self.host.now(), self.intents.get(key)
         if key in self.earlier_keys and not may_send_again(policy, stored, now, cell):
-            return self._bar(policy)
+            return self._verdict_on_unsafe_repeat(policy)
         use = self.key_uses.setdefault(key, KeyUse(stored))
         use.dispatches += 1
         if use.intent_durable and stored is not None:
             self.in_flight[token], use.may_have_executed = key, True
             return Verdict.SEND
         ticket = self._write_intent(key, policy, cell, now)
-        self._add_pending(PendingDispatch(token, key, ticket, self._expiry(key, policy, now, latest)))
+        self._add_pending(PendingDispatch(token, key, ticket, self._expiry(key, policy, now, deadline)))
         return Verdict.WAIT
 
-    def _bar(self, policy: IdempotencyPolicy) -> Verdict:
-        self.counts[KEYS_BARRED] += 1
-        harmless = policy.idempotency == Idempotency.KEYED and policy.scope == IdempotencyScope.ALL
-        return Verdict.REJECT if harmless else Verdict.FAIL
+    def _verdict_on_unsafe_repeat(self, policy: IdempotencyPolicy) -> Verdict:
+        self.counts[UNSAFE_REPEATS] += 1
+        retry_is_harmless = policy.idempotency == Idempotency.KEYED and policy.scope == IdempotencyScope.ALL
+        return Verdict.REJECT if retry_is_harmless else Verdict.FAIL
 
     def _write_intent(self, key: bytes, policy: IdempotencyPolicy, cell: int, now: Ticks) -> int:
-        """Queue the intent of a dispatch; returns its ticket. The first dispatch under a key counts for the
-        window and the scope."""
+        """Queue the intent of a dispatch and return its ticket.
+
+        The idempotency window and scope refer to the first dispatch under the key, so its time and cell stay.
+        """
         stored, sent_at = self.intents.get(key), now
         if stored is not None and not stored.not_executed:
             sent_at, cell = stored.sent_at, stored.cell
@@ -142,10 +145,10 @@
         self.counts[INTENTS_WRITTEN] += 1
         return self.host.write_record(RecordKind.INTENT, key, self.intents[key].pack())
 
-    def _expiry(self, key: bytes, policy: IdempotencyPolicy, now: Ticks, latest: Ticks | None) -> Ticks:
+    def _expiry(self, key: bytes, policy: IdempotencyPolicy, now: Ticks, deadline: Ticks | None) -> Ticks:
         expires_at = now + self.durability_timeout
-        if latest is not None:
-            expires_at = min(expires_at, latest)
+        if deadline is not None:
+            expires_at = min(expires_at, deadline)
         if key in self.earlier_keys and policy.idempotency == Idempotency.KEYED:
             expires_at = min(expires_at, self.intents[key].sent_at + policy.window)
         return expires_at
@@ -156,7 +159,7 @@
         self.counts[DISPATCHES_DELAYED] += 1
 
     def records_durable(self, ticket: int) -> None:
-        """Release the dispatches whose intents are durable, as all records up to a ticket are."""
+        """Release the dispatches whose intents are durable, given that all records up to `ticket` are."""
         while self.pending_order and self.pending_order[0].ticket <= ticket:
             pending = self.pending_order.popleft()
             if self.pending.get(pending.token) is not pending:
@@ -171,15 +174,15 @@
             self.host.release(pending.token)
 
     def withdraw(self, token: str) -> None:
-        """Drop a pending dispatch for which nobody waits any more."""
+        """Drop a pending dispatch whose client no longer waits for it."""
         pending = self.pending.pop(token, None)
         if pending:
             self._end_use(pending.key)
 
     def withdraw_all(self) -> list[str]:
-        """Drop all pending dispatches, so that nothing waits for the disk; returns their tokens.
+        """Drop all pending dispatches and return their tokens, so that nothing waits for the disk.
 
-        They were not executed, and may be dispatched again, by this process or the next.
+        They were not executed and may be dispatched again, by this process or the next one.
         """
         tokens = list(self.pending)
         for token in tokens:
@@ -187,10 +190,10 @@
         return tokens
 
     def dispatch_ended(self, token: str, executed: bool) -> None:
-        """Take in the end of a dispatch. `executed` unless it was surely not.
+        """Record the end of a dispatch. `executed` is false only if it is certain not to have been executed.
 
-        The intent of a dispatch that may have been executed stays. If no dispatch under a key was, the key
-        counts as unused.
+        The intent of a dispatch that may have been executed stays stored. If no dispatch under a key may have
+        been executed, the key counts as unused.
         """
         key = self.in_flight.pop(token, None)
         if key is None:
@@ -199,13 +202,13 @@
         if executed:
             use.earlier, use.may_have_executed = self.intents[key], True
         elif key not in self.in_flight.values():
-            use.may_have_executed = False  # what was executed before is in `earlier`
+            use.may_have_executed = False  # an earlier execution is recorded in `earlier`
         self._end_use(key)
 
     def expire_pending(self) -> None:
-        """Reject the dispatches that have waited too long for the disk.
+        """Reject the pending dispatches that have expired.
 
-        Their records may still become durable later. The records that undo them follow in the log.
+        Their intents may still become durable later; the records that revert them follow in the log.
         """
         now = self.host.now()
         for pending in list(self.pending.values()):
@@ -213,7 +216,7 @@
                 self._reject(pending)
 
     def next_expiry(self) -> Ticks | None:
-        """Return how long it takes until `expire_pending` has something to do; None if nothing is pending."""
+        """Return the time until the next pending dispatch expires; None if none is pending."""
         expires_at = min((pending.expires_at for pending in self.pending.values()), default=None)
         return None if expires_at is None else max(0, expires_at - self.host.now())
 
@@ -224,7 +227,10 @@
         self.host.reject(pending.token)
 
     def _end_use(self, key: bytes) -> None:
-        """End one dispatch under a key. After the last one only what may have been executed stays stored."""
+        """End one dispatch under a key.
+
+        After the last one, the stored intent is reverted unless a dispatch may have been executed.
+        """
         use = self.key_uses[key]
         use.dispatches -= 1
         if use.dispatches:
@@ -242,10 +248,10 @@
     # --- handover between processes ---
 
     def dispatches_lost(self, lost: Iterable[tuple[str, bytes]]) -> None:
-        """Take in that another process died with these dispatches (token and key).
+        """Record that another process died with these dispatches (token and key) in flight.
 
         They may have been executed, and their clients send them again under the same keys. They count as
-        dispatches of an earlier process, also if their end was reported meanwhile.
+        dispatches of an earlier process, even if their end was reported in the meantime.
         """
         for token, key in lost:
             self.dispatch_ended(token, True)
@@ -253,7 +259,7 @@
                 self.earlier_keys.add(key)
 
     def adopt(self, token: str, key: bytes, idempotency: Idempotency, sent_at: Ticks, cell: int) -> None:
-        """Take over a dispatch in flight from an earlier process that had no store."""
+        """Take over a dispatch in flight from an earlier process that had no store, and store its intent."""
         if not needs_durable_intent(idempotency):
             return
         stored = self.intents.get(key)
@@ -266,10 +272,10 @@
             self.counts[INTENTS_WRITTEN] += 1
 
     def merge_intents(self, stored: Mapping[bytes, Intent]) -> None:
-        """Take in all stored intents after another process has written some and ended.
+        """Merge all stored intents after another process has written some and ended.
 
-        What that process sent may have been executed. Dispatches under the same keys that are pending here
-        were admitted without that knowledge: they are rejected, and may be tried again.
+        The dispatches of that process may have been executed. Pending dispatches of this process under the
+        same keys were admitted without that knowledge: they are rejected, and may be retried.
         """
         for key, intent in stored.items():
             if self.intents.get(key) == intent and key in self.earlier_keys:
@@ -278,7 +284,7 @@
             if use is None:
                 self.intents[key] = intent
                 self.earlier_keys.add(key)
-            elif not use.intent_durable and intent != use.earlier:  # it is not ours, though it may be equal
+            elif not use.intent_durable and intent != use.earlier:  # not ours, even if it is equal to ours
                 use.earlier = intent
                 self.earlier_keys.add(key)
                 for pending in [pending for pending in self.pending.values() if pending.key == key]:
@@ -288,7 +294,7 @@
             self.earlier_keys.discard(key)
 
     def write_relayed(self, kind: int, key: bytes, value: bytes | None) -> int:
-        """Write a record for the earlier process, which still ends its own requests; returns the ticket.
+        """Write a record for the previous process, which still completes its own requests; return the ticket.
 
         Its requests count as sent by an earlier process.
         """
@@ -300,24 +306,24 @@
                 self.earlier_keys.add(key)
         return self.host.write_record(kind, key, value)
 
-    # --- records that may lag ---
+    # --- records on which no dispatch waits ---
 
     def object_purged(self, target: PurgeTarget, purged_at: Ticks) -> None:
-        """Write a purge."""
+        """Write a PURGE record."""
         value = record_types.pack_time(purged_at)
         self.host.write_record(RecordKind.PURGE, record_types.pack_purge_key(target), value)
 
     def events_applied(self, numbers: EventNumbers) -> None:
-        """Write how far the change log was applied; after the records of its last event."""
+        """Write how far the change log has been applied, after the records of its last event."""
         self.host.write_record(RecordKind.LAST_EVENT, b"", record_types.pack_event_numbers(numbers))
 
-    def work_sent(self, backend: str, started: Ticks, work: list[Work], slow_start: Ticks) -> None:
-        """Write the recent work of a backend, every WORK_INTERVAL at most and only during its slow start.
+    def write_work(self, backend: str, started_at: Ticks, work: list[Work], slow_start: Ticks) -> None:
+        """Write the recent work of a backend, at most once per WORK_INTERVAL and only during its slow start.
 
-        `started` is when the backend started (0: not lately), `slow_start` how long its slow start lasts.
+        `started_at` is when the backend started (0: not recently), `slow_start` the length of its slow start.
         """
         now = self.host.now()
-        if not started or now - started >= slow_start:
+        if not started_at or now - started_at >= slow_start:
             return
         if now - self.work_written_at.get(backend, 0) < WORK_INTERVAL:
             return
@@ -325,7 +331,7 @@
         self.host.write_record(RecordKind.SLOW_START, backend.encode(), record_types.pack_work(work))
 
     def remove_expired(self, max_age: Ticks) -> int:
-        """Remove intents that no rule can refer to any more; returns how many. Those in use stay."""
+        """Remove intents older than `max_age` that are not in use; return how many."""
         now, removed = self.host.now(), 0
         for key, intent in list(self.intents.items()):
             if key not in self.key_uses and now - min(intent.sent_at, now) > max_age:
--- a/lilacloft/store/durability_snapshot.py
+++ b/lilacloft/store/durability_snapshot.py
@@ -1,8 +1,8 @@
-"""Export and restore of a durability gate, for the handover to the next process, as plain values.
+"""Export and restore of a durability gate as plain values, for the handover to the next process.
 
-Only what is not in the store goes over: the dispatches in flight. Their ends decide what stays stored, and
-all attempts under a key belong together, also those that an earlier process began. Nothing is pending at a
-handover.
+Only state that is not in the store is exported: the dispatches in flight. Their outcomes decide which intents
+stay stored, and all attempts under a key are tracked together, including those that an earlier process began.
+No dispatch is pending at a handover.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from lilacloft.store.durability import DurabilityGate, KeyUse
 from lilacloft.store.record_types import unpack_intent
 
-# Keys of the exported map, in their order: attributes of a gate and of a `KeyUse`, and their stored names.
+# Attributes of a gate and of a `KeyUse`, and their keys in the exported maps, in the exported order.
 GATE_KEYS = {"key_uses": "chains", "in_flight": "out", "work_written_at": "budgets", "counts": "counts"}
 KEY_USE_KEYS = {
     "key": "key",
@@ -26,7 +26,7 @@
 
 
 def export(gate: DurabilityGate) -> dict[str, Any]:
-    """Return the state of a gate, by the names in GATE_KEYS."""
+    """Return the state of a gate, with the keys of GATE_KEYS."""
     values = {
         "key_uses": [_export_use(key, use, key in gate.earlier_keys) for key, use in gate.key_uses.items()],
         "in_flight": [[token, key] for token, key in gate.in_flight.items()],
@@ -49,8 +49,8 @@
 
 
 def restore(gate: DurabilityGate, exported: Mapping[str, Any]) -> None:
-    """Go on with what the process before has exported. All other intents in the store count as those of an
-    earlier process."""
+    """Restore the state that the previous process exported. All other intents in the store count as those of
+    an earlier process."""
     values = {attribute: exported[stored] for attribute, stored in GATE_KEYS.items()}
     for use in values["key_uses"]:
         _restore_use(gate, {attribute: use[stored] for attribute, stored in KEY_USE_KEYS.items()})
--- a/lilacloft/store/errors.py
+++ b/lilacloft/store/errors.py
@@ -1,4 +1,4 @@
-"""Errors of a store. Their texts are shown to operators."""
+"""Errors of a store. Their messages are shown to operators."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class FormatError(StoreError):
-    """Bytes are not in the format of a store's files."""
+    """Data is not in the format of a store's files."""
 
 
 class UnsupportedVersionError(FormatError):
-    """A file has a version of the format that this code does not read."""
+    """A file has a format version that this code cannot read."""
 
 
 class StoreLockedError(StoreError):
--- a/lilacloft/store/files.py
+++ b/lilacloft/store/files.py
@@ -1,4 +1,4 @@
-"""The directory of a store on a real disk, and the lock that excludes a second writer."""
+"""The directory of a store in the file system, and the lock that excludes a second writer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from lilacloft.store.errors import StoreLockedError, StoreNotFoundError
 
-LOCK_FILE = "lock"  # holds the process id of the writer
+LOCK_FILE = "lock"  # contains the process id of the writer
 MAX_PID_BYTES = 32
 FILE_MODE = 0o600
 
@@ -17,16 +17,16 @@
 class StoreDirectory:
     """The `Directory` of a store in the file system. Files that are written to stay open.
 
-    The lock is tied to a descriptor, which the handover passes to the next process: it lasts as long as
-    either process has it open, so that no third process comes between them.
+    The lock is tied to a descriptor, which a handover passes to the next process. It is held as long as
+    either process has the descriptor open, so that no third process can take the lock in between.
     """
 
     def __init__(self, path: str, lock: bool = True, inherited_lock_fd: int = -1) -> None:
-        """Open a directory: with the lock; without it (`lock` false), to read only; or with the lock that
-        another process has passed on as a descriptor.
+        """Open a directory for writing, with the lock, or read-only, without it (`lock` false).
 
-        Raises StoreLockedError if another process has the lock, StoreNotFoundError if a directory that is
-        only read does not exist, OSError if it cannot be created.
+        `inherited_lock_fd` is the descriptor of a lock that another process has passed on (-1: none).
+        Raises StoreLockedError if another process holds the lock, StoreNotFoundError if a directory to be
+        read does not exist, OSError if it cannot be created.
         """
         self.path = Path(path)
         self.open_files: dict[str, int] = {}
@@ -51,7 +51,7 @@
         self.write_pid()
 
     def write_pid(self) -> None:
-        """Name this process in the lock file as the writer."""
+        """Write the id of this process to the lock file."""
         os.ftruncate(self.lock_fd, 0)
         os.pwrite(self.lock_fd, b"%d\n" % os.getpid(), 0)
 
@@ -60,27 +60,27 @@
         return sorted(name for name in os.listdir(self.path) if name.startswith(("log-", "snap-")))
 
     def read(self, name: str) -> bytes:
-        """Return all bytes of a file."""
+        """Return the contents of a file."""
         return (self.path / name).read_bytes()
 
     def create(self, name: str) -> None:
-        """Create an empty file, or truncate one."""
+        """Create an empty file, or truncate an existing one."""
         self._close_file(name)
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
         self.open_files[name] = os.open(self.path / name, flags, FILE_MODE)
 
     def append(self, name: str, data: bytes) -> None:
-        """Write to the end of a file."""
+        """Append to a file."""
         unwritten = memoryview(data)
         while unwritten:
             unwritten = unwritten[os.write(self.open_files[name], unwritten) :]
 
     def sync(self, name: str) -> None:
-        """Return once all that was written to a file is durable."""
+        """Return once all data written to a file is durable."""
         os.fdatasync(self.open_files[name])
 
     def sync_directory(self) -> None:
-        """Return once all files created, renamed and removed are durably so."""
+        """Return once all creations, renames and removals of files are durable."""
         directory = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(directory)
@@ -98,7 +98,7 @@
         os.unlink(self.path / name)
 
     def close(self) -> None:
-        """Close all files, and the lock last."""
+        """Close all files, then release the lock."""
         for name in list(self.open_files):
             self._close_file(name)
         if self.lock_fd >= 0:
--- a/lilacloft/store/framing.py
+++ b/lilacloft/store/framing.py
@@ -1,13 +1,15 @@
-"""The binary format of a store's files, without any I/O or state.
-
-A file begins with a header: magic, version, number, CRC32C. Frames follow. A frame is the CRC32C of the rest
-of the frame, the length of its body, the sequence number of its first record, the count of its records, and
-the records. One sync makes one frame durable. As all its records share a checksum, a frame is whole or
-absent after a crash. A frame is written only after the one before it was synced. So an invalid frame that is
-followed by a valid one is damage, and an invalid one at the end of the last file is an interrupted write.
-
-A record is its kind (1 byte), flags (1 byte; 1: a removal), key length (2 bytes), value length (4 bytes),
-timestamp (8 bytes, Unix time in tenths of a millisecond), key and value. Version 1 had no timestamp.
+"""The binary format of a store's files. This module does no I/O and holds no state.
+
+A file begins with a header (magic, version, number, CRC32C), followed by frames. A frame consists of the
+CRC32C of the rest of the frame, the length of its body, the sequence number of its first record, its record
+count and the records. Each sync makes one frame durable. All records of a frame share a checksum, so a frame
+is either complete or absent after a crash. A frame is written only after the previous one was synced.
+Therefore an invalid frame that is followed by a valid one is damage, whereas an invalid one at the end of the
+last file is an interrupted write.
+
+A record consists of its kind (1 byte), flags (1 byte; 1: a removal), key length (2 bytes), value length
+(4 bytes), timestamp (8 bytes, Unix time in tenths of a millisecond), key and value. Records of version 1 have
+no timestamp.
 """
 
 from __future__ import annotations
@@ -36,7 +38,7 @@
 
 
 class Record(NamedTuple):
-    """A value stored under a kind and a key, or its removal. A tuple, as a recovery creates millions."""
+    """A value stored under a kind and a key, or its removal. A tuple, since a recovery creates millions."""
 
     kind: int
     key: bytes
@@ -54,17 +56,17 @@
 
 @dataclass(frozen=True)
 class Frame:
-    """The records that one sync made durable, and the bytes of the file that hold them."""
+    """The records that one sync made durable, and their position in the file."""
 
     start_offset: int
     end_offset: int
-    first_sequence: int  # sequence number of its first record
+    first_sequence: int  # sequence number of the first record
     records: list[Record]
 
 
 @dataclass(frozen=True)
 class UnreadableRange:
-    """Bytes of a file that are no valid frame."""
+    """A range of a file that contains no valid frame."""
 
     start_offset: int
     end_offset: int
@@ -77,9 +79,9 @@
 
 
 def parse_file_header(data: bytes) -> FileHeader:
-    """Read the header at the start of a file.
+    """Decode the header at the start of a file.
 
-    Raises FormatError if it is none, UnsupportedVersionError for a version that is not read here.
+    Raises FormatError if it is invalid, UnsupportedVersionError if its version is not supported.
     """
     if len(data) < FILE_HEADER.size:
         raise FormatError(f"a head of {len(data)} bytes instead of {FILE_HEADER.size}")
@@ -89,27 +91,27 @@
     if checksum != crc32c(data[: FILE_HEADER.size - CHECKSUM.size]):
         raise FormatError("a head whose checksum does not fit")
     if not OLDEST_READABLE_VERSION <= version <= FORMAT_VERSION:
-        readable = f"{OLDEST_READABLE_VERSION} to {FORMAT_VERSION}"
-        raise UnsupportedVersionError(f"version {version}; {readable} are read here")
+        supported = f"{OLDEST_READABLE_VERSION} to {FORMAT_VERSION}"
+        raise UnsupportedVersionError(f"version {version}; {supported} are read here")
     return FileHeader(version, number)
 
 
 def pack_records(records: Iterable[Record], version: int = FORMAT_VERSION) -> bytes:
     """Return the body of a frame."""
-    out = []
+    chunks = []
     for record in records:
         value = record.value or b""
         fields = (record.kind, record.value is None, len(record.key), len(value))
         if version > 1:
-            out.append(RECORD_HEADER.pack(*fields, record.timestamp))
+            chunks.append(RECORD_HEADER.pack(*fields, record.timestamp))
         else:
-            out.append(RECORD_HEADER_V1.pack(*fields))
-        out += (record.key, value)
-    return b"".join(out)
+            chunks.append(RECORD_HEADER_V1.pack(*fields))
+        chunks += (record.key, value)
+    return b"".join(chunks)
 
 
 def unpack_records(data: bytes, version: int) -> list[Record]:
-    """Read the body of a frame. Raises FormatError or struct.error if a record exceeds it."""
+    """Decode the body of a frame. Raises FormatError or struct.error if a record extends beyond it."""
     header = RECORD_HEADER if version > 1 else RECORD_HEADER_V1
     header_size, unpack_header, records = header.size, header.unpack_from, []
     offset = timestamp = 0
@@ -129,7 +131,7 @@
 
 
 def pack_frame(first_sequence: int, records: list[Record], version: int = FORMAT_VERSION) -> bytes:
-    """Return one frame. Raises FormatError if it would be too long."""
+    """Return a frame. Raises FormatError if its body exceeds MAX_FRAME_BYTES."""
     body = pack_records(records, version)
     if len(body) > MAX_FRAME_BYTES:
         raise FormatError(f"{len(body)} bytes in one frame, {MAX_FRAME_BYTES} at most")
@@ -139,7 +141,7 @@
 
 
 def parse_frame(data: bytes, offset: int, version: int) -> Frame | None:
-    """Return the frame at an offset, or None if there is no valid one."""
+    """Return the frame at an offset, or None if there is no valid frame."""
     body_start = offset + FRAME_HEADER.size
     if body_start > len(data):
         return None
@@ -159,9 +161,9 @@
 
 
 def iter_frames(data: bytes, version: int, offset: int = 0) -> Iterator[Frame | UnreadableRange]:
-    """Yield all frames of a file from an offset on (0: after its header), and what lies between them.
+    """Yield all frames of a file from an offset on (0: after its header) and the unreadable ranges between.
 
-    After damage every byte is tried as the start of a frame, since no length there can be trusted.
+    After damage every byte is tried as the start of a frame, since the lengths there cannot be trusted.
     """
     offset = offset or FILE_HEADER.size
     while offset < len(data):
--- a/lilacloft/store/gateway_store.py
+++ b/lilacloft/store/gateway_store.py
@@ -1,8 +1,8 @@
-"""Connects a gateway's event loop, the durability gate and the disk.
+"""Connects a gateway's event loop, its durability gate and the disk.
 
-All but the commits runs in the thread of the event loop, which never waits for the disk, except at a
-handover. What an earlier process may have sent is noted on the request, so that the routing decisions apply
-the rules on repeated execution to it.
+All code except the commits runs in the thread of the event loop, which waits for the disk only at a handover.
+If an earlier process may have sent a request, this is recorded in the request, so that routing applies the
+rules on repeated execution to it.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 
 CLOSE_TIMEOUT = 1.0  # seconds
 NOT_EXECUTED = (Outcome.QUEUE_FULL, Outcome.CONNECT_FAILED, Outcome.UNSENT, Outcome.MISS)
-EARLIER_PROCESS = "earlier"  # name of the backend that stands for the unknown one of an earlier process
+EARLIER_PROCESS = "earlier"  # name of the placeholder for the unknown backend that an earlier process used
 
-# Sends a record to the process that writes the store: ticket, kind, key, value.
+# Sends a record (ticket, kind, key, value) to the process that writes the store.
 Relay: TypeAlias = Callable[[int, int, bytes, bytes | None], None]
 
 
 class StoreReader:
-    """Reads a store while another process writes it, so that little is left to read when it hands over."""
+    """Reads a store while another process writes it, so that little remains to be read at the handover."""
 
     def __init__(self, path: str) -> None:
         self.store = Store(StoreDirectory(path, lock=False))
@@ -47,22 +47,22 @@
 
 @dataclass
 class InheritedStore:
-    """What the process before has handed over."""
+    """The store state that the previous process has handed over."""
 
-    reader: StoreReader | None  # None: there was nothing to read yet
-    state: Mapping[str, Any]  # of its durability gate (durability_snapshot.py)
-    lock_fd: int  # descriptor with the store's lock
+    reader: StoreReader | None  # None: there was no store to read yet
+    state: Mapping[str, Any]  # exported by its durability gate (durability_snapshot.py)
+    lock_fd: int  # descriptor that holds the store's lock
 
 
 class PendingAttempt(NamedTuple):
-    """An attempt that waits for its intent."""
+    """An attempt that waits until its intent is durable."""
 
-    sent: Attempt
+    attempt: Attempt
     deadline: Ticks
 
 
 class GatewayStore:
-    """The store of one gateway; the `DurabilityHost` of its gate."""
+    """The store of one gateway. Implements `DurabilityHost` for its gate."""
 
     def __init__(
         self,
@@ -71,8 +71,9 @@
         durability_timeout: Ticks = DEFAULT_DURABILITY_TIMEOUT,
         inherited: InheritedStore | None = None,
     ) -> None:
-        """Open a gateway's store: after an end of any kind, or go on with an inherited one.
+        """Open a gateway's store, or continue with an inherited one.
 
+        Without `inherited` the state is recovered, however the last process ended.
         Raises StoreError or OSError.
         """
         self.gateway, self.path = gateway, os.path.realpath(path)
@@ -88,10 +89,10 @@
         self.endpoint_rows = recover_endpoint_rows(recovered)
         self.pending: dict[str, PendingAttempt] = {}  # by token
         self.tokens: dict[Attempt, str] = {}
-        self.withdrawn: list[Attempt] = []  # were pending when the gateway was quiesced
-        self.transferred: list[tuple[str, bytes]] = []  # tokens and keys of dispatches that were handed over
-        self.relayed_tickets: dict[int, int] = {}  # tickets of the process before, by ours
-        self.report_relayed: Callable[[int], None] | None = None  # tells it which of them are durable
+        self.withdrawn: list[Attempt] = []  # attempts that were pending when the gateway was quiesced
+        self.transferred: list[tuple[str, bytes]] = []  # tokens and keys of the dispatches handed over
+        self.relayed_tickets: dict[int, int] = {}  # tickets of the previous process, by our tickets
+        self.report_relayed: Callable[[int], None] | None = None  # called with its last durable ticket
         self.relay: Relay | None = None  # set while another process writes the store
         self.last_relay_ticket = 0
         if inherited is None:
@@ -119,26 +120,26 @@
     def _recover_state(self) -> RecoveredState:
         return recover_state(self.store.all_records(), self.gateway.time, self.purge_lifetime)
 
-    def _log_recovery(self, recovered: RecoveredState, how: str, seconds: float) -> None:
+    def _log_recovery(self, recovered: RecoveredState, action: str, seconds: float) -> None:
         report = self.store.report
         for line in (*report.damage, *report.torn, *recovered.unreadable):
             logger.warning("store: {}", line)
         logger.info(
             "store: {} records {} in {:.0f} ms: {} purges, {} intents",
             self.store.record_count(),
-            how,
+            action,
             1000 * seconds,
             len(recovered.purges),
             len(recovered.intents),
         )
 
     def start(self) -> None:
-        """Begin to write: the event loop runs, and this process is the gateway."""
+        """Begin to write. Called once the event loop runs and this process is the active gateway."""
         self.committer.run_before_writing(self.directory.write_pid)
         self.background.write()
 
     def close(self) -> None:
-        """Commit what is queued and release the lock."""
+        """Commit all queued records and release the lock."""
         if self.relay is None:
             self.committer.close(CLOSE_TIMEOUT)
         self.directory.close()
@@ -146,18 +147,20 @@
     # --- handover between processes ---
 
     def quiesce(self, timeout: float) -> str:
-        """Stop dispatching and writing until `resume`, or for good.
+        """Stop dispatching and writing until `resume`, or permanently.
 
-        Waits for the disk for `timeout` seconds at most. Returns an empty text, or why it failed.
+        Waits at most `timeout` seconds for the disk. Returns an empty string, or the reason for a failure.
         """
-        self.withdrawn = [self.pending.pop(token).sent for token in self.gate.withdraw_all()]
-        for sent in self.withdrawn:
-            self.tokens.pop(sent, None)
+        self.withdrawn = [self.pending.pop(token).attempt for token in self.gate.withdraw_all()]
+        for attempt in self.withdrawn:
+            self.tokens.pop(attempt, None)
         return "" if self.committer.flush(timeout) else "the store's disk does not answer"
 
     def export_state(self, calls: Mapping[str, Any]) -> dict[str, Any]:
-        """Return what the next process goes on with (durability_snapshot.py), for the requests that are
-        handed over to it, by name."""
+        """Return the state for the next process (durability_snapshot.py).
+
+        It covers the requests that are handed over; `calls` has them by name.
+        """
         exported = durability_snapshot.export(self.gate)
         keys = durability_snapshot.GATE_KEYS
         in_flight = [pair for pair in exported[keys["in_flight"]] if pair[0].split()[0] in calls]
@@ -168,19 +171,19 @@
         return {**exported, keys["in_flight"]: in_flight, keys["key_uses"]: key_uses}
 
     def delegate_writes(self, relay: Relay) -> None:
-        """Let the next process write the store. Records of the requests that stay here are relayed to it."""
+        """Let the next process write the store. Records of the requests that remain are relayed to it."""
         self.relay = relay
         withdrawn, self.withdrawn = self.withdrawn, []
-        for sent in withdrawn:
-            if sent.call.client in self.gateway.front.clients:
-                self.gateway.report_end(sent, CloseReason.UNWRITTEN)
+        for attempt in withdrawn:
+            if attempt.call.client in self.gateway.front.clients:
+                self.gateway.report_end(attempt, CloseReason.UNWRITTEN)
 
     def resume(self, other_may_have_written: bool) -> None:
-        """Go on as the gateway after a handover that failed."""
+        """Continue as the active gateway after a failed handover."""
         self.relay = None
         withdrawn, self.withdrawn = self.withdrawn, []
-        for sent in withdrawn:
-            self.gateway.report_end(sent, CloseReason.UNWRITTEN)
+        for attempt in withdrawn:
+            self.gateway.report_end(attempt, CloseReason.UNWRITTEN)
         transferred, self.transferred = self.transferred, []
         if other_may_have_written:
             self.gate.dispatches_lost(transferred)
@@ -190,42 +193,42 @@
                 self.background.write()
 
     def _catch_up(self) -> None:
-        """Read what the other process has written; in the writer thread, which owns the store."""
+        """Read what the other process has written. Runs in the writer thread, which owns the store."""
         self.store.catch_up()
         self.gateway.post(self.gate.merge_intents, self._recover_state().intents)
 
     def adopt_attempts(self, attempts: Iterable[Attempt]) -> None:
         """Take over the attempts in flight on connections that were handed over.
 
-        If the process before had no store, they are stored from now on. A handed-over dispatch without an
-        attempt has lost its connection on the way, and may have been executed.
+        If the previous process had no store, their intents are stored now. A dispatch that was handed over
+        without an attempt has lost its connection during the handover and may have been executed.
         """
-        for sent in attempts:
-            token, call = self._token(sent), sent.call
+        for attempt in attempts:
+            token, call = self._token(attempt), attempt.call
             if token not in self.gate.in_flight:
                 idempotency = Idempotency(self.gateway.vhosts[call.vhost]["effect"])
                 sent_at = call.request.sent_at
-                self.gate.adopt(token, self._key(call), idempotency, sent_at, sent.backend.cell)
+                self.gate.adopt(token, self._key(call), idempotency, sent_at, attempt.backend.cell)
             if token in self.gate.in_flight:
-                self.tokens[sent] = token
+                self.tokens[attempt] = token
         for token in set(self.gate.in_flight) - set(self.tokens.values()):
             self.gate.dispatch_ended(token, True)
 
     def write_relayed(
         self, ticket: int, kind: int, key: bytes, value: bytes | None, report: Callable[[int], None]
     ) -> None:
-        """Write a record for the process before; `report` gets its last ticket that is durable."""
+        """Write a record for the previous process; `report` is called with its last durable ticket."""
         self.report_relayed = report
         self.relayed_tickets[self.gate.write_relayed(kind, key, value)] = ticket
 
     def relayed_records_durable(self, ticket: int) -> None:
-        """Take in that the next process has made all records up to a relayed one durable."""
+        """Handle the report of the next process that all relayed records up to `ticket` are durable."""
         if self.relay is not None:
             self.gate.records_durable(ticket)
 
     def _records_durable(self, ticket: int) -> None:
-        durable = [ours for ours in sorted(self.relayed_tickets) if ours <= ticket]
-        relayed = [self.relayed_tickets.pop(ours) for ours in durable]
+        durable = [own_ticket for own_ticket in sorted(self.relayed_tickets) if own_ticket <= ticket]
+        relayed = [self.relayed_tickets.pop(own_ticket) for own_ticket in durable]
         if relayed and self.report_relayed:
             self.report_relayed(max(relayed))
         if self.relay is None:
@@ -234,57 +237,59 @@
     # --- hooks of the event loop ---
 
     def note_earlier_execution(self, call: Any, request: Request) -> None:
-        """Note on a request that an earlier process may have had it executed, or another attempt of it."""
+        """Record in a request that an earlier process may have had it, or another attempt of it, executed."""
         key = self._key(call)
         intent = self.gate.intents.get(key)
         if intent and key in self.gate.earlier_keys and not intent.not_executed:
             request.first_executed_at = intent.sent_at
             request.first_executed_by = Backend(EARLIER_PROCESS, zone=-1, cell=intent.cell)
 
-    def dispatch(self, sent: Attempt, deadline: Ticks) -> CloseReason | None:
-        """Send an attempt, or delay it until its intent is durable; returns how it ended if it did at once.
+    def dispatch(self, attempt: Attempt, deadline: Ticks) -> CloseReason | None:
+        """Send an attempt, or delay it until its intent is durable; return the outcome if it ended at once.
 
-        `deadline` is when it times out. A pending attempt is dropped early enough for its answer to go out.
+        `deadline` is when it times out. A pending attempt is dropped early enough for the client to be
+        answered before then.
         """
-        token = self._token(sent)
+        token = self._token(attempt)
         verdict = self.gate.admit(
             token,
-            self._key(sent.call),
-            self._policy(sent.call.vhost),
-            sent.backend.cell,
+            self._key(attempt.call),
+            self._policy(attempt.call.vhost),
+            attempt.backend.cell,
             deadline - 2 * self.gateway.granularity,
         )
         if verdict == Verdict.SEND:
-            self.tokens[sent] = token
-            return self.gateway.back.dispatch(sent)
+            self.tokens[attempt] = token
+            return self.gateway.back.dispatch(attempt)
         if verdict == Verdict.WAIT:
-            self.tokens[sent] = token
-            self.pending[token] = PendingAttempt(sent, deadline)
+            self.tokens[attempt] = token
+            self.pending[token] = PendingAttempt(attempt, deadline)
             self.gateway.call_at(self.gateway.time + (self.gate.next_expiry() or 0), self.gate.expire_pending)
             return None
-        self.note_earlier_execution(sent.call, sent.call.request)  # may be known only since its arrival
+        # an earlier execution may have become known after the request arrived
+        self.note_earlier_execution(attempt.call, attempt.call.request)
         return CloseReason.UNWRITTEN
 
-    def withdraw(self, sent: Attempt) -> bool:
-        """Drop an attempt if it is pending; returns whether it was."""
-        token = self.tokens.get(sent, "")
+    def withdraw(self, attempt: Attempt) -> bool:
+        """Drop an attempt if it is pending; return whether it was."""
+        token = self.tokens.get(attempt, "")
         if self.pending.pop(token, None) is None:
             return False
         self.gate.withdraw(token)
         return True
 
-    def attempt_ended(self, sent: Attempt, end: CloseReason) -> None:
-        """Take in the end of an attempt."""
-        token = self.tokens.pop(sent, None)
+    def attempt_ended(self, attempt: Attempt, end: CloseReason) -> None:
+        """Handle the end of an attempt."""
+        token = self.tokens.pop(attempt, None)
         if token is not None and self.pending.pop(token, None) is None:
             self.gate.dispatch_ended(token, OUTCOMES[end] not in NOT_EXECUTED)
 
     def object_purged(self, key: str, group: int, purged_at: Ticks) -> None:
-        """Take in the purge of an object, or of a group if the key is empty."""
+        """Handle the purge of an object, or of a purge group if the key is empty."""
         self.gate.object_purged(key or group, purged_at)
 
     def event_received(self, event: Any, number: int) -> None:
-        """Take in an event of the change log (net/feed.py), after it was applied."""
+        """Handle an event of the change log after it was applied."""
         mode, payload = event
         if mode != "purge":
             for key, stored in self.endpoint_rows.apply(mode, payload, number).items():
@@ -292,8 +297,8 @@
         self.gate.events_applied(EventNumbers(number, self.endpoint_rows.complete_from))
 
     @staticmethod
-    def _token(sent: Attempt) -> str:
-        return f"{sent.call.name} {sent.seq}"
+    def _token(attempt: Attempt) -> str:
+        return f"{attempt.call.name} {attempt.seq}"
 
     @staticmethod
     def _key(call: Any) -> bytes:
@@ -310,37 +315,37 @@
     # --- DurabilityHost ---
 
     def now(self) -> Ticks:
-        """Return the time."""
+        """Return the current time."""
         return self.gateway.time
 
     def write_record(self, kind: int, key: bytes, value: bytes | None) -> int:
-        """Queue a record here, or relay it to the process that writes the store; returns its ticket."""
+        """Queue a record, or relay it to the process that writes the store; return its ticket."""
         if self.relay is None:
             return self.committer.submit(kind, key, value, self.gateway.time)
-        # tickets rise beyond those of our own commits, which are all durable
+        # higher than the tickets of our own commits, which are all durable
         self.last_relay_ticket = max(self.last_relay_ticket, self.committer.last_ticket) + 1
         if kind == RecordKind.INTENT:  # the other process has newer records of all other kinds
             self.relay(self.last_relay_ticket, kind, key, value)
         return self.last_relay_ticket
 
     def release(self, token: str) -> None:
-        """Send a pending attempt, unless it is obsolete by now."""
-        sent, deadline = self.pending.pop(token)
-        request = sent.call.request
-        obsolete = sent.call.attempt is not sent or request.finished or self.gateway.time >= deadline
-        if obsolete or sent.expired():
-            return self.gateway.report_end(sent, CloseReason.UNWRITTEN)
-        sent.at = self.gateway.time  # the wait for the disk does not count as the backend's
-        # the event loop drops the timers of attempts without a connection: this one's may be gone
-        self.gateway.call_at(deadline, self.gateway.attempt_timed_out, sent)
-        end = self.gateway.back.dispatch(sent)
+        """Send a pending attempt, unless it has become obsolete."""
+        attempt, deadline = self.pending.pop(token)
+        request = attempt.call.request
+        obsolete = attempt.call.attempt is not attempt or request.finished or self.gateway.time >= deadline
+        if obsolete or attempt.expired():
+            return self.gateway.report_end(attempt, CloseReason.UNWRITTEN)
+        attempt.at = self.gateway.time  # the wait for the disk is not counted as the backend's response time
+        # the event loop drops timers of attempts without a connection, so the timer may no longer exist
+        self.gateway.call_at(deadline, self.gateway.attempt_timed_out, attempt)
+        end = self.gateway.back.dispatch(attempt)
         if end is not None:
-            self.gateway.report_end(sent, end)
+            self.gateway.report_end(attempt, end)
         return None
 
     def reject(self, token: str) -> None:
         """Report a pending attempt as not sent."""
-        sent = self.pending.pop(token).sent
-        # an earlier execution may have become known meanwhile; without it the client would hear of none
-        self.note_earlier_execution(sent.call, sent.call.request)
-        self.gateway.report_end(sent, CloseReason.UNWRITTEN)
+        attempt = self.pending.pop(token).attempt
+        # an earlier execution may have become known; the client must not be told that there was none
+        self.note_earlier_execution(attempt.call, attempt.call.request)
+        self.gateway.report_end(attempt, CloseReason.UNWRITTEN)
--- a/lilacloft/store/group_commit.py
+++ b/lilacloft/store/group_commit.py
@@ -1,7 +1,7 @@
-"""Group commit: many writers share the syncs of one thread, and each learns when its record is durable.
+"""Group commit: many writers share the syncs of one thread, and each is told when its record is durable.
 
-A writer waits at most as long as it says, also while the disk does not answer. The thread goes on once the
-disk answers again.
+A writer never waits longer than its timeout, even while the disk is stalled. The thread retries until the
+disk responds again.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from lilacloft.store.framing import Record
 from lilacloft.store.log import Store
 
-RETENTION_INTERVAL = 60.0  # seconds between two removals of what is beyond the retention limits
-RETRY_DELAY = 0.5  # seconds before a disk that failed is tried again
+RETENTION_INTERVAL = 60.0  # seconds between two removals of records beyond the retention limits
+RETRY_DELAY = 0.5  # seconds before a failed commit is retried
 CLOSE_TIMEOUT = 5.0  # seconds
 
 
@@ -29,35 +29,35 @@
     def __init__(
         self, store: Store, group: bool = True, on_durable: Callable[[int], None] | None = None
     ) -> None:
-        """Start the thread. Without `group` each record has a sync of its own.
+        """Start the thread. If `group` is false, each record is synced separately.
 
-        `on_durable` is called in that thread after each sync, with the ticket up to which all records are
-        durable.
+        `on_durable` is called in that thread after each successful sync, with the ticket up to which all
+        records are durable.
         """
         self.store, self.group, self.on_durable = store, group, on_durable
         self.condition = threading.Condition()
         self.closing = False
         self.jobs: deque[Callable[[], None]] = deque()
         self.sync_count = 0
-        self.failure_count = 0  # since the last success
+        self.failure_count = 0  # failed commits since the last successful one
         self.next_retention_at = 0.0
-        self.commit_began_at = 0.0  # of the commit in progress, or its retry delay; 0: none is
+        self.commit_began_at = 0.0  # start of the commit or retry delay in progress; 0: none
         self.queue: list[Record] = []
         self.last_ticket = 0
         self.durable_ticket = 0
-        self.uncommitted = 0  # records that the store has and that are not durable
+        self.uncommitted = 0  # number of records in the store that are not yet durable
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
     def submit(self, kind: int, key: bytes, value: bytes | None, timestamp: Ticks) -> int:
-        """Queue a record (None: a removal) without waiting; returns its ticket."""
+        """Queue a record (value None: a removal) without waiting; return its ticket."""
         with self.condition:
             return self._enqueue(Record(kind, key, value, timestamp))
 
     def write(self, record: Record, timeout: float = 0.0) -> bool:
-        """Queue a record and wait until it is durable, for `timeout` seconds at most.
+        """Queue a record and wait at most `timeout` seconds until it is durable.
 
-        Returns False if that is not known by then.
+        Returns False if it is not known to be durable by then.
         """
         with self.condition:
             ticket = self._enqueue(record)
@@ -72,9 +72,9 @@
             return True
 
     def flush(self, timeout: float) -> bool:
-        """Wait until all queued records are durable, for `timeout` seconds at most; False if they are not.
+        """Wait at most `timeout` seconds until all queued records are durable; return whether they are.
 
-        After True nothing is written until something more is queued.
+        After True nothing is written until another record is queued.
         """
         deadline = time.monotonic() + timeout
         with self.condition:
@@ -86,19 +86,19 @@
             return True
 
     def run_before_writing(self, job: Callable[[], None]) -> None:
-        """Have the thread run a job before it writes any more; repeated while it raises OSError or
+        """Run a job in the writer thread before any further write; retried while it raises OSError or
         StoreError."""
         with self.condition:
             self.jobs.append(job)
             self.condition.notify_all()
 
     def stalled_for(self) -> float:
-        """Return for how many seconds the commit in progress has waited for the disk; 0 if there is none."""
+        """Return the duration in seconds of the commit in progress; 0 if there is none."""
         began_at = self.commit_began_at
         return time.monotonic() - began_at if began_at else 0.0
 
     def close(self, timeout: float = CLOSE_TIMEOUT) -> None:
-        """Commit what is queued, and wait for the thread for `timeout` seconds at most."""
+        """Commit all queued records and wait at most `timeout` seconds for the thread to end."""
         with self.condition:
             self.closing = True
             self.condition.notify_all()
@@ -116,7 +116,7 @@
         while self._wait_for_work():
             if not self._run_jobs():
                 continue
-            self._hand_batch_to_store()
+            self._apply_batch()
             self.commit_began_at = time.monotonic()
             try:
                 committed = self._commit()
@@ -130,15 +130,17 @@
                 self._report_durable()
 
     def _wait_for_work(self) -> bool:
-        """Wait until there is something to do; False if the thread is to end."""
+        """Wait until there is work; return False if the thread should end."""
         with self.condition:
             while not (self.queue or self.closing or self.uncommitted or self.jobs):
                 self.condition.wait()
             return bool(not self.closing or self.queue or self.uncommitted)
 
     def _run_jobs(self) -> bool:
-        """Run all jobs; False if one failed and is to be repeated first. While closing a failure does not
-        keep records from being written."""
+        """Run all jobs; return False if one failed and must be retried before any write.
+
+        While closing, records are written even if a job fails.
+        """
         while self.jobs:
             try:
                 self.jobs[0]()
@@ -149,7 +151,7 @@
             self.jobs.popleft()
         return True
 
-    def _hand_batch_to_store(self) -> None:
+    def _apply_batch(self) -> None:
         with self.condition:
             if self.group:
                 batch, self.queue = self.queue, []
@@ -163,7 +165,7 @@
             self.store.apply_retention(batch[-1].timestamp)
 
     def _commit(self) -> bool:
-        """Make what the store has durable; False if the disk failed."""
+        """Make all applied records durable; return False if the disk failed."""
         try:
             self.store.commit()
         except OSError as error:
--- a/lilacloft/store/idempotency.py
+++ b/lilacloft/store/idempotency.py
@@ -1,7 +1,7 @@
-"""Rules on what may be sent, and when, under an idempotency key.
+"""Rules on when a request may be sent, or sent again, under an idempotency key.
 
-A request that is not safe to repeat is dispatched only after a durable write-ahead intent: without it, a
-crash could lead to a second execution. A request that still waits for the intent was surely not executed.
+A request that is not safe to repeat is dispatched only once its write-ahead intent is durable; otherwise a
+crash could lead to a second execution. A request that still waits for its intent has not been executed.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 
 class Verdict(StrEnum):
-    """Whether a dispatch may go out."""
+    """Whether a dispatch may be sent."""
 
-    SEND = auto()  # now
-    WAIT = auto()  # until its intent is durable
-    REJECT = auto()  # never by this gateway; the client may try again elsewhere
-    FAIL = auto()  # never: an earlier process may have had it executed
+    SEND = auto()  # immediately
+    WAIT = auto()  # sent once its intent is durable
+    REJECT = auto()  # not sent by this gateway; the client may retry elsewhere
+    FAIL = auto()  # not sent and not to be retried: an earlier process may have had it executed
 
 
 class IdempotencyPolicy(NamedTuple):
-    """What a virtual host says of repeated requests."""
+    """The rules of a virtual host for repeated requests."""
 
     idempotency: Idempotency
-    window: Ticks  # in which a key is recognized
+    window: Ticks  # for how long a key is recognized
     scope: IdempotencyScope  # the backends that recognize it
 
 
@@ -39,8 +39,8 @@
 def may_send_again(policy: IdempotencyPolicy, earlier: Intent | None, now: Ticks, cell: int) -> bool:
     """Return whether a request may go to a backend in `cell`, given the intent of an earlier process.
 
-    A request without an idempotency key never may; one with a key within its window and scope. If the intent
-    is in the future, the clock was set back and its age is unknown.
+    A request without an idempotency key is never sent again; one with a key only within its window and scope.
+    An intent in the future means that the clock was set back: its age is unknown, so it is not sent again.
     """
     if earlier is None or earlier.not_executed or policy.idempotency == Idempotency.SAFE:
         return True
@@ -51,7 +51,7 @@
 
 
 def verdict_while_pending(idempotency: Idempotency, waited: Ticks, durability_timeout: Ticks) -> Verdict:
-    """Return what becomes of a dispatch whose intent has not become durable for some time."""
+    """Return the verdict on a dispatch whose intent is not durable after it has waited for `waited`."""
     if not needs_durable_intent(idempotency):
         return Verdict.SEND
     return Verdict.WAIT if waited < durability_timeout else Verdict.REJECT
--- a/lilacloft/store/learned_state.py
+++ b/lilacloft/store/learned_state.py
@@ -1,21 +1,21 @@
-"""Which part of a gateway's learned state is stored, and how it ages.
+"""The part of a gateway's learned state that is stored, and how it ages.
 
-What the decisions export for a next process (routing/snapshot.py) is split into parts that change
-independently. After a crash the parts come back with their ages and are weighted by them, since what they
-describe has changed meanwhile. What rules count (slow-start work, purges, intents) is stored exactly, in
-records of its own. There is no I/O here; times are `Ticks` of Unix time.
+The state that routing exports for the next process (routing/snapshot.py) is split into parts that change
+independently. After a crash each part is restored with a weight by its age, since the conditions that it
+describes have changed in the meantime. Slow-start work, purges and intents must be exact, as rules depend on
+them: they have records of their own. This module does no I/O; times are `Ticks` of Unix time.
 
-How long a value holds depends on how fast it can change, not on how long it took to learn:
+How long a value stays valid depends on how fast it can change, not on how long it took to learn:
 
-| value | holds |
+| value | valid for |
 | --- | --- |
 | sizes and transfer times, a backend's saturation | a day: they are properties of objects and machines |
-| shares of late answers, limits | halved each HALF_LIFE: towards zero, limits towards their initial value |
-| an ejection | until its next canary request is due, and MAX_EJECTION at most |
+| late shares, limits | decay by half each HALF_LIFE: shares to zero, limits to their initial value |
+| an ejection | until its next canary request is due, and at most MAX_EJECTION |
 | a backend's reported load | LOAD_LIFETIME: its requests have been answered since |
-| consecutive failures, canary requests, requests in flight | not at all: their attempts are gone |
+| consecutive failures, canary requests, requests in flight | not restored: their attempts no longer exist |
 
-The keys of the maps are stored names; those of the exported state are in routing/snapshot.py.
+The keys of the maps are stored names. Those of the exported state are defined in routing/snapshot.py.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 from lilacloft.store.record_types import DAY
 
-HALF_LIFE: Ticks = 30 * TICKS_PER_SECOND  # of what was learned from late answers
-MAX_EJECTION: Ticks = 60 * TICKS_PER_SECOND  # for failures that an earlier process saw
+HALF_LIFE: Ticks = 30 * TICKS_PER_SECOND  # of values learned from late answers
+MAX_EJECTION: Ticks = 60 * TICKS_PER_SECOND  # for failures that an earlier process observed
 LOAD_LIFETIME: Ticks = 2 * TICKS_PER_SECOND
-MIN_LIMIT = 1e-6  # keeps a limit's logarithm finite
-NOISE = 0.05  # relative difference up to which two values count as the same
+MIN_LIMIT = 1e-6  # keeps the logarithm of a limit finite
+NOISE = 0.05  # relative difference up to which two values count as equal
 
-# Stored names: keys of the exported state that are taken over unchanged.
+# Keys of the exported state that are stored unchanged, under the same names.
 ROUTER_KEYS = ("value", "work", "unit")
 BACKEND_KEYS = ("started", "holds", "late", "suspect", "retry_at", "backoff", "crowd")
 
@@ -46,11 +46,11 @@
 LINK_KEY, ROUTER_KEY = b"link", b"router"
 VHOST_PREFIX, BACKEND_PREFIX = b"vhost ", b"be "
 
-Part: TypeAlias = dict[str, Any]  # plain values by their stored names
+Part: TypeAlias = dict[str, Any]  # plain values by stored name
 
 
 class AgedPart(NamedTuple):
-    """A part that was stored, and when."""
+    """A stored part and the time at which it was stored."""
 
     stored_at: Ticks
     values: Mapping[str, Any]
@@ -67,7 +67,7 @@
 
 
 def split_parts(exported: Mapping[str, Any], vhosts: Iterable[str]) -> dict[bytes, Part]:
-    """Split the exported state of the decisions into parts, by the keys of their records."""
+    """Split the exported routing state into parts, by record key."""
     parts = {
         ROUTER_KEY: {name: exported["router"][name] for name in ("late", *ROUTER_KEYS)},
         LINK_KEY: dict(exported["link"]),
@@ -82,14 +82,14 @@
 
 
 def remaining_weight(age: Ticks) -> float:
-    """Return the weight of what was learned from late answers at an age, from 0 to 1."""
+    """Return the weight, from 0 to 1, of a value learned from late answers at a given age."""
     return 0.0 if age > DAY else 0.5 ** (age / HALF_LIFE)
 
 
 def aged_limit(stored: Mapping[str, Any], initial: float, now: Ticks, age: Ticks) -> Part:
-    """Return a concurrency limit, drawn back towards its initial value as its age grows.
+    """Return a concurrency limit that decays towards its initial value with its age.
 
-    It moves by ratio, as limits are cut and raised by ratio.
+    The decay is geometric, since limits are lowered and raised by factors.
     """
     weight = remaining_weight(age)
     learned = max(float(stored["limit"]), MIN_LIMIT)
@@ -103,7 +103,7 @@
 
 
 def aged_backend(stored: Mapping[str, Any], initial_limit: float | None, now: Ticks, age: Ticks) -> Part:
-    """Return what still holds of one backend, as `snapshot.restore_state` reads it.
+    """Return the values of one backend that are still valid, as `snapshot.restore_state` reads them.
 
     `initial_limit` is None if the backend has no concurrency limit.
     """
@@ -134,10 +134,10 @@
     initial_limits: Mapping[str, float],
     initial_link_limit: float,
 ) -> dict[str, Any]:
-    """Return all stored parts, weighted by their ages, as `snapshot.restore_state` reads them.
+    """Return all stored parts, weighted by age, as `snapshot.restore_state` reads them.
 
-    `initial_limits` has the limits of all listed backends at a start, by name. A part that was stored in the
-    future tells that the clock was set back. As its age is unknown, it counts as a day old.
+    `initial_limits` has the initial limits of all listed backends, by name. A part that was stored in the
+    future means that the clock was set back: its age is unknown, and it counts as a day old.
     """
 
     def age_of(stored_at: Ticks) -> Ticks:
@@ -176,8 +176,8 @@
 
 
 class ChangeFilter:
-    """Chooses the parts to write: those that have changed by more than noise or were last written a HALF_LIFE
-    ago, and those that are gone."""
+    """Selects the parts to write: those that differ by more than NOISE from what was last written, those last
+    written a HALF_LIFE ago, and removals of those that no longer exist."""
 
     def __init__(self) -> None:
         self.written: dict[bytes, AgedPart] = {}
@@ -186,8 +186,8 @@
         """Return the records to write now, by key (None: a removal)."""
         changed: dict[bytes, Part | None] = {}
         for key, part in parts.items():
-            before = self.written.get(key)
-            if before is None or now - before.stored_at >= HALF_LIFE or differs(before.values, part):
+            previous = self.written.get(key)
+            if previous is None or now - previous.stored_at >= HALF_LIFE or differs(previous.values, part):
                 changed[key], self.written[key] = part, AgedPart(now, part)
         for key in [key for key in self.written if key not in parts]:
             changed[key] = None
@@ -195,10 +195,10 @@
         return changed
 
 
-def differs(one: Any, other: Any) -> bool:
-    """Return whether two plain values differ by more than noise, at any depth."""
-    if isinstance(one, dict) and isinstance(other, dict):
-        return one.keys() != other.keys() or any(differs(one[key], other[key]) for key in one)
-    if isinstance(one, bool) or not isinstance(one, int | float) or not isinstance(other, int | float):
-        return one != other
-    return abs(one - other) > NOISE * max(abs(one), abs(other))
+def differs(left: Any, right: Any) -> bool:
+    """Return whether two plain values, which may be nested, differ by more than NOISE."""
+    if isinstance(left, dict) and isinstance(right, dict):
+        return left.keys() != right.keys() or any(differs(left[key], right[key]) for key in left)
+    if isinstance(left, bool) or not isinstance(left, int | float) or not isinstance(right, int | float):
+        return left != right
+    return abs(left - right) > NOISE * max(abs(left), abs(right))
--- a/lilacloft/store/log.py
+++ b/lilacloft/store/log.py
@@ -1,8 +1,8 @@
 """The log of a store: which records are stored, which of them are durable, and which files hold them.
 
-It decides the order of writes, syncs, renames and removals. A record counts as durable only after a sync of
-a file whose name was synced before. After a sync that failed the end of that segment is unknown: the records
-stay pending and the next commit begins a new segment.
+This module determines the order of writes, syncs, renames and removals. A record is durable only after a sync
+of a file whose directory entry was synced before. After a failed sync the end of that segment is unknown: the
+records stay pending, and the next commit begins a new segment.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 
 class RetentionLimit(NamedTuple):
-    """How much of a kind of records is retained."""
+    """How many records of a kind are retained, and for how long."""
 
     max_records: int
     max_age: Ticks
 
 
 class Store(LogReader):
-    """A store that is open for one writer."""
+    """A store opened by its single writer."""
 
     def __init__(
         self,
@@ -45,21 +45,23 @@
         retention: Mapping[int, RetentionLimit] | None = None,
         segment_bytes: int = SEGMENT_BYTES,
     ) -> None:
-        """Recover what the files hold. `retention` has the limits of kinds that are bounded."""
+        """Recover the records in the files. `retention` has the limits by kind; other kinds are unlimited."""
         self.retention, self.segment_bytes = retention or {}, segment_bytes
         self.pending: list[Record] = []  # not yet durable
-        self.durable_before: dict[tuple[int, bytes], Record | None] = {}  # what pending records replace
+        self.replaced_records: dict[
+            tuple[int, bytes], Record | None
+        ] = {}  # the durable records that pending ones replace
         self.segment_size = 0
         self.appendable = False  # whether the newest segment may be appended to
         super().__init__(directory)
 
     def put(self, kind: int, key: bytes, value: bytes | None, timestamp: Ticks = 0) -> int:
-        """Store a value under a key, or remove the key (None).
+        """Store a value under a key, or remove the key (value None).
 
-        Returns the record's sequence number. It is durable once a `commit` returns that number or more.
+        Returns the record's sequence number. It is durable once `commit` returns that number or a higher one.
         """
         record = Record(kind, key, value, timestamp)
-        self.durable_before.setdefault((kind, key), self.records.get(kind, {}).get(key))
+        self.replaced_records.setdefault((kind, key), self.records.get(kind, {}).get(key))
         self._apply(record)
         self.pending.append(record)
         return self.next_sequence + len(self.pending) - 1
@@ -68,7 +70,7 @@
         """Make all pending records durable with one sync. Returns the last durable sequence number.
 
         Raises OSError if the disk fails. The records then stay pending, and the next commit begins a new
-        segment, as the end of this one is unknown.
+        segment, since the end of this one is unknown.
         """
         if not self.pending:
             return self.durable_sequence
@@ -84,26 +86,26 @@
         self.segment_size += len(data)
         self.tail_offset = self.segment_size
         self.pending.clear()
-        self.durable_before.clear()
+        self.replaced_records.clear()
         self.next_sequence += len(batch)
         self.durable_sequence = self.next_sequence - 1
         return self.durable_sequence
 
     def compact(self) -> None:
-        """Commit, write a snapshot of all records, and remove the older files. Raises OSError."""
+        """Commit, write a snapshot of all records and remove the older files. Raises OSError."""
         self.commit()
         self._rotate(force_snapshot=True)
 
     def apply_retention(self, now: Ticks) -> int:
-        """Remove records beyond the limits of their kind; returns how many. Not yet durable.
+        """Remove records beyond the limits of their kind; return how many. The removals are not yet durable.
 
-        A timestamp in the future counts as now, as the clock may have been set back.
+        A timestamp in the future counts as now, since the clock may have been set back.
         """
         removed = 0
         for kind, (max_records, max_age) in self.retention.items():
-            of_kind = list(self.records.get(kind, {}).items())
-            surplus = len(of_kind) - max_records
-            for index, (key, record) in enumerate(of_kind):
+            oldest_first = list(self.records.get(kind, {}).items())
+            surplus = len(oldest_first) - max_records
+            for index, (key, record) in enumerate(oldest_first):
                 if index < surplus or now - min(record.timestamp, now) > max_age:
                     self.put(kind, key, None, now)
                     removed += 1
@@ -112,17 +114,17 @@
     # --- following another writer ---
 
     def catch_up(self) -> None:
-        """Apply what another process has committed since this one last read or wrote.
+        """Apply the records that another process has committed since this one last read or wrote.
 
-        From here on this process may be the writer, if the other one has paused or ended. The files count
-        over what was known here. Pending records stay pending and come after what the files hold.
+        Afterwards this process may be the writer, if the other one has paused or ended. The files take
+        precedence over the records in memory. Pending records stay pending and follow those in the files.
         """
         pending, self.pending = self.pending, []
-        for (kind, key), record in self.durable_before.items():
+        for (kind, key), record in self.replaced_records.items():
             self.records.setdefault(kind, {}).pop(key, None)
             if record is not None:
                 self.records[kind][key] = record
-        self.durable_before.clear()
+        self.replaced_records.clear()
         self.appendable = False
         if not self._read_new_frames():
             self.records, self.next_sequence, self.report = {}, 1, RecoveryReport()
@@ -133,11 +135,11 @@
             self.put(*record)
 
     def _read_new_frames(self) -> bool:
-        """Apply only what was appended since; False if a whole recovery is needed instead."""
+        """Apply only newly appended frames; return False if a full recovery is needed instead."""
         files = numbered_files(self.directory.names())
         segments, snapshots = numbers_of(files, SEGMENT), numbers_of(files, SNAPSHOT)
         if any(number > self.snapshot_number for number in snapshots):
-            return False  # removals may have been dropped with the older segments
+            return False  # the removed older segments may have contained removals
         if self.segment_number not in segments:
             return self.segment_number == 0 and not segments
         damage_before = len(self.report.damage)
@@ -151,8 +153,10 @@
     # --- files ---
 
     def _rotate(self, force_snapshot: bool = False) -> None:
-        """Begin the next segment, with a snapshot if the last one was full. Pending records are not in the
-        snapshot: they go to the segment."""
+        """Begin the next segment, with a snapshot if the last one was full.
+
+        Pending records are not included in the snapshot: they are written to the new segment.
+        """
         with_snapshot = force_snapshot or (self.appendable and self.segment_size >= self.segment_bytes)
         number = self._next_segment_number()
         name = segment_name(number)
@@ -160,7 +164,7 @@
         header = framing.pack_file_header(number)
         self.directory.append(name, header)
         self.directory.sync(name)
-        self.directory.sync_directory()  # before any record in it counts as durable
+        self.directory.sync_directory()  # must precede any record in the segment
         self.segment_number, self.segment_size, self.appendable = number, len(header), True
         self.tail_offset = self.segment_size
         if with_snapshot:
@@ -173,8 +177,10 @@
         return max([self.segment_number, *numbers]) + 1
 
     def _write_snapshot(self, number: int) -> None:
-        """Write all durable records. The snapshot counts once its final name is durable; until then the older
-        files do."""
+        """Write a snapshot of all durable records.
+
+        It takes effect once its final name is durable; until then the older files remain valid.
+        """
         partial = snapshot_name(number) + PARTIAL_SUFFIX
         self.directory.create(partial)
         self.directory.append(partial, framing.pack_file_header(number))
@@ -188,7 +194,7 @@
                 batch, size = [], 0
         if batch:
             self._append_frame(partial, batch)
-        # the last record says that nothing is missing before it
+        # marks the snapshot as complete
         self._append_frame(partial, [Record(SNAPSHOT_END, b"end", b"", self.next_sequence)])
         self.directory.sync(partial)
         self.directory.rename(partial, snapshot_name(number))
@@ -204,9 +210,9 @@
         self.directory.sync_directory()
 
     def _durable_records(self) -> Iterator[Record]:
-        """Yield all records as of the last commit."""
+        """Yield all records in their state as of the last commit."""
         for kind in sorted(self.records):
             for key, record in self.records[kind].items():
-                if (kind, key) not in self.durable_before:
+                if (kind, key) not in self.replaced_records:
                     yield record
-        yield from (record for record in self.durable_before.values() if record)
+        yield from (record for record in self.replaced_records.values() if record)
--- a/lilacloft/store/record_types.py
+++ b/lilacloft/store/record_types.py
@@ -1,19 +1,19 @@
 """The kinds of records that a gateway stores, their keys and the encoding of their values.
 
-Only an INTENT must be durable before something else happens: the dispatch that it announces. All other
-records may lag.
+Only an INTENT must be durable before an action: the dispatch that it announces. All other records are written
+asynchronously.
 
-- PURGE: key: the object's key, or `#` and the purge group's number; value: when it was purged. The change log
-  sends again what is missing, from LAST_EVENT on.
+- PURGE: key: the object's key, or `#` and the purge group's number; value: the time of the purge. The change
+  log sends missing purges again, from LAST_EVENT on.
 - INTENT: key: the idempotency key, or else the request's name; value: an `Intent`.
-- SLOW_START: key: the backend's name; value: the transfer time sent to it lately. What is missing counts as
-  fully used.
-- LAST_EVENT: no key; value: the number of the last event of the change log, and the number from which on
-  rows are complete. It follows the purges and rows of the event, and the log keeps their order.
-- ROW: key: the backend's name, or the mark of a whole list; value: number and row (endpoint_rows.py).
-- LEARNED: key: the part; value: its values (learned_state.py).
-
-Times are `Ticks` of Unix time. There is no I/O here.
+- SLOW_START: key: the backend's name; value: the work recently sent to it, as transfer time. Work that is not
+  recorded is assumed to be the maximum.
+- LAST_EVENT: no key; value: the number of the last event of the change log, and the number of the event from
+  which on rows are complete. It is written after the purges and rows of the event; the log preserves order.
+- ROW: key: the backend's name, or FULL_LIST_KEY; value: event number and row (endpoint_rows.py).
+- LEARNED: key: the part's name; value: its values (learned_state.py).
+
+Times are `Ticks` of Unix time. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 from lilacloft.store.log import RetentionLimit
 
 PurgeTarget: TypeAlias = str | int  # an object's key, or the number of a purge group
-Work: TypeAlias = tuple[Ticks, float]  # when it was sent, and its transfer time in ticks
+Work: TypeAlias = tuple[Ticks, float]  # time of the dispatch, and its transfer time in ticks
 
 
 class RecordKind(IntEnum):
-    """Kinds of records, by the numbers in the files."""
+    """Kinds of records. The values are stored."""
 
     PURGE = 1
     INTENT = 2
@@ -46,7 +46,7 @@
     LEARNED = 6
 
 
-KIND_NAMES: dict[int, str] = {  # in the output of commands
+KIND_NAMES: dict[int, str] = {  # as printed by commands
     RecordKind.PURGE: "purge",
     RecordKind.INTENT: "intent",
     RecordKind.SLOW_START: "cold",
@@ -54,7 +54,7 @@
     RecordKind.ROW: "row",
     RecordKind.LEARNED: "learned",
 }
-STORED_IDEMPOTENCY = (Idempotency.SAFE, Idempotency.KEYED, Idempotency.NONE)  # stored as the index
+STORED_IDEMPOTENCY = (Idempotency.SAFE, Idempotency.KEYED, Idempotency.NONE)  # stored by index
 
 TIME = struct.Struct(">Q")
 INTENT_VALUE = struct.Struct(">QBBH")  # sent at, idempotency, not executed, cell
@@ -76,7 +76,7 @@
 def retention_limits(
     purge_lifetime: Ticks, longest_timeout: Ticks, longest_window: Ticks
 ) -> dict[int, RetentionLimit]:
-    """Return the limits by kind. Nothing is retained for longer than a rule can refer to it."""
+    """Return the limits by kind. Each maximum age is the longest time for which a rule needs the records."""
     max_ages = {
         RecordKind.PURGE: purge_lifetime,
         RecordKind.INTENT: max(DAY, 2 * longest_timeout, 2 * longest_window),
@@ -89,11 +89,11 @@
 
 @dataclass(frozen=True)
 class Intent:
-    """A write-ahead intent: a request is about to be dispatched, or may have been."""
+    """A write-ahead intent: a request is about to be dispatched, or may have been dispatched."""
 
-    sent_at: Ticks  # first dispatch under its key
+    sent_at: Ticks  # of the first dispatch under the key
     idempotency: Idempotency
-    not_executed: bool  # its dispatch ended without being executed; as if there were no intent
+    not_executed: bool  # the dispatch ended without being executed; equivalent to no intent
     cell: int  # of the backend
 
     def pack(self) -> bytes:
@@ -103,7 +103,7 @@
 
 
 def unpack_intent(data: bytes) -> Intent:
-    """Read a stored intent. Raises ValueError if the bytes are none."""
+    """Decode a stored intent. Raises ValueError if the data is invalid."""
     if len(data) != INTENT_VALUE.size:
         raise ValueError(f"an intent of {len(data)} bytes")
     sent_at, code, not_executed, cell = INTENT_VALUE.unpack(data)
@@ -115,8 +115,8 @@
 class EventNumbers(NamedTuple):
     """How far the change log has been applied."""
 
-    last: int  # number of the last event
-    rows_complete_from: int  # number from which on all rows are stored
+    last: int  # number of the last event that was applied
+    rows_complete_from: int  # number of the event from which on all rows are stored
 
 
 def pack_event_numbers(numbers: EventNumbers) -> bytes:
@@ -125,9 +125,9 @@
 
 
 def unpack_event_numbers(data: bytes) -> EventNumbers:
-    """Read the value of a LAST_EVENT record. Raises struct.error.
+    """Decode the value of a LAST_EVENT record. Raises struct.error.
 
-    Values that were written before rows were stored hold one number, which then counts for both.
+    Values of versions that did not store rows hold a single number, which is used for both fields.
     """
     if len(data) == EVENT_NUMBERS.size:
         return EventNumbers(*EVENT_NUMBERS.unpack(data))
@@ -141,7 +141,7 @@
 
 
 def unpack_time(data: bytes) -> Ticks:
-    """Read the value of a PURGE record. Raises struct.error."""
+    """Decode the value of a PURGE record. Raises struct.error."""
     return int(TIME.unpack(data)[0])
 
 
@@ -151,7 +151,7 @@
 
 
 def unpack_purge_key(key: bytes) -> PurgeTarget:
-    """Read the key of a PURGE record. Raises ValueError."""
+    """Decode the key of a PURGE record. Raises ValueError."""
     text = key.decode("ascii")
     return int(text[len(GROUP_PREFIX) :]) if text.startswith(GROUP_PREFIX) else text
 
@@ -162,12 +162,12 @@
 
 
 def unpack_work(data: bytes) -> list[Work]:
-    """Read the value of a SLOW_START record. Raises struct.error."""
+    """Decode the value of a SLOW_START record. Raises struct.error."""
     return [(sent_at, transfer_time) for sent_at, transfer_time in WORK_ENTRY.iter_unpack(data)]
 
 
 def readable_value(record: Record) -> Any:
-    """Return a record's value as plain values for `store dump`; in hex if it cannot be decoded."""
+    """Return a record's value as plain values for `store dump`, or in hexadecimal if it cannot be decoded."""
     value = record.value or b""
     try:
         if record.kind == RecordKind.PURGE:
@@ -177,8 +177,8 @@
         if record.kind == RecordKind.SLOW_START:
             return unpack_work(value)
         if record.kind == RecordKind.LAST_EVENT:
-            numbers = EVENT_NUMBERS if len(value) == EVENT_NUMBERS.size else TIME
-            return numbers.unpack(value)
+            layout = EVENT_NUMBERS if len(value) == EVENT_NUMBERS.size else TIME
+            return layout.unpack(value)
         if record.kind in (RecordKind.ROW, RecordKind.LEARNED):
             return msgspec.msgpack.decode(value)
     except (ValueError, struct.error, msgspec.MsgspecError):
--- a/lilacloft/store/recovered_state.py
+++ b/lilacloft/store/recovered_state.py
@@ -1,4 +1,4 @@
-"""What a gateway knows from its store after a crash, decoded from the records."""
+"""The state that a gateway recovers from its store after a crash, decoded from the records."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from lilacloft.store.framing import Record
 from lilacloft.store.record_types import KIND_NAMES, Intent, PurgeTarget, RecordKind, Work
 
-# Interval between two records of one backend's work. Each record has all of its recent work.
+# Minimum interval between two work records of one backend. Each record has all of its recent work.
 WORK_INTERVAL: Ticks = TICKS_PER_SECOND
 
 
 class LearnedPart(NamedTuple):
-    """A part of the learned state as it was stored."""
+    """A stored part of the learned state, still encoded."""
 
     stored_at: Ticks
     data: bytes
@@ -27,21 +27,21 @@
 class RecoveredState:
     """The decoded records of a store."""
 
-    purges: dict[PurgeTarget, Ticks] = field(default_factory=dict)  # when each was purged
-    intents: dict[bytes, Intent] = field(default_factory=dict)  # by idempotency key
+    purges: dict[PurgeTarget, Ticks] = field(default_factory=dict)  # time of each purge
+    intents: dict[bytes, Intent] = field(default_factory=dict)  # by idempotency key or request name
     slow_start_work: dict[str, list[Work]] = field(default_factory=dict)  # by the backend's name
-    last_event: int = 0  # of the change log
+    last_event: int = 0  # number of the last applied event of the change log
     rows_complete_from: int = 0  # number of the event from which on all rows are stored
-    rows: dict[bytes, bytes] = field(default_factory=dict)  # encoded (endpoint_rows.py)
+    rows: dict[bytes, bytes] = field(default_factory=dict)  # encoded (endpoint_rows.py), by record key
     learned: dict[bytes, LearnedPart] = field(default_factory=dict)
-    unreadable: list[str] = field(default_factory=list)  # records that could not be decoded, for operators
+    unreadable: list[str] = field(default_factory=list)  # descriptions of records that could not be decoded
 
 
 def recover_state(records: Iterable[Record], now: Ticks, purge_lifetime: Ticks) -> RecoveredState:
-    """Decode all records of a store; those that cannot be decoded are reported and skipped.
+    """Decode all records of a store. Records that cannot be decoded are reported and skipped.
 
-    A purge's time in the future, after the clock was set back, counts as now: so purges hold longer rather
-    than shorter.
+    A purge whose time is in the future, because the clock was set back, counts as of now: it may then stay in
+    force for too long, but never for too short a time.
     """
     state = RecoveredState()
     for record in records:
@@ -81,23 +81,24 @@
 ) -> dict[str, list[Work]]:
     """Return the recent work of backends in slow start after a crash, by name.
 
-    `started` has when each backend started (0: not lately), `max_work` the most transfer time in ticks that
-    may be sent to it in `window`. As the last records may not have been durable, all that may have been sent
-    since counts as sent just now. A backend that restarted since its record has no work.
+    `started` has the start time of each backend (0: not recently), `max_work` the maximum transfer time in
+    ticks that may be sent to it within `window`. The last records before the crash may not have become
+    durable, so all work that may have been sent since counts as sent now. A backend that has restarted since
+    its record has no work.
     """
     recovered: dict[str, list[Work]] = {}
     for name, stored in state.slow_start_work.items():
         started_at = started.get(name, 0)
         if not started_at:
             continue
-        known = [
+        recorded = [
             (sent_at, work)
             for sent_at, work in stored
             if started_at <= sent_at <= now and now - sent_at <= window
         ]
         last_sent_at = max((sent_at for sent_at, _ in stored), default=0)
-        unknown = max_work.get(name, 0.0) - sum(work for _, work in known)
-        if last_sent_at >= started_at and now - last_sent_at <= WORK_INTERVAL + window and unknown > 0:
-            known.append((now, unknown))
-        recovered[name] = known
+        unrecorded = max_work.get(name, 0.0) - sum(work for _, work in recorded)
+        if last_sent_at >= started_at and now - last_sent_at <= WORK_INTERVAL + window and unrecorded > 0:
+            recorded.append((now, unrecorded))
+        recovered[name] = recorded
     return recovered
--- a/lilacloft/store/recovery.py
+++ b/lilacloft/store/recovery.py
@@ -1,7 +1,6 @@
 """Reads a store's files into memory: the newest complete snapshot, then the segments of the log after it.
 
-Nothing is written here. All I/O goes through a `Directory`, so that a model of a disk can replace the real
-one in tests.
+This module writes nothing. All I/O goes through a `Directory`, so that tests can use a simulated disk.
 """
 
 from __future__ import annotations
@@ -23,37 +22,37 @@
 from lilacloft.store.errors import FormatError, UnsupportedVersionError
 from lilacloft.store.framing import Frame, Record, UnreadableRange
 
-SNAPSHOT_END = 0  # kind of a snapshot's last record; the kinds of callers begin at 1
+SNAPSHOT_END = 0  # kind of the last record of a snapshot; the kinds of stored records begin at 1
 
 
 @dataclass
 class RecoveryReport:
-    """What was read, and what could not be, as sentences for operators."""
+    """What was read and what could not be read, as messages for operators."""
 
     frames: int = 0
     records: int = 0
     torn: list[str] = field(default_factory=list)  # interrupted writes at the end of the last segment
-    damage: list[str] = field(default_factory=list)  # lost records elsewhere; what follows them is read
-    ignored: list[str] = field(default_factory=list)  # remains of interrupted or failed writes
+    damage: list[str] = field(default_factory=list)  # records lost elsewhere; the frames after them are read
+    ignored: list[str] = field(default_factory=list)  # left over from interrupted or failed writes
 
 
 class LogReader:
-    """The records of a store in memory, as its files have them."""
+    """The records of a store in memory, as read from its files."""
 
     def __init__(self, directory: Directory) -> None:
-        """Recover what the files hold. Raises OSError, or UnsupportedVersionError for a newer format."""
+        """Recover the records in the files. Raises OSError, or UnsupportedVersionError for a newer format."""
         self.directory = directory
-        self.records: dict[int, dict[bytes, Record]] = {}  # by kind and key; each kind's oldest first
+        self.records: dict[int, dict[bytes, Record]] = {}  # by kind and key; oldest first within a kind
         self.next_sequence = 1  # sequence number of the next record
         self.durable_sequence = 0  # sequence number of the last durable record
-        self.segment_number = 0  # of the newest segment
-        self.snapshot_number = 0  # of the snapshot that was read; 0: none
+        self.segment_number = 0  # number of the newest segment
+        self.snapshot_number = 0  # number of the snapshot that was read; 0: none
         self.tail_offset = 0  # end of the last valid frame in the newest segment
         self.report = RecoveryReport()
         self._recover()
 
     def get(self, kind: int, key: bytes) -> bytes | None:
-        """Return the value under a key, durable or not; None if there is none."""
+        """Return the value under a key, whether durable or not; None if there is none."""
         record = self.records.get(kind, {}).get(key)
         return record.value if record else None
 
@@ -66,7 +65,7 @@
         return [record for of_kind in self.records.values() for record in of_kind.values()]
 
     def record_count(self) -> int:
-        """Return how many records there are."""
+        """Return the number of records."""
         return sum(map(len, self.records.values()))
 
     def _apply(self, record: Record) -> None:
@@ -97,7 +96,7 @@
         self.durable_sequence = self.next_sequence - 1
 
     def _load_snapshot(self, number: int) -> bool:
-        """Read a snapshot; False if it is incomplete, of which nothing is taken."""
+        """Load a snapshot; return False, with nothing loaded, if it is incomplete."""
         name = snapshot_name(number)
         try:
             data = self.directory.read(name)
@@ -118,10 +117,10 @@
         return True
 
     def _replay_segment(self, number: int, is_last: bool, offset: int = 0) -> None:
-        """Apply the frames of a segment from an offset on, at which a frame ended (0: all).
+        """Apply the frames of a segment from an offset on, which is the end of a frame (0: all frames).
 
-        Records that were applied before are skipped: a commit that failed may be in one segment and,
-        repeated, in the next.
+        Records that were already applied are skipped: a failed commit may be in one segment and, repeated, in
+        the next.
         """
         name = segment_name(number)
         try:
@@ -141,7 +140,7 @@
                 self._report_unreadable(name, piece, at_end=index + 1 == len(pieces), is_last=is_last)
 
     def _segment_version(self, name: str, data: bytes, is_last: bool) -> int | None:
-        """Return the version by which a segment's frames are read; None if it has no frames to read."""
+        """Return the format version of a segment's frames; None if it has no frames to read."""
         has_frames = len(data) > framing.FILE_HEADER.size
         try:
             return framing.parse_file_header(data).version
--- a/tests/test_durability.py
+++ b/tests/test_durability.py
@@ -152,14 +152,14 @@
 
 def test_slow_start_work_is_written_at_intervals_and_only_during_slow_start():
     host = FakeHost()
-    host.gate.work_sent("s", 0, [], 150_000)
-    host.gate.work_sent("s", host.time - 150_000, [(host.time, 1.0)], 150_000)
+    host.gate.write_work("s", 0, [], 150_000)
+    host.gate.write_work("s", host.time - 150_000, [(host.time, 1.0)], 150_000)
     assert not host.records
-    host.gate.work_sent("s", host.time - 10, [(host.time, 1.0)], 150_000)
-    host.gate.work_sent("s", host.time - 10, [(host.time, 2.0)], 150_000)
+    host.gate.write_work("s", host.time - 10, [(host.time, 1.0)], 150_000)
+    host.gate.write_work("s", host.time - 10, [(host.time, 2.0)], 150_000)
     assert len(host.records) == 1
     host.time += WORK_INTERVAL
-    host.gate.work_sent("s", host.time - 10, [(host.time, 2.0)], 150_000)
+    host.gate.write_work("s", host.time - 10, [(host.time, 2.0)], 150_000)
     assert len(host.records) == 2
 
 
