--- a/lilacloft/store/files.py
+++ b/lilacloft/store/files.py
@@ -36,7 +36,7 @@
         if lock:
             self._lock(path)
         elif not self.path.is_dir():
-            raise StoreNotFoundError(f"{path}: there is no such folder")
+            raise StoreNotFoundError(f"{path}: no such directory")
 
     def _lock(self, path: str) -> None:
         self.path.mkdir(parents=True, exist_ok=True)
@@ -47,7 +47,7 @@
             writer = os.read(self.lock_fd, MAX_PID_BYTES).decode("ascii", "replace").strip()
             os.close(self.lock_fd)
             self.lock_fd = -1
-            raise StoreLockedError(f"{path}: process {writer or '?'} writes there") from None
+            raise StoreLockedError(f"{path}: process {writer or '?'} has locked the store") from None
         self.write_pid()
 
     def write_pid(self) -> None:
--- a/lilacloft/store/framing.py
+++ b/lilacloft/store/framing.py
@@ -84,15 +84,15 @@
     Raises FormatError if it is invalid, UnsupportedVersionError if its version is not supported.
     """
     if len(data) < FILE_HEADER.size:
-        raise FormatError(f"a head of {len(data)} bytes instead of {FILE_HEADER.size}")
+        raise FormatError(f"file header truncated: {len(data)} of {FILE_HEADER.size} bytes")
     magic, version, number, checksum = FILE_HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise FormatError("no file of a store")
+        raise FormatError("not a store file: wrong magic number")
     if checksum != crc32c(data[: FILE_HEADER.size - CHECKSUM.size]):
-        raise FormatError("a head whose checksum does not fit")
+        raise FormatError("file header checksum mismatch")
     if not OLDEST_READABLE_VERSION <= version <= FORMAT_VERSION:
         supported = f"{OLDEST_READABLE_VERSION} to {FORMAT_VERSION}"
-        raise UnsupportedVersionError(f"version {version}; {supported} are read here")
+        raise UnsupportedVersionError(f"unsupported format version {version}; supported are {supported}")
     return FileHeader(version, number)
 
 
@@ -124,7 +124,7 @@
         value_start = key_start + key_length
         offset = value_start + value_length
         if offset > len(data):
-            raise FormatError("a record that goes past its frame")
+            raise FormatError("record extends beyond its frame")
         value = None if flags & REMOVAL_FLAG else data[value_start:offset]
         records.append(Record(kind, data[key_start:value_start], value, timestamp))
     return records
@@ -134,7 +134,7 @@
     """Return a frame. Raises FormatError if its body exceeds MAX_FRAME_BYTES."""
     body = pack_records(records, version)
     if len(body) > MAX_FRAME_BYTES:
-        raise FormatError(f"{len(body)} bytes in one frame, {MAX_FRAME_BYTES} at most")
+        raise FormatError(f"frame body too long: {len(body)} bytes, maximum {MAX_FRAME_BYTES}")
     header = FRAME_HEADER.pack(0, len(body), first_sequence, len(records))
     checked = header[CHECKSUM.size :] + body
     return CHECKSUM.pack(crc32c(checked)) + checked
--- a/lilacloft/store/gateway_store.py
+++ b/lilacloft/store/gateway_store.py
@@ -83,7 +83,7 @@
         reader = inherited.reader if inherited else None
         self.store = self._open_store(reader)
         recovered = self._recover_state()
-        self._log_recovery(recovered, "followed" if reader else "recovered", time.monotonic() - began)
+        self._log_recovery(recovered, "inherited" if reader else "recovered", time.monotonic() - began)
         self.gate = DurabilityGate(self, recovered, durability_timeout)
         self.background = BackgroundRecords(gateway, self.gate, self.write_record, self.purge_lifetime)
         self.endpoint_rows = recover_endpoint_rows(recovered)
@@ -154,7 +154,7 @@
         self.withdrawn = [self.pending.pop(token).attempt for token in self.gate.withdraw_all()]
         for attempt in self.withdrawn:
             self.tokens.pop(attempt, None)
-        return "" if self.committer.flush(timeout) else "the store's disk does not answer"
+        return "" if self.committer.flush(timeout) else f"store records not durable within {timeout:.1f} s"
 
     def export_state(self, calls: Mapping[str, Any]) -> dict[str, Any]:
         """Return the state for the next process (durability_snapshot.py).
--- a/lilacloft/store/group_commit.py
+++ b/lilacloft/store/group_commit.py
@@ -145,7 +145,7 @@
             try:
                 self.jobs[0]()
             except (OSError, StoreError) as error:
-                logger.error("store: {}", error)
+                logger.error("store: writer thread failed before writing, retrying: {}", error)
                 time.sleep(RETRY_DELAY)
                 return self.closing
             self.jobs.popleft()
@@ -171,10 +171,10 @@
         except OSError as error:
             self.failure_count += 1
             if self.failure_count == 1:
-                logger.error("store: {}", error)
+                logger.error("store: commit failed, retrying: {}", error)
             return False
         if self.failure_count:
-            logger.info("store: the disk takes records again, after {} failures", self.failure_count)
+            logger.info("store: commit succeeded after {} failed attempts", self.failure_count)
             self.failure_count = 0
         self.sync_count += 1
         return True
--- a/lilacloft/store/record_types.py
+++ b/lilacloft/store/record_types.py
@@ -105,10 +105,10 @@
 def unpack_intent(data: bytes) -> Intent:
     """Decode a stored intent. Raises ValueError if the data is invalid."""
     if len(data) != INTENT_VALUE.size:
-        raise ValueError(f"an intent of {len(data)} bytes")
+        raise ValueError(f"intent has {len(data)} bytes instead of {INTENT_VALUE.size}")
     sent_at, code, not_executed, cell = INTENT_VALUE.unpack(data)
     if code >= len(STORED_IDEMPOTENCY):
-        raise ValueError(f"effect {code}")
+        raise ValueError(f"unknown idempotency code {code}")
     return Intent(sent_at, STORED_IDEMPOTENCY[code], bool(not_executed), cell)
 
 
--- a/lilacloft/store/recovery.py
+++ b/lilacloft/store/recovery.py
@@ -81,10 +81,12 @@
         files = numbered_files(names)
         segments, snapshots = numbers_of(files, SEGMENT), numbers_of(files, SNAPSHOT)
         partial = sorted(name for name in names if name.endswith(PARTIAL_SUFFIX))
-        self.report.ignored += [f"{name}: not finished" for name in partial]
+        self.report.ignored += [f"{name}: snapshot was never finished" for name in partial]
         snapshot = next((number for number in reversed(snapshots) if self._load_snapshot(number)), 0)
         if snapshots and not snapshot and min(segments, default=snapshots[0]) >= snapshots[0]:
-            self.report.damage.append("no snapshot is whole: what was kept before the oldest log is lost")
+            self.report.damage.append(
+                "no complete snapshot: records from before the oldest log segment are lost"
+            )
         last = max([number for number in segments if number >= snapshot], default=0)
         for number in segments:
             if number >= snapshot:
@@ -106,7 +108,7 @@
             return False
         frames = [piece for piece in pieces if isinstance(piece, Frame)]
         if len(frames) < len(pieces) or not frames or frames[-1].records[-1].kind != SNAPSHOT_END:
-            self.report.damage.append(f"{name}: not whole")
+            self.report.damage.append(f"{name}: incomplete snapshot")
             return False
         for frame in frames:
             for record in frame.records:
@@ -146,14 +148,14 @@
             return framing.parse_file_header(data).version
         except FormatError as error:
             if is_last and not has_frames:
-                self.report.torn.append(f"{name}: {error}: it was just begun")
+                self.report.torn.append(f"{name}: {error}; the new segment has no frames yet")
                 return None
             if isinstance(error, UnsupportedVersionError):
                 raise UnsupportedVersionError(f"{name}: {error}") from error
             if has_frames:
                 self.report.damage.append(f"{name}: {error}")
             else:
-                self.report.ignored.append(f"{name}: {error}: it was never used")
+                self.report.ignored.append(f"{name}: {error}; the segment has no frames")
         return framing.FORMAT_VERSION
 
     def _apply_frame(self, name: str, frame: Frame) -> None:
@@ -169,11 +171,11 @@
     def _report_unreadable(self, name: str, piece: UnreadableRange, at_end: bool, is_last: bool) -> None:
         where = f"{name}: bytes {piece.start_offset} to {piece.end_offset}"
         if not at_end:
-            self.report.damage.append(f"{where} cannot be read; what follows them was kept")
+            self.report.damage.append(f"{where} cannot be read; the frames after them are kept")
         elif is_last:
-            self.report.torn.append(f"{where} are no whole frame: a commit that was cut off")
+            self.report.torn.append(f"{where} do not form a complete frame: interrupted commit")
         else:
-            self.report.ignored.append(f"{where} are no whole frame: a commit that failed")
+            self.report.ignored.append(f"{where} do not form a complete frame: failed commit")
 
     def _count(self, frame: Frame) -> None:
         self.report.frames += 1
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -136,7 +136,7 @@
 
 def test_a_second_gateway_on_one_store_does_not_start(world, tmp_path):
     world = world(serves())
-    assert f"process {world.process.pid} writes there" in second_gateway_errors(world, tmp_path)
+    assert f"process {world.process.pid} has locked the store" in second_gateway_errors(world, tmp_path)
 
 
 def second_gateway_errors(world, tmp_path):
@@ -185,7 +185,7 @@
     outs = [world.caches[0].next() for _ in refs]
     outs.sort(key=lambda out: out[2][1])  # as they were asked
     assert world.upgrade() == (True, "")
-    assert "writes there" in second_gateway_errors(world, tmp_path)
+    assert "has locked the store" in second_gateway_errors(world, tmp_path)
     _, sock, items = outs[0]
     answered(sock, items)
     assert asker.answer() == [tags[0], b"200", b"", b"ok"]
@@ -289,7 +289,7 @@
     asker = world.asker()
     tag = asker.ask(b"book", body=b"seat")
     done, why = world.upgrade()
-    assert not done and "disk does not answer" in why
+    assert not done and "store records not durable within" in why
     assert asker.answer()[:2] == [tag, b"503"]
     assert_nothing_sent(world.caches[0], 0.0)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -135,16 +135,16 @@
         damaged = bytearray(data)
         damaged[place] ^= 1 << random_source.randrange(8)
         store = Store(MemoryFiles({segment_name(1): bytes(damaged)}))
-        assert len(store.report.damage) == 1 and "what follows them was kept" in store.report.damage[0]
+        assert len(store.report.damage) == 1 and "the frames after them are kept" in store.report.damage[0]
         assert store.report.frames == len(ends) - 1 and store.durable_sequence == ends[-1].records
 
 
 def test_a_damaged_header_costs_no_frame_and_an_unknown_version_is_an_error():
     data, ends = make_log(1000, 3)
     store = Store(MemoryFiles({segment_name(1): b"xxxx" + data[4:]}))
-    assert store.durable_sequence == ends[-1].records and "no file of a store" in store.report.damage[0]
+    assert store.durable_sequence == ends[-1].records and "not a store file" in store.report.damage[0]
     newer = framing.pack_file_header(1, 9) + data[framing.FILE_HEADER.size :]
-    with pytest.raises(StoreError, match="version 9; 1 to 2"):
+    with pytest.raises(StoreError, match="version 9; supported are 1 to 2"):
         Store(MemoryFiles({segment_name(1): newer}))
 
 
@@ -170,7 +170,9 @@
         snapshot_name(2), framing.pack_file_header(2) + framing.pack_frame(6, [Record(1, b"0", b"x")])
     )
     recovered = Store(disk)
-    assert recovered.durable_sequence == 5 and recovered.report.damage == [f"{snapshot_name(2)}: not whole"]
+    assert recovered.durable_sequence == 5 and recovered.report.damage == [
+        f"{snapshot_name(2)}: incomplete snapshot"
+    ]
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -234,10 +236,10 @@
     store = Store(folder)
     store.put(1, b"k", b"v")
     store.commit()
-    with pytest.raises(StoreError, match="process .* writes there"):
+    with pytest.raises(StoreError, match="process .* has locked the store"):
         StoreDirectory(str(tmp_path))
     assert main(["store", "compact", str(tmp_path)]) == 1
-    assert "writes there" in capsys.readouterr().err
+    assert "has locked the store" in capsys.readouterr().err
     assert main(["store", "check", str(tmp_path)]) == 0  # reading needs no lock
     folder.close()
     StoreDirectory(str(tmp_path)).close()
@@ -255,7 +257,7 @@
     data[400] ^= 4
     path.write_bytes(bytes(data))
     assert main(["store", "check", str(tmp_path)]) == 1
-    assert "what follows them was kept" in capsys.readouterr().out
+    assert "the frames after them are kept" in capsys.readouterr().out
     assert main(["store", "compact", str(tmp_path)]) == 1
     assert "repair first" in capsys.readouterr().err
     assert main(["store", "repair", str(tmp_path)]) == 0
