--- a/lilacloft/simulator_adapter/__init__.py
+++ b/lilacloft/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter for the bench's wire: it translates names, units and framing, and decides nothing."""
+"""Adapter for the simulator's wire protocol: converts names, units and framing, and makes no decisions."""
--- a/lilacloft/simulator_adapter/__main__.py
+++ b/lilacloft/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Run the adapter on standard input and output."""
+"""Runs the adapter on standard input and output."""
 
 import sys
 
--- a/lilacloft/simulator_adapter/instance.py
+++ b/lilacloft/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One gateway in the simulator: its messages come in here, and its router's actions go out."""
+"""One gateway in the simulator: passes the simulator's messages to a router, and its actions back."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class Instance:
-    """One gateway in the simulator: the host of its router. It maps ids to records and collects actions."""
+    """One gateway in the simulator, and the host of its router. Maps ids to records and collects actions."""
 
     def __init__(self) -> None:
-        """Start before the settings have come."""
+        """Create an instance whose settings have not arrived yet."""
         self.time_ns = 0
         self.actions: list[list[Any]] = []
         self.answered_requests: list[Request] = []
@@ -37,7 +37,7 @@
         self.backends: dict[str, Backend] = {}
         self.router: Router
 
-    # --- Host: what the router calls ---
+    # --- Host interface, called by the router ---
 
     def now(self) -> int:
         """Return the simulator's time in ticks."""
@@ -64,17 +64,17 @@
         )
 
     def client_left_at(self, request: Request) -> int | None:
-        """The simulator tells of it at once."""
+        """Return None: the simulator reports the disconnection of a client at once."""
 
     def cancel(self, request: Request, attempt: int) -> None:
         """Cancel an attempt."""
         self.actions.append(["undoSend", self.request_ids[request], attempt])
 
     def withdraw(self, request: Request, attempt: int) -> None:
-        """What is sent is out at once."""
+        """Do nothing: attempts are on the wire as soon as they are sent."""
 
     def reject(self, request: Request, retry_after: int) -> None:
-        """Reject a request, with a time to come back."""
+        """Reject a request, with the time after which to retry."""
         self.actions.append(["notNow", self.request_ids[request], retry_after * NS_PER_TICK])
         self.answered_requests.append(request)
 
@@ -84,26 +84,26 @@
         self.answered_requests.append(request)
 
     def wake(self, at: int, timer: Timer) -> None:
-        """Ask for a timer."""
+        """Set a timer."""
         self.actions.append(["wakeMe", at * NS_PER_TICK, timer])
 
     def check_health(self, backend: Backend) -> None:
-        """Ask for a load report."""
+        """Request a load report."""
         self.actions.append(["askLoad", backend.name])
 
     def subscribe(self, on: bool) -> None:
-        """Ask discovery for changes, or stop asking."""
+        """Subscribe to changes from discovery, or unsubscribe."""
         self.actions.append(["subscribe", on])
 
     def health_changed(self, backend: Backend, change: HealthChange, reason: str) -> None:
-        """Write a line of the report."""
+        """Write a line to the simulator's report."""
         text = f"{backend.name} {reason}"
         if change is HealthChange.EJECTED:
             text = f"{backend.name} {change}: {reason}"
         self.actions.append(["journalLine", text])
 
     def limit_recorded(self, backend: Backend, before: float, after: float, late_share: float) -> None:
-        """The report has no place for it."""
+        """Do nothing: the simulator's report does not include limits."""
 
     # --- messages of the simulator ---
 
@@ -116,29 +116,29 @@
         return self.backends.get(value_at(values, index, str, "cache"))
 
     def up(self, values: list[Any]) -> None:
-        """A gateway starts, with its settings."""
-        value_at(values, 0, int, "initSeed")  # the module draws no chance
+        """Handle the start of the gateway, with its settings."""
+        value_at(values, 0, int, "initSeed")  # not used: the router is deterministic
         env = value_at(values, 1, dict, "env")
         try:
             self.router = Router(self, from_protocol(settings_validation.with_defaults(env, sockets=False)))
-        except ValueError as wrong:
-            raise MalformedError(str(wrong)) from wrong
+        except ValueError as error:
+            raise MalformedError(str(error)) from error
 
     def fleet(self, values: list[Any]) -> None:
-        """Discovery sends the endpoint list, or changes of it."""
+        """Handle the endpoint list, or changes to it, from discovery."""
         mode = value_at(values, 1, int, "mode")
         if mode not in LIST_MODES:
-            raise MalformedError(f"mode of the list is unknown: {mode}")
+            raise MalformedError(f"unknown mode of the endpoint list: {mode}")
         value_at(values, 0, int, "revision", 0)
-        listed = []
+        endpoints = []
         for row in value_at(values, 2, list, "nodesList", []):
             if not isinstance(row, list):
-                raise MalformedError(f"an entry of the list is no array: {row!r}")
+                raise MalformedError(f"endpoint list entry is not an array: {row!r}")
             name = value_at(row, 0, str, "cache")
             status = value_at(row, 4, int, "status")
             if status not in (0, 1, 2):
-                raise MalformedError(f"status in the list is unknown: {status}")
-            listed.append(
+                raise MalformedError(f"unknown status in the endpoint list: {status}")
+            endpoints.append(
                 Endpoint(
                     self.backends.setdefault(name, Backend(name)),
                     value_at(row, 1, int, "zone", 0),
@@ -149,14 +149,14 @@
                     value_at(row, 6, int, "startedAtNs", 0) // NS_PER_TICK,
                 )
             )
-        self.router.endpoints_changed(LIST_MODES[mode], listed)
+        self.router.endpoints_changed(LIST_MODES[mode], endpoints)
         self.backends = {
             name: backend for name, backend in self.backends.items() if backend.status or backend.requests
         }
 
     def ingress(self, values: list[Any]) -> None:
-        """A client sends a request."""
-        name = value_at(values, 0, str, "id")
+        """Handle a new request from a client."""
+        request_id = value_at(values, 0, str, "id")
         bits = value_at(values, 5, int, "bits", 0)
         now = self.now()
         request = Request(
@@ -171,46 +171,46 @@
             is_write=bool(bits & WRITE_BIT),
             is_client_retry=bool(bits & CLIENT_RETRY_BIT),
         )
-        self.requests[name] = request
-        self.request_ids[request] = name
+        self.requests[request_id] = request
+        self.request_ids[request] = request_id
         self.router.request_arrived(request)
 
     def established(self, values: list[Any]) -> None:
-        """The answer to an attempt is a stream that has begun."""
+        """Handle the start of a streamed answer to an attempt."""
         request = self.requests.get(value_at(values, 0, str, "id"))
         if request and self._backend(values, 1):
             self.router.stream_started(request, value_at(values, 3, int, "sendNo", 0))
 
     def resolved(self, values: list[Any]) -> None:
-        """An attempt is over."""
+        """Handle the end of an attempt."""
         request = self.requests.get(value_at(values, 0, str, "id"))
         attempt = value_at(values, 1, int, "sendNo", 0)
         backend = self._backend(values, 2)
         outcome = outcome_at(values, 3)
-        final = value_at(values, 5, bool, "finished", False)
+        is_final = value_at(values, 5, bool, "finished", False)
         if request and backend:
             duration, note = (
                 value_at(values, 4, int, "tookNs", 0) // NS_PER_TICK,
                 value_at(values, 6, int, "remark", 0),
             )
             value_at(values, 7, int, "sourceWaitNs", 0), value_at(values, 8, list, "feedback", [])  # not used
-            result = AttemptResult(attempt, outcome, duration, final, note)
+            result = AttemptResult(attempt, outcome, duration, is_final, note)
             self.router.attempt_ended(request, backend, result)
             self.forget(request)
 
     def cancelled_by_client(self, values: list[Any]) -> None:
-        """A client has gone."""
+        """Handle the disconnection of a client."""
         request = self.requests.get(value_at(values, 0, str, "id"))
         if request:
             self.router.client_disconnected(request)
             self.forget(request)
 
     def timeout_fired(self, values: list[Any]) -> None:
-        """A time that the router asked for has come."""
+        """Handle a timer that the router has set."""
         self.router.timer_fired(value_at(values, 0, str, "ctx"))
 
     def status_back(self, values: list[Any]) -> None:
-        """A health check is answered."""
+        """Handle the answer to a health check."""
         backend = self._backend(values, 0)
         outcome = outcome_at(values, 2)
         if backend:
@@ -218,17 +218,17 @@
             self.router.health_checked(backend, outcome, value_at(values, 3, list, "feedback", []))
 
     def heard(self, values: list[Any]) -> None:
-        """Another gateway sends a message: ours send none."""
+        """Validate and ignore a message from another gateway: gateways send each other no messages."""
         (
             value_at(values, 0, int, "by"),
             value_at(values, 1, str, "msg", ""),
-        )  # gateways say nothing to each other
+        )
 
     def withdrawn_copy(self, values: list[Any]) -> None:
-        """An object or a group was purged."""
+        """Handle the purge of an object or a group."""
         key = values[0] if values and values[0] not in (0, None) else ""
         if not isinstance(key, str):
-            raise MalformedError(f"contentId is no str: {key!r}")
+            raise MalformedError(f"contentId is not of type str: {key!r}")
         self.router.object_purged(
             key,
             value_at(values, 1, int, "batchId", 0),
--- a/lilacloft/simulator_adapter/messages.py
+++ b/lilacloft/simulator_adapter/messages.py
@@ -1,4 +1,4 @@
-"""Values of the simulator's messages: their checks, and what their words mean to the decisions."""
+"""Values of the simulator's messages: validation, and conversion to the router's types."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 }
 LIST_MODES = {0: ListMode.CACHED, 1: ListMode.FAILED, 2: ListMode.FULL, 3: ListMode.DELTA}  # by `mode`
 NUMBER = (int, float)
-# Bits of `fetchThrough`.
+# Flag bits of `fetchThrough`.
 COLLAPSE_BIT, CACHE_ONLY_BIT, REVALIDATE_BIT = 1, 2, 8
-# Bits of `ingress`.
+# Flag bits of `ingress`.
 CLIENT_RETRY_BIT, WRITE_BIT = 2, 4
 
 
 class MalformedError(LilacloftError):
-    """What came in is no message of the simulator; the text names what is wrong."""
+    """The input is not a valid message of the simulator; the message says what is wrong."""
 
 
 def value_at(
     values: list[Any], index: int, kind: type | tuple[type, ...], name: str, default: Any = None
 ) -> Any:
-    """Return one value of a message, or the default where it is absent or null. `name`: for the error.
+    """Return one value of a message, or the default if it is missing or null. `name`: for the error message.
 
-    Raises MalformedError where it is of another kind, or is missing and has no default.
+    Raises MalformedError if the value has another type, or is missing and has no default.
     """
     value = values[index] if index < len(values) else None
     if value is None:
@@ -44,13 +44,15 @@
             raise MalformedError(f"{name} is missing")
         return default
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise MalformedError(f"{name} is no {kind if isinstance(kind, tuple) else kind.__name__}: {value!r}")
+        raise MalformedError(
+            f"{name} is not of type {kind if isinstance(kind, tuple) else kind.__name__}: {value!r}"
+        )
     return value
 
 
 def outcome_at(values: list[Any], index: int) -> Outcome:
-    """Return the outcome that a `stateCode` stands for. Raises MalformedError."""
+    """Return the outcome for a `stateCode`. Raises MalformedError if the code is unknown."""
     code = value_at(values, index, str, "stateCode")
     if code not in OUTCOMES:
-        raise MalformedError(f"stateCode is unknown: {code}")
+        raise MalformedError(f"unknown stateCode: {code}")
     return OUTCOMES[code]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -55,11 +55,11 @@
     [
         ("gateway-1", ASK, "gateway-1"),
         ("gateway-0", ["novel"], "novel"),
-        ("gateway-0", [], "no array with"),
+        ("gateway-0", [], "event is not an array that begins with a name"),
         ("gateway-0", ["resolved", "x", 0, "c.b", "Maybe"], "Maybe"),
         ("gateway-0", ["ingress"], "id is missing"),
         ("gateway-0", ["up", 1, {"zone": 0}], "settings lacks balancers"),
-        (None, None, "no JSON"),
+        (None, None, "line is not valid JSON"),
     ],
 )
 def test_malformed_input_ends_with_one_plain_line(who, event, told):
