--- a/lilacloft/__init__.py
+++ b/lilacloft/__init__.py
@@ -1,3 +1,3 @@
-"""lilacloft: decides where objects are served, kept and filled from."""
+"""lilacloft: decides where objects are served, cached and filled from."""
 
 __version__ = "0.5.0"
--- a/lilacloft/__main__.py
+++ b/lilacloft/__main__.py
@@ -1,5 +1,6 @@
-"""Command line. The platform's own words (`serve`, `serve --config FILE`) are taken here, without the library
-for arguments, which `serve` would carry along for nothing; all others are in lilacloft/cli."""
+"""Command line entry point. The commands that the platform uses (`serve`, `serve --config FILE`) are parsed
+here without the command-line library, which `serve` would otherwise keep in memory; all other commands are in
+lilacloft/cli."""
 
 from __future__ import annotations
 
@@ -7,21 +8,23 @@
 import sys
 
 
-def main(words: list[str] | None = None) -> int:
-    """Run one command; returns its code."""
-    words = sys.argv[1:] if words is None else words
-    if words[:1] == ["serve"] and (len(words) == 1 or (len(words) == 3 and words[1] == "--config")):
+def main(arguments: list[str] | None = None) -> int:
+    """Run one command and return its exit code."""
+    arguments = sys.argv[1:] if arguments is None else arguments
+    if arguments[:1] == ["serve"] and (
+        len(arguments) == 1 or (len(arguments) == 3 and arguments[1] == "--config")
+    ):
         from lilacloft import errors, serving
 
         serving.configure_logging()
         try:
-            return serving.serve(words[2] if len(words) == 3 else os.environ.get("EDGE_CONFIG"))
-        except errors.UnusableError as wrong:
-            print(f"lilacloft: {wrong}", file=sys.stderr)
+            return serving.serve(arguments[2] if len(arguments) == 3 else os.environ.get("EDGE_CONFIG"))
+        except errors.UnusableError as error:
+            print(f"lilacloft: {error}", file=sys.stderr)
             return errors.UNUSABLE
     from lilacloft import cli
 
-    return cli.run(words)
+    return cli.run(arguments)
 
 
 if __name__ == "__main__":
--- a/lilacloft/protocol_settings.py
+++ b/lilacloft/protocol_settings.py
@@ -1,5 +1,5 @@
-"""Maps the protocol's settings to our names and units: the one place where the operators' words for
-settings meet ours.
+"""Maps the settings of the protocol to internal names and units. This is the only place where the operators'
+names for settings are translated.
 
 Durations become ticks (tenths of a millisecond).
 """
@@ -11,7 +11,8 @@
 
 NS_PER_TICK = 100_000
 
-# The protocol's names and ours. Other names stay, in snake case; an ending in Ns is dropped with the unit.
+# Protocol names and internal names. Other names are only converted to snake case. The suffix Ns is dropped,
+# as the unit is converted.
 NAMES = {
     "classes": "vhosts",
     "promise": "first_byte_target",
@@ -45,9 +46,8 @@
 
 
 def from_protocol(value: Any, name: str = "") -> Any:
-    """Return settings with our names and units, at any depth. `name`: under which they stand. Durations
-    are rounded down
-    to whole ticks, but never to none."""
+    """Return settings with internal names and units, at any depth. `name`: the protocol name of the value.
+    Durations are rounded down to whole ticks, but a positive one never to 0."""
     if isinstance(value, dict):
         out = {}
         for inner_name, inner in value.items():
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -1,4 +1,4 @@
-"""Runs one gateway process: reads its configuration, handles its signals and closes it at its end."""
+"""Runs one gateway process: reads its configuration, handles signals, and closes the gateway at exit."""
 
 from __future__ import annotations
 
@@ -23,62 +23,65 @@
 
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
 THREAD_STACK_BYTES = 256 * 1024
-FAILED = 1  # exit code after a fault of ours
+FAILED = 1  # exit code after an internal error
 
 
 def configure_logging(form: str = "text") -> None:
-    """Log to standard error, as text or (`json`) with one JSON object a line, whose `record.extra` has the
-    named fields."""
+    """Log to standard error as text, or with `form` "json" as one JSON object per line, whose `record.extra`
+    has the named fields."""
     logger.remove()
     logger.add(sys.stderr, format=LOG_FORMAT, diagnose=False, serialize=form == "json")
 
 
 def read_config(path: str | None) -> dict[str, Any]:
-    """Return the configuration file's JSON object. Raises UnusableError where there is none."""
+    """Return the JSON object in the configuration file. Raises UnusableError if it cannot be read."""
     if not path:
-        raise UnusableError("no configuration: name one with --config or in EDGE_CONFIG")
+        raise UnusableError("no configuration file given: use --config or set EDGE_CONFIG")
     try:
         with socket_errors.retry_transient(lambda: open(path, encoding="utf-8")) as file:
             config = json.load(file)
-    except (OSError, ValueError, RecursionError) as wrong:
-        raise UnusableError(f"{path} cannot be read: {wrong}") from wrong
+    except (OSError, ValueError, RecursionError) as error:
+        raise UnusableError(f"{path} cannot be read: {error}") from error
     if not isinstance(config, dict):
-        raise UnusableError(f"{path} holds no object")
+        raise UnusableError(f"{path} does not contain a JSON object")
     return config
 
 
 def make_gateway(config: dict[str, Any], sock: socket.socket | None = None, follows: bool = False) -> Gateway:
-    """Make a gateway of a configuration, bound to its address or with a socket that is; `follows`: the rest
-    comes from the process before. Raises UnusableError where the configuration cannot be used."""
+    """Create a gateway from a configuration. It listens on `sock`, or else on the configured address.
+    `follows`: the rest of its state comes from the previous process. Raises UnusableError if the
+    configuration cannot be used."""
     from lilacloft.gateway.gateway import Gateway
 
     try:
         return Gateway(config, sock=sock, follows=follows)
-    except KeyError as wrong:
-        platform_names = {ours: theirs for theirs, ours in NAMES.items()}
-        missing = platform_names.get(wrong.args[0], wrong.args[0])
-        raise UnusableError(f"the configuration lacks {missing}") from wrong
-    except OSError as wrong:
-        raise UnusableError(f"{config['listen']} cannot be listened on: {wrong.strerror}") from wrong
-    except (ValueError, TypeError, AttributeError, IndexError) as wrong:
-        raise UnusableError(f"the configuration cannot be used: {wrong}") from wrong
+    except KeyError as error:
+        platform_names = {internal_name: name for name, internal_name in NAMES.items()}
+        missing = platform_names.get(error.args[0], error.args[0])
+        raise UnusableError(f"the configuration lacks {missing}") from error
+    except OSError as error:
+        raise UnusableError(f"{config['listen']} cannot be listened on: {error.strerror}") from error
+    except (ValueError, TypeError, AttributeError, IndexError) as error:
+        raise UnusableError(f"the configuration cannot be used: {error}") from error
 
 
 def reload_on_request(path: str | None, requests: queue.SimpleQueue[bool], gateway: Gateway) -> None:
-    """Read the configuration again for each item of a queue, one after the other: the last file wins. A
-    thread's main function."""
+    """Reload the configuration for each item in a queue, one after the other, so that the last file takes
+    effect. Runs as the main function of a thread."""
     while requests.get():
         try:
             gateway.post(gateway.reload, read_config(path))
-        except UnusableError as wrong:
-            logger.error("the old configuration stays: {}", wrong)
+        except UnusableError as error:
+            logger.error("the old configuration stays: {}", error)
 
 
 def serve(path: str | None, **options: Any) -> int:
-    """Run one gateway to its end; returns the exit code. With options, those of
-    `lilacloft.handover.process.ProcessOptions`, it can be replaced or takes over from another process."""
+    """Run one gateway until it stops, and return the exit code. With options, which are those of
+    `lilacloft.handover.process.ProcessOptions`, it can be replaced by, or takes over from, another
+    process."""
     threading.stack_size(THREAD_STACK_BYTES)
-    reloads: queue.SimpleQueue[bool] = queue.SimpleQueue()  # its put may interrupt itself, as a signal does
+    # the `put` of a SimpleQueue is reentrant, as a signal handler requires
+    reloads: queue.SimpleQueue[bool] = queue.SimpleQueue()
     signal.signal(signal.SIGHUP, lambda *_: reloads.put(True))
     gateway, begin = prepare(path, **options) if options else (make_gateway(read_config(path)), None)
     if gateway is None:
@@ -90,22 +93,22 @@
         if begin:
             begin()
         gateway.run()
-    except NotWantedError as wrong:
+    except NotWantedError as error:
         gateway.end()
         gateway.recorder = None
-        logger.error("upgrade: this process ends: {}", wrong)
+        logger.error("upgrade: this process exits: {}", error)
         return NOT_WANTED
     except Exception:
-        logger.exception("the module's thread failed")
+        logger.exception("the event loop failed")
         return FAILED
     finally:
-        signal.signal(signal.SIGTERM, signal.SIG_IGN)  # the interpreter's end would put back the default
+        signal.signal(signal.SIGTERM, signal.SIG_IGN)  # interpreter shutdown would restore the default
         close(gateway)
     return 0
 
 
 def close(gateway: Gateway) -> None:
-    """Close what a gateway holds besides its connections, and log its counters unless they were handed
+    """Close a gateway's resources other than its connections, and log its counters unless they were handed
     over."""
     if gateway.store:
         gateway.store.close()
@@ -118,29 +121,28 @@
 
 
 def prepare(path: str | None, **options: Any) -> tuple[Gateway | None, Callable[[], None] | None]:
-    """Return a gateway that can be replaced, and what to call right before it runs; None where it was to take
-    over and is not wanted."""
+    """Return a gateway that can be replaced, and a function to call right before it runs. The gateway is None
+    if this process was started to take over and is not needed."""
     from lilacloft.handover import process
 
     try:
         return process.prepare(read_config(path), make_gateway, process.ProcessOptions(**options))
-    except NotWantedError as wrong:
-        logger.error("upgrade: this process ends: {}", wrong)
+    except NotWantedError as error:
+        logger.error("upgrade: this process exits: {}", error)
         return None, None
-    except OSError as wrong:
-        raise UnusableError(f"{options.get('handover')}: {wrong.strerror or wrong}") from wrong
+    except OSError as error:
+        raise UnusableError(f"{options.get('handover')}: {error.strerror or error}") from error
 
 
 def check(path: str | None) -> int:
-    """Print whether a configuration can be used; returns the exit code. Raises UnusableError where it
-    cannot."""
+    """Print that a configuration can be used, and return the exit code. Raises UnusableError if it cannot."""
     from lilacloft import settings_validation
 
     config = read_config(path)
     try:
         settings_validation.check_configuration(config)
-    except ValueError as wrong:
-        raise UnusableError(f"the configuration cannot be used: {wrong}") from wrong
+    except ValueError as error:
+        raise UnusableError(f"the configuration cannot be used: {error}") from error
     make_gateway({**config, "listen": "127.0.0.1:0"})
     print(f"{path}: usable")
     return 0
--- a/lilacloft/settings_validation.py
+++ b/lilacloft/settings_validation.py
@@ -1,7 +1,7 @@
 """Validates the platform's configuration and its settings: names, types, ranges and defaults.
 
-It never changes a value that is there. Names are the protocol's; `lilacloft/protocol_settings.py` maps
-them to ours.
+Given values are never changed. Names are those of the protocol; `lilacloft/protocol_settings.py` maps them to
+internal names.
 """
 
 from __future__ import annotations
@@ -15,47 +15,47 @@
 
 
 class Kind(NamedTuple):
-    """A kind of value."""
+    """The type and range of a setting."""
 
     description: str  # for error messages
     accepts: Callable[[Any], bool]
 
 
-REQUIRED = object()  # in place of a default: the decisions cannot do without it
-REQUIRED_ON_SOCKETS = object()  # only a gateway on sockets cannot do without it
+REQUIRED = object()  # instead of a default: the setting is required
+REQUIRED_ON_SOCKETS = object()  # instead of a default: required only by a gateway on sockets
 
 
 def is_number(value: Any) -> bool:
-    """Return whether a value is a finite number; true and false are not."""
+    """Return whether a value is a finite number, and not a Boolean."""
     return isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
 
 
 def is_integer(value: Any) -> bool:
-    """Return whether a value is a whole number; true and false are not."""
+    """Return whether a value is an integer, and not a Boolean."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def is_list_of_texts(value: Any) -> bool:
-    """Return whether a value is a list of texts."""
+def is_string_list(value: Any) -> bool:
+    """Return whether a value is a list of strings."""
     return isinstance(value, list) and all(isinstance(one, str) for one in value)
 
 
 def one_of(*allowed: str) -> Kind:
-    """Return the kind of one of some texts."""
+    """Return the kind of a string that is one of those given."""
     return Kind(" or ".join(allowed), lambda value: value in allowed)
 
 
-DURATION = Kind("a span of 0 or more", lambda value: is_number(value) and value >= 0)
-POSITIVE_DURATION = Kind("a span over 0", lambda value: is_number(value) and value > 0)
+DURATION = Kind("a duration of 0 or more", lambda value: is_number(value) and value >= 0)
+POSITIVE_DURATION = Kind("a duration greater than 0", lambda value: is_number(value) and value > 0)
 AMOUNT = Kind("a number of 0 or more", lambda value: is_number(value) and value >= 0)
-POSITIVE = Kind("a number over 0", lambda value: is_number(value) and value > 0)
+POSITIVE = Kind("a number greater than 0", lambda value: is_number(value) and value > 0)
 COUNT = Kind("a whole number of 0 or more", lambda value: is_integer(value) and value >= 0)
 POSITIVE_COUNT = Kind("a whole number of 1 or more", lambda value: is_integer(value) and value >= 1)
-INDEX_OR_NONE = Kind("a place in a list, or -1", lambda value: is_integer(value) and value >= -1)
+INDEX_OR_NONE = Kind("a list index, or -1", lambda value: is_integer(value) and value >= -1)
 FLAG = Kind("true or false", lambda value: isinstance(value, bool))
-TEXT = Kind("a text", lambda value: isinstance(value, str) and bool(value))
-NAMES = Kind("a list of texts", is_list_of_texts)
-NON_EMPTY_NAMES = Kind("a list of texts, not empty", lambda value: is_list_of_texts(value) and bool(value))
+TEXT = Kind("a non-empty string", lambda value: isinstance(value, str) and bool(value))
+NAMES = Kind("a list of strings", is_string_list)
+NON_EMPTY_NAMES = Kind("a non-empty list of strings", lambda value: is_string_list(value) and bool(value))
 OBJECT = Kind("an object", lambda value: isinstance(value, dict))
 LIST = Kind("a list", lambda value: isinstance(value, list))
 ADDRESS = Kind(
@@ -65,7 +65,7 @@
     and int(value.rpartition(":")[2]) < 1 << 16,
 )
 OBJECTS = Kind(
-    "a list of objects, not empty",
+    "a non-empty list of objects",
     lambda value: isinstance(value, list) and bool(value) and all(isinstance(one, dict) for one in value),
 )
 AMOUNTS = Kind(
@@ -73,7 +73,7 @@
     lambda value: isinstance(value, list) and all(is_number(one) and one >= 0 for one in value),
 )
 FLAGS = Kind(
-    "a list of true or false",
+    "a list of Booleans",
     lambda value: isinstance(value, list) and all(isinstance(one, bool) for one in value),
 )
 COUNTS = Kind(
@@ -81,7 +81,7 @@
     lambda value: isinstance(value, list) and all(is_integer(one) and one >= 0 for one in value),
 )
 
-# By the protocol's names: kind, and the default where the setting is left out or null.
+# By protocol name: the kind, and the default for a setting that is missing or null.
 TOP: Mapping[str, tuple[Kind, Any]] = {
     "balancers": (POSITIVE_COUNT, REQUIRED),
     "classes": (OBJECTS, REQUIRED),
@@ -104,7 +104,7 @@
     "gain": (AMOUNT, REQUIRED),
     "repeat": (one_of(*IDEMPOTENCY), REQUIRED),
     "aimStretch": (AMOUNT, 0.0),
-    # the default keeps the rule on effects whatever the scope really is
+    # the narrowest scope, so that no request is executed twice whatever the actual scope is
     "dedupScope": (one_of("all", "zone", "cell"), "cell"),
     "repeatWindowNs": (DURATION, 0),
 }
@@ -148,8 +148,8 @@
 
 
 def check_configuration(value: Mapping[str, Any]) -> None:
-    """Check that a gateway can be made of a configuration. Raises ValueError with the path of what is
-    wrong."""
+    """Check that a gateway can be created from a configuration. Raises ValueError with the path of an invalid
+    value."""
     _checked(
         value,
         {
@@ -169,9 +169,8 @@
 
 
 def with_defaults(value: Any, sockets: bool = True) -> dict[str, Any]:
-    """Return settings with the defaults of those left out; fewer are required without sockets. Raises
-    ValueError
-    with the path of a setting that cannot be used, in the protocol's names."""
+    """Return settings with defaults for missing ones; without sockets, fewer are required. Raises ValueError
+    with the path of an invalid setting, in protocol names."""
     if not isinstance(value, dict):
         raise ValueError(f"settings: an object is wanted, not {value!r:.60}")
     out = _checked(value, TOP, "settings", sockets)
@@ -189,7 +188,8 @@
 def _checked(
     value: Mapping[str, Any], kinds: Mapping[str, tuple[Kind, Any]], path: str, sockets: bool = True
 ) -> dict[str, Any]:
-    """Return an object with its defaults. Raises ValueError with the path of what is wrong."""
+    """Return an object with defaults for missing values. Raises ValueError with the path of an invalid
+    value."""
     out = dict(value)
     for name, (kind, default) in kinds.items():
         if out.get(name) is None:
@@ -203,7 +203,7 @@
 
 
 def _conflicts(value: Mapping[str, Any]) -> Iterator[str]:
-    """Yield what does not fit together."""
+    """Yield a message for each setting that conflicts with another."""
     family, classes = value["familyInfo"], value["classes"]
     if "zones" in value and value["zone"] >= len(value["zones"]):
         yield f"settings.zone: {value['zone']} is no place in zones"
