--- a/tests/test_clock_offset.py
+++ b/tests/test_clock_offset.py
@@ -1,4 +1,4 @@
-"""What others' clock_offset mean in a gateway's own time."""
+"""Conversion of timestamps of other machines to a gateway's own time."""
 
 import random
 
@@ -14,66 +14,70 @@
 
 
 @pytest.mark.parametrize("seed", range(100))
-def test_a_purge_never_counts_as_before_it_was_and_soon_hardly_after(seed):
-    """Whatever constant the clocks differ by; told late, or again after an outage."""
+def test_a_purge_never_counts_as_earlier_than_it_was_and_soon_as_hardly_later(seed):
+    """For any constant difference of the clocks, and purges that arrive late, also after an outage."""
     chance = random.Random(seed)
-    ahead, clock_offset, true = chance.randrange(-50_000, 50_000), ClockOffset(), 10_000_000
+    offset, clock_offset, true_time = chance.randrange(-50_000, 50_000), ClockOffset(), 10_000_000
     fastest = None
     for _ in range(200):
-        true += chance.randrange(1, 3000)
+        true_time += chance.randrange(1, 3000)
         delay = chance.choice([200, 400, 900, 30_000])
-        stamp, heard = true - delay, true + ahead
-        told = clock_offset.purge_time(heard, stamp)
+        stamp, arrival = true_time - delay, true_time + offset
+        converted = clock_offset.purge_time(arrival, stamp)
         fastest = delay if fastest is None else min(fastest, delay)
-        assert told <= heard
-        assert stamp <= told - ahead <= stamp + fastest + 600_000 // DRIFT_INTERVAL + 1
-    assert told - ahead <= stamp + 200 + 600_000 // DRIFT_INTERVAL + 1
+        assert converted <= arrival
+        assert stamp <= converted - offset <= stamp + fastest + 600_000 // DRIFT_INTERVAL + 1
+    assert converted - offset <= stamp + 200 + 600_000 // DRIFT_INTERVAL + 1
 
 
-def test_clocks_that_run_apart_are_followed_slowly_upwards_and_at_once_downwards():
-    clock_offset, ahead, now = ClockOffset(), 0, 10**7
-    for turn in range(4000):
+def test_drift_is_followed_slowly_upwards_and_at_once_downwards():
+    clock_offset, offset, now = ClockOffset(), 0, 10**7
+    for step in range(4000):
         now += 10_000
-        ahead += 1 if turn < 2000 else -1  # one in ten thousand
-        assert clock_offset.purge_time(now + ahead, now - 20) >= now - 20 + ahead
+        offset += 1 if step < 2000 else -1  # a drift of 1 in 10,000
+        assert clock_offset.purge_time(now + offset, now - 20) >= now - 20 + offset
 
 
-def test_the_first_purge_heard_counts_as_of_then():
+def test_the_first_purge_counts_as_of_its_arrival():
     assert ClockOffset().purge_time(5_000, 1_000) == 5_000 and ClockOffset().purge_time(5_000, 9_000) == 5_000
 
 
-def test_a_start_is_never_after_it_was_told_and_stays_what_it_was():
-    clock_offset, told = ClockOffset(), WatchContext(0, is_current=True)
+def test_a_start_is_never_after_its_arrival_and_does_not_change():
+    clock_offset, context = ClockOffset(), WatchContext(0, is_current=True)
     assert clock_offset.start_time(1000, "a", 0) == 0
-    clock_offset.purge_time(1000, 1000)  # both clocks tell the same time
-    assert clock_offset.start_time(1000, "a", 900, told) == 900
-    assert clock_offset.start_time(2000, "b", 5000, told) == 2000  # it cannot have started later
-    assert clock_offset.start_time(9000, "b", 5000, told) == 2000  # told again: the same life
-    assert clock_offset.start_time(9000, "b", 5001, told) == 5001
+    clock_offset.purge_time(1000, 1000)  # both clocks show the same time
+    assert clock_offset.start_time(1000, "a", 900, context) == 900
+    assert clock_offset.start_time(2000, "b", 5000, context) == 2000  # it cannot have started later
+    assert clock_offset.start_time(9000, "b", 5000, context) == 2000  # repeated: the same start
+    assert clock_offset.start_time(9000, "b", 5001, context) == 5001
     clock_offset.forget("b")
-    assert clock_offset.start_time(100, "b", 5001, told) == 100
+    assert clock_offset.start_time(100, "b", 5001, context) == 100
 
 
-@pytest.mark.parametrize("ahead", [-36_000_000, -7, 0, 7, 36_000_000])
-def test_a_start_counts_by_the_logs_clock_whatever_ours_was_stepped_by(ahead):
-    clock_offset, true = ClockOffset(), 10**9
-    clock_offset.purge_time(true + ahead, true - 300)  # told 30 ms after it was
-    told = WatchContext(true + ahead, is_current=True)
-    assert clock_offset.start_time(true + 1000 + ahead, "a", true, told) == true + ahead + 300
+@pytest.mark.parametrize("offset", [-36_000_000, -7, 0, 7, 36_000_000])
+def test_a_start_is_converted_correctly_however_the_local_clock_was_stepped(offset):
+    clock_offset, true_time = ClockOffset(), 10**9
+    clock_offset.purge_time(true_time + offset, true_time - 300)  # arrives 30 ms after its timestamp
+    context = WatchContext(true_time + offset, is_current=True)
+    assert (
+        clock_offset.start_time(true_time + 1000 + offset, "a", true_time, context)
+        == true_time + offset + 300
+    )
 
 
-def test_without_a_purge_a_start_counts_as_of_when_it_is_told_and_is_corrected_by_the_first():
-    clock_offset, told = ClockOffset(), WatchContext(10**6, is_current=True)
-    assert clock_offset.start_time(10**6, "a", 500, told) == 10**6
+def test_without_a_purge_a_start_counts_as_of_its_arrival_and_is_corrected_by_the_first_purge():
+    clock_offset, context = ClockOffset(), WatchContext(10**6, is_current=True)
+    assert clock_offset.start_time(10**6, "a", 500, context) == 10**6
     assert clock_offset.corrected_starts() == {}
     clock_offset.purge_time(10**6 + 10, 10**6)
     assert clock_offset.corrected_starts() == {"a": 510}
-    assert clock_offset.start_time(10**6 + 20, "a", 500, told) == 510
+    assert clock_offset.start_time(10**6 + 20, "a", 500, context) == 510
     assert clock_offset.corrected_starts() == {}
 
 
-def test_starts_that_a_configuration_lists_are_told_apart_by_themselves():
-    """The latest counts as of now, those before it as much earlier, whatever our clock says."""
+def test_configured_starts_are_converted_relative_to_each_other():
+    """The latest counts as of now, and the others as earlier by their difference, whatever the local clock
+    shows."""
     clock_offset, now = ClockOffset(), 10**9
     clock_offset.record_configured_starts(now, [now - 36_000_500, now - 36_090_000, 0])
     assert clock_offset.start_time(now, "a", now - 36_000_500) == now
@@ -81,54 +85,57 @@
     assert clock_offset.start_time(now, "c", 0) == 0
 
 
-def test_a_start_that_claims_to_be_older_than_the_log_can_have_told_counts_as_of_now():
+def test_a_start_with_too_old_a_timestamp_for_the_log_counts_as_of_now():
     clock_offset, now = ClockOffset(), 10**9
     clock_offset.purge_time(now, now)
-    told = WatchContext(now - 5_000, is_current=True)
+    context = WatchContext(now - 5_000, is_current=True)
     oldest = now - 5_000 - MAX_START_DELAY
-    assert clock_offset.start_time(now, "a", oldest, told) == oldest
-    assert clock_offset.start_time(now, "b", oldest - 1, told) == now
+    assert clock_offset.start_time(now, "a", oldest, context) == oldest
+    assert clock_offset.start_time(now, "b", oldest - 1, context) == now
     clock_offset.purge_time(now + 10, now + 10)
-    assert clock_offset.corrected_starts() == {}  # that its stamp is not to be trusted stays so
+    assert clock_offset.corrected_starts() == {}  # an unreliable timestamp stays unreliable
 
 
-# --- the log's clock is put back ---
+# --- the clock of the log is set back ---
 
 
 @pytest.mark.parametrize("seed", range(50))
-def test_a_purge_never_counts_as_much_older_than_it_is_however_the_logs_clock_is_put_back(seed):
-    """Beside the truth: frames at least each second, a step now and then, outages in which much is held back.
-    What a step below `MAX_DELIVERY_TIME` hides is no more than that and what lies between two frames."""
+def test_a_purge_never_counts_as_much_older_than_it_is_when_the_logs_clock_is_set_back(seed):
+    """Compares with the true time, with frames at least every second, occasional clock steps, and outages
+    that delay many events. The error from a step below `MAX_DELIVERY_TIME` is at most that time plus the
+    time between two frames."""
     chance = random.Random(seed)
-    clock_offset, true, ahead = ClockOffset(), 10**9, chance.randrange(-(10**8), 10**8)
-    log, before, current = 0, true + ahead, True
+    clock_offset, true_time, offset = ClockOffset(), 10**9, chance.randrange(-(10**8), 10**8)
+    log_step, previous_frame_at, current = 0, true_time + offset, True
     for _ in range(400):
         if chance.random() < 0.05:
-            log -= chance.choice([10_000, 25_000, 36_000_000])
+            log_step -= chance.choice([10_000, 25_000, 36_000_000])
         outage = chance.random() < 0.05
-        true += chance.randrange(20_000, 200_000) if outage else chance.randrange(1, 10_000)
-        heard = true + ahead
+        true_time += chance.randrange(20_000, 200_000) if outage else chance.randrange(1, 10_000)
+        arrival = true_time + offset
         current = current and not outage
-        delay = chance.randrange(0, heard - before) if outage else chance.randrange(300, 4_000)
-        meant = clock_offset.purge_time(heard, true - delay + log, WatchContext(before, current))
-        hidden = MAX_DELIVERY_TIME + 10_000
-        assert true + ahead - delay - hidden <= meant <= heard
-        before, current = heard, True  # the next frame has nothing new
+        delay = chance.randrange(0, arrival - previous_frame_at) if outage else chance.randrange(300, 4_000)
+        converted = clock_offset.purge_time(
+            arrival, true_time - delay + log_step, WatchContext(previous_frame_at, current)
+        )
+        max_error = MAX_DELIVERY_TIME + 10_000
+        assert true_time + offset - delay - max_error <= converted <= arrival
+        previous_frame_at, current = arrival, True  # the next frame has nothing new
 
 
-def test_a_purge_that_the_frame_before_it_contradicts_counts_as_of_when_it_is_heard():
+def test_a_purge_with_too_old_a_timestamp_for_the_previous_frame_counts_as_of_its_arrival():
     clock_offset, now = ClockOffset(), 10**9
     clock_offset.purge_time(now, now - 100)
     context = WatchContext(now, is_current=True)
     assert clock_offset.purge_time(now, now - MAX_DELIVERY_TIME - 100, context) == now - MAX_DELIVERY_TIME
     assert clock_offset.purge_time(now, now - MAX_DELIVERY_TIME - 101, context) == now
-    # the lag is learned anew: the next of the same stamp counts no younger
+    # the lag is learned again: the next purge with the same timestamp counts as of the same time
     assert (
         clock_offset.purge_time(now, now - MAX_DELIVERY_TIME - 101, WatchContext(now, is_current=True)) == now
     )
 
 
-def test_a_purge_that_was_held_back_counts_as_of_when_it_is_heard_and_changes_no_lag_upwards():
+def test_a_purge_delayed_by_a_disconnection_counts_as_of_its_arrival_and_does_not_raise_the_lag():
     clock_offset, now = ClockOffset(), 10**9
     clock_offset.purge_time(now, now - 100)
     assert (
@@ -138,7 +145,7 @@
     assert clock_offset.min_lag == 100 + 50_000 // DRIFT_INTERVAL
 
 
-def test_starts_told_before_the_logs_clock_was_put_back_are_not_corrected_by_what_it_says_after():
+def test_starts_from_before_the_logs_clock_was_set_back_are_not_corrected_afterwards():
     clock_offset, now = ClockOffset(), 10**9
     clock_offset.start_time(now, "a", now - 500, WatchContext(now, is_current=True))
     clock_offset.purge_time(now, now - 36_000_000)
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""The order of an event loop's work, against a plain model: nothing is lost, and clients take turns."""
+"""Compares the queue of an event loop's work with a simple model: no item is lost, and clients take turns."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,7 +13,7 @@
 
 
 class Model:
-    """The same in the plainest words: a list of all that waits, and a list of the clients in their turns."""
+    """A simple model of the queue: a list of all queued items, and a list of the clients in turn."""
 
     def __init__(self):
         self.waiting, self.turns, self.was_overdue = [], [], False
@@ -24,10 +24,10 @@
         self.waiting.append((item, client, due_at))
 
     def next(self, now):
-        in_hand = [entry for entry in self.waiting if entry[1] is None]
+        internal = [entry for entry in self.waiting if entry[1] is None]
         overdue = [entry for entry in self.waiting if entry[1] and entry[2] is not None and entry[2] <= now]
-        if in_hand:
-            chosen = in_hand[0]
+        if internal:
+            chosen = internal[0]
         elif overdue and not self.was_overdue:
             chosen = min(overdue, key=lambda entry: (entry[2], entry[0]))
         elif self.waiting:
@@ -37,7 +37,7 @@
         else:
             self.was_overdue = False
             return None
-        if not in_hand:
+        if not internal:
             self.was_overdue = bool(overdue) and not self.was_overdue
         self.waiting.remove(chosen)
         self.turns = [client for client in self.turns if any(entry[1] == client for entry in self.waiting)]
@@ -45,10 +45,10 @@
 
 
 @given(STEPS)
-def test_it_does_what_the_plain_model_does(steps):
+def test_the_queue_behaves_as_the_model(steps):
     queue, model = FairQueue(), Model()
-    for number, (what, client, time) in enumerate(steps):
-        if what == "add":
+    for number, (operation, client, time) in enumerate(steps):
+        if operation == "add":
             queue.add(number, client, time if client else None)
             model.add(number, client, time if client else None)
         else:
@@ -61,8 +61,8 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.none() | TIMES), max_size=40))
-def test_what_waits_is_each_clients_in_its_own_order_but_for_what_is_overdue(items):
-    """A cancel or a half close before its own request would not be seen by it."""
+def test_the_items_of_a_client_keep_their_order_except_overdue_ones(items):
+    """A cancellation or a half-close that overtook its own request would have no effect on it."""
     queue = FairQueue()
     for number, (client, due_at) in enumerate(items):
         queue.add(number, client, due_at)
@@ -78,7 +78,7 @@
 
 @given(st.integers(1, 32), st.integers(1, 32))
 def test_a_clients_first_item_waits_for_one_item_of_each_other_client(flood, clients):
-    """A batch of pipelined requests held up whoever came after it, to the batch's end."""
+    """Otherwise a batch of pipelined requests delays all later requests of other clients until it is done."""
     queue = FairQueue()
     for client in range(clients):
         for number in range(flood):
@@ -89,7 +89,7 @@
 
 
 @given(st.lists(st.tuples(CLIENTS, st.none() | TIMES), max_size=40), TIMES)
-def test_what_is_overdue_is_taken_earliest_deadline_first_and_nothing_else(items, by):
+def test_next_overdue_returns_only_overdue_items_earliest_deadline_first(items, by):
     queue = FairQueue()
     for number, (client, due_at) in enumerate(items):
         queue.add(number, client, due_at if client else None)
@@ -99,11 +99,11 @@
         if client and due_at is not None and due_at <= by
     ]
     assert list(iter(lambda: queue.next_overdue(by), None)) == [number for _, number in sorted(overdue)]
-    left = list(iter(lambda: queue.next(by), None))
-    assert sorted([*left, *(number for _, number in overdue)]) == list(range(len(items)))
+    remaining = list(iter(lambda: queue.next(by), None))
+    assert sorted([*remaining, *(number for _, number in overdue)]) == list(range(len(items)))
 
 
-def test_after_an_overdue_item_between_others_it_is_the_turn_of_who_has_time_left():
+def test_after_an_overdue_item_the_next_client_item_is_dequeued_in_turn():
     queue = FairQueue()
     queue.add("in time", "a", due_at=9)
     queue.add("over", "b", due_at=1)
@@ -112,7 +112,7 @@
     assert [queue.next_of_clients(1) for _ in range(2)] == ["in time", "over too"]
 
 
-def test_replies_go_before_other_work_in_hand():
+def test_replies_are_dequeued_before_other_internal_items():
     queue = FairQueue()
     queue.add("lost")
     queue.add_reply("reply")
@@ -121,7 +121,7 @@
     assert not queue
 
 
-def test_work_in_hand_goes_before_what_clients_sent_earlier():
+def test_internal_items_are_dequeued_before_earlier_client_items():
     queue = FairQueue()
     queue.add("request", "a client", due_at=0)
     queue.add("reply")
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The checks of a running gateway: each promise is found broken by a plain history, and kept ones pass."""
+"""The run-time invariant checks of a gateway: each violation is found, and valid histories pass."""
 
 import pytest
 from loguru import logger
@@ -15,14 +15,14 @@
 
 
 @pytest.fixture
-def seen():
-    """Promises that were found broken, in order."""
+def violated():
+    """Invariants whose violation was reported, in order."""
     return []
 
 
 @pytest.fixture
-def checks(seen):
-    return Invariants(from_protocol(ENV), lambda promise, name, detail: seen.append(promise))
+def checks(violated):
+    return Invariants(from_protocol(ENV), lambda promise, name, detail: violated.append(promise))
 
 
 def backend(name="a", cell=1, **more):
@@ -33,26 +33,26 @@
     return History("r", effect, NOW + SECOND)
 
 
-def begun(**more):
-    kept = {
+def first_byte(**more):
+    valid = {
         "client_left_at": 0,
         "window_ends_at": 0,
         "draining_since": 0,
         "time_limit": 5_000,
         "deadline": NOW + 5_000,
     }
-    return FirstByte("r", NOW, **{**kept, **more})
+    return FirstByte("r", NOW, **{**valid, **more})
 
 
-def test_a_plain_course_breaks_nothing(checks, seen):
+def test_a_valid_history_violates_nothing(checks, violated):
     one, cache, parent = history(ONE), backend(), backend("p", kind=2)
     assert checks.may_send(one, cache, parent, 1_000, NOW)
-    assert checks.may_begin(begun())
+    assert checks.may_begin(first_byte())
     checks.attempt_ended(one, "reset")
     assert checks.may_send(one, backend("b"), parent, 1_000, NOW + SECOND)
     checks.attempt_ended(one, "done")
     checks.answered(one, NOW + SECOND)
-    assert seen == []
+    assert violated == []
     assert not any(checks.violations().values())
 
 
@@ -68,25 +68,25 @@
         (ONE, "error", backend("b"), 2 * SECOND, Promise.WINDOW_OVER),
     ],
 )
-def test_repeats(checks, seen, effect, outcome, other, after, promise):
+def test_retries(checks, violated, effect, outcome, other, after, promise):
     one = history(effect)
     assert checks.may_send(one, backend(), backend(), 1_000, NOW)
     checks.attempt_ended(one, outcome)
     assert checks.may_send(one, other, other, 1_000, NOW + after) == (promise is None)
-    assert seen == ([promise] if promise else [])
+    assert violated == ([promise] if promise else [])
 
 
-def test_two_at_once_and_what_is_settled(checks, seen):
+def test_two_attempts_in_flight_and_attempts_for_settled_requests(checks, violated):
     one, other = history(), history()
     assert checks.may_send(one, backend(), backend(), 1_000, NOW)
     assert not checks.may_send(one, backend("b"), backend("b"), 1_000, NOW)
     checks.client_left(other)
     assert not checks.may_send(other, backend(), backend(), 1_000, NOW)
-    assert seen == [Promise.TWO_OUT, Promise.SETTLED]
+    assert violated == [Promise.TWO_OUT, Promise.SETTLED]
 
 
 @pytest.mark.parametrize(
-    "told, promise",
+    "fields, promise",
     [
         ({"client_left_at": NOW - 1_000}, None),
         ({"client_left_at": NOW - 1_001}, Promise.CLIENT_HAD_LEFT),
@@ -98,51 +98,51 @@
         ({"draining_since": NOW - 10_501}, Promise.DRAIN),
     ],
 )
-def test_first_bytes(checks, seen, told, promise):
-    assert checks.may_begin(begun(**told)) == (promise is None)
-    assert seen == ([promise] if promise else [])
+def test_first_bytes(checks, violated, fields, promise):
+    assert checks.may_begin(first_byte(**fields)) == (promise is None)
+    assert violated == ([promise] if promise else [])
 
 
 @pytest.mark.parametrize("status", [0, 2])
 @pytest.mark.parametrize("source", [False, True])
-def test_drains_also_of_sources_and_until_they_are_ready_again(checks, seen, status, source):
+def test_draining_backends_and_sources_until_they_are_ready_again(checks, violated, status, source):
     cache, parent = backend(), backend("p", kind=2)
-    drains = parent if source else cache
-    checks.endpoint_changed(drains.name, status, NOW, 7)
+    draining = parent if source else cache
+    checks.endpoint_changed(draining.name, status, NOW, 7)
     assert checks.may_send(history(), cache, parent, 1_000, NOW + 10_000)
     assert not checks.may_send(history(), cache, parent, 1_000, NOW + 10_001)
-    assert seen == [Promise.DRAIN]
-    assert checks.drained[drains.name].steady == 7
-    checks.endpoint_changed(drains.name, 1, NOW, 8)
+    assert violated == [Promise.DRAIN]
+    assert checks.drained[draining.name].steady == 7
+    checks.endpoint_changed(draining.name, 1, NOW, 8)
     assert checks.may_send(history(), cache, parent, 1_000, NOW + 10_001)
 
 
-def test_a_cold_start_that_one_process_overruns(checks, seen):
-    """By the settings 2 s of work in the first second: 20 calls of 0.1 s, and what chance may add."""
+def test_a_cold_backend_that_is_overloaded_by_one_process(checks, violated):
+    """The settings allow 2 s of work in the first second: 20 requests of 0.1 s, plus the allowed excess."""
     cold = backend(started=NOW)
     sent = 0
     while checks.may_send(history(), cold, cold, 1_000, NOW):
         sent += 1
     assert sent == int(20 + allowed_excess(20))
-    assert seen == [Promise.SLOW_START]
+    assert violated == [Promise.SLOW_START]
     assert checks.may_send(history(), cold, cold, 1_000, NOW + SECOND + 1)  # the window has moved on
     assert checks.may_send(history(), backend("w", started=NOW - 15 * SECOND), cold, 1_000, NOW + SECOND + 1)
 
 
-def test_answers(checks, seen):
+def test_answers(checks, violated):
     one, late = history(), history()
     checks.answered(one, NOW)
     checks.answered(one, NOW)
     checks.answered(late, late.deadline + 580)
-    assert seen == [Promise.ANSWERED_TWICE]
+    assert violated == [Promise.ANSWERED_TWICE]
     checks.answered(late := history(), late.deadline + 581)
-    assert seen[1:] == [Promise.ANSWERED_LATE]
+    assert violated[1:] == [Promise.ANSWERED_LATE]
     checks.closed_with_open(["r", "s"])
-    assert seen[2:] == [Promise.UNANSWERED] * 2
+    assert violated[2:] == [Promise.UNANSWERED] * 2
     assert checks.violations()["unanswered"] == 2
 
 
-def test_on_a_gateway_a_broken_promise_is_counted_and_told_with_what_led_to_it(in_process):
+def test_a_gateway_counts_a_violation_and_logs_it_with_the_events_of_the_request(in_process):
     world = in_process(serves(b"ok"))
     asker, lines = world.asker(), []
     tag = asker.ask()
@@ -155,12 +155,12 @@
     finally:
         logger.remove(handler)
     assert "invariant: a request ended without an answer" in lines[0]
-    for what in ("arrived clip", "sent s-00000001 0", "ended DATA", "done"):
-        assert what in lines[0]
+    for event in ("arrived clip", "sent s-00000001 0", "ended DATA", "done"):
+        assert event in lines[0]
     assert world.owner.invariants.violations()["unanswered"] == 1
 
 
-def test_why_requests_are_refused_and_sent_again_is_counted(in_process):
+def test_rejections_and_retries_are_counted_by_reason(in_process):
     world = in_process(serves(b"ok"), serves(b"ok"))
     asker = world.asker()
     asker.ask()
--- a/tests/test_lag_margin.py
+++ b/tests/test_lag_margin.py
@@ -1,4 +1,4 @@
-"""A gateway that is short of processor time answers early enough, and tells no cache time that is over."""
+"""A gateway that is short of processor time answers early enough, and states no expired time to caches."""
 
 import threading
 import time
@@ -17,16 +17,16 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 2 * LAG_MEMORY), st.integers(0, 9000)), max_size=12), st.integers(0))
-def test_the_margin_is_the_longest_lag_of_one_to_two_spans(steps, more):
-    margin, seen, now = LagMargin(), [], 10**6
+def test_the_margin_is_the_longest_lag_of_one_to_two_intervals(steps, more):
+    margin, recorded, now = LagMargin(), [], 10**6
     for wait, lag in steps:
         now += wait
         margin.record(lag, now)
-        seen.append((now, lag))
+        recorded.append((now, lag))
     now += more % (3 * LAG_MEMORY)
-    least = max((lag for at, lag in seen if now - at < LAG_MEMORY), default=0)
-    most = max((lag for at, lag in seen if now - at < 2 * LAG_MEMORY), default=0)
-    assert least <= margin.current(now) <= most
+    minimum = max((lag for at, lag in recorded if now - at < LAG_MEMORY), default=0)
+    maximum = max((lag for at, lag in recorded if now - at < 2 * LAG_MEMORY), default=0)
+    assert minimum <= margin.current(now) <= maximum
 
 
 @given(st.integers(0, 10**6), st.integers(0, 40_000), st.integers(0, 90_000))
@@ -36,18 +36,18 @@
     assert answer_by == arrived_at + allowed - lag or lag > allowed // 2
 
 
-def lags(world):
-    """Hold the event loop for a while."""
-    go = world.stall()
+def stall_event_loop(world):
+    """Block the event loop for `STALL` seconds."""
+    resume = world.stall()
     time.sleep(STALL)
-    go.set()
+    resume.set()
     until(lambda: world.owner.lag_margin.current(world.owner.monotonic_time) > 2000)
 
 
-def test_a_gateway_that_has_lagged_gives_its_answer_that_much_before_the_deadline(in_process):
-    """It came at the deadline itself, and was late by the next lag."""
+def test_a_gateway_that_has_lagged_answers_before_the_deadline_by_the_margin(in_process):
+    """An answer due at the deadline itself would be late by the next lag."""
     world = in_process(silent)
-    lags(world)
+    stall_event_loop(world)
     asker = world.asker()
     tag = asker.ask(b"pay", body=b"x", allow=2000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     until(lambda: world.owner.open_requests)
@@ -57,49 +57,49 @@
     world.rests()
 
 
-def test_the_first_of_two_requests_that_were_read_late_is_not_taken_for_as_new_as_the_second(
-    in_process, monkeypatch
-):
-    """Its cache was told the whole time anew, where the process got little processor time without a stop."""
+def test_the_age_of_requests_that_were_read_late_is_not_underestimated(in_process, monkeypatch):
+    """If the process gets little processor time without being stopped, the first of two requests that are
+    read together was treated as just arrived, and its cache was given the whole time limit again."""
     monkeypatch.setattr(clock, "PAUSE_AFTERMATH", 0)
     world = in_process(silent)
-    lags(world)
-    asker, go, in_it = world.asker(), threading.Event(), threading.Event()
+    stall_event_loop(world)
+    asker, resume, is_blocked = world.asker(), threading.Event(), threading.Event()
     until(lambda: world.owner.front.clients)
     client = next(iter(world.owner.front.clients))
-    takes = client.on_message
+    on_message = client.on_message
 
-    def held(connection, items):
-        in_it.set()
-        assert go.wait(5)
-        takes(connection, items)
+    def delayed(connection, items):
+        is_blocked.set()
+        assert resume.wait(5)
+        on_message(connection, items)
 
-    client.on_message = held
+    client.on_message = delayed
     asker.send(b"ALIVE", b"99", b"")
-    assert in_it.wait(5)
+    assert is_blocked.wait(5)
     written = time.monotonic()
     asker.ask(key=1, allow=3000)
     time.sleep(STALL)
     asker.ask(key=2, allow=3000)
-    go.set()
-    came, _, items = world.caches[0].next()
-    told = int(parse_fields(items[2])["max"]) / 1000
-    assert told <= written + 3.0 - came + 0.15
+    resume.set()
+    received, _, items = world.caches[0].next()
+    time_limit = int(parse_fields(items[2])["max"]) / 1000
+    assert time_limit <= written + 3.0 - received + 0.15
     forgets(asker)
     world.rests()
 
 
-def test_what_its_client_cancels_between_decision_and_first_byte_is_given_up_without_a_violation(
+def test_a_cancellation_between_decision_and_first_byte_drops_the_attempt_without_a_violation(
     in_process, monkeypatch
 ):
-    """The event loop's thread got no processor there; the guard counted a promise about to be broken."""
+    """If the event loop's thread gets no processor time in between, the invariant check would count a
+    violation."""
     dispatch = Upstream.dispatch
-    decided, go = threading.Event(), threading.Event()
+    decided, resume = threading.Event(), threading.Event()
 
     def late(self, attempt):
         if attempt.call:
             decided.set()
-            assert go.wait(5)
+            assert resume.wait(5)
         return dispatch(self, attempt)
 
     monkeypatch.setattr(Upstream, "dispatch", late)
@@ -110,7 +110,7 @@
     forgets(asker)
     until(lambda: world.owner.front.counts["forgotten"])
     time.sleep(0.15)
-    go.set()
+    resume.set()
     world.rests()
     assert world.owner.back.counts["dispatches"] == 0
     assert not any(world.owner.invariants.violations().values())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The module beside the plain model of the rules, on generated events."""
+"""Compares the router with a simple model of the rules, on generated events."""
 
 import random
 
@@ -60,14 +60,14 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_module_and_model_agree(seed):
+def test_the_router_breaks_no_rule_of_the_model(seed):
     model = play(seed)
     assert model.wrong == []
     assert len(model.sends) > 50
-    assert {request for request, _ in model.finals} == set(model.history), "each req has its final answer"
+    assert {request for request, _ in model.finals} == set(model.history), "each request has a final answer"
 
 
-BREAKS = {  # what the model must say, and the edits that break the rule: module, text, what stands for it
+BREAKS = {  # violation that the model must report, and the edits that cause it: module, text, replacement
     "two out at once": [
         ("dispatching", "if request.finished or request.in_flight:", "if request.finished:"),
         ("router", "return self.cancel_if_safe(request)", "return self._route(request)"),
@@ -124,12 +124,12 @@
 }
 
 
-@pytest.mark.parametrize("told", BREAKS)
-def test_model_sees_a_rule_broken_by_hand(told, monkeypatch):
-    """Each rule taken out of the modules' texts in turn must be missed by the model."""
-    texts = dict(revisions.current_sources())
-    for module, kept, broken in BREAKS[told]:
-        assert texts[module].count(kept) == 1
-        texts[module] = texts[module].replace(kept, broken)
-    monkeypatch.setattr(plain, "Router", packages.load("broken", texts, "router").Router)
-    assert any(told in play(seed).wrong for seed in range(100))
+@pytest.mark.parametrize("violation", BREAKS)
+def test_the_model_reports_each_rule_that_is_removed_from_the_source(violation, monkeypatch):
+    """Removes each rule in turn from the sources of the router; the model must report the violation."""
+    sources = dict(revisions.current_sources())
+    for module, text, replacement in BREAKS[violation]:
+        assert sources[module].count(text) == 1
+        sources[module] = sources[module].replace(text, replacement)
+    monkeypatch.setattr(plain, "Router", packages.load("broken", sources, "router").Router)
+    assert any(violation in play(seed).wrong for seed in range(100))
--- a/tests/test_state_transfer.py
+++ b/tests/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""The state in another process: no decision differs because of a handover, and messages are checked."""
+"""Transfer of a router's state to another process: decisions stay the same, and messages are validated."""
 
 import copy
 import random
@@ -24,25 +24,27 @@
 
 
 def transmitted(exported):
-    """An exported state, encoded and decoded as on its way to the next process."""
+    """An exported state, encoded and decoded as in a transfer to the next process."""
     return framing.to_plain(framing.decode(framing.encode(exported), messages.RouterState))
 
 
 def transfer(model, open_reqs):
-    """Continue in another Router with records of its own; returns the open requests as that has them."""
+    """Continue with another Router that has its own records; returns the open requests of that router."""
     old = model.router
-    # an unlisted backend is not in the state: the test keeps what it knows of it
+    # the state does not include unlisted backends, so their records are kept
     backends = {
         backend.name: backend if not (backend.status or backend.requests) else Backend(backend.name)
         for backend in [*model.caches, *model.parents, model.origin]
     }
-    places = list(old.freshness.object_parts)
-    exported = transmitted(export_state(old, open_reqs, places))
-    was = {backend: backends[backend.name] for backend in [*model.caches, *model.parents, model.origin]}
-    model.caches = [was[backend] for backend in model.caches]
-    model.parents = [was[backend] for backend in model.parents]
-    model.origin = was[model.origin]
-    model.listed = {was[backend]: told for backend, told in model.listed.items()}
+    part_keys = list(old.freshness.object_parts)
+    exported = transmitted(export_state(old, open_reqs, part_keys))
+    new_backends = {
+        backend: backends[backend.name] for backend in [*model.caches, *model.parents, model.origin]
+    }
+    model.caches = [new_backends[backend] for backend in model.caches]
+    model.parents = [new_backends[backend] for backend in model.parents]
+    model.origin = new_backends[model.origin]
+    model.listed = {new_backends[backend]: row for backend, row in model.listed.items()}
     model.wakes = []
     model.router = Router(model, model.config)
     model.router.endpoints_changed(
@@ -61,25 +63,31 @@
         ],
     )
     requests = restore_state(model.router, exported, backends)
-    new = dict(zip(open_reqs, requests, strict=True))
+    new_requests = dict(zip(open_reqs, requests, strict=True))
     model.history = {
-        new.get(request, request): [
-            [was.get(part, part) if isinstance(part, Backend) else part for part in entry] for entry in past
+        new_requests.get(request, request): [
+            [new_backends.get(value, value) if isinstance(value, Backend) else value for value in entry]
+            for entry in entries
         ]
-        for request, past in model.history.items()
+        for request, entries in model.history.items()
     }
     model.sends = [
-        (at, new.get(request, request), was.get(backend, backend), was.get(source, source))
+        (
+            at,
+            new_requests.get(request, request),
+            new_backends.get(backend, backend),
+            new_backends.get(source, source),
+        )
         for at, request, backend, source in model.sends
     ]
-    model.finals = [(new.get(request, request), at) for request, at in model.finals]
-    model.asked = [new.get(request, request) for request in model.asked]
+    model.finals = [(new_requests.get(request, request), at) for request, at in model.finals]
+    model.asked = [new_requests.get(request, request) for request in model.asked]
     return requests
 
 
 def play(seed, transfers, steps=160):
-    """Play generated events; with `transfers` the state goes to another Router now and then. Returns all
-    decisions."""
+    """Play generated events; with `transfers`, the state is transferred to another Router at random times.
+    Returns all decisions and the violations."""
     chance, transfer_chance = random.Random(seed), random.Random(f"over {seed}")
     model = Model(
         settings(
@@ -90,7 +98,7 @@
             uncacheable=(False, False, True, True),
         )
     )
-    open_reqs, decided, seen = [], [], 0
+    open_reqs, decisions, send_count = [], [], 0
     for _ in range(steps):
         model.run(chance.choice([5, 50, 300, 2000]))
         open_reqs = [request for request in open_reqs if not request.finished or model.out(request)]
@@ -115,9 +123,9 @@
             started = model.time if status == 1 and chance.random() < 0.4 else model.listed[backend][1]
             model.list("delta", [(backend, status, started)])
         elif doing < 0.8:
-            what = (f"k{chance.randrange(20)}", 0) if chance.random() < 0.7 else ("", 1)
-            model.purges.append((*what, model.time))
-            model.router.object_purged(*what, 0)
+            purged = (f"k{chance.randrange(20)}", 0) if chance.random() < 0.7 else ("", 1)
+            model.purges.append((*purged, model.time))
+            model.router.object_purged(*purged, 0)
         elif doing < 0.85:
             backend = model.caches[chance.randrange(len(model.caches))]
             model.router.health_checked(backend, "done", [chance.randrange(30), chance.random()])
@@ -127,7 +135,7 @@
                 if outcome != "hang":
                     note, took = chance.choice([0, 0, 1, 2, 3, 7]), chance.choice([None, 30, 9000])
                     model.end(request, outcome, note, took)
-        decided += [
+        decisions += [
             (
                 at,
                 request.key,
@@ -137,19 +145,21 @@
                 source.name,
                 model.history[request][-1][5],
             )
-            for at, request, backend, source in model.sends[seen:]
+            for at, request, backend, source in model.sends[send_count:]
         ]
-        seen = len(model.sends)
-    decided += [("final", at, request.key, request.part, request.arrived_at) for request, at in model.finals]
-    return decided, model.wrong
+        send_count = len(model.sends)
+    decisions += [
+        ("final", at, request.key, request.part, request.arrived_at) for request, at in model.finals
+    ]
+    return decisions, model.wrong
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_a_router_decides_the_same_after_a_transfer(seed):
-    stays, wrong = play(seed, False)
-    moves, broken = play(seed, True)
-    assert moves == stays
-    assert broken == wrong == []
+    expected, expected_violations = play(seed, False)
+    decisions, violations = play(seed, True)
+    assert decisions == expected
+    assert violations == expected_violations == []
 
 
 def test_every_exported_key_is_a_field_of_its_record_and_of_its_message():
@@ -177,9 +187,10 @@
 
 
 def test_a_slow_start_budget_continues_after_a_transfer():
-    """Both processes are one gateway to rule 4: what the first has spent the second has not."""
+    """For the slow-start rule (rule 4) both processes are one gateway: the second one may use only what the
+    first one has left of the budget."""
 
-    def spent(transfers):
+    def sent_to_cold_cache(transfers):
         model = Model(settings([vhost()], fresh=(SEC,)), caches=1)
         requests = []
         model.list("delta", [(model.caches[0], 1, model.time)])
@@ -192,11 +203,11 @@
             model.ask(f"k{number}")
         return len([backend for _, _, backend, _ in model.sends if backend is model.caches[0]]), model.wrong
 
-    assert spent(True) == spent(False) and spent(True)[1] == []
-    assert spent(True)[0] < 60
+    assert sent_to_cold_cache(True) == sent_to_cold_cache(False) and sent_to_cold_cache(True)[1] == []
+    assert sent_to_cold_cache(True)[0] < 60
 
 
-def test_a_draining_sender_leaves_slow_starts_and_revalidations_to_the_receiver():
+def test_a_draining_sender_leaves_cold_backends_and_revalidation_to_the_receiver():
     model = Model(settings([vhost()], fresh=(SEC,)), caches=2)
     model.run(SEC)
     model.router.set_standby(True)
@@ -204,13 +215,13 @@
     assert model.out(request) and not model.history[request][-1][5]["renew"]
     model.list("delta", [(backend, 1, model.time) for backend in model.caches])
     model.run(14 * SEC)
-    transfers = model.ask("other")
-    assert not {transfers.backend, transfers.source} & set(model.caches)  # past the caches, which are cold
+    other = model.ask("other")
+    assert not {other.backend, other.source} & set(model.caches)  # it bypasses the caches, which are cold
     model.router.set_standby(False)
     assert model.ask("third").backend in model.caches
 
 
-def test_what_was_learned_of_an_earlier_start_of_a_cache_is_passed_over():
+def test_the_learned_state_of_a_cache_that_has_restarted_since_is_ignored():
     model = Model(settings())
     model.caches[0].ejected, model.caches[0].consecutive_failures = True, 9
     exported = transmitted(export_state(model.router, (), ()))
@@ -249,7 +260,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil, told",
+    "corrupt, message",
     [
         (lambda data: b"GET " + data[4:], "no frame"),
         (lambda data: data[:5] + b"\x63" + data[6:], "unknown kind"),
@@ -257,9 +268,9 @@
         (lambda data: data[:-1] + bytes([data[-1] ^ 1]), "checksum"),
     ],
 )
-def test_an_invalid_frame_is_refused_with_its_reason(spoil, told):
-    data = spoil(framing.encode_frame(framing.MessageKind.STATE, state()))
-    with pytest.raises(framing.FormatError, match=told):
+def test_an_invalid_frame_is_rejected_with_the_reason(corrupt, message):
+    data = corrupt(framing.encode_frame(framing.MessageKind.STATE, state()))
+    with pytest.raises(framing.FormatError, match=message):
         _, _, crc = framing.decode_header(data[: framing.HEADER.size])
         framing.verify_payload(data[framing.HEADER.size :], crc)
 
@@ -271,17 +282,17 @@
 
 
 def test_an_unsent_attempt_keeps_its_idempotency_window_after_a_handover(in_process, late, monkeypatch):
-    """The check of its first byte needs it there as well, beside the module's own bound."""
+    """The invariant check of its first byte needs the window there too, in addition to the router's bound."""
     monkeypatch.setattr(Connection, "movable", True)
     world = in_process(silent, changes=limits(connectTimeoutNs=10**10))
-    waiting = world.asker()  # kept, else it closes at once
+    waiting = world.asker()  # keeps a reference, as otherwise the connection is closed at once
     waiting.ask(b"pay", replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     until(lambda: world.held()["out"] == 1)
     (call,) = world.does(lambda: list(world.owner.open_requests.values()))
     call.request.first_executed_at, call.request.first_executed_by = (
         call.request.sent_at - 1_000,
         call.request.backend,
-    )  # an attempt that may have run
+    )  # an attempt that may have been executed
     with handed_over(world) as restorer:
         (sent,) = restorer.unsent_attempts
         window = world.owner.requests.effects[call.vhost].window
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: names, units, framing, and plain words for what is malformed."""
+"""The simulator adapter: names, units, framing, and error messages for malformed input."""
 
 import io
 import json
@@ -25,33 +25,33 @@
 
 def batch(adapter, *events, at=10**12, who="gateway-0"):
     line = json.dumps({"tNs": at, "parts": [{"who": who, "happened": list(events)}]}).encode()
-    return [act for part in adapter.batch(line)["parts"] for act in part["actions"]]
+    return [action for part in adapter.batch(line)["parts"] for action in part["actions"]]
 
 
-def test_settings_are_renamed_and_converted_by_rote():
-    got = from_protocol(ENV)
-    assert got["vhosts"][0]["first_byte_target"] == 4000 and got["vhosts"][0]["effect"] == "uniqued"
-    assert got["family"]["fresh"] == [8 * SEC] and got["vhosts"][0]["new"] == 1
+def test_settings_are_renamed_and_converted():
+    result = from_protocol(ENV)
+    assert result["vhosts"][0]["first_byte_target"] == 4000 and result["vhosts"][0]["effect"] == "uniqued"
+    assert result["family"]["fresh"] == [8 * SEC] and result["vhosts"][0]["new"] == 1
     assert from_protocol({"aNs": 1, "bNs": 0}) == {"a": 1, "b": 0}
 
 
-def test_a_life_with_restart_in_one_batch_and_forgotten_ids():
+def test_an_instance_restarts_within_one_batch_and_results_for_unknown_ids_are_ignored():
     adapter = Adapter()
     assert adapter.batch(b'{"tNs":1,"parts":[]}') == {"parts": []}
-    acts = batch(adapter, ["up", 7, ENV], LIST, ASK)
-    assert ["subscribe", True] in acts
-    sent = next(act for act in acts if act[0] == "fetchThrough")
+    actions = batch(adapter, ["up", 7, ENV], LIST, ASK)
+    assert ["subscribe", True] in actions
+    sent = next(action for action in actions if action[0] == "fetchThrough")
     assert sent[1:3] == ["id-1", "c.b"] and sent[4] == "c.a" and sent[6] == 8 * 10**9 and sent[7] & 1
     done = ["resolved", "id-1", 0, "c.b", "Ok", 9000000, True]
     assert (
         batch(adapter, done, done, ["cancelledByClient", "id-1"], ["resolved", "id-9", 0, "c.z", "Ok"]) == []
     )
-    acts = batch(adapter, ["down"], ["up", 7, ENV], LIST, done)
-    assert [act[0] for act in acts].count("subscribe") == 1
+    actions = batch(adapter, ["down"], ["up", 7, ENV], LIST, done)
+    assert [action[0] for action in actions].count("subscribe") == 1
 
 
 @pytest.mark.parametrize(
-    "who, event, told",
+    "who, event, message",
     [
         ("gateway-1", ASK, "gateway-1"),
         ("gateway-0", ["novel"], "novel"),
@@ -62,16 +62,16 @@
         (None, None, "line is not valid JSON"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(who, event, told):
+def test_malformed_input_ends_the_adapter_with_a_one_line_error_message(who, event, message):
     begin = [["up", 7, ENV], LIST]
     first = json.dumps({"tNs": 1, "parts": [{"who": "gateway-0", "happened": begin}]}).encode()
     line = json.dumps({"tNs": 2, "parts": [{"who": who, "happened": [event]}]}).encode() if who else b"{"
     errors = io.StringIO()
     assert main(iter([first, line]), io.BytesIO(), errors) != 0
-    assert errors.getvalue().count("\n") == 1 and told in errors.getvalue()
+    assert errors.getvalue().count("\n") == 1 and message in errors.getvalue()
 
 
-def test_an_exception_in_the_module_is_the_crash_action(monkeypatch):
+def test_an_exception_in_the_router_is_reported_as_a_crash(monkeypatch):
     adapter = Adapter()
     batch(adapter, ["up", 7, ENV], LIST)
     monkeypatch.setattr(adapter.instances["gateway-0"].router, "request_arrived", lambda request: 1 / 0)
