--- a/lilacloft/invariants.py
+++ b/lilacloft/invariants.py
@@ -34,7 +34,7 @@
 
     CLIENT_HAD_LEFT = "an attempt was started for a client that had left"
     TIME_LEFT = "an attempt was given more time than its client has left"
-    DRAIN = "an attempt used a backend that is draining or gone"
+    DRAIN = "an attempt was routed to or through a backend that is draining or gone"
     TWO_OUT = "two attempts of one request were in flight at the same time"
     SENT_AGAIN = "a request that may have been executed was retried against its idempotency settings"
     WINDOW_OVER = "a request that may have been executed was retried after its idempotency window"
@@ -63,9 +63,9 @@
     effect: Effect
     deadline: int  # when its client stops waiting
     in_flight: bool = False
-    sent_at: int = 0  # when the last attempt was sent
+    sent_at: int = 0  # when the last attempt was decided
     backend: Backend | None = None  # of the last attempt
-    first_executed_at: int | None = None  # when the first attempt that may have been executed was sent
+    first_executed_at: int | None = None  # when the first attempt that may have been executed was decided
     first_executed_by: Backend | None = None
     settled: bool = False  # it is answered, or needs no answer any more
 
@@ -92,8 +92,8 @@
     overload_factor: float  # it fails at this multiple of its current capacity
 
 
-class Since(NamedTuple):
-    """The time of a change, by the gateway's time and by the monotonic clock."""
+class DrainingSince(NamedTuple):
+    """Since when a backend has been draining or gone, by the gateway's time and by the monotonic clock."""
 
     at: int
     steady: int
@@ -106,7 +106,7 @@
     def __init__(
         self,
         settings: Mapping[str, Any],
-        on_violation: Callable[[Promise, str, str], None] = lambda _promise, _name, _detail: None,
+        on_violation: Callable[[Promise, str, str], None] = lambda _invariant, _name, _detail: None,
     ) -> None:
         """`on_violation` is called with the invariant, the name of the request or backend, and details."""
         rules, family = settings["rules"], settings["family"]
@@ -123,13 +123,13 @@
         self.parent_kind, self.origin_kind = family["parent_kind"], family["source_kind"]
         self.capacities_known = settings.get("weight_source", "silent") != "silent"
         self.sent_while_cold: dict[Backend, deque[tuple[int, float]]] = {}  # recent (time, work)
-        self.drained: dict[str, Since] = {}  # since when backends are draining or gone, by name
+        self.drained: dict[str, DrainingSince] = {}  # since when backends are draining or gone, by name
 
-    def _violated(self, promise: Promise, name: str, detail: str) -> bool:
+    def _violated(self, invariant: Promise, name: str, detail: str) -> bool:
         """Count and report an invariant that is violated, or would be; returns False."""
         with self.lock:
-            self.counts[promise] += 1
-        self.on_violation(promise, name, detail)
+            self.counts[invariant] += 1
+        self.on_violation(invariant, name, detail)
         return False
 
     # --- sending and retrying ---
@@ -213,7 +213,7 @@
         if status == 1:
             self.drained.pop(name, None)
         else:
-            self.drained.setdefault(name, Since(now, steady))
+            self.drained.setdefault(name, DrainingSince(now, steady))
             if status == 0 and len(self.drained) > MAX_GONE_BACKENDS:
                 del self.drained[next(iter(self.drained))]
 
@@ -270,7 +270,7 @@
     def violations(self) -> dict[str, int]:
         """Return how often each invariant was violated, or would have been."""
         with self.lock:
-            return {promise.name.lower(): count for promise, count in self.counts.items()}
+            return {invariant.name.lower(): count for invariant, count in self.counts.items()}
 
 
 def allowed_excess(budget: float) -> float:
--- a/lilacloft/simulator_adapter/instance.py
+++ b/lilacloft/simulator_adapter/instance.py
@@ -115,7 +115,7 @@
     def _backend(self, values: list[Any], index: int) -> Backend | None:
         return self.backends.get(value_at(values, index, str, "cache"))
 
-    def up(self, values: list[Any]) -> None:
+    def start(self, values: list[Any]) -> None:
         """Handle the start of the gateway, with its settings."""
         value_at(values, 0, int, "initSeed")  # not used: the router is deterministic
         env = value_at(values, 1, dict, "env")
@@ -124,7 +124,7 @@
         except ValueError as error:
             raise MalformedError(str(error)) from error
 
-    def fleet(self, values: list[Any]) -> None:
+    def endpoints_changed(self, values: list[Any]) -> None:
         """Handle the endpoint list, or changes to it, from discovery."""
         mode = value_at(values, 1, int, "mode")
         if mode not in LIST_MODES:
@@ -154,7 +154,7 @@
             name: backend for name, backend in self.backends.items() if backend.status or backend.requests
         }
 
-    def ingress(self, values: list[Any]) -> None:
+    def request_arrived(self, values: list[Any]) -> None:
         """Handle a new request from a client."""
         request_id = value_at(values, 0, str, "id")
         bits = value_at(values, 5, int, "bits", 0)
@@ -175,13 +175,13 @@
         self.request_ids[request] = request_id
         self.router.request_arrived(request)
 
-    def established(self, values: list[Any]) -> None:
+    def stream_started(self, values: list[Any]) -> None:
         """Handle the start of a streamed answer to an attempt."""
         request = self.requests.get(value_at(values, 0, str, "id"))
         if request and self._backend(values, 1):
             self.router.stream_started(request, value_at(values, 3, int, "sendNo", 0))
 
-    def resolved(self, values: list[Any]) -> None:
+    def attempt_ended(self, values: list[Any]) -> None:
         """Handle the end of an attempt."""
         request = self.requests.get(value_at(values, 0, str, "id"))
         attempt = value_at(values, 1, int, "sendNo", 0)
@@ -198,18 +198,18 @@
             self.router.attempt_ended(request, backend, result)
             self.forget(request)
 
-    def cancelled_by_client(self, values: list[Any]) -> None:
+    def client_disconnected(self, values: list[Any]) -> None:
         """Handle the disconnection of a client."""
         request = self.requests.get(value_at(values, 0, str, "id"))
         if request:
             self.router.client_disconnected(request)
             self.forget(request)
 
-    def timeout_fired(self, values: list[Any]) -> None:
+    def timer_fired(self, values: list[Any]) -> None:
         """Handle a timer that the router has set."""
         self.router.timer_fired(value_at(values, 0, str, "ctx"))
 
-    def status_back(self, values: list[Any]) -> None:
+    def health_checked(self, values: list[Any]) -> None:
         """Handle the answer to a health check."""
         backend = self._backend(values, 0)
         outcome = outcome_at(values, 2)
@@ -217,14 +217,14 @@
             value_at(values, 1, int, "tookNs", 0)  # not used
             self.router.health_checked(backend, outcome, value_at(values, 3, list, "feedback", []))
 
-    def heard(self, values: list[Any]) -> None:
+    def peer_message_received(self, values: list[Any]) -> None:
         """Validate and ignore a message from another gateway: gateways send each other no messages."""
         (
             value_at(values, 0, int, "by"),
             value_at(values, 1, str, "msg", ""),
         )
 
-    def withdrawn_copy(self, values: list[Any]) -> None:
+    def object_purged(self, values: list[Any]) -> None:
         """Handle the purge of an object or a group."""
         key = values[0] if values and values[0] not in (0, None) else ""
         if not isinstance(key, str):
@@ -237,14 +237,14 @@
 
 
 HANDLERS: dict[str, Callable[[Instance, list[Any]], None]] = {
-    "up": Instance.up,
-    "fleet": Instance.fleet,
-    "ingress": Instance.ingress,
-    "established": Instance.established,
-    "resolved": Instance.resolved,
-    "cancelledByClient": Instance.cancelled_by_client,
-    "timeoutFired": Instance.timeout_fired,
-    "statusBack": Instance.status_back,
-    "heard": Instance.heard,
-    "withdrawnCopy": Instance.withdrawn_copy,
+    "up": Instance.start,
+    "fleet": Instance.endpoints_changed,
+    "ingress": Instance.request_arrived,
+    "established": Instance.stream_started,
+    "resolved": Instance.attempt_ended,
+    "cancelledByClient": Instance.client_disconnected,
+    "timeoutFired": Instance.timer_fired,
+    "statusBack": Instance.health_checked,
+    "heard": Instance.peer_message_received,
+    "withdrawnCopy": Instance.object_purged,
 }
--- a/tests/test_clock_offset.py
+++ b/tests/test_clock_offset.py
@@ -16,12 +16,12 @@
 @pytest.mark.parametrize("seed", range(100))
 def test_a_purge_never_counts_as_earlier_than_it_was_and_soon_as_hardly_later(seed):
     """For any constant difference of the clocks, and purges that arrive late, also after an outage."""
-    chance = random.Random(seed)
-    offset, clock_offset, true_time = chance.randrange(-50_000, 50_000), ClockOffset(), 10_000_000
+    rng = random.Random(seed)
+    offset, clock_offset, true_time = rng.randrange(-50_000, 50_000), ClockOffset(), 10_000_000
     fastest = None
     for _ in range(200):
-        true_time += chance.randrange(1, 3000)
-        delay = chance.choice([200, 400, 900, 30_000])
+        true_time += rng.randrange(1, 3000)
+        delay = rng.choice([200, 400, 900, 30_000])
         stamp, arrival = true_time - delay, true_time + offset
         converted = clock_offset.purge_time(arrival, stamp)
         fastest = delay if fastest is None else min(fastest, delay)
@@ -104,17 +104,17 @@
     """Compares with the true time, with frames at least every second, occasional clock steps, and outages
     that delay many events. The error from a step below `MAX_DELIVERY_TIME` is at most that time plus the
     time between two frames."""
-    chance = random.Random(seed)
-    clock_offset, true_time, offset = ClockOffset(), 10**9, chance.randrange(-(10**8), 10**8)
+    rng = random.Random(seed)
+    clock_offset, true_time, offset = ClockOffset(), 10**9, rng.randrange(-(10**8), 10**8)
     log_step, previous_frame_at, current = 0, true_time + offset, True
     for _ in range(400):
-        if chance.random() < 0.05:
-            log_step -= chance.choice([10_000, 25_000, 36_000_000])
-        outage = chance.random() < 0.05
-        true_time += chance.randrange(20_000, 200_000) if outage else chance.randrange(1, 10_000)
+        if rng.random() < 0.05:
+            log_step -= rng.choice([10_000, 25_000, 36_000_000])
+        outage = rng.random() < 0.05
+        true_time += rng.randrange(20_000, 200_000) if outage else rng.randrange(1, 10_000)
         arrival = true_time + offset
         current = current and not outage
-        delay = chance.randrange(0, arrival - previous_frame_at) if outage else chance.randrange(300, 4_000)
+        delay = rng.randrange(0, arrival - previous_frame_at) if outage else rng.randrange(300, 4_000)
         converted = clock_offset.purge_time(
             arrival, true_time - delay + log_step, WatchContext(previous_frame_at, current)
         )
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -6,7 +6,7 @@
 from rigs.model import SEC, Model, settings
 
 
-def last(model, request):
+def last_dispatch(model, request):
     return model.history[request][-1]
 
 
@@ -18,7 +18,7 @@
     first, second = Model(settings()), Model(settings())
     for n in range(50):
         requests = first.ask(f"k{n}"), second.ask(f"k{n}")
-        ours, theirs = last(first, requests[0]), last(second, requests[1])
+        ours, theirs = last_dispatch(first, requests[0]), last_dispatch(second, requests[1])
         first.end(requests[0])
         second.end(requests[1])
         assert (ours[1].name, ours[2].name) == (theirs[1].name, theirs[2].name)
@@ -35,7 +35,7 @@
     for part in range(40):
         for model in (first, second):
             request = model.ask("hot", part=part)
-            parents_by_part.setdefault(part, set()).add(last(model, request)[2].name)
+            parents_by_part.setdefault(part, set()).add(last_dispatch(model, request)[2].name)
             model.end(request)
     assert all(len(parents) == 1 for parents in parents_by_part.values())
     counts = [
@@ -49,13 +49,13 @@
     revalidations = []
     for _ in range(40):
         request = model.ask()
-        revalidations.append(last(model, request)[5]["renew"])
-        assert last(model, request)[5]["age"] == 15 * SEC
+        revalidations.append(last_dispatch(model, request)[5]["renew"])
+        assert last_dispatch(model, request)[5]["age"] == 15 * SEC
         model.run(500)
         model.end(request)
         model.run(SEC - 500)
     assert revalidations.count(True) == 5  # one every 8 s in 40 s
-    assert not last(plain := Model(settings()), plain.ask())[5]["renew"]
+    assert not last_dispatch(plain := Model(settings()), plain.ask())[5]["renew"]
 
 
 def test_late_answers_cut_a_limit_and_answers_in_time_raise_it_again():
@@ -83,13 +83,14 @@
     model = Model(settings())
     home = homes(model, "k")[0]
     requests = [model.ask("k", left=4 * SEC) for _ in range(4)]
-    assert all(last(model, request)[1] is home for request in requests)
+    assert all(last_dispatch(model, request)[1] is home for request in requests)
     model.run(7000)
     assert home.ejected
     assert all(
-        last(model, request)[1] is not home and not last(model, request)[5]["join"] for request in requests
+        last_dispatch(model, request)[1] is not home and not last_dispatch(model, request)[5]["join"]
+        for request in requests
     )
-    assert all(last(model, model.ask("k"))[1] is not home for _ in range(5))
+    assert all(last_dispatch(model, model.ask("k"))[1] is not home for _ in range(5))
 
 
 def test_malformed_and_unsent_attempts_are_retried_at_the_same_cache_and_count_against_none():
@@ -136,7 +137,7 @@
     """Otherwise unread answers would count as late, and one cache after the other would be ejected."""
     model = Model(settings())
     requests = [model.ask("k", left=4 * SEC) for _ in range(4)]
-    home = last(model, requests[0])[1]
+    home = last_dispatch(model, requests[0])[1]
     model.time += 7000  # the event loop stalls: nothing was read, and all deadlines are due
     model.router.loop_lagged(7000)
     model.run(1)
@@ -174,7 +175,7 @@
     home = homes(model, "k")[0]
     home.ejected, home.retry_at = True, model.time
     canary, other = model.ask("k"), model.ask("k")
-    assert last(model, canary)[1] is home and last(model, other)[1] is not home
+    assert last_dispatch(model, canary)[1] is home and last_dispatch(model, other)[1] is not home
     model.end(canary)
     assert not home.ejected
 
@@ -186,7 +187,7 @@
         keys[model.router.rules.placement.order(model.parents, f"k{n} 0")[0]].append(f"k{n}")
     for key in [key for turns in zip(*keys.values(), strict=False) for key in turns][:60]:
         request = model.ask(key, left=5 * SEC)
-        late = last(model, request)[2] in parents
+        late = last_dispatch(model, request)[2] in parents
         for backend in model.caches:
             backend.last_answer_at = model.time + 1  # all caches keep answering other requests
         model.run(8000 if late else 500)
@@ -214,9 +215,9 @@
     model.run(200)
     model.end(first)
     lost = model.ask()
-    last(model, lost)[1].last_answer_at = model.time + 1
+    last_dispatch(model, lost)[1].last_answer_at = model.time + 1
     model.run(2 * SEC)
-    assert len(model.history[lost]) > 1 and not last(model, lost)[5]["join"]
+    assert len(model.history[lost]) > 1 and not last_dispatch(model, lost)[5]["join"]
 
 
 def test_after_a_purge_a_restart_or_expiry_a_copy_no_longer_counts_as_likely_cached():
@@ -228,7 +229,7 @@
         model.run(100)
         model.end(request)
         model.run(100)
-        return request, last(model, request)[1]
+        return request, last_dispatch(model, request)[1]
 
     request, backend = fill()
     assert router.freshness.likely_cached(request, backend, model.time)
@@ -251,7 +252,7 @@
     for _ in range(400):
         model.run(100)
         request = model.ask("k")
-        if model.history[request] and last(model, request)[1] is home:
+        if model.history[request] and last_dispatch(model, request)[1] is home:
             sent.append(model.time)
         if model.out(request):
             model.end(request, took=100)
@@ -282,8 +283,11 @@
     model = Model(settings())
     model.router.link_limit.allows = lambda weight, now: False
     request = model.ask("k")
-    assert last(model, request)[1] is homes(model, "k")[0] and last(model, request)[2] in model.parents
-    assert last(model, request)[5]["held"]
+    assert (
+        last_dispatch(model, request)[1] is homes(model, "k")[0]
+        and last_dispatch(model, request)[2] in model.parents
+    )
+    assert last_dispatch(model, request)[5]["held"]
     model.end(request, "miss")
     assert request.finished and model.finals == [(request, model.time)]
 
@@ -301,7 +305,7 @@
     other = model.ask("other")
     model.router.link_limit.allows = lambda weight, now: False
     model.end(other, "full", 6)  # a fill that its source rejected was no lookup, so a lookup may follow
-    assert len(model.history[other]) == 2 and last(model, other)[5]["held"]
+    assert len(model.history[other]) == 2 and last_dispatch(model, other)[5]["held"]
 
 
 def test_late_fills_from_a_slow_source_eject_no_cache_and_shared_failures_not_most_of_a_location():
@@ -341,10 +345,10 @@
     home = homes(model, "k")[0]
     for _ in range(8):
         model.router.health_checked(home, "done", [4.0, 0.8])
-    assert home.reported_load < 1 and last(model, model.ask("k"))[1] is home
+    assert home.reported_load < 1 and last_dispatch(model, model.ask("k"))[1] is home
     for _ in range(8):
         model.router.health_checked(home, "done", [40.0, 1.0])
-    assert home.reported_load > 6 and last(model, model.ask("k"))[1] is not home
+    assert home.reported_load > 6 and last_dispatch(model, model.ask("k"))[1] is not home
     home.reported_load = 0.0
     model.router.health_checked(home, "timeout", None)
     assert home.reported_load > 1
@@ -356,7 +360,9 @@
     model.router.endpoints_changed("delta", [Endpoint(far, 7, 0, 0, 1, 5.0, 0)])
     assert far not in model.router.pools.backends
     request = next(
-        request for request in (model.ask(f"k{n}") for n in range(99)) if last(model, request)[1] is old
+        request
+        for request in (model.ask(f"k{n}") for n in range(99))
+        if last_dispatch(model, request)[1] is old
     )
     model.list("delta", [(old, 0, 0)])
     assert old in model.router.pools.backends
@@ -371,7 +377,7 @@
     """These may be reported while a dispatch waits for its connection."""
     model = Model(settings())
     requests = [model.ask(f"k{n}", group=n % 2) for n in range(8)]
-    sends = {request: last(model, request) for request in requests}
+    sends = {request: last_dispatch(model, request) for request in requests}
     backend, source = sends[requests[0]][1], sends[requests[0]][2]
 
     def withdrawn():
@@ -406,7 +412,7 @@
     ):
         model = Model(settings(fresh=(10 * SEC,), grace=(5 * SEC,)))
         request = model.ask("k")
-        assert last(model, request)[5]["renew"]
+        assert last_dispatch(model, request)[5]["renew"]
         if outcome == "cancelled":
             model.router.client_disconnected(request)
             model.finals.append((request, model.time))
@@ -414,5 +420,5 @@
         else:
             model.end(request, outcome)
         sent_again = outcome in ("unsent", "unreached", "full")
-        follows = last(model, request if sent_again else model.ask("k"))
+        follows = last_dispatch(model, request if sent_again else model.ask("k"))
         assert follows[5]["renew"] == again, outcome
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -11,7 +11,7 @@
 
 NOW = 10**9
 SECOND = 10_000
-ONE = Effect("uniqued", "cell", 2 * SECOND)
+KEYED = Effect("uniqued", "cell", 2 * SECOND)
 
 
 @pytest.fixture
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def checks(violated):
-    return Invariants(from_protocol(ENV), lambda promise, name, detail: violated.append(promise))
+    return Invariants(from_protocol(ENV), lambda invariant, name, detail: violated.append(invariant))
 
 
 def backend(name="a", cell=1, **more):
@@ -45,7 +45,7 @@
 
 
 def test_a_valid_history_violates_nothing(checks, violated):
-    one, cache, parent = history(ONE), backend(), backend("p", kind=2)
+    one, cache, parent = history(KEYED), backend(), backend("p", kind=2)
     assert checks.may_send(one, cache, parent, 1_000, NOW)
     assert checks.may_begin(first_byte())
     checks.attempt_ended(one, "reset")
@@ -57,23 +57,23 @@
 
 
 @pytest.mark.parametrize(
-    "effect, outcome, other, after, promise",
+    "effect, outcome, other, after, invariant",
     [
         (Effect("non-replayable"), "reset", backend("b"), 0, Promise.SENT_AGAIN),
         (Effect("non-replayable"), "unsent", backend("b"), 0, None),
         (Effect("replayable"), "timeout", backend("b"), 0, None),
-        (ONE, "timeout", backend("b", cell=2), 0, Promise.SENT_AGAIN),
-        (ONE, "unreached", backend("b", cell=2), 0, None),
-        (ONE, "error", backend("b"), 2 * SECOND - 1, None),
-        (ONE, "error", backend("b"), 2 * SECOND, Promise.WINDOW_OVER),
+        (KEYED, "timeout", backend("b", cell=2), 0, Promise.SENT_AGAIN),
+        (KEYED, "unreached", backend("b", cell=2), 0, None),
+        (KEYED, "error", backend("b"), 2 * SECOND - 1, None),
+        (KEYED, "error", backend("b"), 2 * SECOND, Promise.WINDOW_OVER),
     ],
 )
-def test_retries(checks, violated, effect, outcome, other, after, promise):
+def test_retries(checks, violated, effect, outcome, other, after, invariant):
     one = history(effect)
     assert checks.may_send(one, backend(), backend(), 1_000, NOW)
     checks.attempt_ended(one, outcome)
-    assert checks.may_send(one, other, other, 1_000, NOW + after) == (promise is None)
-    assert violated == ([promise] if promise else [])
+    assert checks.may_send(one, other, other, 1_000, NOW + after) == (invariant is None)
+    assert violated == ([invariant] if invariant else [])
 
 
 def test_two_attempts_in_flight_and_attempts_for_settled_requests(checks, violated):
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    "fields, promise",
+    "fields, invariant",
     [
         ({"client_left_at": NOW - 1_000}, None),
         ({"client_left_at": NOW - 1_001}, Promise.CLIENT_HAD_LEFT),
@@ -98,9 +98,9 @@
         ({"draining_since": NOW - 10_501}, Promise.DRAIN),
     ],
 )
-def test_first_bytes(checks, violated, fields, promise):
-    assert checks.may_begin(first_byte(**fields)) == (promise is None)
-    assert violated == ([promise] if promise else [])
+def test_first_bytes(checks, violated, fields, invariant):
+    assert checks.may_begin(first_byte(**fields)) == (invariant is None)
+    assert violated == ([invariant] if invariant else [])
 
 
 @pytest.mark.parametrize("status", [0, 2])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,14 +9,14 @@
 from rigs.model import SEC, Model, settings, vhost
 
 OUTCOMES = ["done"] * 12 + ["error", "full", "timeout", "unreached", "reset", "miss", "hang", "hang"]
-KINDS = [vhost(), vhost("uniqued"), vhost("uniqued", repeat_group="cell"), vhost("non-replayable")]
+VHOSTS = [vhost(), vhost("uniqued"), vhost("uniqued", repeat_group="cell"), vhost("non-replayable")]
 
 
-def play(seed, steps=200):
-    chance = random.Random(seed)
+def simulate(seed, steps=200):
+    rng = random.Random(seed)
     model = Model(
         settings(
-            KINDS,
+            VHOSTS,
             fresh=(0, 10 * SEC, 0, 0),
             grace=(0, 5 * SEC, 0, 0),
             family={"pass_through_ok": seed % 2 == 0},
@@ -25,34 +25,34 @@
     )
     open_reqs = []
     for _ in range(steps):
-        model.run(chance.choice([5, 50, 300, 2000]))
+        model.run(rng.choice([5, 50, 300, 2000]))
         open_reqs = [request for request in open_reqs if not request.finished or model.out(request)]
-        doing = chance.random()
-        if doing < 0.6:
-            for _ in range(chance.choice([1, 1, 1, 30])):
+        draw = rng.random()
+        if draw < 0.6:
+            for _ in range(rng.choice([1, 1, 1, 30])):
                 open_reqs.append(
                     model.ask(
-                        f"k{chance.randrange(20)}",
-                        chance.randrange(3),
+                        f"k{rng.randrange(20)}",
+                        rng.randrange(3),
                         400.0,
-                        chance.randrange(4),
-                        chance.choice([300, SEC, 4 * SEC]),
+                        rng.randrange(4),
+                        rng.choice([300, SEC, 4 * SEC]),
                         1,
                     )
                 )
-        elif doing < 0.9 and open_reqs:
-            request, outcome = chance.choice(open_reqs), chance.choice(OUTCOMES)
+        elif draw < 0.9 and open_reqs:
+            request, outcome = rng.choice(open_reqs), rng.choice(OUTCOMES)
             if model.out(request) and outcome != "hang":
                 if request.finished:
                     model.end(request, "cancelled", final=False)
                 elif model.time <= request.deadline:
-                    model.end(request, outcome, took=chance.randrange(5, 6000))
-        elif doing < 0.95:
-            backend = chance.choice(model.caches + model.parents)
-            started = chance.choice([0, model.time, model.time - SEC])
-            model.list("delta", [(backend, chance.choice([0, 1, 1, 2]), started)])
+                    model.end(request, outcome, took=rng.randrange(5, 6000))
+        elif draw < 0.95:
+            backend = rng.choice(model.caches + model.parents)
+            started = rng.choice([0, model.time, model.time - SEC])
+            model.list("delta", [(backend, rng.choice([0, 1, 1, 2]), started)])
         else:
-            key, age = chance.choice(["", f"k{chance.randrange(20)}"]), chance.randrange(3000)
+            key, age = rng.choice(["", f"k{rng.randrange(20)}"]), rng.randrange(3000)
             model.purges.append((key, 1, model.time - age))
             model.router.object_purged(key, 1, age)
     model.run(10 * SEC)
@@ -61,13 +61,14 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_the_router_breaks_no_rule_of_the_model(seed):
-    model = play(seed)
+    model = simulate(seed)
     assert model.wrong == []
     assert len(model.sends) > 50
     assert {request for request, _ in model.finals} == set(model.history), "each request has a final answer"
 
 
-BREAKS = {  # violation that the model must report, and the edits that cause it: module, text, replacement
+# By violation that the model must report: the edits that cause it (module, text, replacement).
+RULE_REMOVALS = {
     "two out at once": [
         ("dispatching", "if request.finished or request.in_flight:", "if request.finished:"),
         ("router", "return self.cancel_if_safe(request)", "return self._route(request)"),
@@ -124,12 +125,12 @@
 }
 
 
-@pytest.mark.parametrize("violation", BREAKS)
+@pytest.mark.parametrize("violation", RULE_REMOVALS)
 def test_the_model_reports_each_rule_that_is_removed_from_the_source(violation, monkeypatch):
     """Removes each rule in turn from the sources of the router; the model must report the violation."""
     sources = dict(revisions.current_sources())
-    for module, text, replacement in BREAKS[violation]:
+    for module, text, replacement in RULE_REMOVALS[violation]:
         assert sources[module].count(text) == 1
         sources[module] = sources[module].replace(text, replacement)
     monkeypatch.setattr(plain, "Router", packages.load("broken", sources, "router").Router)
-    assert any(violation in play(seed).wrong for seed in range(100))
+    assert any(violation in simulate(seed).wrong for seed in range(100))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -9,7 +9,7 @@
 RATE = 80  # requests per second of this gateway
 
 
-def served(model, seconds, late=False):
+def send_requests(model, seconds, late=False):
     """Send requests at a constant rate, each answered by its cache in half its transfer time, or far too
     late."""
     for number in range(int(seconds * RATE)):
@@ -40,11 +40,11 @@
     be taken for one transfer of all gateways together. The remaining requests go to the other caches, which
     shows that those can serve them."""
     model = Model(unknown_capacity())
-    served(model, 8)
+    send_requests(model, 8)
     capacity = RATE * WORK / SEC / len(model.caches)  # concurrent transfers
     assert model.router.slow_start.learned_capacity == pytest.approx(capacity, rel=0.25)
     backend, since = restart_first_cache(model)
-    served(model, 10)
+    send_requests(model, 10)
     rules, sent = model.config["rules"], sent_to(model, backend, since)
     shares = [
         rules["start_capacity"] + (1 - rules["start_capacity"]) * (second + 0.5) * SEC / rules["cold"]
@@ -62,7 +62,7 @@
 def test_no_capacity_is_learned_from_warm_caches_that_answer_late():
     """Otherwise cold caches would be sent more, the more warm ones are overloaded."""
     model = Model(unknown_capacity())
-    served(model, 4, late=True)
+    send_requests(model, 4, late=True)
     assert model.router.slow_start.learned_capacity < 0.5 * RATE * WORK / SEC / len(model.caches)
 
 
@@ -72,10 +72,10 @@
     share = model.router.slow_start.capacity_share(backend)
     assert share == 1 / model.config["family"]["zone_gateways"][0]
     model = Model(unknown_capacity())
-    served(model, 8)
+    send_requests(model, 8)
     learned = model.router.slow_start.learned_capacity
     model.list("delta", [(backend, 1, model.time) for backend in model.caches])
-    served(model, 2)
+    send_requests(model, 2)
     assert (
         model.router.slow_start.learned_capacity == learned
         and model.router.slow_start.capacity_share(model.caches[0]) == learned
@@ -86,7 +86,7 @@
     for config in (settings(), settings(weight_source="silent")):
         model = Model(config)
         before = model.router.slow_start.capacity_share(model.caches[0])
-        served(model, 8)
+        send_requests(model, 8)
         assert (
             model.router.slow_start.learned_capacity > 0
             and model.router.slow_start.capacity_share(model.caches[0]) == before
@@ -96,5 +96,5 @@
 def test_learned_capacity_does_not_apply_to_parents():
     """Each fill through a parent counts in full, and a cold cache in front of it causes more fills."""
     model = Model(unknown_capacity())
-    served(model, 8)
+    send_requests(model, 8)
     assert model.router.slow_start.capacity_share(model.parents[0]) == 1 / model.config["gateways"]
--- a/tests/test_state_transfer.py
+++ b/tests/test_state_transfer.py
@@ -19,7 +19,7 @@
 from rigs.model import SEC, Model, settings, vhost
 from rigs.stands import silent
 
-KINDS = [vhost(), vhost("uniqued"), vhost("uniqued", repeat_group="cell"), vhost("non-replayable")]
+VHOSTS = [vhost(), vhost("uniqued"), vhost("uniqued", repeat_group="cell"), vhost("non-replayable")]
 OUTCOMES = ["done"] * 14 + ["error", "full", "timeout", "unreached", "reset", "miss", "spoilt"] + ["hang"] * 2
 
 
@@ -85,13 +85,13 @@
     return requests
 
 
-def play(seed, transfers, steps=160):
-    """Play generated events; with `transfers`, the state is transferred to another Router at random times.
-    Returns all decisions and the violations."""
-    chance, transfer_chance = random.Random(seed), random.Random(f"over {seed}")
+def simulate(seed, transfers, steps=160):
+    """Simulate generated events; with `transfers`, the state is transferred to another Router at random
+    times. Returns all decisions and the violations."""
+    rng, transfer_rng = random.Random(seed), random.Random(f"over {seed}")
     model = Model(
         settings(
-            KINDS,
+            VHOSTS,
             fresh=(0, 10 * SEC, 0, 0),
             grace=(0, 5 * SEC, 0, 0),
             family={"pass_through_ok": seed % 2 == 0},
@@ -100,40 +100,40 @@
     )
     open_reqs, decisions, send_count = [], [], 0
     for _ in range(steps):
-        model.run(chance.choice([5, 50, 300, 2000]))
+        model.run(rng.choice([5, 50, 300, 2000]))
         open_reqs = [request for request in open_reqs if not request.finished or model.out(request)]
-        if transfer_chance.random() < 0.2 and transfers:
+        if transfer_rng.random() < 0.2 and transfers:
             open_reqs = transfer(model, open_reqs)
-        doing = chance.random()
-        if doing < 0.6:
-            for _ in range(chance.choice([1, 1, 1, 20])):
+        draw = rng.random()
+        if draw < 0.6:
+            for _ in range(rng.choice([1, 1, 1, 20])):
                 open_reqs.append(
                     model.ask(
-                        f"k{chance.randrange(20)}",
-                        chance.randrange(3),
+                        f"k{rng.randrange(20)}",
+                        rng.randrange(3),
                         400.0,
-                        chance.randrange(4),
-                        chance.choice([300, SEC, 4 * SEC]),
+                        rng.randrange(4),
+                        rng.choice([300, SEC, 4 * SEC]),
                         1,
                     )
                 )
-        elif doing < 0.7:
-            backend = model.caches[chance.randrange(len(model.caches))]
-            status = chance.choice([0, 1, 1, 2])
-            started = model.time if status == 1 and chance.random() < 0.4 else model.listed[backend][1]
+        elif draw < 0.7:
+            backend = model.caches[rng.randrange(len(model.caches))]
+            status = rng.choice([0, 1, 1, 2])
+            started = model.time if status == 1 and rng.random() < 0.4 else model.listed[backend][1]
             model.list("delta", [(backend, status, started)])
-        elif doing < 0.8:
-            purged = (f"k{chance.randrange(20)}", 0) if chance.random() < 0.7 else ("", 1)
+        elif draw < 0.8:
+            purged = (f"k{rng.randrange(20)}", 0) if rng.random() < 0.7 else ("", 1)
             model.purges.append((*purged, model.time))
             model.router.object_purged(*purged, 0)
-        elif doing < 0.85:
-            backend = model.caches[chance.randrange(len(model.caches))]
-            model.router.health_checked(backend, "done", [chance.randrange(30), chance.random()])
+        elif draw < 0.85:
+            backend = model.caches[rng.randrange(len(model.caches))]
+            model.router.health_checked(backend, "done", [rng.randrange(30), rng.random()])
         for request in list(open_reqs):
-            if model.out(request) and chance.random() < 0.5:
-                outcome = chance.choice(OUTCOMES)
+            if model.out(request) and rng.random() < 0.5:
+                outcome = rng.choice(OUTCOMES)
                 if outcome != "hang":
-                    note, took = chance.choice([0, 0, 1, 2, 3, 7]), chance.choice([None, 30, 9000])
+                    note, took = rng.choice([0, 0, 1, 2, 3, 7]), rng.choice([None, 30, 9000])
                     model.end(request, outcome, note, took)
         decisions += [
             (
@@ -156,8 +156,8 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_a_router_decides_the_same_after_a_transfer(seed):
-    expected, expected_violations = play(seed, False)
-    decisions, violations = play(seed, True)
+    expected, expected_violations = simulate(seed, False)
+    decisions, violations = simulate(seed, True)
     assert decisions == expected
     assert violations == expected_violations == []
 
