--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -143,7 +143,7 @@
 
     def client_left_at(self, request: Request) -> Ticks | None:
         """Return since when a request's client may have disconnected; None if it is connected."""
-        since = self.gateway.open_requests[request].departed()
+        since = self.gateway.open_requests[request].disconnected_since()
         if since is None:
             return None
         # read anew: the gateway's time does not advance while one event is handled
--- a/lilacloft/net/attempt.py
+++ b/lilacloft/net/attempt.py
@@ -85,5 +85,5 @@
         now = time.monotonic_ns() // NS_PER_TICK
         if (self.send_by and now >= self.send_by) or (self.deadline and now >= self.deadline):
             return True
-        departed_at = self.call.departed()
-        return departed_at is not None and now >= last_send_time(departed_at)
+        disconnected_at = self.call.disconnected_since()
+        return disconnected_at is not None and now >= last_send_time(disconnected_at)
--- a/lilacloft/net/client_connection.py
+++ b/lilacloft/net/client_connection.py
@@ -132,7 +132,7 @@
         """Stop reading while the client does not read; report its half-close meanwhile."""
         reported = False
         while self.wait_for_backlog(MAX_PART_SIZE, POLL_INTERVAL):
-            self.departed()
+            self.disconnected_since()
             if self.input_ended is not None and not reported:
                 reported = True  # its requests are rejected now, not after all earlier input was read
                 events = self.downstream.gateway.requests
@@ -190,7 +190,7 @@
 
     # --- detection of disconnects ---
 
-    def departed(self) -> Ticks | None:
+    def disconnected_since(self) -> Ticks | None:
         """Return since when, by the monotonic clock, the client may have disconnected.
 
         0 if it certainly has; None if it is connected and all its input was read. Any thread may call this.
--- a/lilacloft/net/client_request.py
+++ b/lilacloft/net/client_request.py
@@ -22,7 +22,7 @@
     open: dict[bytes, ClientRequest]
     input_ended: Ticks | None
 
-    def departed(self) -> Ticks | None:
+    def disconnected_since(self) -> Ticks | None:
         """Return since when the client may have disconnected."""
 
 
@@ -78,10 +78,10 @@
         self.history: Any = None  # state of the invariant checks, once the gateway has created it
         self.last_outcome = ""  # of the last attempt
 
-    def departed(self) -> Ticks | None:
+    def disconnected_since(self) -> Ticks | None:
         """Return since when, by the monotonic clock, nobody may be waiting for the answer: 0 if the request
         is settled or cancelled, None if its client is connected. Any thread may call this."""
-        return self.client.departed() if self.client.open.get(self.tag) is self else 0
+        return self.client.disconnected_since() if self.client.open.get(self.tag) is self else 0
 
 
 def parse_hex(text: str, digits: int) -> str:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -406,7 +406,7 @@
     back = Upstream(UpstreamCallbacks(post, now, print, lambda *what: told.append(what)), config, 2)
     slack, patience = config["rules"]["answer_slack"], config["limits"]["connect_timeout"]
     back.add_backend(backend, server.getsockname())
-    call = types.SimpleNamespace(connections=[], departed=lambda: None)
+    call = types.SimpleNamespace(connections=[], disconnected_since=lambda: None)
     first, second, third = (
         Attempt(call, backend, 0, b"%d" % n, encode(b"do", b"%d" % n), 0) for n in range(3)
     )
