--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The gateway's event loop and lifecycle by themselves, without sockets."""
+"""Unit tests of the gateway's event loop, clock and lifecycle, without sockets."""
 
 import time
 from types import SimpleNamespace
@@ -20,13 +20,13 @@
 
 
 def run_for(loop, iterations):
-    """Run the loop for a number of iterations; a timer in the far future keeps it from running dry."""
+    """Run the loop for a number of iterations; a timer in the far future keeps one scheduled."""
     loop.call_at(loop.clock.time + 1_000 * TICKS_PER_SECOND, lambda: None)
     remaining = iter([False] * iterations + [True])
     loop.run(lambda: next(remaining))
 
 
-def test_timers_run_in_the_order_of_their_times_and_then_of_their_making(loop):
+def test_timers_run_in_order_of_time_and_then_of_creation(loop):
     calls, now = [], loop.clock.time
     for at, name in ((now + 2, "late"), (now + 1, "first"), (now + 1, "second")):
         loop.call_at(at, calls.append, name)
@@ -35,7 +35,7 @@
     assert calls == ["first", "second", "late"]
 
 
-def test_events_run_before_timers_that_are_due(loop):
+def test_events_run_before_due_timers(loop):
     calls = []
     loop.call_at(loop.clock.time, calls.append, "timer")
     loop.post(calls.append, "event")
@@ -56,7 +56,7 @@
     assert calls == ["callback", "deferred", "next event"]
 
 
-def test_a_fault_is_counted_and_the_next_event_still_runs(loop):
+def test_an_exception_is_counted_and_the_next_event_still_runs(loop):
     calls = []
     loop.post(lambda: 1 // 0)
     loop.post(calls.append, "next event")
@@ -74,12 +74,12 @@
 
 
 def late_timer(loop, callback=lambda: None):
-    """Have a timer be late."""
+    """Schedule a timer that is late already."""
     loop.call_at(loop.clock.time - 2 * LAG_THRESHOLD, callback)
 
 
-def test_lag_is_reported_and_the_loop_does_not_wait_where_no_answer_lies_unread(loop):
-    """A wait of a fixed span made a late loop later."""
+def test_lag_is_reported_without_a_wait_if_no_answer_is_unread(loop):
+    """Waiting for a fixed time delayed a lagging loop further."""
     lags, waits = [], []
     loop.report_lag = lags.append
     late_timer(loop)
@@ -93,8 +93,8 @@
     assert len(lags) == 2 and not any(waits)
 
 
-def test_answers_that_lie_unread_where_lag_begins_are_taken_before_time_outs(loop):
-    """A time-out that ran first would give up an attempt whose answer was there in time."""
+def test_unread_answers_are_handled_before_time_outs_when_a_lag_begins(loop):
+    """A time-out that ran first would give up an attempt whose answer had arrived in time."""
     calls, unread = [], iter([True, False])
     late_timer(loop, lambda: calls.append("time-out"))
     loop.has_unread_answers = lambda: next(unread) and not loop.post_reply(calls.append, "answer")
@@ -102,8 +102,8 @@
     assert calls == ["answer", "time-out"]
 
 
-def test_unread_answers_are_waited_for_up_to_the_threshold_and_only_where_lag_begins(loop):
-    """A loop that lags on is overloaded and must not wait."""
+def test_the_loop_waits_for_unread_answers_up_to_the_threshold_and_only_when_a_lag_begins(loop):
+    """A loop that keeps lagging is overloaded and must not wait."""
     waits, take = [], loop._take_posted
     loop._take_posted = lambda timeout=0.0: (waits.append(timeout), take(timeout))
     late_timer(loop)
@@ -119,24 +119,25 @@
     assert loop.is_lagging and not any(waits)
 
 
-def test_a_lag_that_begins_between_two_events_is_reported_and_unread_answers_are_taken_first(loop):
-    """The process was stopped in one event: time-outs ran, and a backend was blamed, without a look."""
+def test_a_lag_that_begins_between_events_is_reported_and_unread_answers_are_handled_first(loop):
+    """When the process was paused within an event, time-outs ran before unread answers were handled, and a
+    backend was ejected."""
     lags, calls, unread = [], [], iter([True, False])
     loop.report_lag = lags.append
     loop.has_unread_answers = lambda: next(unread) and not loop.post_reply(calls.append, "answer")
 
-    def stopped():
+    def pause():
         loop.call_at(loop.clock.time, calls.append, "time-out")
         time.sleep(2 * LAG_THRESHOLD / TICKS_PER_SECOND)
 
-    loop.post(stopped, client="a client")
+    loop.post(pause, client="a client")
     loop.post(calls.append, "next", client="a client")
     run_for(loop, 1)
     assert lags and calls == ["answer", "time-out", "next"]
 
 
-def test_a_due_timer_runs_before_each_client_s_event_and_a_reply_before_both(loop):
-    """A batch of one client's requests made another's deadline late."""
+def test_due_timers_run_before_each_client_event_and_replies_before_both(loop):
+    """A batch of one client's requests delayed another client's deadline."""
     calls = []
 
     def arrival(number):
@@ -151,7 +152,7 @@
     assert calls == [0, "reply", "deadline", 1, 2]
 
 
-def test_the_time_follows_the_monotonic_clock_from_where_another_process_was(loop):
+def test_resume_continues_another_processs_time_by_the_monotonic_clock(loop):
     clock = loop.clock
     there = clock.monotonic_time
     clock.resume(7, there)
@@ -159,7 +160,7 @@
     assert clock.to_monotonic(0) == 0 and clock.to_monotonic(clock.time + 5) == clock.monotonic_time + 5
 
 
-def test_the_phase_only_moves_forwards():
+def test_the_phase_only_advances():
     lifecycle = Lifecycle(SimpleNamespace())
     for phase, expected in (
         (Phase.DRAINING, Phase.DRAINING),
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""A whole gateway process between stand-ins: the rules that only sockets can break."""
+"""A complete gateway process with stand-ins for its peers: behaviour that depends on real sockets."""
 
 import json
 import os
@@ -37,10 +37,10 @@
 
 
 def silent(stand, sock, items):
-    """Takes all and answers nothing."""
+    """Accept every request and answer none."""
 
 
-def test_a_read_goes_on_unchanged_and_its_bytes_come_back(world):
+def test_a_read_is_forwarded_unchanged_and_its_body_returned(world):
     world = world(serves(bytes(range(256)) * 900))
     asker = world.asker()
     asker.send(b"ALIVE", b"9", b"")
@@ -62,8 +62,8 @@
     }
 
 
-def test_where_sizes_are_not_told_reqs_without_one_are_served(world):
-    """Another deployment's clients name no `room`; all of them were answered as no reqs at all."""
+def test_requests_without_a_size_are_served(world):
+    """Clients that send no `room` had all their requests answered as invalid."""
     world = world(serves(b"bytes"))
     asker = world.asker()
     told = b"ref=8a724ba239a2f880,allow=1500,lookup=00002e3abd68f6b3,batch=4,nth=9"
@@ -71,10 +71,10 @@
     assert asker.answer() == [b"1", b"200", b"", b"bytes"]
     for number, room in enumerate((b"", b"x", b"-1", b"nan", b"1e9"), 2):
         asker.send(b"EXEC", b"%d" % number, b"clip", told + b",room=" + room, b"")
-        assert asker.answer() == [b"%d" % number, b"500"], "what is told has to be a number"
+        assert asker.answer() == [b"%d" % number, b"500"], "a size that is sent must be a number"
 
 
-def test_a_write_takes_its_body_and_key_to_the_origin(world):
+def test_a_write_is_forwarded_with_its_body_and_idempotency_key(world):
     world = world(serves(b"ok"))
     asker = world.asker()
     tag = asker.ask(b"pay", body=b"\r\n\0,=" * 9000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
@@ -93,7 +93,7 @@
         (b"full", b"-", [b"503", b"cooldown=500", b""]),
     ],
 )
-def test_answers_of_a_cache_become_one_answer(world, word, told, want):
+def test_each_status_of_a_cache_maps_to_one_client_answer(world, word, told, want):
     world = world(lambda stand, sock, items: sock.sendall(encode(items[1], word, told)))
     asker = world.asker()
     tag = asker.ask(got="4be0c1927d55a6f3")
@@ -106,61 +106,61 @@
         b"+OK\r\n",
         b"*2\r\n$4\r\n",
         encode(b"1", b"data", b"slow=nan", b"y"),
-        encode(b"1", b"well", b"-"),  # an answer to a check
-        encode(b"1", b"unchanged", b"-"),  # where no copy was named
+        encode(b"1", b"well", b"-"),  # an answer to a health check
+        encode(b"1", b"unchanged", b"-"),  # although the client named no copy
     ],
 )
-def test_no_form_of_answer_is_never_passed_on(world, answer):
-    """Half an answer and then the end, or what is none at all: it may have run, so it goes elsewhere once."""
+def test_a_malformed_answer_is_never_forwarded(world, answer):
+    """After an incomplete or malformed answer the request may have been executed, so it is retried once."""
 
-    def garbles(stand, sock, items):
+    def answer_malformed(stand, sock, items):
         sock.sendall(answer.replace(b"$1\r\n1", b"$16\r\n" + items[1]))
         stand.break_off()
 
-    world = world(garbles)
+    world = world(answer_malformed)
     asker = world.asker()
     tag = asker.ask()
     assert asker.answer()[:2] == [tag, b"503"]
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         lambda stand, sock, good: sock.sendall(b"\x00noise\r\n"),
-        lambda stand, sock, good: sock.sendall(good[: len(good) // 2]),  # stops short and stays open
+        lambda stand, sock, good: sock.sendall(good[: len(good) // 2]),  # stalls on an open connection
         lambda stand, sock, good: (sock.sendall(good[: len(good) // 2]), sock.shutdown(socket.SHUT_RDWR)),
         lambda stand, sock, good: sock.sendall(good.replace(b"$200000", b"$3000000000")),
-        lambda stand, sock, good: stand.break_off(),  # reset before anything came
+        lambda stand, sock, good: stand.break_off(),  # reset before any answer
     ],
 )
-def test_spoilt_answers_end_their_connection_and_blame_no_cache(world, spoil):
-    """Any cache may have them: its copies lie ready there, and another would have to fill them anew."""
+def test_malformed_answers_close_their_connection_and_eject_no_cache(world, corrupt):
+    """Any cache may send one occasionally; ejecting it would make another cache fill its objects again."""
 
-    def says(stand, sock, items):
+    def answer(stand, sock, items):
         good = encode(items[1], b"data", b"remark=TCP_HIT", CLIP)
         stand.asked = getattr(stand, "asked", 0) + 1
-        spoil(stand, sock, good) if stand.asked == 2 else sock.sendall(good)
+        corrupt(stand, sock, good) if stand.asked == 2 else sock.sendall(good)
 
-    world = world(says, says)
+    world = world(answer, answer)
     asker = world.asker()
-    for key in [*range(6)] * 2:  # each cache's second answer is spoilt
+    for key in [*range(6)] * 2:  # each cache's second answer is malformed
         tag = asker.ask(key=key, allow=3000)
         assert asker.answer()[:2] == [tag, b"200"]
     assert "left alone" not in world.stop()[1]
 
 
-def test_more_than_belongs_to_an_answer_is_passed_over(world):
-    def says(stand, sock, items):
+def test_unexpected_extra_answers_are_ignored(world):
+    def answer(stand, sock, items):
         good = encode(items[1], b"data", b"remark=TCP_HIT", b"good")
         sock.sendall(encode(b"%016x" % 7, b"data", b"remark=TCP_HIT", b"bad") + good + good)
 
-    asker = world(says).asker()
+    asker = world(answer).asker()
     for _ in range(3):
         tag = asker.ask()
         assert asker.answer() == [tag, b"200", b"", b"good"]
 
 
-def test_unusable_reqs_fail_alone_and_what_cannot_be_framed_ends_its_connection_alone(world):
+def test_invalid_requests_fail_alone_and_malformed_input_closes_only_its_connection(world):
     world = world()
     asker, other = world.asker(), world.asker()
     bad = [
@@ -173,7 +173,7 @@
         asker.ask(got="no hex"),
         asker.ask(nth="1e12"),
         asker.ask(room="inf"),
-        asker.ask(room=10**8),  # more than can be sent in anybody's time
+        asker.ask(room=10**8),  # more than can be sent within any client timeout
         asker.ask(b"pay", replay="12"),
     ]
     assert [asker.answer()[:2] for _ in bad] == [[tag, b"500"] for tag in bad]
@@ -188,36 +188,37 @@
     assert asker.answer()[:2] == [tag, b"200"]
 
 
-def tag_again(asker):
+def reuse_tag(asker):
     asker.tag = 0
     asker.ask()
 
 
 @pytest.mark.parametrize(
-    "offends",
+    "offend",
     [
         lambda asker: asker.sock.sendall(b"*5\r\n$4\r\nEXEC\r\n$1\r\n2\r\n$4\r\nclip\r\n$99999999\r\n"),
         lambda asker: asker.sock.sendall(b"GET / HTTP/1.1\r\n"),
         lambda asker: asker.send(b"EXEC", b"-1", b"clip"),
-        tag_again,
+        reuse_tag,
         lambda asker: [asker.send(b"EXEC", b"9", b"nothing", b"-") for _ in range(MAX_OPEN_REQUESTS)],
     ],
 )
-def test_a_client_that_writes_nonsense_gets_what_it_has_open_given_up_and_its_end(world, offends):
-    """At once: what it has open may take longer than the time in which such a client is owed an end."""
+def test_malformed_input_of_a_client_rejects_its_open_requests_and_closes_it(world, offend):
+    """The rejections come at once: open requests may last longer than the time within which such a client
+    must be closed."""
     world = world(silent)
     asker, begun = world.asker(), time.monotonic()
     tag = asker.ask(allow=3000)
     world.caches[0].next()
-    offends(asker)
+    offend(asker)
     got = list(iter(asker.answer, None))
     assert [items[1] for items in got if items[0] == tag] == [b"503"] and time.monotonic() - begun < 1
     assert {items[1] for items in got if items[0] == b"9"} <= {b"500"}
     assert world.caches[0].next(b"undo")
 
 
-def test_clients_that_bring_no_whole_message_or_hold_on_for_good_are_let_go(world):
-    """Else they crowd out new ones; one that drips counts from the message's first byte."""
+def test_clients_without_a_complete_message_and_idle_clients_are_closed(world):
+    """Otherwise they keep new clients out. A message that arrives byte by byte counts from its first byte."""
     world = world(silent)
     begun, half, holds, waits = time.monotonic(), world.asker(), world.asker(), world.asker()
     holds.send(b"ALIVE", b"1", b"")
@@ -230,8 +231,9 @@
     assert holds.answer() is None and time.monotonic() - begun > 3.9
 
 
-def test_what_is_forgotten_counts_as_open_no_more_and_more_than_may_be_open_is_refused():
-    """At once, not when the owner comes to it: a usual client under load would be taken for an offender."""
+def test_cancelled_requests_free_their_place_and_requests_above_the_limit_are_rejected():
+    """A cancelled request is closed at once, not when the event loop handles it: under load a regular client
+    would otherwise exceed the limit."""
     owner = types.SimpleNamespace(
         requests=types.SimpleNamespace(
             arrived="arrived", cancelled="forgotten", client_sent_malformed="garbled"
@@ -242,7 +244,7 @@
         paused_since=lambda: None,
     )
     posted, config = [], from_protocol(ENV)
-    front = Downstream(
+    downstream = Downstream(
         lambda *event, client, due_at=None: posted.append((event[0], client)),
         owner,
         config["vhosts"],
@@ -250,13 +252,13 @@
         ListenEndpoint(("127.0.0.1", 0)),
     )
     here, there = socket.socketpair()
-    client = ClientConnection(front, here)
+    client = ClientConnection(downstream, here)
     told = b"ref=%016x,allow=1500,lookup=%016x,nth=0,batch=7,room=4"
     for tag in range(1, 4 * MAX_OPEN_REQUESTS):
-        front.handle_message(client, [b"EXEC", b"%d" % tag, b"clip", told % (tag, tag), b""])
+        downstream.handle_message(client, [b"EXEC", b"%d" % tag, b"clip", told % (tag, tag), b""])
         if tag >= MAX_OPEN_REQUESTS:
-            front.handle_message(client, [b"EXEC", b"9999", b"clip", told % (9999, 9999), b""])
-            front.handle_message(client, [b"FORGET", b"%d" % (tag - MAX_OPEN_REQUESTS + 1)])
+            downstream.handle_message(client, [b"EXEC", b"9999", b"clip", told % (9999, 9999), b""])
+            downstream.handle_message(client, [b"FORGET", b"%d" % (tag - MAX_OPEN_REQUESTS + 1)])
     assert (
         posted.count(("arrived", client)) == 4 * MAX_OPEN_REQUESTS - 1
         and len(client.open) == MAX_OPEN_REQUESTS - 1
@@ -268,11 +270,11 @@
     assert words == {(b"9999", b"503")}
     here.close()
     there.close()
-    front.sock.close()
+    downstream.sock.close()
 
 
-def test_a_connection_is_not_over_before_its_answer_is_written(monkeypatch, world):
-    """Who has closed its half would lose the answer between its taking off and its writing."""
+def test_a_request_is_settled_only_after_its_answer_is_written(monkeypatch, world):
+    """A client that had closed its half lost the answer if the request was settled before it was written."""
     owner, told = Gateway({**world().config, "listen": "127.0.0.1:0"}), []
     here, there = socket.socketpair()
     client = ClientConnection(owner.front, here)
@@ -286,45 +288,45 @@
     owner.answers.send(call, AnswerKind.REJECTED)
     assert told == [1] and client.taken == client.settled
     owner.answers.send(call, AnswerKind.REJECTED)
-    assert told == [1], "once"
+    assert told == [1], "one answer only"
     here.close()
     there.close()
 
 
-def test_a_name_that_is_open_is_refused_and_what_no_cache_knows_blames_none(world):
-    def says(stand, sock, items):
+def test_a_duplicate_request_name_is_rejected_and_unknown_objects_eject_no_cache(world):
+    def answer(stand, sock, items):
         if items[0] == b"do" and parse_fields(items[2])["thing"] == f"{7:016x}":
             sock.sendall(encode(items[1], b"failed", b"-"))
 
-    world = world(says, says)
+    world = world(answer, answer)
     asker = world.asker()
     first = asker.ask(ref="9b1f03aa5c7e2d41", allow=600)
     again = asker.ask(ref="9b1f03aa5c7e2d41", key=2, allow=600)
-    assert asker.answer() == [again, b"500"], "a cache would take both for one"
+    assert asker.answer() == [again, b"500"], "a cache could not tell the two apart"
     assert asker.answer()[:2] == [first, b"503"]
     tag = asker.ask(ref="9b1f03aa5c7e2d41", allow=100)
-    assert asker.answer()[:2] == [tag, b"503"], "it is open no more"
+    assert asker.answer()[:2] == [tag, b"503"], "it is no longer open"
     for _ in range(9):
         tag = asker.ask(key=7)
         assert asker.answer()[:2] == [tag, b"503"]
     assert "left alone" not in world.stop()[1]
 
 
-def test_who_closes_its_half_only_gets_its_answer(world):
+def test_a_client_that_half_closes_gets_its_answer(world):
     asker = world(serves(CLIP)).asker()
     tag = asker.ask()
     asker.sock.shutdown(socket.SHUT_WR)
     assert asker.answer() == [tag, b"200", b"", CLIP] and asker.answer() is None
 
 
-def test_who_has_left_gets_nothing_and_its_dispatch_is_undone(world):
+def test_a_client_that_left_gets_no_answer_and_its_dispatch_is_cancelled(world):
     world = world(silent)
     asker = world.asker()
     other = world.asker()
     other.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     for who, leave in (
         (asker, lambda tag: asker.send(b"FORGET", tag)),
-        (other, lambda tag: other.sock.close()),  # a reset says as much
+        (other, lambda tag: other.sock.close()),  # a reset also shows that the client has left
     ):
         tag = who.ask()
         name = world.caches[0].next()[2][1]
@@ -335,71 +337,76 @@
         asker.answer()
 
 
-def test_a_connection_that_went_silent_is_not_used_again(world):
-    """A machine that was cut off leaves connections open that nothing comes through any more."""
+def test_a_silent_backend_connection_is_not_used_again(world):
+    """A machine that was disconnected leaves connections open on which nothing is received any more."""
 
-    def says(stand, sock, items):
+    def answer(stand, sock, items):
         if sock is not stand.socks[0]:
             serves()(stand, sock, items)
 
-    asker, until, word = world(says).asker(), time.monotonic() + 8, b""
+    asker, until, word = world(answer).asker(), time.monotonic() + 8, b""
     while word != b"200" and time.monotonic() < until:
         asker.ask(room=4, allow=3000)
         word = asker.answer()[1]
     assert word == b"200"
 
 
-def test_an_undo_that_does_not_get_out_ends_its_connection():
-    """Else the next dispatch of the req would be out beside the first."""
+def test_a_cancellation_that_cannot_be_sent_closes_its_connection():
+    """Otherwise two dispatches of the request could be in flight at once."""
     events, server = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0))
     config = from_protocol(ENV)
     note = lambda *told: ends.append(told[:2])  # noqa: E731
     back = Upstream(UpstreamCallbacks(lambda *event: events.put(event), lambda: 0, note, note), config, 2)
     backend, ends = Backend("s-1", status=1), []
     back.add_backend(backend, server.getsockname())
-    out = [
+    in_flight = [
         Attempt(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)
     ]
-    assert not any(back.dispatch(sent) for sent in out)
-    line = out[0].connection
-    out = [sent for sent in out if sent.connection is line]
+    assert not any(back.dispatch(sent) for sent in in_flight)
+    line = in_flight[0].connection
+    in_flight = [sent for sent in in_flight if sent.connection is line]
     peer, _ = server.accept()
     until = time.monotonic() + 5
     while not line.writing and time.monotonic() < until:
         time.sleep(0.005)
-    back.cancel(out[-1])
-    assert line.close_reason is None, "what has not begun to go out is taken back"
-    out[0].call = out[1].call = types.SimpleNamespace(connections=[])
-    back.cancel(out[0])
+    back.cancel(in_flight[-1])
+    assert line.close_reason is None, "an unsent attempt is withdrawn"
+    in_flight[0].call = in_flight[1].call = types.SimpleNamespace(connections=[])
+    back.cancel(in_flight[0])
     assert line.close_reason is CloseReason.CHOKED
     what, *told = events.get(timeout=5)
     what(*told)
-    assert [end for sent, end in ends if sent is out[1]][0] in (CloseReason.CHOKED, CloseReason.UNWRITTEN)
-    assert ends[-1] == (out[-2], CloseReason.UNWRITTEN) and len(ends) == 28
+    assert [end for sent, end in ends if sent is in_flight[1]][0] in (
+        CloseReason.CHOKED,
+        CloseReason.UNWRITTEN,
+    )
+    assert ends[-1] == (in_flight[-2], CloseReason.UNWRITTEN) and len(ends) == 28
     peer.close()
     server.close()
 
 
-def test_the_undo_is_out_before_the_next_dispatch(world):
-    """Two dispatches of a req must never be out at once, also where the far side reads two connections in
-    another order than they were written in: on the bench, reqs called back in dozens had been out twice."""
-    out, most, times = set(), [], {}
+def test_the_cancellation_is_sent_before_the_next_dispatch(world):
+    """Two dispatches of a request must never be in flight at once, even if the backend reads two connections
+    in another order than they were written. With dozens of cancelled requests this had happened."""
+    in_flight, counts_in_flight, times = set(), [], {}
 
-    def hangs(stand, sock, items):
-        out.add(stand) if items[0] == b"do" else out.discard(stand)
-        most.append(len(out))
-        times[items[0]] = time.monotonic()  # of the undo, and of the last dispatch
-        if items[0] == b"do" and len(most) > 1:
+    def answer_second(stand, sock, items):
+        in_flight.add(stand) if items[0] == b"do" else in_flight.discard(stand)
+        counts_in_flight.append(len(in_flight))
+        times[items[0]] = time.monotonic()  # of the cancellation, and of the last dispatch
+        if items[0] == b"do" and len(counts_in_flight) > 1:
             sock.sendall(encode(items[1], b"data", b"-", b"y"))
 
-    world = world(hangs, hangs)
+    world = world(answer_second, answer_second)
     asker = world.asker()
     tag = asker.ask(allow=3000, room=4)
-    assert asker.answer()[:2] == [tag, b"200"] and set(most) <= {0, 1} and len(most) >= 3
-    assert times[b"do"] - times[b"undo"] > 0.007, "the answer slack of the settings lies between"
+    assert (
+        asker.answer()[:2] == [tag, b"200"] and set(counts_in_flight) <= {0, 1} and len(counts_in_flight) >= 3
+    )
+    assert times[b"do"] - times[b"undo"] > 0.007, "the two are apart by the answer slack"
 
 
-def test_what_was_given_up_on_a_new_connection_counts_once_the_far_side_has_taken_it_in():
+def test_a_cancellation_on_a_new_connection_waits_until_the_backend_must_have_accepted_it():
     events, server, time_now = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0)), [0]
     told, config, backend = [], from_protocol(ENV), Backend("s-1", status=1)
     post, now = (lambda *event: events.put(event)), (lambda: time_now[0])
@@ -413,7 +420,7 @@
     back.dispatch(first)
     peer, _ = server.accept()
     peer.recv(100)
-    assert back.cancel(first) == patience, "it has brought nothing yet"
+    assert back.cancel(first) == patience, "nothing was received on the connection yet"
     call.connections.clear()
     back.dispatch(second)
     line = second.connection
@@ -439,39 +446,43 @@
     assert world.caches[0].next(b"undo")
 
 
-def test_a_cache_that_dies_with_dispatches_out_and_one_with_a_closed_door(world):
-    """A closed door proves that nothing ran: even what must not be repeated goes on to the next."""
+def test_retries_after_a_reset_and_after_a_refused_connect(world):
+    """A refused connect proves that nothing was executed: even a request that must not be repeated is
+    retried."""
 
-    def dies(stand, sock, items):
+    def die(stand, sock, items):
         stand.close()
         stand.break_off()
 
-    world = world(dies, dies)
+    world = world(die, die)
     asker = world.asker()
     tag = asker.ask(b"pay", body=b"once", replay="ab" * 16, room=4)
     assert asker.answer()[:2] == [tag, b"503"]
     sent = [stand.seen.qsize() for stand in world.caches]
-    assert sorted(sent) == [1, 1], "each was asked once: the second after a reset within the window"
+    assert sorted(sent) == [1, 1], (
+        "each got one dispatch: the second after a reset, within the idempotency window"
+    )
     tag = asker.ask(key=5)
     assert asker.answer()[:2] == [tag, b"503"]
 
 
-def test_a_cache_that_dies_with_many_dispatches_out(world):
-    """The second report makes the cache suspect, and the module calls the others back, which are over too."""
+def test_a_cache_that_dies_with_many_attempts_in_flight(world):
+    """The second failure gets the cache ejected, and the router cancels the other attempts, which have ended
+    too."""
 
-    def dies(stand, sock, items):
+    def die(stand, sock, items):
         if items[0] == b"do" and stand.seen.qsize() >= 8:
             stand.close()
             stand.break_off()
 
-    world = world(dies)
+    world = world(die)
     asker = world.asker()
     tags = [asker.ask(key=number, room=40) for number in range(8)]
     assert sorted(asker.answer()[:2] for _ in tags) == [[tag, b"503"] for tag in tags]
     assert world.stop()[0] == 0
 
 
-def test_the_change_log_moves_reqs_and_its_purges_bound_ages(world):
+def test_the_change_log_redirects_requests_and_its_purges_limit_ages(world):
     world = world(changes=lambda settings: settings["obligations"].update(coldNs=10**9))
     asker, new = world.asker(), Stand(serves(b"new"))
     now = int(time.time() * 1000)
@@ -486,7 +497,7 @@
     assert 1 <= int(told["agelim"]) <= int(time.time() * 1000) - now
     with pytest.raises(AssertionError):
         assert not new.seen.empty()
-    # the same id in a new life at another address: connections belong to id and start
+    # the same id, restarted at another address: connections belong to id and start time
     newer = Stand(serves(b"newer"))
     world.log.add(4, 2, record(9, newer.port, started=now - 5_000))
     world.log.break_off()
@@ -498,7 +509,7 @@
         stand.close()
 
 
-def test_sighup_reads_the_configuration_again_and_an_unusable_one_leaves_the_old(world):
+def test_sighup_reloads_the_configuration_and_an_invalid_one_is_ignored(world):
     world = world()
     asker, other = world.asker(), Log([(2, 4, struct.pack(">HQ", 7, 1))])
     good = json.dumps({**world.config, "changelog": f"127.0.0.1:{other.port}", "listen": "127.0.0.1:1"})
@@ -509,7 +520,7 @@
     world.path.write_text(good)
     for _ in range(3):
         os.kill(world.process.pid, signal.SIGHUP)
-    assert other.since.get(timeout=5) == 1, "from the last event held"
+    assert other.since.get(timeout=5) == 1, "resumed after the last known event"
     tag = asker.ask()
     assert asker.answer()[:2] == [tag, b"200"]
     code, told = world.stop()
@@ -517,45 +528,45 @@
     other.close()
 
 
-def test_sigterm_serves_on_answers_all_and_exits_with_its_counters(world):
-    def slowly(stand, sock, items):
+def test_sigterm_answers_all_requests_and_logs_the_counters(world):
+    def answer_slowly(stand, sock, items):
         time.sleep(0.4 if len(stand.socks) == 1 else 0)
         serves(b"late")(stand, sock, items)
 
-    world = world(slowly)
+    world = world(answer_slowly)
     asker = world.asker()
     tag = asker.ask()
     world.caches[0].next()
     os.kill(world.process.pid, signal.SIGTERM)
     late = world.asker()
     late.send(b"ALIVE", b"1", b"")
-    while late.answer() == [b"1", b"serving"]:  # until the signal has come through
+    while late.answer() == [b"1", b"serving"]:  # until the signal was handled
         late.send(b"ALIVE", b"1", b"")
     other = late.ask(key=3)
     assert asker.answer()[:2] == [tag, b"200"] and late.answer()[:2] == [other, b"200"]
     code, told = world.stop()
     assert code == 0 and "done=2" in told and "reqs=2" in told
     world.start()
-    waiting = world.asker()  # kept, else it closes at once
+    waiting = world.asker()  # keeps a reference: otherwise the socket is closed at once
     tag = waiting.ask()
     world.process.kill()
     world.process.wait()
-    world.start()  # at once under the same name and address
+    world.start()  # immediately, under the same name and address
     asker = world.asker()
     tag = asker.ask()
     assert asker.answer()[:2] == [tag, b"200"]
 
 
-def test_a_gateway_that_was_stopped_blames_no_cache_for_it(world):
-    """Answers that came meanwhile lie unread; they count before the due times that have passed."""
+def test_a_pause_of_the_gateway_ejects_no_cache(world):
+    """Answers that arrived meanwhile are unread; they are handled before the time-outs that are due."""
 
-    def stops(stand, sock, items):
+    def pause_gateway(stand, sock, items):
         os.kill(world.process.pid, signal.SIGSTOP)
         serves(b"in time")(stand, sock, items)
-        time.sleep(1.2)  # over twice the first-byte target
+        time.sleep(1.2)  # more than twice the first-byte target
         os.kill(world.process.pid, signal.SIGCONT)
 
-    world = world(stops)
+    world = world(pause_gateway)
     asker = world.asker()
     tag = asker.ask(allow=3000, room=4)
     assert asker.answer()[:2] == [tag, b"200"]
@@ -563,7 +574,7 @@
     assert code == 0 and "undone" not in told and "left alone" not in told
 
 
-def test_the_clock_put_back_or_ahead_neither_stops_nor_turns_nor_moves_the_modules_time(world):
+def test_steps_of_the_wall_clock_do_not_affect_the_gateways_time(world):
     unix = [10**18]
     owner = Gateway({**world().config, "listen": "127.0.0.1:0"}, lambda: unix[0])
     owner.update_clock()
@@ -579,7 +590,7 @@
     assert owner.now() < begin + 20_000
 
 
-def test_an_answer_counts_from_when_it_was_read_and_a_fault_ends_one_event_only(monkeypatch, world):
+def test_durations_end_when_the_answer_was_read_and_an_exception_ends_only_its_event(monkeypatch, world):
     owner = Gateway({**world().config, "listen": "127.0.0.1:0"})
     told, backend = [], owner.backends["s-00000001"]
     monkeypatch.setattr(
@@ -609,29 +620,29 @@
         ("serve", lambda config: None, "cannot be listened on"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_told_in_one_line(world, word, broken, told, capsys):
+def test_an_invalid_configuration_is_reported_in_one_line(world, word, broken, told, capsys):
     world = world()
     broken(world.config)
     world.path.write_text(json.dumps(world.config))
     assert main([word, "--config", str(world.path)]) == 2
-    logger.remove()  # its handler would outlive what it writes to
+    logger.remove()  # its handler writes to a stream that is closed after the test
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == 1 and told in lines[0]
 
 
-def test_many_short_connections_and_clients_that_do_not_read_leave_it_serving(world):
+def test_the_gateway_serves_despite_many_short_connections_and_clients_that_do_not_read(world):
     world = world(serves(CLIP), sockets=120)
     for _ in range(1000):
         socket.create_connection(("127.0.0.1", world.port), 5).close()
-    idle = [world.asker() for _ in range(100)]  # more than its share: the longest idle have to go
-    deaf = [Asker(world.port) for _ in range(5)]
-    for asker in deaf:
+    idle = [world.asker() for _ in range(100)]  # more than allowed: the longest idle are closed
+    unreading = [Asker(world.port) for _ in range(5)]
+    for asker in unreading:
         asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         for _ in range(31):
             asker.ask(room=4)
     asker = world.asker()
     words, until = [], time.monotonic() + 5
-    while words.count(b"200") < 5 and time.monotonic() < until:  # some may be denied while the crowd lasts
+    while words.count(b"200") < 5 and time.monotonic() < until:  # some may be rejected at first
         asker.ask(room=4)
         words.append(asker.answer()[1])
     assert words.count(b"200") == 5
@@ -639,5 +650,5 @@
     with open(f"/proc/{world.process.pid}/status") as file:
         memory = next(int(line.split()[1]) for line in file if line.startswith("VmRSS"))
     assert files < 120 and memory < 100_000
-    for asker in [*idle, *deaf]:
+    for asker in [*idle, *unreading]:
         asker.sock.close()
--- a/tests/test_lags.py
+++ b/tests/test_lags.py
@@ -1,4 +1,4 @@
-"""Lags are told by kind of work, by process and by party, so that a late answer says who was late."""
+"""Lags are reported by kind of work and by process, so that the cause of a late answer can be found."""
 
 import threading
 import time
@@ -18,7 +18,7 @@
 REF = "00000000deadbeef"
 
 
-def test_a_lag_counts_in_the_first_bucket_that_holds_it():
+def test_a_lag_is_counted_in_its_bucket():
     lags = LagHistogram()
     for milliseconds in (0, 1, 1.1, 700, 2500):
         lags.record(int(milliseconds * TICKS_PER_MILLISECOND))
@@ -26,7 +26,7 @@
     assert counted == {"to_1ms": 2, "to_2ms": 1, "to_1000ms": 1, "over_2000ms": 1, "longest_ms": 2500}
 
 
-def test_the_loop_tells_how_old_events_and_timers_are_when_it_comes_to_them():
+def test_the_loop_records_the_lags_of_events_and_timers():
     lags = GatewayLags()
     loop = EventLoop(GatewayClock(), Counters(), lag_threshold=200, lags=lags)
     loop.call_at(loop.clock.time, lambda: None)
@@ -38,8 +38,9 @@
     assert lags.events.longest >= 500 and lags.timers.longest >= 500
 
 
-def test_a_timer_that_is_made_for_a_time_that_is_over_is_no_lag():
-    """A client's half that closed long ago, or a deadline that is over, took seconds off all others' time."""
+def test_a_timer_created_for_a_past_time_is_not_a_lag():
+    """A timer created for a past time, such as an old half-close, counted as a lag of seconds and shortened
+    all other requests' deadlines."""
     loop = EventLoop(GatewayClock(), Counters(), lag_threshold=200)
     loop.call_at(loop.clock.time + 10**8, lambda: None)
     loop.call_at(loop.clock.time - 30_000, lambda: None)
@@ -49,7 +50,7 @@
     assert loop.lag_margin.current(loop.clock.monotonic_time) < 10_000
 
 
-def test_a_request_that_lay_unread_and_a_reply_that_was_queued_are_told_in_counters_and_trace(in_process):
+def test_an_unread_request_and_a_queued_event_appear_in_histograms_and_trace(in_process):
     world = in_process(serves(b"x"))
     asker, go = world.asker(), world.stall()
     asker.ask()
@@ -61,14 +62,14 @@
     assert any("ms late" in step.detail for step in world.owner.trace.steps if step.what == "arrived")
 
 
-def test_a_short_wait_is_not_told_in_the_trace():
+def test_a_short_wait_is_not_noted_in_the_trace():
     trace = Trace()
     trace.add_late(5, "a", "arrived", "clip", 100)
     trace.add_late(5, "a", "ended", "DATA", 101)
     assert [step.detail for step in trace.steps_of("a")] == ["clip", "DATA, taken 10.1 ms late"]
 
 
-def test_the_kernel_tells_what_threads_waited_for_a_processor(tmp_path):
+def test_the_processor_wait_of_threads_is_read_from_the_kernel(tmp_path):
     held = threading.Event()
     thread = threading.Thread(target=held.wait)
     thread.start()
@@ -82,7 +83,7 @@
     assert processor_wait(tmp_path / "none") == ProcessorWait()
 
 
-def test_who_was_late_names_the_parties_of_a_request_and_the_relays_of_that_time():
+def test_who_was_late_names_the_peers_of_a_request_and_the_relays_of_that_time():
     entries = [
         {"at": 1.0, "who": "s-00000001", "what": "do", "ref": REF, "late": 0.3},
         {"at": 1.1, "who": "clients", "what": "answer", "ref": REF, "late": 0.001},
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,5 @@
-"""The parts of the gateway on sockets: parsers on generated input, frames, and every end of a connection."""
+"""The gateway's connections: parsers on generated input, change log frames, and every way a connection
+ends."""
 
 import queue
 import random
@@ -31,14 +32,14 @@
 from rigs.stands import ENV, Log, Stand, framed, record
 
 
-def messages(chance, count):
+def messages(rng, count):
     return [
-        [chance.randbytes(chance.choice([0, 1, 30, 5000, 70000])) for _ in range(chance.randint(1, 5))]
+        [rng.randbytes(rng.choice([0, 1, 30, 5000, 70000])) for _ in range(rng.randint(1, 5))]
         for _ in range(count)
     ]
 
 
-def taken(buffer):
+def parsed(buffer):
     out = []
     while (items := buffer.next_message()) is not None:
         out.append(items)
@@ -46,20 +47,20 @@
 
 
 @pytest.mark.parametrize("cut", ["whole", "bytes", *range(6)])
-def test_messages_come_out_as_they_went_in_however_they_are_cut(cut):
-    chance = random.Random(str(cut))
-    sent = messages(chance, 3 if cut == "bytes" else 25)
+def test_messages_are_parsed_however_the_input_is_split(cut):
+    rng = random.Random(str(cut))
+    sent = messages(rng, 3 if cut == "bytes" else 25)
     if cut == "bytes":
         sent = [[item[:50] for item in items] for items in sent]
     data, buffer, got = b"".join(encode(*items) for items in sent), MessageBuffer((70_000,) * 5), []
     while data:
-        size = {"whole": len(data), "bytes": 1}.get(cut) or chance.choice([1, 3, 100, 9000])
+        size = {"whole": len(data), "bytes": 1}.get(cut) or rng.choice([1, 3, 100, 9000])
         buffer.append(data[:size])
         data = data[size:]
-        got += taken(buffer)
+        got += parsed(buffer)
     assert got == sent
     buffer.writable().release()
-    assert len(buffer.data) == buffer.initial_size, "an empty buffer is small again"
+    assert len(buffer.data) == buffer.initial_size, "an empty buffer is shrunk again"
 
 
 @pytest.mark.parametrize(
@@ -79,15 +80,15 @@
         b"*1\n$1\r\nx\r\n",
     ],
 )
-def test_what_cannot_be_framed_is_told(data):
+def test_malformed_messages_raise(data):
     buffer = MessageBuffer((MAX_PART_SIZE,) * 8)
     with pytest.raises(GarbledError):
         buffer.append(data)
         buffer.next_message()
 
 
-def test_each_element_has_its_own_limit():
-    """Else hundreds of clients could each make a buffer grow to megabytes before they are turned away."""
+def test_each_element_has_its_own_size_limit():
+    """Otherwise hundreds of clients could each grow a buffer to megabytes before they are rejected."""
     for sizes in (CLIENT_MESSAGE_SIZES, BACKEND_MESSAGE_SIZES):
         longest = [b"x" * size for size in sizes]
         buffer = MessageBuffer(sizes)
@@ -112,7 +113,7 @@
     assert len(buffer.data) == buffer.initial_size
 
 
-def test_fields_are_read_and_written():
+def test_fields_are_encoded_and_parsed():
     told = {"ref": "9b", "room": "412.5"}
     assert parse_fields(encode_fields([*told.items(), ("got", None)])) == told
     assert parse_fields(b"-") == parse_fields(b"") == {} and encode_fields([]) == b"-"
@@ -121,7 +122,7 @@
             parse_fields(data)
 
 
-def test_frames_and_the_known_list_tell_the_same():
+def test_frames_and_the_configuration_hold_the_same_events():
     started, purged = 1764576000123, 1764576000480
     told = {
         "uid": "s-00000007",
@@ -153,7 +154,7 @@
             discovery_events.decode_event(4, kind, payload)
 
 
-def test_the_change_log_is_followed_from_the_last_event_held_whatever_comes(monkeypatch):
+def test_the_change_log_is_resumed_after_the_last_event_whatever_it_sends(monkeypatch):
     monkeypatch.setattr(discovery_watch, "MIN_BACKOFF", 0.1 / 32)
     monkeypatch.setattr(discovery_watch, "MAX_BACKOFF", 0.1 / 2)
     got, since = queue.SimpleQueue(), queue.SimpleQueue()
@@ -183,27 +184,29 @@
         assert got.empty()
 
 
-def test_an_event_counts_as_had_only_once_it_was_handed_on():
-    log, had = Log([(5, 4, struct.pack(">HQ", 17, 1))]), queue.SimpleQueue()
-    follows = discovery_watch.DiscoveryWatch(
-        ("127.0.0.1", log.port), 4, lambda event, number: had.put((follows.last, number))
+def test_the_last_event_number_changes_after_the_event_was_passed_on():
+    log, received = Log([(5, 4, struct.pack(">HQ", 17, 1))]), queue.SimpleQueue()
+    watch = discovery_watch.DiscoveryWatch(
+        ("127.0.0.1", log.port), 4, lambda event, number: received.put((watch.last, number))
     )
-    follows.start()
-    assert had.get(timeout=5) == (4, 5)
+    watch.start()
+    assert received.get(timeout=5) == (4, 5)
     log.close()
 
 
-def test_the_change_log_is_asked_again_when_it_falls_silent_and_where_it_has_moved():
-    """An old one stays open and tells nothing more; so may one that hangs."""
+def test_a_silent_change_log_is_reconnected_and_a_moved_one_followed():
+    """A connection to a change log that has moved or that hangs stays open without sending anything."""
     first, second = Log(), Log([(5, 4, struct.pack(">HQ", 17, 1))])
     got = queue.SimpleQueue()
-    follows = discovery_watch.DiscoveryWatch(("127.0.0.1", first.port), 4, got.put)
-    follows.start()
+    watch = discovery_watch.DiscoveryWatch(("127.0.0.1", first.port), 4, got.put)
+    watch.start()
     assert first.since.get(timeout=5) == 4
-    begun = time.monotonic()
-    assert first.since.get(timeout=5) == 4 and time.monotonic() - begun < 3, "held against us from 4 s on"
-    follows.move(("127.0.0.1", second.port))
-    assert second.since.get(timeout=1) == 4, "at once"
+    started_at = time.monotonic()
+    assert first.since.get(timeout=5) == 4 and time.monotonic() - started_at < 3, (
+        "silence counts against the gateway from 4 s on"
+    )
+    watch.move(("127.0.0.1", second.port))
+    assert second.since.get(timeout=1) == 4, "the move is followed at once"
     assert got.get(timeout=5) == ("purge", ("", 17, 1))
     for log in (first, second):
         log.close()
@@ -214,12 +217,12 @@
     sock.close()
 
 
-def fails(conn, items):
-    raise ZeroDivisionError("a fault of our own")
+def fail(conn, items):
+    raise ZeroDivisionError("an exception in the handler")
 
 
 @pytest.mark.parametrize(
-    "end, does",
+    "end, act",
     [
         (CloseReason.CLOSED, lambda conn, sock: sock.close()),
         (CloseReason.RESET, lambda conn, sock: reset(sock)),
@@ -230,61 +233,62 @@
         (CloseReason.RETIRED, lambda conn, sock: conn.close(CloseReason.RETIRED)),
     ],
 )
-def test_each_end_of_a_connection_is_told_once(end, does):
-    gone, stand = queue.SimpleQueue(), Stand(lambda stand, sock, items: does(conn, sock))
-    conn = Connection(fails, gone.put, target=ConnectTarget(("127.0.0.1", stand.port), 5))
+def test_each_end_of_a_connection_is_reported_once(end, act):
+    closed, stand = queue.SimpleQueue(), Stand(lambda stand, sock, items: act(conn, sock))
+    conn = Connection(fail, closed.put, target=ConnectTarget(("127.0.0.1", stand.port), 5))
     conn.start()
     conn.send(encode(b"go"))
-    assert gone.get(timeout=5).close_reason is end
+    assert closed.get(timeout=5).close_reason is end
     conn.close(CloseReason.CLOSED)
-    assert conn.close_reason is end and conn.sock.fileno() >= -1 and gone.empty()
+    assert conn.close_reason is end and conn.sock.fileno() >= -1 and closed.empty()
     stand.close()
 
 
-def test_a_closed_door_and_no_way_there_are_told_apart():
-    gone = queue.SimpleQueue()
+def test_refused_and_timed_out_connects_are_distinguished():
+    closed = queue.SimpleQueue()
     with socket.socket() as server:
         server.bind(("127.0.0.1", 0))
-        Connection(fails, gone.put, target=ConnectTarget(server.getsockname(), 5)).start()
-        assert gone.get(timeout=5).close_reason is CloseReason.REFUSED
-        server.listen(0)  # one fits; of the next, nothing is heard
+        Connection(fail, closed.put, target=ConnectTarget(server.getsockname(), 5)).start()
+        assert closed.get(timeout=5).close_reason is CloseReason.REFUSED
+        server.listen(0)  # the queue takes one; further connects get no answer
         full = []
         for _ in range(3):
             full.append(socket.socket())
             full[-1].setblocking(False)
             full[-1].connect_ex(server.getsockname())
-        conn = Connection(fails, gone.put, target=ConnectTarget(server.getsockname(), 0.2))
+        conn = Connection(fail, closed.put, target=ConnectTarget(server.getsockname(), 0.2))
         place = conn.send(b"never out")
         conn.start()
-        assert gone.get(timeout=5).close_reason is CloseReason.UNMADE and place > conn.written
+        assert closed.get(timeout=5).close_reason is CloseReason.UNMADE and place > conn.written
         for sock in full:
             sock.close()
 
 
-def test_where_all_connections_have_carried_a_req_that_is_no_closed_door():
-    """An id means one dispatch on a connection; with as many connections as a pool may have, all used by
-    the same req, there is no way, and no cache is to blame for it."""
+def test_no_connection_is_left_that_has_not_carried_the_request():
+    """An id identifies one dispatch per connection. If the request has used all connections that the pool may
+    have, it cannot be sent, which is no failure of the cache."""
     backend, config = Backend("c"), from_protocol(ENV)
-    found = Upstream(UpstreamCallbacks(print, lambda: 0, print, print), config, 2)
-    found.add_backend(backend, ("127.0.0.1", 9))
-    pool = found.pools[backend]
+    upstream = Upstream(UpstreamCallbacks(print, lambda: 0, print, print), config, 2)
+    upstream.add_backend(backend, ("127.0.0.1", 9))
+    pool = upstream.pools[backend]
     pool.connections = [
         UpstreamConnection(pool, print, print, target=ConnectTarget(pool.address, 0.0)) for _ in range(2)
     ]
     call = SimpleNamespace(connections=list(pool.connections))
-    assert found.dispatch(Attempt(call, backend, 2, b"r", b"", 0)) is CloseReason.NO_LINE
+    assert upstream.dispatch(Attempt(call, backend, 2, b"r", b"", 0)) is CloseReason.NO_LINE
     assert OUTCOMES[CloseReason.NO_LINE] == "unsent"
-    assert found.dispatch(Attempt(SimpleNamespace(connections=[]), backend, 0, b"s", b"", 0)) is None
+    assert upstream.dispatch(Attempt(SimpleNamespace(connections=[]), backend, 0, b"s", b"", 0)) is None
 
 
-def test_what_is_not_taken_at_once_goes_out_later_whole_and_in_order():
-    """A sender never waits for a peer that does not read; what has not begun to go out can be taken back."""
+def test_unsent_data_is_sent_later_completely_and_in_order():
+    """A sender is not blocked by a peer that does not read; a message of which nothing was sent can be
+    withdrawn."""
     ours, theirs = socket.socketpair()
-    conn = Connection(fails, lambda conn: None, ours)
+    conn = Connection(fail, lambda conn: None, ours)
     parts = [bytes([n]) * 100_000 for n in range(30)]
-    places = [conn.send(part) for part in parts]
-    assert conn.unsent_bytes() > 0 and conn.written < places[-1]
-    assert conn.withdraw(places[-1]) and not conn.withdraw(places[0])
+    positions = [conn.send(part) for part in parts]
+    assert conn.unsent_bytes() > 0 and conn.written < positions[-1]
+    assert conn.withdraw(positions[-1]) and not conn.withdraw(positions[0])
     want, got = b"".join(parts[:-1]), bytearray()
     theirs.settimeout(5)
     while len(got) < len(want):
@@ -294,10 +298,12 @@
         assert conn.drained.wait_for(lambda: not conn.unsent_bytes(), 5)
 
 
-def test_every_end_has_its_outcome():
+def test_every_close_reason_has_an_outcome():
     assert set(OUTCOMES) == set(CloseReason)
-    proof = {end for end, outcome in OUTCOMES.items() if outcome in ("unreached", "miss", "full", "unsent")}
-    assert proof == {
+    not_executed = {
+        end for end, outcome in OUTCOMES.items() if outcome in ("unreached", "miss", "full", "unsent")
+    }
+    assert not_executed == {
         CloseReason.REFUSED,
         CloseReason.UNMADE,
         CloseReason.NO_LINE,
