--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -1,5 +1,6 @@
-"""What a client's reader has in hand counts as come, though the owner has not heard of it: a request is
-answered where its idle connection is about to be closed, and a cancel lets no attempt begin; real sockets."""
+"""Input that a client's reader holds counts as received although the event loop does not know of it: a
+request is answered although its idle connection is about to be closed, and a cancellation stops attempts.
+Real sockets."""
 
 import select
 import socket
@@ -18,18 +19,25 @@
 from rigs.inprocess import forgets, limits, until, waits_for
 from rigs.stands import serves, silent
 
-TOLD = {"ref": "9b1f03aa5c7e2d41", "allow": 1500, "lookup": f"{7:016x}", "nth": 0, "batch": 7, "room": 400.0}
-REQUEST = encode(b"EXEC", b"99", b"clip", encode_fields(TOLD.items()), b"")
+FIELDS = {
+    "ref": "9b1f03aa5c7e2d41",
+    "allow": 1500,
+    "lookup": f"{7:016x}",
+    "nth": 0,
+    "batch": 7,
+    "room": 400.0,
+}
+REQUEST = encode(b"EXEC", b"99", b"clip", encode_fields(FIELDS.items()), b"")
 
 
 class HeldReaders:
-    """Clients' readers that stop, as where they get no processor: before they read, when the kernel has given
-    them the bytes and nothing of ours knows, or when a message is parsed and not yet taken."""
+    """Blocks clients' readers, as if they got no processor: before they read ("unread"), when the kernel has
+    delivered the bytes ("read"), or when a message is parsed and not handled yet ("parsed")."""
 
     def __init__(self, monkeypatch, when):
         self.go, self.at, self.when = threading.Event(), threading.Event(), when
         self.go.set()
-        read_from, takes = MessageBuffer.read_from, Downstream.handle_message
+        read_from, handle_message = MessageBuffer.read_from, Downstream.handle_message
         of_client = CLIENT_MESSAGE_SIZES[-1]
         monkeypatch.setattr(
             MessageBuffer,
@@ -39,14 +47,14 @@
             ),
         )
 
-        def held_takes(front, *told):
-            self.stops("parsed")
-            takes(front, *told)
-            self.stops("taken")
+        def held_handle_message(downstream, *told):
+            self.block_at("parsed")
+            handle_message(downstream, *told)
+            self.block_at("taken")
 
-        monkeypatch.setattr(Downstream, "handle_message", held_takes)
+        monkeypatch.setattr(Downstream, "handle_message", held_handle_message)
 
-    def stops(self, when):
+    def block_at(self, when):
         if when == self.when and not self.go.is_set():
             self.at.set()
             self.go.wait(10)
@@ -56,22 +64,22 @@
 
 
 class _Held:
-    """A socket whose reads a held reader stops at."""
+    """A socket whose reads block with the reader."""
 
     def __init__(self, sock, reader):
         self.sock, self.reader = sock, reader
 
     def recv_into(self, view):
         poll_events(self.sock, select.POLLIN, None)
-        self.reader.stops("unread")
+        self.reader.block_at("unread")
         count = self.sock.recv_into(view)
-        self.reader.stops("read")
+        self.reader.block_at("read")
         return count
 
 
 @pytest.fixture
 def reader(monkeypatch):
-    """Readers that can be held."""
+    """Readers that can be blocked."""
     held = HeldReaders(monkeypatch, "")
     yield held
     held.go.set()
@@ -82,27 +90,28 @@
     return next(iter(world.owner.front.clients))
 
 
-def swept(front):
-    front.close_stalled(10.0, 1 << 30, 0.5)
+def close_stalled(downstream):
+    downstream.close_stalled(10.0, 1 << 30, 0.5)
 
 
-def crossed(world, reader, way, begins, rest):
-    """What a client is answered whose last bytes are with its reader when its connection is closed."""
+def answer_across_close(world, reader, way, start, remainder):
+    """Return the answer to a client whose last bytes are held by its reader while its connection is
+    closed."""
     asker = world.asker()
-    begins(asker)
+    start(asker)
     client = only_client(world)
     until(lambda: asker.tag or client.buffer.has_partial())
     reader.at.clear()
     reader.hold()
-    asker.sock.sendall(rest)
+    asker.sock.sendall(remainder)
     assert reader.at.wait(5)
 
-    def closes():
+    def close_connection():
         client.used -= 10
         client.message_started_at -= 10
         way(world.owner.front)
 
-    world.does(closes)
+    world.does(close_connection)
     reader.go.set()
     answer = asker.answer()
     asker.sock.close()
@@ -110,69 +119,71 @@
     return answer and answer[:2]
 
 
-def ends(asker):
-    """Is its connection ended, without an answer?"""
+def is_closed(asker):
+    """Return whether a client's connection is closed without an answer."""
     asker.sock.settimeout(2)
     return asker.answer() is None
 
 
-def asks(asker):
+def ask_and_check(asker):
     asker.ask(key=1)
     assert asker.answer()[1] == b"200"
 
 
 @pytest.mark.parametrize("when", ["unread", "read", "parsed"])
-def test_what_a_reader_has_in_hand_is_answered(in_process, reader, when):
+def test_a_request_held_by_its_reader_is_answered(in_process, reader, when):
     world, reader.when = in_process(serves()), when
-    for way in (swept, Downstream._make_room, Downstream.close_idle):
-        assert crossed(world, reader, way, asks, REQUEST) == [b"99", b"200"], way
+    for way in (close_stalled, Downstream._make_room, Downstream.close_idle):
+        assert answer_across_close(world, reader, way, ask_and_check, REQUEST) == [b"99", b"200"], way
     world.rests()
 
 
-def test_the_rest_of_a_message_that_stood_still_is_answered(in_process, reader):
-    """Where it came before the close, if only just."""
+def test_a_stalled_message_that_is_completed_is_answered(in_process, reader):
+    """If it arrived before the close, however shortly."""
     world = in_process(serves())
     for reader.when in ("unread", "read", "parsed"):
-        found = crossed(world, reader, swept, lambda asker: asker.sock.sendall(REQUEST[:40]), REQUEST[40:])
+        found = answer_across_close(
+            world, reader, close_stalled, lambda asker: asker.sock.sendall(REQUEST[:40]), REQUEST[40:]
+        )
         assert found == [b"99", b"200"], reader.when
     world.rests()
 
 
-def test_who_stands_still_within_a_message_is_still_let_go(in_process):
+def test_a_client_stalled_within_a_message_is_closed(in_process):
     world = in_process(serves())
     asker = world.asker()
     asker.sock.sendall(REQUEST[:40])
     client = only_client(world)
     until(client.buffer.has_partial)
 
-    def closes():
+    def close_connection():
         client.message_started_at -= 10
         world.owner.front.close_stalled(10.0, 1 << 30, 0.5)
 
-    world.does(closes)
-    assert ends(asker)
+    world.does(close_connection)
+    assert is_closed(asker)
 
 
-def test_urgent_data_which_no_reader_is_given_keeps_no_idle_connection(in_process, monkeypatch):
+def test_urgent_data_does_not_keep_an_idle_connection_open(in_process, monkeypatch):
     monkeypatch.setattr(connection, "READER_WAKEUP_TIME", 0.1)
     world = in_process(serves())
     asker = world.asker()
-    asks(asker)
+    ask_and_check(asker)
     client = only_client(world)
     asker.sock.send(b"!", socket.MSG_OOB)
     time.sleep(0.2)
 
-    def closes():
+    def close_connection():
         client.used -= 10
-        swept(world.owner.front)
+        close_stalled(world.owner.front)
 
-    world.does(closes)
-    assert ends(asker)
+    world.does(close_connection)
+    assert is_closed(asker)
 
 
 @pytest.mark.parametrize("when", ["unread", "read", "parsed"])
-def test_a_cancel_in_a_readers_hand_lets_nothing_begin(in_process, reader, late, when):
-    """The process gets no processor for a while, and the connection to the cache comes up only then."""
+def test_a_cancellation_held_by_its_reader_stops_attempts(in_process, reader, late, when):
+    """The process is paused for a while, and the connection to the cache is established only after that."""
     world, reader.when = in_process(silent, changes=limits(connectTimeoutNs=10**10)), when
     asker = world.asker()
     tag = asker.ask(key=1)
@@ -190,8 +201,9 @@
     world.rests()
 
 
-def test_a_process_that_ends_waits_for_what_a_reader_has_in_hand(in_process, reader):
-    """It waits 0.3 s for who keeps half a message; the rest of one that comes by then is taken."""
+def test_a_shutdown_waits_for_input_held_by_a_reader(in_process, reader):
+    """The process waits 0.3 s for a client with half a message; the rest of one that arrives by then is
+    handled."""
     for reader.when in ("unread", "read", "parsed"):
         world = in_process(serves())
         asker = world.asker()
@@ -206,20 +218,18 @@
         time.sleep(0.6)
         reader.go.set()
         tag, word, *_ = asker.answer()
-        assert tag == b"99" and word in (b"200", b"503"), reader.when  # by then it may have lain for too long
+        assert tag == b"99" and word in (b"200", b"503"), reader.when  # it may have waited too long by then
         asker.sock.close()
         world.thread.join(5)
         assert not world.thread.is_alive()
 
 
 @pytest.mark.parametrize("waits, lost", [(0.0, 0), (0.2, 1)])
-def test_a_request_that_had_come_well_before_our_end_counts_as_a_broken_promise(
-    in_process, reader, waits, lost
-):
-    """Where the connection is ended over it all the same, as by a mistake that the checks are there for."""
+def test_a_request_received_well_before_our_close_violates_an_invariant(in_process, reader, waits, lost):
+    """The connection is closed nevertheless, as by a fault that the invariant checks are to find."""
     world, reader.when = in_process(serves()), "parsed"
     asker = world.asker()
-    asks(asker)
+    ask_and_check(asker)
     client = only_client(world)
     reader.hold()
     asker.sock.sendall(REQUEST)
@@ -232,9 +242,9 @@
     asker.sock.close()
 
 
-def test_a_request_is_no_cancel_of_itself(in_process, reader):
-    """The owner comes to it before its reader is done, and it lay unread for longer than a leaver's grace: a
-    starved process refused all that it took."""
+def test_an_unprocessed_request_does_not_count_as_its_own_cancellation(in_process, reader):
+    """The event loop handles a request before its reader is done with it, and it was unread for longer than
+    the grace after a disconnect. A process short of CPU rejected every request in this way."""
     world = in_process(silent)
     asker = world.asker()
     client = only_client(world)
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -1,8 +1,8 @@
-"""The order in which a gateway's event loop does what has come: one client's requests, or many clients', must
-not keep another's reply, deadline or request waiting.
+"""The order in which a gateway's event loop handles events: requests of one client, or of many, must not
+delay another client's reply, deadline or request.
 
-The orders are forced: the event loop is held while the readers post what is to lie there, and what it does
-then is noted by hooks, in order. Nothing here depends on how long anything takes.
+The orders are forced: the event loop is held while readers post events, and hooks record the order in which
+it then handles them. No test depends on how long anything takes.
 """
 
 import select
@@ -23,49 +23,49 @@
 from rigs.inprocess import halves, until
 from rigs.stands import silent
 
-BATCH = 32  # open requests that a connection may carry
+BATCH = 32  # the limit of open requests per connection
 REPLY_KEY, DEADLINE_KEY, SINGLE_KEY = 1_000, 1_001, 1_002
-SHORT = 800  # milliseconds that a client waits whose deadline is to be over
-QUEUED = 300  # milliseconds for which a request lies in the queue
+SHORT = 800  # milliseconds; client timeout of the request whose deadline passes
+QUEUED = 300  # milliseconds for which a request waits in the queue
 MAX_ARRIVALS_BETWEEN = 1
 LAG_THRESHOLD = 200  # ticks
 
 
 class WorkOrder:
-    """What a gateway's event loop does, in order: requests that are taken, and final answers."""
+    """Records the steps of a gateway's event loop in order: requests handled, and final answers sent."""
 
     def __init__(self, owner):
         self.steps = []
-        self.on_taken = lambda: None  # called in the event loop's thread, after a request was taken
+        self.on_handled = lambda: None  # called in the event loop's thread after a request was handled
         self._wrap(owner)
 
     def _wrap(self, owner):
-        take, send = owner.router.request_arrived, owner.answers.send
+        handle, send = owner.router.request_arrived, owner.answers.send
 
-        def taken(request):
-            self.steps.append(("taken", int(request.key, 16)))
-            take(request)
-            self.on_taken()
+        def handled(request):
+            self.steps.append(("handled", int(request.key, 16)))
+            handle(request)
+            self.on_handled()
 
         def answered(call, *rest):
             self.steps.append(("answered", int(call.key, 16)))
             send(call, *rest)
 
-        owner.router.request_arrived, owner.answers.send = taken, answered
+        owner.router.request_arrived, owner.answers.send = handled, answered
 
-    def taken(self):
-        return sum(what == "taken" for what, _ in self.steps)
+    def handled_count(self):
+        return sum(what == "handled" for what, _ in self.steps)
 
-    def taken_before(self, what, key, since=0):
-        """How many other requests were taken before something was done, from a step on. ValueError where it
-        was done before that step."""
+    def handled_before(self, what, key, since=0):
+        """Return how many requests were handled before a step, counted from step `since` on. Raises
+        ValueError if the step came before `since`."""
         end = self.steps.index((what, key), since)
-        return sum(step[0] == "taken" for step in self.steps[since:end])
+        return sum(step[0] == "handled" for step in self.steps[since:end])
 
 
 def batch(asker, count=BATCH, allow=3000):
-    """So many requests in one write. The answer to `ALIVE`, which the reader itself gives, shows that all
-    before it are posted."""
+    """Send `count` requests in one write. The reader itself answers the `ALIVE` after them, which shows that
+    all of them are posted."""
     messages = []
     for number in range(1, count + 1):
         fields = {
@@ -82,23 +82,23 @@
     asker.tag = 99
 
 
-def posted(asker):
-    """Wait until all that a client has sent is posted."""
+def wait_until_posted(asker):
+    """Wait until everything that a client has sent is posted to the event loop."""
     asker.send(b"ALIVE", b"98", b"")
     assert asker.answer() == [b"98", b"serving"]
 
 
-def replies(world, sock, items):
-    """A cache answers, and the reply is posted."""
-    lines = [line for pool in world.owner.back.pools.values() for line in pool.connections]
-    before = sum(line.received for line in lines)
+def reply_from_cache(world, sock, items):
+    """Answer as a cache, and wait until the reply is posted."""
+    connections = [connection for pool in world.owner.back.pools.values() for connection in pool.connections]
+    before = sum(connection.received for connection in connections)
     reply = encode(items[1], b"data", b"remark=TCP_HIT", b"bytes")
     sock.sendall(reply)
-    until(lambda: sum(line.passed_on for line in lines) >= before + len(reply))
+    until(lambda: sum(connection.passed_on for connection in connections) >= before + len(reply))
 
 
-def out(world, key, allow=3000):
-    """A client whose request is out; with its tag and what its cache has of it."""
+def request_in_flight(world, key, allow=3000):
+    """Send a request that goes in flight; return its client, its tag, and the cache's socket and message."""
     asker = world.asker()
     tag = asker.ask(key=key, allow=allow)
     _, sock, items = world.caches[0].next()
@@ -107,174 +107,174 @@
 
 @pytest.fixture
 def busy(in_process):
-    """A gateway with two clients whose requests are out: one's reply is to come, the other's time ends. More
-    are connected and have asked nothing."""
+    """A gateway with two requests in flight: one is to be answered, the other's deadline is to pass. More
+    clients are connected without requests."""
 
     def changes(settings):
-        settings["classes"][0]["promiseNs"] = 3 * 10**9  # so that nothing is called back meanwhile
+        settings["classes"][0]["promiseNs"] = 3 * 10**9  # so that no attempt is cancelled meanwhile
 
     world = in_process(silent, changes=changes)
     clients = [world.asker() for _ in range(BATCH)]
     for client in clients:
-        posted(client)
+        wait_until_posted(client)
     order = WorkOrder(world.owner)
-    reply, deadline = out(world, REPLY_KEY), out(world, DEADLINE_KEY, SHORT)
+    reply, deadline = request_in_flight(world, REPLY_KEY), request_in_flight(world, DEADLINE_KEY, SHORT)
     over = time.monotonic() + SHORT / 1000
-    assert order.taken() == 2
+    assert order.handled_count() == 2
     return SimpleNamespace(
         world=world, clients=clients, order=order, reply=reply, deadline=deadline, over=over
     )
 
 
-def assert_both_are_kept(busy, since):
-    """The reply is passed on and the deadline kept after at most one arrival."""
+def assert_both_are_handled(busy, since):
+    """Check that the reply and the deadline are handled after at most one arrival."""
     asker, tag, _, _ = busy.reply
     assert asker.answer()[:2] == [tag, b"200"]
     asker, tag, _, _ = busy.deadline
     assert asker.answer()[:2] == [tag, b"503"]
     between = {
-        "reply": busy.order.taken_before("answered", REPLY_KEY, since),
-        "deadline": busy.order.taken_before("answered", DEADLINE_KEY, since),
+        "reply": busy.order.handled_before("answered", REPLY_KEY, since),
+        "deadline": busy.order.handled_before("answered", DEADLINE_KEY, since),
     }
-    assert max(between.values()) <= MAX_ARRIVALS_BETWEEN, f"arrivals taken before: {between}"
+    assert max(between.values()) <= MAX_ARRIVALS_BETWEEN, f"arrivals handled before: {between}"
 
 
-def assert_both_are_kept_behind(busy, send):
-    """The same, where clients send while the loop is held; a reply and a due deadline follow."""
+def assert_both_are_handled_after(busy, send):
+    """Check the same when clients `send` while the loop is held, followed by a reply and a due deadline."""
     since, go = len(busy.order.steps), busy.world.stall()
     send()
-    replies(busy.world, *busy.reply[2:])
+    reply_from_cache(busy.world, *busy.reply[2:])
     until(lambda: time.monotonic() > busy.over)
     go.set()
-    assert_both_are_kept(busy, since)
+    assert_both_are_handled(busy, since)
 
 
 # --- replies and deadlines before arrivals ---
 
 
-def test_a_reply_and_a_deadline_behind_one_clients_batch_wait_for_one_arrival_at_most(busy):
-    # guards rule 1: one client's pipelined requests must not make another's answer late
-    assert_both_are_kept_behind(busy, lambda: batch(busy.clients[0]))
+def test_a_reply_and_a_deadline_wait_for_at_most_one_arrival_of_a_clients_batch(busy):
+    # guards rule 1: one client's pipelined requests must not delay another's answer
+    assert_both_are_handled_after(busy, lambda: batch(busy.clients[0]))
 
 
-def test_a_reply_and_a_deadline_behind_many_clients_with_one_request_each_wait_for_one_arrival_at_most(busy):
-    # guards rule 1: fairness among clients alone does not help where each has one request
+def test_a_reply_and_a_deadline_wait_for_at_most_one_arrival_of_many_clients(busy):
+    # guards rule 1: fairness among clients does not suffice if each has one request
     def send():
         for number, client in enumerate(busy.clients):
             client.ask(key=number, allow=3000)
-            posted(client)
+            wait_until_posted(client)
 
-    assert_both_are_kept_behind(busy, send)
+    assert_both_are_handled_after(busy, send)
 
 
-def test_a_reply_and_a_deadline_that_come_while_a_batch_is_under_way_wait_for_one_arrival_at_most(busy):
-    # guards rule 1: what comes or falls due within a batch is not left to its end
-    flood = busy.clients[0]
+def test_a_reply_and_a_deadline_during_a_batch_wait_for_at_most_one_arrival(busy):
+    # guards rule 1: replies and deadlines during a batch do not wait for its end
+    batch_client = busy.clients[0]
     go, since = busy.world.stall(), []
 
-    def in_the_batch():
-        if busy.order.taken() == 2 + BATCH // 4:
-            replies(busy.world, *busy.reply[2:])
+    def within_batch():
+        if busy.order.handled_count() == 2 + BATCH // 4:
+            reply_from_cache(busy.world, *busy.reply[2:])
             until(lambda: time.monotonic() > busy.over)
             since.append(len(busy.order.steps))
 
-    busy.order.on_taken = in_the_batch
-    batch(flood)
+    busy.order.on_handled = within_batch
+    batch(batch_client)
     go.set()
     until(lambda: since)
-    assert_both_are_kept(busy, since[0])
+    assert_both_are_handled(busy, since[0])
 
 
-def test_a_reply_and_a_deadline_behind_a_client_that_floods_and_ends_wait_for_one_arrival_at_most(busy):
-    # guards rule 1: the requests of who may have left are no reason to be late for who waits
+def test_a_reply_and_a_deadline_wait_for_at_most_one_arrival_of_a_client_that_half_closes(busy):
+    # guards rule 1: requests of a client that may have left must not delay those of one that waits
     def send():
         batch(busy.clients[0])
         halves(busy.clients[0])
 
-    assert_both_are_kept_behind(busy, send)
+    assert_both_are_handled_after(busy, send)
 
 
 # --- one client's requests and another's ---
 
 
-def test_a_single_request_behind_another_clients_batch_is_taken_after_one_of_it_at_most(in_process):
-    # guards rule 1: one client's request waits for one of another's batch, not for all
+def test_a_single_request_waits_for_at_most_one_request_of_another_clients_batch(in_process):
+    # guards rule 1: one client's request waits for one request of another's batch, not for all
     world = in_process(silent)
-    order, flood, other = WorkOrder(world.owner), world.asker(), world.asker()
-    posted(flood), posted(other)
+    order, batch_client, other = WorkOrder(world.owner), world.asker(), world.asker()
+    wait_until_posted(batch_client), wait_until_posted(other)
     go = world.stall()
-    batch(flood)
+    batch(batch_client)
     other.ask(key=SINGLE_KEY, allow=3000)
-    posted(other)
+    wait_until_posted(other)
     go.set()
-    until(lambda: order.taken() == BATCH + 1)
-    assert order.taken_before("taken", SINGLE_KEY) <= MAX_ARRIVALS_BETWEEN
+    until(lambda: order.handled_count() == BATCH + 1)
+    assert order.handled_before("handled", SINGLE_KEY) <= MAX_ARRIVALS_BETWEEN
 
 
-def test_a_single_request_that_comes_while_a_batch_is_under_way_is_taken_after_one_more_of_it_at_most(
+def test_a_single_request_during_a_batch_waits_for_at_most_one_more_of_it(
     in_process,
 ):
-    # guards rule 1: as before, where the batch has begun when the other's request comes
+    # guards rule 1: as before, if the other's request arrives during the batch
     world = in_process(silent)
-    order, flood, other = WorkOrder(world.owner), world.asker(), world.asker()
-    posted(flood), posted(other)
+    order, batch_client, other = WorkOrder(world.owner), world.asker(), world.asker()
+    wait_until_posted(batch_client), wait_until_posted(other)
     go, since = world.stall(), []
 
-    def in_the_batch():
-        if order.taken() == BATCH // 4:
+    def within_batch():
+        if order.handled_count() == BATCH // 4:
             other.ask(key=SINGLE_KEY, allow=3000)
-            posted(other)
+            wait_until_posted(other)
             since.append(len(order.steps))
 
-    order.on_taken = in_the_batch
-    batch(flood)
+    order.on_handled = within_batch
+    batch(batch_client)
     go.set()
-    until(lambda: order.taken() == BATCH + 1)
-    assert order.taken_before("taken", SINGLE_KEY, since[0]) <= MAX_ARRIVALS_BETWEEN
+    until(lambda: order.handled_count() == BATCH + 1)
+    assert order.handled_before("handled", SINGLE_KEY, since[0]) <= MAX_ARRIVALS_BETWEEN
 
 
-def test_a_request_whose_time_ends_in_the_queue_is_answered_after_one_arrival_at_most(in_process):
-    # guards rule 1: a request in the queue has a deadline too, though no timer knows of it yet
+def test_a_request_that_expires_in_the_queue_is_answered_after_at_most_one_arrival(in_process):
+    # guards rule 1: a queued request has a deadline too, although it has no timer yet
     world = in_process(silent)
     order = WorkOrder(world.owner)
     clients, short = [world.asker() for _ in range(BATCH)], world.asker()
     for client in (*clients, short):
-        posted(client)
+        wait_until_posted(client)
     go = world.stall()
     for number, client in enumerate(clients):
         client.ask(key=number, allow=3000)
-        posted(client)
+        wait_until_posted(client)
     tag, over = short.ask(key=SINGLE_KEY, allow=QUEUED), time.monotonic() + QUEUED / 1000
-    posted(short)
+    wait_until_posted(short)
     until(lambda: time.monotonic() > over)
     go.set()
     assert short.answer()[:2] == [tag, b"503"]
-    assert order.taken_before("answered", SINGLE_KEY) <= MAX_ARRIVALS_BETWEEN + 1  # and its own
+    assert order.handled_before("answered", SINGLE_KEY) <= MAX_ARRIVALS_BETWEEN + 1  # and its own arrival
 
 
-def test_overdue_requests_of_one_client_go_before_anothers_request_once_at_most(in_process):
-    # guards rule 1: whoever sends what is over when it comes must not hold up who has time left
+def test_overdue_requests_of_one_client_precede_anothers_request_at_most_once(in_process):
+    # guards rule 1: requests that arrive past their deadline must not delay those with time left
     world = in_process(silent)
-    order, flood, other = WorkOrder(world.owner), world.asker(), world.asker()
-    posted(flood), posted(other)
+    order, batch_client, other = WorkOrder(world.owner), world.asker(), world.asker()
+    wait_until_posted(batch_client), wait_until_posted(other)
     go, since = world.stall(), time.monotonic()
-    batch(flood, allow=1)
+    batch(batch_client, allow=1)
     other.ask(key=SINGLE_KEY, allow=3000)
-    posted(other)
+    wait_until_posted(other)
     until(lambda: time.monotonic() > since + 0.01)
     go.set()
-    until(lambda: order.taken() == BATCH + 1)
-    assert order.taken_before("taken", SINGLE_KEY) <= 2 * MAX_ARRIVALS_BETWEEN + 1
+    until(lambda: order.handled_count() == BATCH + 1)
+    assert order.handled_before("handled", SINGLE_KEY) <= 2 * MAX_ARRIVALS_BETWEEN + 1
 
 
-def test_a_request_that_is_taken_within_a_lag_has_the_margin_for_it(in_process):
-    # guards rule 1: the margin of what lay in the queue meanwhile is that of before the lag
+def test_a_request_handled_during_a_lag_gets_the_margin_for_it(in_process):
+    # guards rule 1: the margin of requests queued during a lag was the one from before the lag
     world = in_process(silent)
     asker = world.asker()
-    posted(asker)
+    wait_until_posted(asker)
     go, since = world.stall(), time.monotonic()
     asker.ask(key=SINGLE_KEY, allow=3000)
-    posted(asker)
+    wait_until_posted(asker)
     until(lambda: time.monotonic() > since + QUEUED / 1000)
     go.set()
     until(lambda: world.owner.open_requests)
@@ -282,34 +282,34 @@
     assert call.history.deadline - call.request.deadline >= QUEUED * TICKS_PER_SECOND // 2000
 
 
-# --- what must stay: one client's own events, in their order ---
+# --- order of one client's own events ---
 
 
-def test_requests_before_nonsense_are_taken_before_it_and_all_answered(in_process):
-    # guards what another order could break: `client_sent_malformed` answers only what was taken before it
+def test_requests_before_malformed_input_are_handled_before_it_and_all_answered(in_process):
+    # guards against a wrong order: `client_sent_malformed` answers only requests handled before it
     world = in_process(silent)
-    order, flood, rude = WorkOrder(world.owner), world.asker(), world.asker()
-    posted(flood), posted(rude)
+    order, batch_client, malformed = WorkOrder(world.owner), world.asker(), world.asker()
+    wait_until_posted(batch_client), wait_until_posted(malformed)
     go = world.stall()
-    batch(flood)
-    tags = {rude.ask(key=SINGLE_KEY + number, allow=3000) for number in range(4)}
-    posted(rude)
-    rude.sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
+    batch(batch_client)
+    tags = {malformed.ask(key=SINGLE_KEY + number, allow=3000) for number in range(4)}
+    wait_until_posted(malformed)
+    malformed.sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
     go.set()
-    got = list(iter(rude.answer, None))
+    got = list(iter(malformed.answer, None))
     assert {items[0] for items in got} == tags and {items[1] for items in got} == {b"503"}
-    until(lambda: order.taken() == BATCH + 4)
+    until(lambda: order.handled_count() == BATCH + 4)
     rejects = world.owner.counters.rejects
-    assert rejects["GARBLED"] and not rejects["TIME_UP"], "at once, not when their time is up"
+    assert rejects["GARBLED"] and not rejects["TIME_UP"], "rejected at once, not at their deadlines"
 
 
-def test_the_end_of_a_clients_input_comes_after_its_requests(in_process):
-    # guards what another order could break: nothing is sent for who may have left, from a moment on
+def test_the_end_of_a_clients_input_is_handled_after_its_requests(in_process):
+    # guards against a wrong order: after its grace, nothing is sent for a client that may have left
     world = in_process(silent)
-    flood, asker = world.asker(), world.asker()
-    posted(flood), posted(asker)
+    batch_client, asker = world.asker(), world.asker()
+    wait_until_posted(batch_client), wait_until_posted(asker)
     go = world.stall()
-    batch(flood)
+    batch(batch_client)
     asker.ask(key=SINGLE_KEY, allow=3000)
     halves(asker)
     until(lambda: any(client.input_ended is not None for client in world.owner.front.clients))
@@ -320,20 +320,20 @@
     until(lambda: call.request.send_by)
 
 
-def test_a_reply_behind_a_handover_that_takes_all_events_leaves_the_loop_running(in_process, monkeypatch):
-    # guards rule 1: the loop ended with an error, and with it all that the process owed
+def test_the_loop_survives_a_handover_that_takes_all_events_before_a_reply(in_process, monkeypatch):
+    # guards rule 1: the loop ended with an exception, and no open request was answered
     monkeypatch.setattr(Connection, "movable", True)
     world = in_process(silent)
-    asker, tag, sock, items = out(world, REPLY_KEY)
+    asker, tag, sock, items = request_in_flight(world, REPLY_KEY)
     quiescer, results = Quiescer(world.owner), []
 
-    def rest_and_resume():
+    def quiesce_and_resume():
         results.append(quiescer.quiesce(time.monotonic() + 4, lambda: True))
         quiescer.resume_all()
 
     go = world.stall()
-    world.owner.post(rest_and_resume)
-    replies(world, sock, items)
+    world.owner.post(quiesce_and_resume)
+    reply_from_cache(world, sock, items)
     go.set()
     assert asker.answer()[:2] == [tag, b"200"]
     until(lambda: results)
@@ -342,74 +342,75 @@
     assert world.caches[0].next()
 
 
-# --- internal events that begin new work ---
+# --- internal events ---
 
 
-LITTLE = 150  # milliseconds that a client waits which has little time
+SHORT_TIMEOUT = 150  # milliseconds; client timeout of a request with little time
 
 
-def internal_events(order, owner, count=BATCH):
-    """Post so many internal events that are no replies, as lost connections are; each is a step."""
+def post_internal_events(order, owner, count=BATCH):
+    """Post `count` internal events other than replies, such as lost connections; each is recorded as a
+    step."""
     for number in range(count):
         owner.post(order.steps.append, ("internal", number))
 
 
 def internal_before(order, what, key, since=0):
-    """How many internal events were run before something was done, from a step on."""
+    """Return how many internal events were run before a step, counted from step `since` on."""
     end = order.steps.index((what, key), since)
     return sum(step[0] == "internal" for step in order.steps[since:end])
 
 
-def test_a_request_with_little_time_left_is_taken_after_one_internal_event_at_most(in_process):
-    # guards rule 1: lost connections of other requests kept one waiting until its client's time was over
+def test_a_request_with_little_time_left_waits_for_at_most_one_internal_event(in_process):
+    # guards rule 1: lost connections of other requests delayed a request past its deadline
     world = in_process(silent)
     order, asker = WorkOrder(world.owner), world.asker()
-    posted(asker)
+    wait_until_posted(asker)
     go = world.stall()
-    internal_events(order, world.owner)
-    asker.ask(key=SINGLE_KEY, allow=LITTLE)
-    posted(asker)
+    post_internal_events(order, world.owner)
+    asker.ask(key=SINGLE_KEY, allow=SHORT_TIMEOUT)
+    wait_until_posted(asker)
     go.set()
-    until(order.taken)
-    assert internal_before(order, "taken", SINGLE_KEY) <= 1
+    until(order.handled_count)
+    assert internal_before(order, "handled", SINGLE_KEY) <= 1
 
 
-def test_a_request_with_little_time_left_is_taken_after_one_request_with_more_at_most(in_process):
-    # guards rule 1: clients took turns, whoever of them had how much time left
+def test_a_request_with_little_time_left_waits_for_at_most_one_request_with_more(in_process):
+    # guards rule 1: clients took turns regardless of how much time they had left
     world = in_process(silent)
     order = WorkOrder(world.owner)
     clients, short = [world.asker() for _ in range(BATCH)], world.asker()
     for client in (*clients, short):
-        posted(client)
+        wait_until_posted(client)
     go = world.stall()
     for number, client in enumerate(clients):
         client.ask(key=number, allow=3000)
-        posted(client)
-    short.ask(key=SINGLE_KEY, allow=LITTLE)
-    posted(short)
+        wait_until_posted(client)
+    short.ask(key=SINGLE_KEY, allow=SHORT_TIMEOUT)
+    wait_until_posted(short)
     go.set()
-    until(lambda: order.taken() == BATCH + 1)
-    assert order.taken_before("taken", SINGLE_KEY) <= MAX_ARRIVALS_BETWEEN
+    until(lambda: order.handled_count() == BATCH + 1)
+    assert order.handled_before("handled", SINGLE_KEY) <= MAX_ARRIVALS_BETWEEN
 
 
-def test_requests_with_little_time_left_leave_every_second_turn_to_internal_events(in_process):
-    # guards what another order could break: who sends much with little time must not hold up all else
+def test_requests_with_little_time_left_alternate_with_internal_events(in_process):
+    # guards against a wrong order: many requests with little time must not delay everything else
     world = in_process(silent)
-    order, flood = WorkOrder(world.owner), world.asker()
-    posted(flood)
+    order, batch_client = WorkOrder(world.owner), world.asker()
+    wait_until_posted(batch_client)
     go = world.stall()
-    internal_events(order, world.owner)
-    batch(flood, allow=LITTLE)
+    post_internal_events(order, world.owner)
+    batch(batch_client, allow=SHORT_TIMEOUT)
     go.set()
     until(lambda: ("internal", BATCH - 1) in order.steps)
-    assert order.taken_before("internal", BATCH - 1) <= BATCH
+    assert order.handled_before("internal", BATCH - 1) <= BATCH
 
 
-def test_a_reply_and_a_deadline_behind_internal_events_wait_for_one_of_them_at_most(busy):
-    # guards rule 1: the answer to one request waited until all that had happened to others was handled
+def test_a_reply_and_a_deadline_wait_for_at_most_one_internal_event(busy):
+    # guards rule 1: the answer to one request waited until all events of others were handled
     since, go = len(busy.order.steps), busy.world.stall()
-    internal_events(busy.order, busy.world.owner)
-    replies(busy.world, *busy.reply[2:])
+    post_internal_events(busy.order, busy.world.owner)
+    reply_from_cache(busy.world, *busy.reply[2:])
     until(lambda: time.monotonic() > busy.over)
     go.set()
     for (asker, tag, _, _), word, key in (
@@ -420,15 +421,13 @@
         assert internal_before(busy.order, "answered", key, since) <= 1
 
 
-# --- answers that lie unread ---
+# --- unread answers ---
 
 
-def test_the_loop_knows_of_an_answer_that_its_reader_has_or_could_have_and_asks_the_system_once(
-    in_process, monkeypatch
-):
-    # guards rule 1: one question for each connection took longer than the wait that it was to bound
+def test_unread_answers_are_detected_at_any_stage_with_one_poll(in_process, monkeypatch):
+    # guards rule 1: one poll per connection took longer than the wait that it was meant to bound
     world = in_process(silent)
-    askers = [out(world, REPLY_KEY + number) for number in range(4)]
+    askers = [request_in_flight(world, REPLY_KEY + number) for number in range(4)]
     has_unread, polls = world.owner.loop.has_unread_answers, []
     assert not world.does(has_unread)
     make = select.poll
@@ -439,45 +438,45 @@
 
     monkeypatch.setattr(polling.select, "poll", counted)
     assert not world.does(lambda: (polls.clear(), has_unread())[1] or len(polls) != 1)
-    lines = [line for pool in world.owner.back.pools.values() for line in pool.connections]
+    connections = [connection for pool in world.owner.back.pools.values() for connection in pool.connections]
     held, go = threading.Event(), threading.Event()
-    for line in lines:
-        takes = line.on_message
-        line.on_message = lambda *told, takes=takes: (held.set(), go.wait(5), takes(*told))
+    for connection in connections:
+        takes = connection.on_message
+        connection.on_message = lambda *told, takes=takes: (held.set(), go.wait(5), takes(*told))
     _, tag, sock, items = askers[0]
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
     assert held.wait(5)
-    assert world.does(has_unread), "its reader has it and has not passed it on"
+    assert world.does(has_unread), "read by its reader, and not passed on"
     go.set()
     assert askers[0][0].answer()[:2] == [tag, b"200"]
     until(lambda: not world.does(has_unread))
 
 
-def test_a_reply_before_its_connections_end_counts_before_it(in_process):
-    # guards what another order could break: a reply that was read is no loss, though its connection ended
+def test_a_reply_is_handled_before_the_end_of_its_connection(in_process):
+    # guards against a wrong order: a reply that was read is valid although its connection has ended
     world = in_process(silent)
-    flood, (asker, tag, sock, items) = world.asker(), out(world, REPLY_KEY)
-    posted(flood)
+    batch_client, (asker, tag, sock, items) = world.asker(), request_in_flight(world, REPLY_KEY)
+    wait_until_posted(batch_client)
     go = world.stall()
-    batch(flood)
-    replies(world, sock, items)
+    batch(batch_client)
+    reply_from_cache(world, sock, items)
     world.caches[0].break_off(reset=False)
-    lines = [line for pool in world.owner.back.pools.values() for line in pool.connections]
-    until(lambda: all(line.close_reason is not None for line in lines))
+    connections = [connection for pool in world.owner.back.pools.values() for connection in pool.connections]
+    until(lambda: all(connection.close_reason is not None for connection in connections))
     go.set()
     assert asker.answer()[:2] == [tag, b"200"]
 
 
-def test_what_lay_in_the_queue_tells_its_cache_no_time_that_is_over(in_process):
-    # guards the operators' term on told limits: they follow the time that is left when it is taken
+def test_the_time_limit_of_a_queued_request_excludes_its_time_in_the_queue(in_process):
+    # guards the operators' term on sent time limits: they follow the time left when the request is handled
     world = in_process(silent)
-    flood, asker = world.asker(), world.asker()
-    posted(flood), posted(asker)
+    batch_client, asker = world.asker(), world.asker()
+    wait_until_posted(batch_client), wait_until_posted(asker)
     go = world.stall()
     asker.ask(key=SINGLE_KEY, allow=3000)
     asked = time.monotonic()
-    posted(asker)
-    batch(flood)
+    wait_until_posted(asker)
+    batch(batch_client)
     until(lambda: time.monotonic() > asked + QUEUED / 1000)
     left = asked + 3.0 - time.monotonic()
     go.set()
@@ -487,27 +486,28 @@
     assert int(parse_fields(told[-1])["max"]) / 1000 <= left + 0.001
 
 
-def test_a_reply_that_lies_in_the_queue_when_its_requests_time_is_over_comes_before_the_time_out(in_process):
-    # guards what another order could break: what has happened comes before what is due, for one request
+def test_a_queued_reply_is_handled_before_its_requests_time_out(in_process):
+    # guards against a wrong order: for one request, events that have happened come before due timers
     world = in_process(silent)
-    flood, (asker, tag, sock, items) = world.asker(), out(world, REPLY_KEY, SHORT)
+    batch_client, (asker, tag, sock, items) = world.asker(), request_in_flight(world, REPLY_KEY, SHORT)
     over = time.monotonic() + SHORT / 1000
-    posted(flood)
+    wait_until_posted(batch_client)
     go = world.stall()
-    batch(flood)
-    replies(world, sock, items)
+    batch(batch_client)
+    reply_from_cache(world, sock, items)
     until(lambda: time.monotonic() > over)
     go.set()
     assert asker.answer()[:2] == [tag, b"200"]
 
 
-# --- the event loop by itself ---
+# --- unit tests of the event loop ---
 
 
 @pytest.fixture
 def loop():
     loop = EventLoop(GatewayClock(), Counters(), lag_threshold=LAG_THRESHOLD)
-    loop.call_at(loop.clock.time + 1_000 * TICKS_PER_SECOND, lambda: None)  # it must not run dry
+    # one timer must always be scheduled
+    loop.call_at(loop.clock.time + 1_000 * TICKS_PER_SECOND, lambda: None)
     return loop
 
 
@@ -516,8 +516,8 @@
     loop.run(lambda: next(finished))
 
 
-def test_what_has_come_is_not_kept_waiting_by_the_wait_where_lag_begins(loop):
-    # guards rule 1: the wait is for replies that lie unread; one that is in the queue is held back by it
+def test_queued_events_are_run_before_the_wait_when_a_lag_begins(loop):
+    # guards rule 1: the wait is for unread replies; queued events must not be delayed by it
     steps = []
     loop.has_unread_answers = lambda: bool(steps.append("wait"))
     loop.call_at(loop.clock.time - 2 * LAG_THRESHOLD, steps.append, "timer")
@@ -526,8 +526,8 @@
     assert steps == ["event", "wait", "timer"]
 
 
-def test_a_timer_runs_at_the_time_as_it_is_then_and_its_lag_counts_from_there(loop):
-    # guards the lag margin: a lag that timers before it made is not seen, and no margin is taken for it
+def test_a_timers_lag_is_measured_with_the_current_time(loop):
+    # guards the lag margin: a lag caused by earlier timers was not seen, and no margin taken for it
     seen = []
 
     def slow():
@@ -541,8 +541,8 @@
     assert loop.lag_margin.current(loop.clock.monotonic_time) >= 2 * LAG_THRESHOLD
 
 
-def test_a_lag_that_events_alone_have_counts_for_the_margin(loop):
-    # guards the lag margin: it follows timers only, and heartbeats are 50 ms apart
+def test_a_lag_of_events_alone_counts_for_the_margin(loop):
+    # guards the lag margin: it followed timers only, and heartbeats are 50 ms apart
     loop.post(lambda: None)
     time.sleep(3 * LAG_THRESHOLD / TICKS_PER_SECOND)
     run_once(loop)
