--- a/tests/test_cancelled_attempts.py
+++ b/tests/test_cancelled_attempts.py
@@ -1,7 +1,8 @@
-"""A cancelled attempt is in flight until its cache has read so: over links that are slow, on real sockets.
+"""A cancelled attempt counts as in flight until its cache has read the cancellation: over slow links, with
+real sockets.
 
-Only what a gateway can know is asked of it: links whose answers were slow before. The order of events is the
-links' own: each message takes a fixed time in each direction, and nothing is raced."""
+The tests require only what a gateway can know: the links' answers were slow before. The order of events is
+determined by the links: each message takes a fixed time in each direction, and there are no races."""
 
 import time
 
@@ -17,32 +18,33 @@
 from rigs.inprocess import forgets, handed_over, until
 from rigs.scene import Timers
 
-DELAY = 0.15  # seconds that a message is on its way, in each direction
-LONG_CONNECT = {"connectTimeoutNs": 10**9}  # longer than a round trip: a link that is slow is not silent
+DELAY = 0.15  # seconds that a message takes, in each direction
+# longer than a round trip, so that a slow link does not count as silent
+LONG_CONNECT = {"connectTimeoutNs": 10**9}
 ALLOW = 3000  # ms
 HOUR = 3600 * TICKS_PER_SECOND
 
 
 class SlowLinks:
-    """Caches behind links with a delay; what comes whole to them, in its order."""
+    """Caches behind links with a delay; records the complete messages that reach them, in order."""
 
     def __init__(self):
         self.delays = {}  # seconds, by stand
-        self.hangs = set()  # stands that answer no request
-        self.deaf = set()  # stands that answer nothing at all
-        self.whole = []  # (when, stand, verb, id)
+        self.hanging = set()  # caches that answer no requests
+        self.unresponsive = set()  # caches that answer nothing at all
+        self.received = []  # (when, stand, verb, id)
         self.timers = Timers()
 
     def says(self, stand, sock, items):
-        """A message has left the gateway for a cache."""
+        """Deliver a message from the gateway to a cache after the link's delay."""
         self.timers.after(self.delay(stand), lambda: self.arrives(stand, sock, items))
 
     def delay(self, stand):
         return self.delays.get(stand, 0.0)
 
     def arrives(self, stand, sock, items):
-        self.whole.append((time.monotonic(), stand, items[0], items[1]))
-        if stand in self.deaf or items[0] == b"undo" or (items[0] == b"do" and stand in self.hangs):
+        self.received.append((time.monotonic(), stand, items[0], items[1]))
+        if stand in self.unresponsive or items[0] == b"undo" or (items[0] == b"do" and stand in self.hanging):
             return
         if items[0] == b"do":
             answer = encode(items[1], b"data", b"remark=TCP_HIT", b"ok")
@@ -51,15 +53,19 @@
         self.timers.after(self.delay(stand), lambda: sock.sendall(answer))
 
     def closed(self, stand):
-        """The end of a connection has left the gateway."""
+        """Record the gateway's close of a connection after the link's delay."""
         self.timers.after(
-            self.delay(stand), lambda: self.whole.append((time.monotonic(), stand, b"closed", b""))
+            self.delay(stand), lambda: self.received.append((time.monotonic(), stand, b"closed", b""))
         )
 
     def first(self, verb, stand=None):
-        """The place in the order, and the entry, of the first message of a kind; None where none came."""
-        found = (one for one in enumerate(self.whole) if one[1][2] == verb and stand in (None, one[1][1]))
-        return next(found, None)
+        """Return the index and the entry of the first message of a kind; None if there was none."""
+        matches = (
+            entry
+            for entry in enumerate(self.received)
+            if entry[1][2] == verb and stand in (None, entry[1][1])
+        )
+        return next(matches, None)
 
 
 @pytest.fixture
@@ -70,7 +76,7 @@
 
 
 def made(in_process, links, **more):
-    """A world of two caches behind links, none of which is late for what its link takes."""
+    """Return a world of two caches behind links, with time limits longer than the links' delays."""
 
     def changes(settings):
         settings["limits"].update(LONG_CONNECT, **more)
@@ -82,15 +88,16 @@
     return world
 
 
-def asker_of(world):
-    """A client that waits for long enough to see what follows."""
+def patient_client(world):
+    """Return a client with a long enough timeout."""
     asker = world.asker()
     asker.allow = ALLOW
     return asker
 
 
-def shown(links, asker, delay):
-    """The home of an object, whose link has shown that it has a delay; and the shortest time of an answer."""
+def measure_link(links, asker, delay):
+    """Send requests until an object's home cache has shown its link's delay; return it and the shortest
+    answer time."""
 
     def answered():
         at = time.monotonic()
@@ -104,37 +111,38 @@
     return home, min(answered() for _ in range(ANSWERS_COUNTED))
 
 
-def asked_again(world, links, asker, home):
-    """One more request, which its home never answers; its call, when it is in flight."""
-    links.hangs.add(home)
-    links.whole.clear()
+def send_unanswered(world, links, asker, home):
+    """Send one more request, which its home never answers; return its `ClientRequest` once it is in
+    flight."""
+    links.hanging.add(home)
+    links.received.clear()
     asker.ask(key=1, room=4)
     until(lambda: world.held()["out"] == 1)
     (call,) = world.does(lambda: list(world.owner.open_requests.values()))
     return call
 
 
-def cancels(world, call):
-    """The router cancels an attempt, as where its cache is ejected."""
+def cancel_attempt(world, call):
+    """Have the router cancel an attempt, as when its cache is ejected."""
     world.does(lambda: world.owner.router.cancel_if_safe(call.request))
 
 
-def breaks(world, call):
-    """The connection of an attempt is closed here."""
+def close_connection(world, call):
+    """Close an attempt's connection from the gateway's side."""
     world.does(lambda: call.attempt.connection.close(CloseReason.SILENT))
 
 
 @pytest.mark.parametrize("when", ["under way", "whole"])
-@pytest.mark.parametrize("ends, told", [(cancels, b"undo"), (breaks, b"closed")])
-def test_the_next_attempt_waits_until_a_cache_behind_a_slow_link_knows_of_the_first_ones_end(
+@pytest.mark.parametrize("ends, told", [(cancel_attempt, b"undo"), (close_connection, b"closed")])
+def test_the_next_attempt_waits_until_a_cache_behind_a_slow_link_has_read_the_cancellation(
     in_process, links, when, ends, told
 ):
-    """It came whole to its cache 8 ms after the cancel was sent, which had 150 ms to go."""
+    """The next attempt reached its cache 8 ms after a cancellation was sent that took 150 ms to arrive."""
     world = made(in_process, links)
-    asker = asker_of(world)
-    home, _ = shown(links, asker, DELAY)
+    asker = patient_client(world)
+    home, _ = measure_link(links, asker, DELAY)
     (other,) = [cache for cache in world.caches if cache is not home]
-    call = asked_again(world, links, asker, home)
+    call = send_unanswered(world, links, asker, home)
     if when == "whole":
         until(lambda: links.first(b"do", home))
     ends(world, call)
@@ -144,40 +152,40 @@
     world.rests()
 
 
-def test_a_reply_behind_the_cancel_proves_that_it_was_read_and_ends_the_wait(in_process, links):
-    """A cache that is slow, and not its link, costs no time."""
+def test_an_answered_health_check_after_the_cancellation_ends_the_wait(in_process, links):
+    """A slow cache behind a fast link causes no wait."""
     world = made(in_process, links)
-    asker = asker_of(world)
-    home, _ = shown(links, asker, DELAY)
-    call = asked_again(world, links, asker, home)
+    asker = patient_client(world)
+    home, _ = measure_link(links, asker, DELAY)
+    call = send_unanswered(world, links, asker, home)
     until(lambda: links.first(b"do", home))
     pool = world.does(lambda: world.owner.back.pools[call.request.backend])
     for _ in range(ANSWERS_COUNTED):
         world.does(lambda: pool.link_delay.record(HOUR, world.owner.time))
-    cancels(world, call)
-    assert asker.answer()[1] == b"200", "long before the hour is over"
+    cancel_attempt(world, call)
+    assert asker.answer()[1] == b"200", "long before the recorded delay of an hour"
     world.rests()
 
 
-def test_a_cancelled_attempt_goes_over_to_the_next_process_with_its_wait(in_process, links, monkeypatch):
+def test_a_cancelled_attempt_is_handed_over_with_its_wait(in_process, links, monkeypatch):
     monkeypatch.setattr(Connection, "movable", True)
     world = made(in_process, links)
-    asker = asker_of(world)
-    home, _ = shown(links, asker, DELAY)
-    call = asked_again(world, links, asker, home)
-    links.deaf.add(home)
+    asker = patient_client(world)
+    home, _ = measure_link(links, asker, DELAY)
+    call = send_unanswered(world, links, asker, home)
+    links.unresponsive.add(home)
     pool = world.does(lambda: world.owner.back.pools[call.request.backend])
     for _ in range(ANSWERS_COUNTED):
         world.does(lambda: pool.link_delay.record(HOUR, world.owner.time))
-    cancels(world, call)
+    cancel_attempt(world, call)
     with handed_over(world) as restorer:
         gateway = restorer.gateway
         (end,) = [timer for timer in gateway.timers if timer.callback == gateway.attempt_ended]
         assert end.arguments[1] is CloseReason.CALLED_OFF and end.at > gateway.time + HOUR // 2
 
 
-def waits(world, call):
-    """How long the next attempt of a request waits that is cancelled now, in ticks."""
+def wait_after_cancel(world, call):
+    """Cancel a request's attempt; return how long its next attempt waits, in ticks."""
     owner = world.owner
 
     def cancelled():
@@ -190,58 +198,56 @@
 
 
 @pytest.mark.parametrize("probes", [True, False])
-def test_a_cache_that_answered_at_once_and_hangs_costs_no_longer_wait_than_before(in_process, links, probes):
-    """Service through failures is what attempts anew are for: nobody waits for a word that never comes."""
+def test_a_hanging_cache_behind_a_fast_link_does_not_lengthen_the_wait(in_process, links, probes):
+    """Retries must keep the service available: they must not wait for a confirmation that never comes."""
     world = made(in_process, links, probes=probes)
-    asker = asker_of(world)
-    home, shortest = shown(links, asker, 0.0)
-    call = asked_again(world, links, asker, home)
-    links.deaf.add(home)
+    asker = patient_client(world)
+    home, shortest = measure_link(links, asker, 0.0)
+    call = send_unanswered(world, links, asker, home)
+    links.unresponsive.add(home)
     until(lambda: links.first(b"do", home))
     slack = world.owner.back.answer_slack
-    assert waits(world, call) <= max(slack, shortest * TICKS_PER_SECOND)
+    assert wait_after_cancel(world, call) <= max(slack, shortest * TICKS_PER_SECOND)
     assert asker.answer()[1] == b"200"
     world.rests()
 
 
-def test_a_slow_link_that_is_cut_delays_the_next_attempt_by_what_its_answers_took_at_most(in_process, links):
+def test_a_cut_slow_link_delays_the_next_attempt_by_at_most_its_answer_time(in_process, links):
     world = made(in_process, links)
-    asker = asker_of(world)
-    home, shortest = shown(links, asker, DELAY)
-    call = asked_again(world, links, asker, home)
-    links.deaf.add(home)
-    assert 2 * DELAY * TICKS_PER_SECOND * 0.9 <= waits(world, call) <= shortest * TICKS_PER_SECOND
+    asker = patient_client(world)
+    home, shortest = measure_link(links, asker, DELAY)
+    call = send_unanswered(world, links, asker, home)
+    links.unresponsive.add(home)
+    assert 2 * DELAY * TICKS_PER_SECOND * 0.9 <= wait_after_cancel(world, call) <= shortest * TICKS_PER_SECOND
     assert asker.answer()[1] == b"200"
     world.rests(but=("clients", "checks"))
 
 
-def test_nothing_is_asked_of_a_cache_where_no_attempt_follows_or_the_settings_allow_no_probes(
-    in_process, links
-):
+def test_no_health_check_is_sent_without_a_next_attempt_or_if_health_checks_are_off(in_process, links):
     world = made(in_process, links, probes=False)
-    asker = asker_of(world)
-    home, _ = shown(links, asker, DELAY)
-    call = asked_again(world, links, asker, home)
-    cancels(world, call)
+    asker = patient_client(world)
+    home, _ = measure_link(links, asker, DELAY)
+    call = send_unanswered(world, links, asker, home)
+    cancel_attempt(world, call)
     assert asker.answer()[1] == b"200"
     assert not links.first(b"ping") and not links.first(b"top")
     allowed = made(in_process, links)
-    other = asker_of(allowed)
-    links.hangs.clear()
-    links.whole.clear()
-    home, _ = shown(links, other, DELAY)
-    asked_again(allowed, links, other, home)
+    other = patient_client(allowed)
+    links.hanging.clear()
+    links.received.clear()
+    home, _ = measure_link(links, other, DELAY)
+    send_unanswered(allowed, links, other, home)
     forgets(other)
     until(lambda: links.first(b"undo", home))
     allowed.rests()
     assert not links.first(b"ping")
 
 
-# --- the policy, beside a plain model ---
+# --- LinkDelay, compared with a simple model ---
 
 
 def expected(answers, now):
-    """In the plainest words."""
+    """Return the expected delay by a simple computation."""
     last = answers[-ANSWERS_COUNTED:]
     recent = [took for at, took in last if now - at < LINK_DELAY_MEMORY]
     return min(recent) if len(recent) >= MIN_ANSWERS else 0
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -1,7 +1,7 @@
-"""How old a copy may be while the change log may hold purges that were not read yet.
+"""The maximum age of copies while the change log may contain purges that were not read yet.
 
-On sockets each crossing is forced: the change log accepts a connection and tells nothing on it until the test
-says so, and the cache has a copy from before the purge, which it serves whenever the age limit allows it.
+On sockets each race is forced: the change log accepts a connection and sends nothing on it until the test
+releases it, and the cache has a copy from before the purge, which it serves whenever the age limit allows it.
 """
 
 import random
@@ -22,16 +22,16 @@
 
 KEY = 5
 OLD, NEW = b"from before the purge", b"filled anew"
-COPY_AGE = 5.0  # seconds at the purge; younger than the fresh time
-PURGED_FOR = 1.0  # seconds since the purge: longer than the grace of 0.3 s, shorter than it is told for
-HELD = 2.0  # seconds
-FULL_AGE = 10.0  # seconds: fresh time and grace time of these worlds
+COPY_AGE = 5.0  # seconds, at the purge; less than the fresh time
+PURGED_FOR = 1.0  # seconds since the purge: longer than the grace of 0.3 s, shorter than it is reported for
+HELD = 2.0  # seconds for which the log withholds events
+FULL_AGE = 10.0  # seconds: fresh time plus grace time in these tests
 GRACE = 3_000  # ticks
 LIMIT = GRACE // 2
 
 
 class AgedCopies:
-    """A cache with a copy from before the purge, which it serves where the age limit allows that."""
+    """A cache with a copy from before the purge, which it serves if the age limit allows that."""
 
     def __init__(self):
         self.born = time.monotonic() - COPY_AGE - PURGED_FOR
@@ -48,20 +48,20 @@
 
 
 def purge(number=2, ago=PURGED_FOR):
-    """A frame: the object was purged a while ago."""
+    """Return a frame that purges the object as of `ago` seconds ago."""
     return number, 3, struct.pack(">QQ", KEY, int((time.time() - ago) * 1000))
 
 
-def asked(asker, key=KEY):
-    """What a client is answered."""
+def fetch(asker, key=KEY):
+    """Request an object and return its body."""
     tag = asker.ask(key=key)
     answer = asker.answer()
     assert answer[:2] == [tag, b"200"]
     return answer[3]
 
 
-class Unheard(InProcessWorld):
-    """A world whose gateway starts while the change log tells nothing, with a purge in it."""
+class WithheldLog(InProcessWorld):
+    """A world whose gateway starts while the change log withholds its events, which include a purge."""
 
     def start(self):
         self.log.hold()
@@ -70,64 +70,64 @@
 
 
 @pytest.fixture
-def unheard(tmp_path):
-    yield from made(Unheard, tmp_path)
+def withheld_log(tmp_path):
+    yield from made(WithheldLog, tmp_path)
 
 
-def asked_while_held(world, log, number=2):
-    """The distinct answers until the purge was read, with a change log that tells it `HELD` seconds later.
-    `number`: the purge's."""
+def fetch_while_held(world, log, number=2):
+    """Return the distinct answers until the purge was read, which the change log sends after `HELD` seconds.
+    `number`: the purge's event number."""
     asker, answers = world.asker(), set()
     threading.Timer(HELD, log.released.set).start()
     while world.owner.feed.last < number:
-        answers.add(asked(asker))
-    world.does(lambda: None)  # the purge is taken in
-    answers.add(asked(asker))
+        answers.add(fetch(asker))
+    world.does(lambda: None)  # until the purge is applied
+    answers.add(fetch(asker))
     return answers
 
 
 def assert_only_purged_copies_are_limited(asker, copies):
-    """The change log was read to its end: the purge holds, and other objects have their full age again."""
-    assert asked(asker) == NEW
-    asked(asker, KEY + 1)
+    """Check that only the purge limits ages, once the change log was read to its end."""
+    assert fetch(asker) == NEW
+    fetch(asker, KEY + 1)
     assert copies.asked_ages[-1] == FULL_AGE
 
 
 # --- on sockets ---
 
 
-def test_a_start_takes_no_copy_older_than_a_purge_that_the_log_holds_back(unheard):
-    world = unheard(AgedCopies())
-    assert asked_while_held(world, world.log) == {NEW}
+def test_no_copy_older_than_a_withheld_purge_is_served_at_startup(withheld_log):
+    world = withheld_log(AgedCopies())
+    assert fetch_while_held(world, world.log) == {NEW}
 
 
-def test_a_connection_that_ends_leaves_no_copy_older_than_a_purge_held_back_after_it(in_process):
+def test_no_copy_older_than_a_withheld_purge_is_served_after_a_disconnect(in_process):
     copies = AgedCopies()
     world = in_process(copies)
     asker = world.asker()
-    assert asked(asker) == OLD and copies.asked_ages == [FULL_AGE], "caught up, and nothing is purged"
+    assert fetch(asker) == OLD and copies.asked_ages == [FULL_AGE], "caught up, without purges"
     world.log.hold()
     world.log.frames.append(purge())
     world.log.break_off()
     assert world.log.since.get(timeout=5) == 1
-    world.does(lambda: None)  # that the connection has ended is taken in
-    assert asked_while_held(world, world.log) == {NEW}
+    world.does(lambda: None)  # until the end of the connection is handled
+    assert fetch_while_held(world, world.log) == {NEW}
 
 
-def test_a_log_that_falls_silent_and_holds_back_on_the_next_connection_has_no_old_copy_served(in_process):
-    """What was told during the silence itself cannot be known: heartbeats come too rarely for that."""
+def test_no_old_copy_is_served_after_a_silent_log_withholds_events_on_reconnection(in_process):
+    """Purges during the silence itself cannot be known, as heartbeats are too rare for that."""
     copies = AgedCopies()
     world = in_process(copies)
     asker = world.asker()
     world.log.hold()
-    world.log.frames.append(purge())  # nobody who follows already is told
-    assert world.log.since.get(timeout=5) == 1, "silent for too long: it asks again"
+    world.log.frames.append(purge())  # not sent on existing connections
+    assert world.log.since.get(timeout=5) == 1, "reconnects after too long a silence"
     world.does(lambda: None)
-    assert asked(asker) == NEW
-    assert asked_while_held(world, world.log) == {NEW}
+    assert fetch(asker) == NEW
+    assert fetch_while_held(world, world.log) == {NEW}
 
 
-def test_a_configuration_that_moves_discovery_to_a_log_that_holds_back_has_no_old_copy_served(
+def test_no_old_copy_is_served_after_discovery_moves_to_a_log_that_withholds_events(
     in_process,
 ):
     copies = AgedCopies()
@@ -137,14 +137,14 @@
     moved = {**world.config, "listen": "127.0.0.1:0", "changelog": f"127.0.0.1:{other.port}"}
     world.does(lambda: world.owner.reload(moved))
     asker = world.asker()
-    assert asked(asker) == NEW, "at once, and whatever the log before has said"
+    assert fetch(asker) == NEW, "at once, whatever the previous log has sent"
     assert other.since.get(timeout=5) == 1
-    assert asked_while_held(world, other) == {NEW}
+    assert fetch_while_held(world, other) == {NEW}
     other.close()
 
 
-def test_a_late_word_of_a_log_that_was_left_and_is_followed_again_proves_nothing(in_process):
-    """Discovery is moved away and back within an instant, and back there it tells nothing any more."""
+def test_a_late_report_from_before_a_move_away_and_back_is_ignored(in_process):
+    """Discovery is moved away and back at once, and the original log then sends nothing more."""
     copies = AgedCopies()
     world = in_process(copies)
     asker, config = world.asker(), {**world.config, "listen": "127.0.0.1:0"}
@@ -155,49 +155,51 @@
     world.does(lambda: world.owner.reload(config))
     assert world.owner.feed.target.address == before.address
     world.owner.feed.on_change(WatchChange.CAUGHT_UP, before)
-    assert asked(asker) == NEW
+    assert fetch(asker) == NEW
     other.close()
 
 
-def test_a_log_that_is_back_and_holds_back_has_no_old_copy_served(in_process, monkeypatch):
-    """A log that refuses connections limits no age."""
+def test_no_old_copy_is_served_after_a_log_that_refused_connections_withholds_events(in_process, monkeypatch):
+    """Ages are not limited while the log refuses connections, and are again once it accepts one."""
     copies = AgedCopies()
     world = in_process(copies)
     asker, refusals, connect = world.asker(), [], socket.create_connection
 
-    def connects(*where):
+    def counting_connect(*where):
         try:
             return connect(*where)
         except ConnectionRefusedError as refusal:
             refusals.append(refusal)
             raise
 
-    monkeypatch.setattr(socket, "create_connection", connects)
+    monkeypatch.setattr(socket, "create_connection", counting_connect)
     world.log.close()
     world.log.break_off()
     until(lambda: len(refusals) > 1)
-    world.does(lambda: None)  # the first refusal is taken in
-    assert asked(asker) == OLD
-    assert copies.asked_ages[-1] == FULL_AGE, "what cannot be read now is not worth filling every copy anew"
+    world.does(lambda: None)  # until the first refusal is handled
+    assert fetch(asker) == OLD
+    assert copies.asked_ages[-1] == FULL_AGE, (
+        "purges that cannot be read now do not justify filling every copy again"
+    )
     back = Log([purge()], world.log.port)
     back.hold()
     world.log = back
     assert back.since.get(timeout=5) == 1
     world.does(lambda: None)
-    assert asked_while_held(world, back) == {NEW}
+    assert fetch_while_held(world, back) == {NEW}
 
 
-def test_a_log_that_accepts_and_never_tells_anything_limits_ages_for_a_bounded_time(unheard, monkeypatch):
+def test_a_log_that_never_sends_anything_limits_ages_for_a_bounded_time(withheld_log, monkeypatch):
     monkeypatch.setattr(catch_up, "MAX_LIMITED_TIME", 3_000)
     copies = AgedCopies()
-    world = unheard(copies)
+    world = withheld_log(copies)
     asker = world.asker()
-    until(lambda: asked(asker) == OLD)
+    until(lambda: fetch(asker) == OLD)
     assert copies.asked_ages[-1] == FULL_AGE
 
 
-def test_a_log_that_tells_nothing_on_a_connection_limits_ages_for_a_bounded_time_only():
-    """A connection shows nothing, and where the log never answers each cache is filled anew meanwhile."""
+def test_connections_without_events_do_not_extend_the_age_limit():
+    """A connection alone proves nothing, and until the log answers, every cache is filled again."""
     catching_up = CatchUp(GRACE)
     catching_up.begin(0)
     assert catching_up.max_age(SEC) == LIMIT
@@ -205,22 +207,22 @@
     assert catching_up.max_age(MAX_LIMITED_TIME - 1) == LIMIT
     assert catching_up.max_age(MAX_LIMITED_TIME) == 0
     catching_up.connected(MAX_LIMITED_TIME)
-    assert catching_up.max_age(MAX_LIMITED_TIME) == 0, "another connection wins no new time"
+    assert catching_up.max_age(MAX_LIMITED_TIME) == 0, "another connection does not extend the limit"
 
 
-def test_at_a_start_a_log_that_has_shown_its_end_limits_ages_no_longer(in_process):
-    """Many gateways start at once; the log of this world answers a connection with a heartbeat."""
+def test_ages_are_not_limited_at_startup_once_the_log_has_shown_its_end(in_process):
+    """As when many gateways start at once; the log of this world sends a heartbeat on each connection."""
     copies = AgedCopies()
     world = in_process(copies)
     assert world.owner.router.freshness.catch_up.limited_until == 0
-    assert asked(world.asker()) == OLD and copies.asked_ages == [FULL_AGE]
+    assert fetch(world.asker()) == OLD and copies.asked_ages == [FULL_AGE]
 
 
-def test_once_the_log_was_read_to_its_end_ages_are_limited_by_purges_alone(unheard):
+def test_only_purges_limit_ages_once_the_log_was_read_to_its_end(withheld_log):
     copies = AgedCopies()
-    world = unheard(copies)
+    world = withheld_log(copies)
     asker = world.asker()
-    assert asked(asker) == NEW and copies.asked_ages[-1] == LIMIT / SEC
+    assert fetch(asker) == NEW and copies.asked_ages[-1] == LIMIT / SEC
     world.log.released.set()
     until(lambda: world.owner.feed.status.current)
     world.does(lambda: None)
@@ -232,26 +234,26 @@
     yield from made(Replaced, tmp_path)
 
 
-def test_the_receiver_of_a_handover_takes_no_copy_older_than_a_purge_that_nobody_was_told(replaced):
+def test_the_receiver_of_a_handover_serves_no_copy_older_than_a_purge_sent_to_nobody(replaced):
     copies = AgedCopies()
     world = replaced(copies)
     asker = world.asker()
-    assert asked(asker) == OLD
+    assert fetch(asker) == OLD
     world.log.hold()
-    world.log.frames.append(purge())  # the sender is not told any more
+    world.log.frames.append(purge())  # not sent to the handover's sender
     assert world.upgrade() == (True, "")
     assert world.log.since.get(timeout=5) == 1
-    assert asked(asker) == NEW
+    assert fetch(asker) == NEW
     world.log.released.set()
     world.told("read to its end", 2)
     assert_only_purged_copies_are_limited(asker, copies)
 
 
-def test_the_receiver_of_a_handover_takes_no_old_copy_for_as_long_as_the_log_holds_back(replaced):
+def test_the_receiver_of_a_handover_serves_no_old_copy_while_the_log_withholds_events(replaced):
     copies = AgedCopies()
     world = replaced(copies)
     asker = world.asker()
-    assert asked(asker) == OLD
+    assert fetch(asker) == OLD
     world.log.hold()
     world.log.frames.append(purge())
     assert world.upgrade() == (True, "")
@@ -259,17 +261,17 @@
     threading.Timer(HELD / 2, world.log.released.set).start()
     answers = set()
     while not world.log.released.is_set():
-        answers.add(asked(asker))
+        answers.add(fetch(asker))
     assert answers == {NEW}
     world.told("read to its end", 2)
     assert_only_purged_copies_are_limited(asker, copies)
 
 
-def test_a_start_with_a_store_takes_no_copy_older_than_a_purge_that_came_while_it_was_down(replaced):
+def test_a_start_with_a_store_serves_no_copy_older_than_a_purge_during_the_downtime(replaced):
     copies = AgedCopies()
     world = replaced(copies, forms='(store (folder "store"))')
     asker = world.asker()
-    assert asked(asker) == OLD
+    assert fetch(asker) == OLD
     world.process.kill()
     world.process.wait()
     world.log.hold()
@@ -277,17 +279,17 @@
     world.start()
     world.log.since.get(timeout=5)
     asker = world.asker()
-    assert asked(asker) == NEW
+    assert fetch(asker) == NEW
     world.log.released.set()
     world.told("read to its end", 2)
     assert_only_purged_copies_are_limited(asker, copies)
 
 
-# --- the decisions ---
+# --- the router's age limits ---
 
 
 def model_with_a_copy():
-    """A router whose home cache was just asked for an object, and half a second has passed since."""
+    """Return a router that sent a request to an object's home cache half a second ago."""
     model = Model(settings(fresh=(10 * SEC,), grace=(5 * SEC,), family={"obey_after": GRACE}))
     request = model.ask()
     model.end(request)
@@ -295,46 +297,46 @@
     return model
 
 
-def sent(model, request):
-    """The attempt as its cache is asked for it."""
+def last_attempt(model, request):
+    """Return the fields of a request's last attempt as sent to its cache."""
     return model.history[request][-1][5]
 
 
-def test_what_must_be_filled_anew_counts_as_an_attempt_that_expects_a_fill():
+def test_an_attempt_under_an_age_limit_expects_a_fill():
     model = model_with_a_copy()
     hit = model.ask()
-    assert not hit.expects_fill and sent(model, hit)["age"] == 15 * SEC
+    assert not hit.expects_fill and last_attempt(model, hit)["age"] == 15 * SEC
     model.router.discovery_begins()
     filled = model.ask()
     assert filled.expects_fill and filled.fill_limit is model.router.link_limit
-    assert sent(model, filled)["age"] == LIMIT
+    assert last_attempt(model, filled)["age"] == LIMIT
     model.end(filled)
     again = model.ask()
-    assert not again.expects_fill, "its copy is young enough"
-    assert sent(model, again)["age"] == LIMIT
+    assert not again.expects_fill, "the copy is fresh enough"
+    assert last_attempt(model, again)["age"] == LIMIT
     model.run(LIMIT + 1)
     assert model.ask().expects_fill
     model.router.discovery_caught_up()
     hit = model.ask()
-    assert not hit.expects_fill and sent(model, hit)["age"] == 15 * SEC
+    assert not hit.expects_fill and last_attempt(model, hit)["age"] == 15 * SEC
     assert not model.wrong
 
 
-def test_one_request_has_the_copy_revalidated_as_before_while_ages_are_limited():
-    """The fill stands for the revalidation that was due: the next one is due a fresh time later."""
+def test_revalidation_continues_while_ages_are_limited():
+    """The fill replaces the revalidation that was due: the next one is due a fresh time later."""
     model = Model(settings(fresh=(10 * SEC,), grace=(5 * SEC,), family={"obey_after": GRACE}))
     model.router.discovery_begins()
     marks = []
     for _ in range(12):
         request = model.ask()
-        marks.append(sent(model, request)["renew"])
+        marks.append(last_attempt(model, request)["renew"])
         model.run(100)
         model.end(request)
         model.run(SEC)
     assert [number for number, mark in enumerate(marks) if mark] == [0, 8]
 
 
-def test_a_known_purge_limits_an_age_further_and_what_cannot_be_cached_has_no_limit():
+def test_a_known_purge_lowers_the_age_limit_and_uncacheable_objects_have_none():
     model = Model(
         settings(
             vhosts=[*settings()["vhosts"], *settings()["vhosts"]],
@@ -347,26 +349,27 @@
     model.router.discovery_begins()
     model.purges.append(("k", 0, model.time - 100))
     model.router.object_purged("k", 0, 100)
-    assert sent(model, model.ask("k"))["age"] == 99
-    assert sent(model, model.ask("other"))["age"] == LIMIT
-    assert sent(model, model.ask("other", vhost=1))["age"] == 0
+    assert last_attempt(model, model.ask("k"))["age"] == 99
+    assert last_attempt(model, model.ask("other"))["age"] == LIMIT
+    assert last_attempt(model, model.ask("other", vhost=1))["age"] == 0
     assert not model.wrong
 
 
-def test_without_a_stated_grace_only_what_is_filled_anew_will_do():
+def test_without_a_grace_every_copy_is_filled_again():
     catching_up = CatchUp(0)
     catching_up.begin(0)
     assert catching_up.max_age(10) == 1
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_no_copy_is_accepted_that_may_be_older_than_a_purge_told_longer_ago_than_the_grace(seed):
-    """From a start until the log was read, cannot be read, or the bound; and no age is limited after that."""
-    chance, catching_up, now = random.Random(seed), CatchUp(GRACE), 0
+def test_no_copy_older_than_an_unread_purge_beyond_the_grace_is_accepted(seed):
+    """Ages are limited from a start until the log was read, cannot be read, or the bound, and not after
+    that."""
+    rng, catching_up, now = random.Random(seed), CatchUp(GRACE), 0
     began_at, unread, checked = None, [], 0
     for _ in range(2_000):
-        now += chance.randrange(1, 1_000)
-        event = chance.choice(("begin", "purge", "purge", "purge", "purge", "pass", "pass", "end"))
+        now += rng.randrange(1, 1_000)
+        event = rng.choice(("begin", "purge", "purge", "purge", "purge", "pass", "pass", "end"))
         if event == "begin":
             began_at, unread = now, []
             catching_up.begin(now)
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,5 +1,5 @@
-"""System calls that fail for a moment, as Linux documents: no request is lost for them, none goes out twice,
-and no cache is blamed; on real sockets, each failure forced."""
+"""Transient failures of system calls, as documented for Linux: no request is lost or sent twice because of
+them, and no cache is ejected. Real sockets, with forced failures."""
 
 import errno
 import socket
@@ -21,16 +21,16 @@
 
 @pytest.fixture
 def failing():
-    """Calls of the gateways in this process that fail as the test says."""
+    """Makes system calls of the gateways in this process fail as a test specifies."""
     with put_under(Failures()) as failures:
         yield failures
 
 
-def test_a_read_that_fails_for_a_moment_loses_no_request(in_process, failing):
+def test_a_transient_read_failure_loses_no_request(in_process, failing):
     world = in_process(silent)
     asker = world.asker()
     asker.send(b"ALIVE", b"99", b"")
-    assert asker.answer() == [b"99", b"serving"]  # its reader waits in the next read already
+    assert asker.answer() == [b"99", b"serving"]  # its reader is in the next read already
     failing.next("recv", errno.ENOMEM, errno.ENOMEM)
     tag = asker.ask()
     _, sock, items = world.caches[0].next()
@@ -40,7 +40,7 @@
     world.rests()
 
 
-def test_a_write_that_fails_for_a_moment_loses_no_answer(in_process, failing):
+def test_a_transient_write_failure_loses_no_answer(in_process, failing):
     world = in_process(silent)
     asker = world.asker()
     tag = asker.ask()
@@ -52,8 +52,9 @@
     world.rests()
 
 
-def test_where_the_way_to_a_cache_broke_the_next_attempt_waits_until_the_cache_must_know(in_process, failing):
-    """It is we who end that connection: what is out on it may run until the cache has read so."""
+def test_after_a_broken_network_path_the_next_attempt_waits_until_the_cache_must_know(in_process, failing):
+    """The gateway closes that connection: attempts in flight on it may run until the cache has read the
+    close."""
     slack = 0.3
 
     def changes(settings):
@@ -68,17 +69,17 @@
         asker.ask(key=2, allow=3000)
         _, _, second = world.caches[0].next()
         failing.next("recv", error)
-        broke = time.monotonic()
+        broken_at = time.monotonic()
         sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"ok"))
         at, _, again = world.caches[0].next()
         assert again[1] == second[1]
-        assert at >= broke + slack - 0.01
+        assert at >= broken_at + slack - 0.01
         forgets(asker)
         world.rests()
 
 
-def test_a_poll_that_fails_for_a_moment_ends_no_request(in_process, failing):
-    """The module asks whether a client may have gone, in the owner's thread."""
+def test_a_transient_poll_failure_ends_no_request(in_process, failing):
+    """The router checks whether a client may have disconnected, in the event loop's thread."""
     world = in_process(serves(b"ok"))
     asker = world.asker()
     for key in range(5):
@@ -89,7 +90,7 @@
     world.rests()
 
 
-def test_a_process_told_to_end_outlives_polls_that_fail(in_process, failing):
+def test_a_shutdown_completes_despite_failing_polls(in_process, failing):
     world = in_process(serves(b"ok"))
     asker = world.asker()
     world.owner.post(world.owner.stop)
@@ -101,21 +102,21 @@
     world.thread.join(5)
     assert not world.thread.is_alive()
     assert failing.seen["poll"] > 0
-    assert world.owner.lifecycle.phase in (Phase.CLOSING, Phase.ENDED)  # it came to its end in order
+    assert world.owner.lifecycle.phase in (Phase.CLOSING, Phase.ENDED)  # it ended in an orderly way
     assert not any(world.owner.open_resources().values())
 
 
-def test_a_client_that_has_gone_from_the_door_ends_no_other(in_process, failing):
-    """ECONNABORTED is one client's; idle ones were closed for it, as if descriptors were short."""
+def test_a_client_that_aborts_before_the_accept_closes_no_other(in_process, failing):
+    """ECONNABORTED concerns one client; idle clients were closed for it, as if descriptors were short."""
     world = in_process(serves(b"ok"))
-    resting = world.asker()
-    resting.send(b"ALIVE", b"99", b"")
-    assert resting.answer() == [b"99", b"serving"]
+    idle = world.asker()
+    idle.send(b"ALIVE", b"99", b"")
+    assert idle.answer() == [b"99", b"serving"]
     failing.next("accept", errno.ECONNABORTED, errno.EPROTO, errno.ENFILE, errno.ENOBUFS)
-    world.asker().sock.close()  # the accepting thread comes back from the call that it waits in
+    world.asker().sock.close()  # makes the accepting thread return from its current call
     until(lambda: not failing.due["accept"])
-    comes = world.asker()
-    for asker, key in ((comes, 1), (resting, 2)):
+    newcomer = world.asker()
+    for asker, key in ((newcomer, 1), (idle, 2)):
         tag = asker.ask(key=key)
         assert asker.answer() == [tag, b"200", b"", b"ok"]
     assert world.owner.front.counts["closed_idle"] == 0
@@ -123,7 +124,7 @@
 
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENOBUFS], ids=errno.errorcode.get)
 @pytest.mark.parametrize("times", [1, 1000])
-def test_a_connect_that_fails_on_this_machine_blames_no_cache(in_process, failing, error, times):
+def test_a_connect_that_fails_locally_ejects_no_cache(in_process, failing, error, times):
     world = in_process(serves(b"ok"))
     asker = world.asker()
     failing.next("connect", *[error] * times)
@@ -139,8 +140,8 @@
     world.rests()
 
 
-def test_an_answer_that_finds_no_thread_to_be_written_by_is_written_later(in_process, failing):
-    """The socket is full, and the process may start no thread for a moment."""
+def test_an_answer_is_written_later_if_no_writing_thread_can_be_started(in_process, failing):
+    """The socket is full, and the process cannot start a thread for a moment."""
     body = b"x" * 200_000
     world = in_process(serves(body))
     asker = world.asker()
@@ -159,23 +160,23 @@
     world.rests()
 
 
-def test_an_answer_that_finds_no_thread_at_first_is_not_late_for_it(in_process, failing):
-    """The next sweep comes up to half a second later: some clients' time is over by then."""
+def test_an_answer_is_not_late_if_the_first_thread_start_fails(in_process, failing):
+    """The next maintenance round is up to half a second later, past some clients' deadlines."""
     world = in_process(silent)
     asker = world.asker()
     tag = asker.ask(allow=150)
     _, sock, items = world.caches[0].next()
     failing.next("send", *[errno.ENOBUFS] * 4)
     failing.next("thread that writes", errno.EAGAIN, errno.EAGAIN)
-    begun = time.monotonic()
+    started_at = time.monotonic()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"ok"))
     assert asker.answer() == [tag, b"200", b"", b"ok"]
-    assert time.monotonic() - begun < 0.08
+    assert time.monotonic() - started_at < 0.08
     assert not failing.due["thread that writes"]
     world.rests()
 
 
-def test_a_client_that_finds_no_thread_to_be_read_by_is_read_later(in_process, failing):
+def test_a_client_is_read_later_if_no_reading_thread_can_be_started(in_process, failing):
     world = in_process(serves(b"ok"))
     failing.next("thread", *[errno.EAGAIN] * 5)
     asker = world.asker()
@@ -186,7 +187,7 @@
     world.rests()
 
 
-def test_descriptors_are_counted_as_given_back_where_their_close_fails(in_process, failing):
+def test_descriptors_count_as_released_if_their_close_fails(in_process, failing):
     world = in_process(serves(b"ok"))
     failing.next("close", errno.EIO, errno.EINTR)
     for _ in range(2):
@@ -199,31 +200,31 @@
     world.rests(but=("checks",))
 
 
-def test_a_configuration_that_cannot_be_opened_for_a_moment_is_read(tmp_path, monkeypatch):
+def test_a_configuration_is_read_despite_transient_open_failures(tmp_path, monkeypatch):
     path, errors = tmp_path / "config.json", [errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EINTR]
     path.write_text('{"name": "n0"}')
 
-    def fails(*told, **more):
+    def fail(*told, **more):
         if errors:
             raise OSError(errors.pop(), "open fails on purpose")
         return open(*told, **more)
 
-    monkeypatch.setattr(serving, "open", fails, raising=False)
+    monkeypatch.setattr(serving, "open", fail, raising=False)
     assert serving.read_config(str(path)) == {"name": "n0"}
     assert not errors
     with pytest.raises(UnusableError, match="cannot be read"):
-        serving.read_config(str(tmp_path / "none.json"))  # what does not pass is told at once
+        serving.read_config(str(tmp_path / "none.json"))  # a permanent error is reported at once
 
 
-def test_a_listening_socket_that_cannot_be_had_for_a_moment_is_had(in_process, monkeypatch):
+def test_the_listening_socket_is_created_despite_transient_failures(in_process, monkeypatch):
     made, errors = socket.socket, [errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
-    def fails(*told, **more):
+    def fail(*told, **more):
         if errors:
             raise OSError(errors.pop(), "socket fails on purpose")
         return made(*told, **more)
 
-    monkeypatch.setattr(downstream, "socket", SimpleNamespace(**{**vars(socket), "socket": fails}))
+    monkeypatch.setattr(downstream, "socket", SimpleNamespace(**{**vars(socket), "socket": fail}))
     world = in_process(serves(b"ok"))
     asker = world.asker()
     tag = asker.ask()
--- a/tests/test_read_barrier.py
+++ b/tests/test_read_barrier.py
@@ -1,8 +1,8 @@
-"""A change log that is connected to again is asked for its last event again, which shows whether it answers,
-and one that has told something new is asked for its end, which shows whether there is more.
+"""After a reconnection the change log is asked for its last event again, which shows whether it answers;
+after new events it is queried for its end, which shows whether there are more.
 
-The log of these worlds sends no heartbeat once it runs, unless a test says so, so that nothing else shows its
-end, and asks on a second connection show as a second number in `since`.
+Once started, the log of these tests sends no heartbeats unless a test says so, so that nothing else shows its
+end; a request on a second connection appears as a second number in `since`.
 """
 
 import contextlib
@@ -22,15 +22,16 @@
 from rigs.model import SEC
 from rigs.named_numbers import MAX_HOLD_BACK
 from rigs.stands import Log, framed, record
-from tests.test_catch_up import FULL_AGE, GRACE, LIMIT, NEW, OLD, AgedCopies, asked, asked_while_held, purge
+from tests.test_catch_up import FULL_AGE, GRACE, LIMIT, NEW, OLD, AgedCopies, fetch, fetch_while_held, purge
 
 REPEATED = framed(7, 1)
 HEARTBEAT = framed(0, 0)
-LISTED = (2, 2, record(9, 1))  # an event that purges nothing
+LISTED = (2, 2, record(9, 1))  # an event other than a purge
 
 
-def reconnects(world, *frames):
-    """The change log ends the connection, and holds a last event with another list, and more frames."""
+def reconnect(world, *frames):
+    """Close the connection from the change log, which then has a last event with another list, and
+    `frames`."""
     log = world.log
     log.frames += [(1, 1, record(9, 1)), *frames]
     log.beats_at_once = False
@@ -38,20 +39,20 @@
     assert log.since.get(timeout=5) == 1
 
 
-def test_a_log_that_is_well_limits_ages_for_a_moment_and_its_old_list_changes_nothing(in_process):
+def test_a_healthy_log_limits_ages_briefly_and_its_repeated_list_is_ignored(in_process):
     copies = AgedCopies()
     world = in_process(copies)
-    feed, asker = world.owner.feed, world.asker()
-    at, listed = feed.status.at, set(world.owner.backends)
-    reconnects(world)
-    assert world.log.since.get(timeout=5) == 0, "the last event is asked for again"
-    until(lambda: asked(asker) == OLD, wait=MAX_LIMITED_TIME / SEC - 0.5)
+    watch, asker = world.owner.feed, world.asker()
+    at, listed = watch.status.at, set(world.owner.backends)
+    reconnect(world)
+    assert world.log.since.get(timeout=5) == 0, "the last event is requested again"
+    until(lambda: fetch(asker) == OLD, wait=MAX_LIMITED_TIME / SEC - 0.5)
     assert copies.asked_ages[-1] == FULL_AGE
-    assert (feed.last, feed.events, feed.status.at) == (1, 0, at) and set(world.owner.backends) == listed
+    assert (watch.last, watch.events, watch.status.at) == (1, 0, at) and set(world.owner.backends) == listed
 
 
 class ReadsTheFirstLate(Log):
-    """A log on a busy machine: who serves the first connection comes to it after the second was served."""
+    """A log on a busy machine, which serves the first connection after the second one."""
 
     def _serve(self, sock):
         if int.from_bytes(sock.recv(8, socket.MSG_PEEK | socket.MSG_WAITALL), "big") == 1:
@@ -59,14 +60,14 @@
         super()._serve(sock)
 
 
-def test_the_stand_in_tells_the_numbers_in_the_order_of_the_connections_that_named_them(in_process):
+def test_the_stand_in_reports_numbers_in_the_order_of_connections(in_process):
     world = in_process()
     world.log.__class__ = ReadsTheFirstLate
-    reconnects(world)
+    reconnect(world)
     assert world.log.since.get(timeout=5) == 0
 
 
-def test_a_connection_that_names_no_number_holds_back_those_of_later_ones_for_a_bounded_time():
+def test_the_stand_in_waits_a_bounded_time_for_a_connection_without_a_number():
     log, begun = Log(), time.monotonic()
     with socket.create_connection(("127.0.0.1", log.port)) as silent:
         with socket.create_connection(("127.0.0.1", log.port)) as later:
@@ -78,7 +79,8 @@
 
 
 class HoldsNew(Log):
-    """A log that tells nothing to who asks for what is new, and all to who asks for its last event again."""
+    """A log that sends nothing in reply to a request for new events, and all events if asked for the last
+    again."""
 
     def _serve(self, sock):
         last = int.from_bytes(sock.recv(8, socket.MSG_PEEK | socket.MSG_WAITALL), "big")
@@ -87,20 +89,20 @@
         self.since.put(last)
 
 
-def test_a_purge_that_waits_is_read_behind_the_repeated_event(in_process):
+def test_a_waiting_purge_is_read_after_the_repeated_event(in_process):
     world = in_process(AgedCopies())
-    feed, asker = world.owner.feed, world.asker()
+    watch, asker = world.owner.feed, world.asker()
     world.log.__class__ = HoldsNew
-    reconnects(world, purge())
-    until(lambda: feed.last == 2)
+    reconnect(world, purge())
+    until(lambda: watch.last == 2)
     world.does(lambda: None)
-    assert asked(asker) == NEW and feed.events == 1
+    assert fetch(asker) == NEW and watch.events == 1
     world.log.add(3, 3, purge()[2])
-    until(lambda: feed.last == 3, what=lambda: "the connection that answered is followed")
+    until(lambda: watch.last == 3, what=lambda: "the connection that answered is followed")
 
 
-class StopsBehindRepeated(HoldsNew):
-    """And stands still behind that event until it is released."""
+class HangsAfterRepeated(HoldsNew):
+    """Like `HoldsNew`, but hangs after the repeated event until it is released."""
 
     def _serve(self, sock):
         if int.from_bytes(sock.recv(8, socket.MSG_PEEK | socket.MSG_WAITALL), "big") == 0:
@@ -108,16 +110,16 @@
         super()._serve(sock)
 
 
-def test_a_log_that_stands_still_between_the_repeated_event_and_a_purge_has_no_old_copy_served(in_process):
+def test_no_old_copy_is_served_if_the_log_hangs_between_the_repeated_event_and_a_purge(in_process):
     world = in_process(AgedCopies())
     world.log.hold()
-    world.log.__class__ = StopsBehindRepeated
-    reconnects(world, purge())
-    assert asked_while_held(world, world.log) == {NEW}
+    world.log.__class__ = HangsAfterRepeated
+    reconnect(world, purge())
+    assert fetch_while_held(world, world.log) == {NEW}
 
 
-class StopsBehindNew(Log):
-    """A log that tells one event of what is new, and stands still behind it until it is released."""
+class HangsAfterNew(Log):
+    """A log that sends one new event and hangs after it until it is released."""
 
     def _serve(self, sock):
         if int.from_bytes(sock.recv(8, socket.MSG_PEEK | socket.MSG_WAITALL), "big") == 1:
@@ -125,16 +127,16 @@
         super()._serve(sock)
 
 
-def test_a_log_that_stands_still_between_a_new_event_and_a_purge_has_no_old_copy_served(in_process):
+def test_no_old_copy_is_served_if_the_log_hangs_between_a_new_event_and_a_purge(in_process):
     world = in_process(AgedCopies())
     world.log.hold()
-    world.log.__class__ = StopsBehindNew
-    reconnects(world, LISTED, purge(3))
-    assert asked_while_held(world, world.log, 3) == {NEW}
+    world.log.__class__ = HangsAfterNew
+    reconnect(world, LISTED, purge(3))
+    assert fetch_while_held(world, world.log, 3) == {NEW}
 
 
-class BeatsAtItsEnd(Log):
-    """A log whose first heartbeat comes at once to who has all events, and to nobody else."""
+class HeartbeatAtEnd(Log):
+    """A log that sends its first heartbeat at once if all events are known, and otherwise none."""
 
     def _serve(self, sock):
         last = int.from_bytes(sock.recv(8, socket.MSG_PEEK | socket.MSG_WAITALL), "big")
@@ -143,23 +145,23 @@
             sock.sendall(HEARTBEAT)
 
 
-def test_a_log_that_shows_its_end_when_asked_limits_ages_no_longer_than_that(in_process):
+def test_ages_are_limited_until_the_log_shows_its_end(in_process):
     copies = AgedCopies()
     world = in_process(copies)
     asker = world.asker()
-    world.log.__class__ = BeatsAtItsEnd
-    reconnects(world, LISTED)
+    world.log.__class__ = HeartbeatAtEnd
+    reconnect(world, LISTED)
     assert world.log.since.get(timeout=MAX_UNTOLD_TIME / SEC / 2) == 2, (
-        "the end is asked for behind what was new"
+        "the end is queried after the new event"
     )
-    until(lambda: asked(asker) == OLD, wait=MAX_UNTOLD_TIME / SEC / 2)
+    until(lambda: fetch(asker) == OLD, wait=MAX_UNTOLD_TIME / SEC / 2)
     assert copies.asked_ages[-1] == FULL_AGE and world.owner.feed.status.current
     world.log.add(*purge(3))
     until(lambda: world.owner.feed.last == 3, what=lambda: "the connection that answered is followed")
 
 
-class HasOneMore(Log):
-    """A log that has one event more each time that it is asked."""
+class AlwaysOneMore(Log):
+    """A log that has one more event each time it is asked."""
 
     def _serve(self, sock):
         last = int.from_bytes(sock.recv(8, socket.MSG_WAITALL), "big")
@@ -168,10 +170,10 @@
             sock.sendall(framed(last + 1, 2, record(9, 1)))
 
 
-def test_a_log_that_has_one_event_more_each_time_is_asked_for_its_end_a_few_times_only(in_process):
+def test_the_number_of_end_queries_is_bounded(in_process):
     world = in_process()
-    world.log.__class__ = HasOneMore
-    reconnects(world)
+    world.log.__class__ = AlwaysOneMore
+    reconnect(world)
     asked_for = [world.log.since.get(timeout=1) for _ in range(MAX_END_QUERIES)]
     assert asked_for == list(range(2, MAX_END_QUERIES + 2))
     with pytest.raises(queue.Empty):
@@ -179,7 +181,7 @@
     assert world.owner.feed.last == MAX_END_QUERIES + 2
 
 
-def test_discovery_moves_while_neither_connection_is_answered(in_process):
+def test_discovery_can_move_while_neither_connection_is_answered(in_process):
     world, other = in_process(), Log()
     world.log.hold()
     world.log.break_off()
@@ -194,7 +196,7 @@
 
 
 @pytest.mark.parametrize("barrier", ["silent", "ended", "refused"])
-def test_where_the_barrier_fails_the_first_connection_is_followed(barrier):
+def test_the_first_connection_is_followed_if_the_barrier_fails(barrier):
     first, log = socket.socketpair()
     with first, log, socket.create_server(("127.0.0.1", 0)) as server:
         address = server.getsockname()
@@ -213,18 +215,18 @@
         assert first.recv(99) == REPEATED
 
 
-def test_where_there_is_no_descriptor_for_the_barrier_the_first_connection_is_followed(monkeypatch):
+def test_the_first_connection_is_followed_without_a_descriptor_for_the_barrier(monkeypatch):
     first, log = socket.socketpair()
 
-    def fails():
+    def fail():
         raise OSError(errno.EMFILE, "too many open files")
 
     with first, log:
-        monkeypatch.setattr(socket, "socket", fails)
+        monkeypatch.setattr(socket, "socket", fail)
         assert answering_connection(first, ("127.0.0.1", 1), 7, time.monotonic() + 5) is first
 
 
-def test_the_barrier_is_followed_where_it_is_answered_first():
+def test_the_barrier_connection_is_followed_if_answered_first():
     first, log = socket.socketpair()
     with log, socket.create_server(("127.0.0.1", 0)) as server:
 
@@ -239,23 +241,23 @@
         sock.close()
 
 
-def test_where_neither_is_answered_both_are_given_up_at_the_deadline():
+def test_both_connections_are_given_up_at_the_deadline():
     first, log = socket.socketpair()
     with log, socket.create_server(("127.0.0.1", 0)) as server, pytest.raises(TimeoutError):
         answering_connection(first, server.getsockname(), 7, time.monotonic() + 0.3)
 
 
 class SecondConnection:
-    """A followed connection, and a log that is asked for its end on a second one."""
+    """A followed connection, and a log that is queried for its end on a second one."""
 
     def __init__(self):
         self.first, self.log = socket.socketpair()
         self.server = socket.create_server(("127.0.0.1", 0))
 
-    def asks(self):
+    def query_end_on_second(self):
         return query_end(self.first, self.server.getsockname(), 7)
 
-    def answers(self):
+    def answer_heartbeat(self):
         sock, _ = self.server.accept()
         assert sock.recv(8, socket.MSG_WAITALL) == (7).to_bytes(8, "big")
         sock.sendall(HEARTBEAT)
@@ -271,51 +273,53 @@
         yield made
 
 
-def test_the_connection_on_which_the_end_was_shown_is_followed(second_connection):
-    threading.Thread(target=second_connection.answers, daemon=True).start()
-    with second_connection.asks() as sock:
+def test_the_connection_that_shows_the_end_is_followed(second_connection):
+    threading.Thread(target=second_connection.answer_heartbeat, daemon=True).start()
+    with second_connection.query_end_on_second() as sock:
         assert sock is not second_connection.first and sock.recv(99) == HEARTBEAT
         assert second_connection.first.fileno() < 0
 
 
-def test_where_the_end_is_not_shown_the_first_connection_is_followed(second_connection):
-    assert second_connection.asks() is second_connection.first
+def test_the_first_connection_is_followed_if_the_end_is_not_shown(second_connection):
+    assert second_connection.query_end_on_second() is second_connection.first
     assert second_connection.first.fileno() >= 0
 
 
-def test_where_the_end_cannot_be_asked_for_the_first_connection_is_followed(second_connection, monkeypatch):
-    def fails():
+def test_the_first_connection_is_followed_without_a_descriptor_for_the_end_query(
+    second_connection, monkeypatch
+):
+    def fail():
         raise OSError(errno.EMFILE, "too many open files")
 
-    monkeypatch.setattr(socket, "socket", fails)
-    assert second_connection.asks() is second_connection.first
+    monkeypatch.setattr(socket, "socket", fail)
+    assert second_connection.query_end_on_second() is second_connection.first
     assert second_connection.first.fileno() >= 0
 
 
-def test_where_a_second_connection_is_refused_the_first_connection_is_followed(second_connection):
+def test_the_first_connection_is_followed_if_the_second_is_refused(second_connection):
     address = second_connection.server.getsockname()
     second_connection.server.close()
     assert query_end(second_connection.first, address, 7) is second_connection.first
     assert second_connection.first.fileno() >= 0
 
 
-def test_what_comes_on_the_first_connection_meanwhile_is_read_there(second_connection):
+def test_input_on_the_first_connection_is_read_there(second_connection):
     second_connection.log.sendall(REPEATED)
-    assert second_connection.asks() is second_connection.first
+    assert second_connection.query_end_on_second() is second_connection.first
     assert second_connection.first.recv(99) == REPEATED
 
 
-# --- the decisions ---
+# --- the router's age limits ---
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_until_the_log_answers_no_copy_is_accepted_that_may_be_older_than_an_unread_purge(seed):
-    """From an interruption, for the bound at most; once it has answered, ages are limited for a moment."""
-    chance, catching_up, now = random.Random(seed), CatchUp(GRACE), 0
+def test_no_copy_older_than_an_unread_purge_is_accepted_until_the_log_answers(seed):
+    """Ages are limited from an interruption for at most the bound, and briefly after the log has answered."""
+    rng, catching_up, now = random.Random(seed), CatchUp(GRACE), 0
     interrupted_at, answered_at, unread, checked = None, -MAX_UNTOLD_TIME, [], 0
     for _ in range(2_000):
-        now += chance.randrange(1, 1_000)
-        event = chance.choice(("disconnected", "connected", "answered", "end", *["purge", "pass"] * 4))
+        now += rng.randrange(1, 1_000)
+        event = rng.choice(("disconnected", "connected", "answered", "end", *["purge", "pass"] * 4))
         if event in ("disconnected", "connected"):
             getattr(catching_up, event)(now)
             if interrupted_at is None:
@@ -340,7 +344,7 @@
     assert checked > 20
 
 
-def test_a_start_at_which_the_log_refused_connections_limits_ages_once_it_is_back():
+def test_ages_are_limited_once_a_log_that_refused_connections_at_startup_is_back():
     catching_up = CatchUp(GRACE)
     catching_up.begin(0)
     catching_up.end()
@@ -351,13 +355,13 @@
     assert catching_up.max_age(2 * SEC) == LIMIT and catching_up.max_age(2 * SEC + MAX_UNTOLD_TIME) == 0
 
 
-def test_after_an_answer_ages_are_limited_for_as_long_as_a_silent_connection_is_followed():
-    """What waits behind the answer may still come on it."""
+def test_ages_are_limited_after_an_answer_for_as_long_as_a_silent_connection_is_kept():
+    """Events that wait behind the answer may still arrive on it."""
     assert MAX_UNTOLD_TIME / SEC >= MAX_SILENCE * (1 + MAX_SILENCE_JITTER)
 
 
-def test_a_repeated_event_wins_no_new_time_at_the_next_interruption():
-    """A log that sends its last event again each time, and nothing else, costs fills for a bounded time."""
+def test_a_repeated_event_does_not_extend_the_limit_at_the_next_interruption():
+    """A log that only ever repeats its last event causes additional fills for a bounded time."""
     catching_up = CatchUp(GRACE)
     catching_up.disconnected(0)
     catching_up.repeated(SEC // 10)
@@ -369,4 +373,4 @@
     assert catching_up.max_age(limited_until) == 0
     catching_up.answered(limited_until)
     catching_up.disconnected(limited_until)
-    assert catching_up.max_age(limited_until) == LIMIT, "something new was told: there may be more"
+    assert catching_up.max_age(limited_until) == LIMIT, "after a new event there may be more"
