--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""Clients that leave while something of theirs waits, on real sockets, the crossing forced each time."""
+"""Clients that leave while one of their requests waits, on real sockets; each race is forced."""
 
 import queue
 import socket
@@ -18,49 +18,52 @@
 from rigs.stands import Asker, serves, silent
 
 CLIP = b"x" * 200_000
-GONE = 0.1  # seconds after its client has gone from which on no attempt may begin, by the operators' terms
+MAX_SEND_DELAY = (
+    0.1  # seconds; by the operators' terms, no attempt may start this long after its client has left
+)
 WAYS = [forgets, closes, halves, resets]
 
 
-def past(when):
-    """Until a time of the monotonic clock has come."""
+def wait_until(when):
+    """Wait until a time of the monotonic clock."""
     until(lambda: time.monotonic() >= when)
 
 
-def gone(leaves, *askers):
-    """Clients leave; comes back when no attempt may begin for them any more, with the time when they left."""
+def make_leave(leaves, *askers):
+    """Make clients leave, and wait until no attempt may start for them any more; return when they left."""
     left = time.monotonic()
     for asker in askers:
         leaves(asker)
-    past(left + GONE)
+    wait_until(left + MAX_SEND_DELAY)
     return left
 
 
-def asked_first(world):
-    """The cache that a request's first attempt has come to."""
+def first_cache(world):
+    """Return the cache that received a request's first attempt."""
     found = []
     until(lambda: found or found.extend(cache for cache in world.caches if waits_for(cache, 0.01)))
     return found[0]
 
 
-def nothing_comes(world, span=0.15):
-    """No attempt begins anywhere: not at another cache, not past the caches."""
+def assert_no_attempt(world, span=0.15):
+    """Check that no attempt reaches any cache, the parent or the origin."""
     time.sleep(span)
     for stand in [*world.caches, world.parent, world.origin]:
         while not stand.seen.empty():
             assert stand.seen.get()[2][0] != b"do"
 
 
-def given_up(world, leaves, asker, tag):
-    """No attempt begins; who may read on is told so, and nothing stays behind."""
-    nothing_comes(world)
+def assert_given_up(world, leaves, asker, tag):
+    """Check that no attempt starts, a client that may still read gets an answer, and no resource stays in
+    use."""
+    assert_no_attempt(world)
     if leaves is halves:
         assert asker.answer()[:2] == [tag, b"503"]
     world.rests(but=("clients", "checks"))
 
 
-def nothing_seen(world):
-    """Pass over what the caches have been asked so far."""
+def discard_messages(world):
+    """Discard the messages that the caches have received so far."""
     for cache in world.caches:
         while not cache.seen.empty():
             cache.seen.get()
@@ -79,7 +82,7 @@
         asker.ask(key=number, room=4)
     assert late.begun.acquire(timeout=5)
     until(lambda: world.held()["calls"] == many)
-    left = gone(leaves, *askers)
+    left = make_leave(leaves, *askers)
     late.set()
     world.rests(0.3 - (time.monotonic() - left))
     if leaves is halves:
@@ -91,9 +94,9 @@
     world.rests()
 
 
-def test_a_closed_half_leaves_time_to_what_is_about_to_go_out(in_process, late, monkeypatch):
-    """A client that sends its req and closes its half at once is answered. The grace is long here, so that a
-    slow machine comes within it as well."""
+def test_after_a_half_close_a_pending_dispatch_is_sent_within_the_grace(in_process, late, monkeypatch):
+    """A client that sends its request and half-closes at once is answered. The grace is long here, so that
+    slow machines stay within it."""
     monkeypatch.setattr(retries, "CLIENT_LEFT_GRACE", 5 * TICKS_PER_SECOND)
     world = in_process(serves(CLIP))
     asker = world.asker()
@@ -107,110 +110,111 @@
     world.rests(but=("checks",))
 
 
-def test_after_a_closed_half_nothing_goes_out_anew(in_process):
-    """What was out is lost after the grace: no second attempt for who may have left."""
+def test_after_a_half_close_nothing_is_retried(in_process):
+    """An attempt lost after the grace is not retried for a client that may have left."""
     world = in_process(silent, silent)
     asker = world.asker()
     tag = asker.ask(allow=3000)
-    cache = asked_first(world)
-    gone(halves, asker)
-    cache.break_off()  # a reset, which is otherwise asked again
+    cache = first_cache(world)
+    make_leave(halves, asker)
+    cache.break_off()  # a reset, after which the request would otherwise be retried
     assert asker.answer()[:2] == [tag, b"503"] and asker.answer() is None
-    nothing_comes(world)
+    assert_no_attempt(world)
     world.rests(but=("checks",))
 
 
 @pytest.mark.parametrize("leaves", WAYS)
-def test_what_the_owner_comes_to_late_is_not_sent_on_for_who_has_left(in_process, leaves):
-    """Its request lies in the owner's queue before the news of its leaving."""
+def test_a_request_handled_late_is_not_sent_if_its_client_has_left(in_process, leaves):
+    """The request is in the event loop's queue before the event that the client has left."""
     world = in_process(silent, silent)
     asker, go = world.asker(), world.stall()
     tag = asker.ask(allow=3000)
     until(lambda: world.owner.front.counts["reqs"])
-    gone(leaves, asker)
+    make_leave(leaves, asker)
     go.set()
-    given_up(world, leaves, asker, tag)
+    assert_given_up(world, leaves, asker, tag)
 
 
 @pytest.mark.parametrize("leaves", WAYS)
-def test_no_attempt_anew_where_the_owner_hears_of_its_end_before_the_leaving(in_process, leaves):
-    """The end of the first attempt lies in the owner's queue before the news of the leaving."""
+def test_no_retry_if_the_attempts_end_is_handled_before_the_disconnect(in_process, leaves):
+    """The end of the first attempt is in the event loop's queue before the event that the client has left."""
     world = in_process(silent, silent)
     asker = world.asker()
     tag = asker.ask(allow=3000)
-    cache, go = asked_first(world), world.stall()
+    cache, go = first_cache(world), world.stall()
     queued = world.owner.queue.qsize()
     cache.break_off()
     until(lambda: world.owner.queue.qsize() > queued)
-    gone(leaves, asker)
+    make_leave(leaves, asker)
     go.set()
-    given_up(world, leaves, asker, tag)
+    assert_given_up(world, leaves, asker, tag)
 
 
 @pytest.mark.parametrize("leaves", WAYS)
-def test_a_connection_that_comes_up_while_the_owner_is_busy_carries_nothing_of_who_has_left(
+def test_a_connection_established_while_the_event_loop_is_blocked_sends_nothing_of_clients_that_left(
     in_process, late, leaves
 ):
-    """It is the connection's thread that sends then, and the owner cannot take anything back."""
+    """The connection's thread sends in this case, and the event loop cannot withdraw anything."""
     world = in_process(silent, changes=limits(connectTimeoutNs=10**10))
-    asker, stays = world.asker(), world.asker()
+    asker, stayer = world.asker(), world.asker()
     asker.ask(key=1, room=4, allow=3000)
-    stays.ask(key=2, room=4, allow=3000)
+    stayer.ask(key=2, room=4, allow=3000)
     assert late.begun.acquire(timeout=5) and late.begun.acquire(timeout=5)
     until(lambda: world.held()["out"] == 2)
     go = world.stall()
-    gone(leaves, asker)
+    make_leave(leaves, asker)
     late.set()
     assert b"thing=%016x" % 2 in world.caches[0].next()[2][2]
-    nothing_comes(world)
+    assert_no_attempt(world)
     go.set()
-    forgets(stays)
+    forgets(stayer)
     world.rests(but=("clients", "checks"))
 
 
-def the_client(world):
-    """Its one client's connection, as the gateway has it."""
+def only_client(world):
+    """Return the gateway's connection of the only client."""
     until(lambda: world.owner.front.clients)
     return next(iter(world.owner.front.clients))
 
 
-def stuck_in_a_message(world, asker):
-    """Its reading thread cannot go on: it is held within a message."""
-    client, go, in_it = the_client(world), threading.Event(), threading.Event()
-    takes = client.on_message
+def block_within_message(world, asker):
+    """Block the reading thread within a message; return the function that releases it."""
+    client, go, is_blocked = only_client(world), threading.Event(), threading.Event()
+    on_message = client.on_message
 
     def held(client, items):
-        in_it.set()
+        is_blocked.set()
         assert go.wait(10)
-        takes(client, items)
+        on_message(client, items)
 
     client.on_message = held
     asker.send(b"ALIVE", b"99", b"")
-    assert in_it.wait(5)
+    assert is_blocked.wait(5)
     return go.set
 
 
-def stuck_behind_answers(world, asker):
-    """Its reading thread waits, as the client does not read its answers."""
+def block_behind_answers(world, asker):
+    """Make the reading thread wait because the client does not read its answers."""
     for number in range(8):
         asker.ask(key=100 + number, allow=3000)
-    client, stopped = the_client(world), threading.Event()
+    client, stopped = only_client(world), threading.Event()
     until(lambda: client.settled == 8 and client.unsent_bytes() > MAX_PART_SIZE)
-    held_back = client.wait_for_backlog
+    wait_for_backlog = client.wait_for_backlog
 
     def seen(most, span):
-        if waits := held_back(most, span):
+        if waits := wait_for_backlog(most, span):
             stopped.set()
         return waits
 
     client.wait_for_backlog = seen
-    asker.send(b"ALIVE", b"99", b"")  # the last that is read, unless it has stopped before
+    asker.send(b"ALIVE", b"99", b"")  # the last message read, unless reading has stopped before
     assert stopped.wait(5)
     return lambda: None
 
 
-def some_are_served(size):
-    """A cache that answers with so many bytes, but the first object never."""
+def serve_all_but_first(size):
+    """Return a cache's handler that answers with `size` bytes, except for object 1, which it never
+    answers."""
     serve = serves(b"x" * size)
 
     def says(stand, sock, items):
@@ -220,21 +224,21 @@
     return says
 
 
-@pytest.mark.parametrize("stuck", [stuck_in_a_message, stuck_behind_answers])
+@pytest.mark.parametrize("block_reader", [block_within_message, block_behind_answers])
 @pytest.mark.parametrize("leaves", WAYS)
-def test_no_attempt_anew_for_who_has_left_where_the_reader_cannot_hear_of_it(in_process, leaves, stuck):
-    """Its end, its reset, or its cancel lies in the kernel, and nobody reads that."""
-    world = in_process(some_are_served(240_000), some_are_served(240_000))
+def test_no_retry_for_a_client_that_left_while_its_reader_is_blocked(in_process, leaves, block_reader):
+    """The close, the reset or the cancellation is in the kernel, and no thread reads it."""
+    world = in_process(serve_all_but_first(240_000), serve_all_but_first(240_000))
     asker = Asker(world.port)
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
     asker.ask(key=1, allow=3000)
-    cache = asked_first(world)
-    goes_on = stuck(world, asker)
-    nothing_seen(world)
-    gone(leaves, asker)
+    cache = first_cache(world)
+    release = block_reader(world, asker)
+    discard_messages(world)
+    make_leave(leaves, asker)
     cache.break_off()
-    nothing_comes(world)
-    goes_on()
+    assert_no_attempt(world)
+    release()
     asker.sock.close()
     world.rests(but=("clients", "checks"))
 
@@ -256,37 +260,36 @@
         ticket = down.get(timeout=5)
     go = world.stall()
     world.owner.post(guard._records_durable, ticket)
-    gone(leaves, asker)
+    make_leave(leaves, asker)
     go.set()
-    given_up(world, leaves, asker, tag)
+    assert_given_up(world, leaves, asker, tag)
     world.does(guard.close)
 
 
 @pytest.mark.parametrize("leaves", [closes, halves, resets])
-def test_what_went_over_to_the_next_process_waiting_is_not_sent_on_there(
-    in_process, late, leaves, monkeypatch
-):
-    """It waited for its connection at the handover; an idle one is there when the next process begins."""
+def test_a_handed_over_request_is_not_sent_if_its_client_has_left(in_process, late, leaves, monkeypatch):
+    """The request waits for its connection at the handover; an idle one exists when the next process
+    starts."""
     monkeypatch.setattr(Connection, "movable", True)
     world = in_process(silent, changes=limits(connectTimeoutNs=10**10))
     late.set()
-    stays, goes = world.asker(), world.asker()
-    stays.ask(key=1, allow=3000)
+    stayer, leaver = world.asker(), world.asker()
+    stayer.ask(key=1, allow=3000)
     _, sock, items = world.caches[0].next()
     late.clear()
-    goes.ask(key=2, allow=3000)
+    leaver.ask(key=2, allow=3000)
     until(lambda: world.held()["out"] == 2)
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"ok"))
-    assert stays.answer()[1] == b"200"
+    assert stayer.answer()[1] == b"200"
     with handed_over(world) as restorer:
-        gone(leaves, goes)
+        make_leave(leaves, leaver)
         restorer.start()
-        nothing_comes(world)
+        assert_no_attempt(world)
         assert [event.arguments[1] for event in restorer.gateway.loop.deferred] == [CloseReason.UNWRITTEN]
 
 
-def test_how_long_a_client_has_been_gone_is_reckoned_by_the_clock_within_a_long_event(in_process):
-    """The module's time stands still while it takes in one event; the grace was longer by that."""
+def test_the_time_since_a_disconnect_advances_within_a_long_event(in_process):
+    """The gateway's time does not advance within one event, which lengthened the grace."""
     world = in_process(silent)
     asker = world.asker()
     asker.ask(allow=3000)
@@ -296,9 +299,9 @@
         owner = world.owner
         (request,) = owner.open_requests
         assert owner.client_left_at(request) is None
-        the_client(world).input_ended = owner.monotonic_time
+        only_client(world).input_ended = owner.monotonic_time
         begun = time.monotonic()
-        past(begun + 0.04)
+        wait_until(begun + 0.04)
         return owner.time - owner.client_left_at(request)
 
     assert world.does(within_a_long_event) >= 400
@@ -306,13 +309,13 @@
     world.rests()
 
 
-def test_an_attempt_anew_for_who_stays_goes_out(in_process):
-    """Else the tests above would say little."""
+def test_a_retry_for_a_client_that_stays_is_sent(in_process):
+    """Counterpart of the tests above: a retry is sent if the client stays."""
     world = in_process(silent, silent)
     asker = world.asker()
     asker.ask(allow=3000)
-    cache, begun = asked_first(world), time.monotonic()
-    past(begun + GONE)
+    cache, begun = first_cache(world), time.monotonic()
+    wait_until(begun + MAX_SEND_DELAY)
     cache.break_off()
     assert any(waits_for(one, 0.5) for one in world.caches)
     forgets(asker)
@@ -320,15 +323,15 @@
 
 
 @pytest.mark.parametrize("leaves", WAYS)
-def test_what_waits_behind_answers_being_written_is_given_up_when_its_client_leaves(in_process, late, leaves):
-    """A pipelined client: its earlier answers have not gone out yet, and it leaves over them."""
-    cache = some_are_served(60_000)
+def test_a_request_behind_unsent_answers_is_given_up_when_its_client_leaves(in_process, late, leaves):
+    """A client with pipelined requests leaves before its earlier answers are sent."""
+    cache = serve_all_but_first(60_000)
     world = in_process(cache, cache, changes=limits(connectTimeoutNs=10**10))
     late.set()
     asker = Asker(world.port)
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    client, number = the_client(world), 0
-    # one by one, until something has to wait: far from where the reader stops
+    client, number = only_client(world), 0
+    # one by one until an answer has to wait, far below the limit at which the reader stops
     while not client.unsent_bytes():
         number += 1
         asker.ask(key=100 + number, allow=3000)
@@ -343,15 +346,15 @@
     )
     asker.ask(key=1, allow=3000)
     until(lambda: world.held()["out"] == 1)
-    nothing_seen(world)
-    gone(leaves, asker)
+    discard_messages(world)
+    make_leave(leaves, asker)
     late.set()
-    nothing_comes(world)
+    assert_no_attempt(world)
     asker.sock.close()
     world.rests(but=("clients", "checks"))
 
 
-def test_a_req_forgotten_before_the_owner_came_to_it_is_not_sent_on(in_process):
+def test_a_request_cancelled_before_it_is_handled_is_not_sent(in_process):
     world = in_process(silent)
     asker, go = world.asker(), world.stall()
     asker.ask(key=1)
@@ -365,8 +368,8 @@
     world.rests()
 
 
-def test_what_others_joined_goes_on_when_one_of_them_leaves(in_process):
-    """Only the dispatch of who left is undone."""
+def test_a_collapsed_request_continues_when_the_other_client_leaves(in_process):
+    """Only the dispatch of the client that left is cancelled."""
     world = in_process(silent)
     first, second = world.asker(), world.asker()
     first.ask(key=5)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors that run short: idle clients take what they get; discovery, caches and files get theirs."""
+"""Scarce descriptors: idle clients use all they may; discovery, caches and files must still get theirs."""
 
 import os
 import re
@@ -24,51 +24,53 @@
 
 @pytest.mark.parametrize("sockets", [1, 8, 11, 32, 64, 512, 4096])
 @pytest.mark.parametrize("system", [1, 16, 64, 1024, 1 << 60])
-def test_what_clients_and_caches_may_hold_leaves_the_reserve(sockets, system):
-    found, there = budgets({"sockets": sockets, "memory_mb": 80.0}, system), min(sockets, system)
+def test_the_budgets_of_clients_and_caches_leave_the_reserve(sockets, system):
+    found, available = budgets({"sockets": sockets, "memory_mb": 80.0}, system), min(sockets, system)
     assert found.clients >= 1 and found.caches >= 1 and found.unwritten == 20_000_000
-    if there >= 16:
-        assert found.clients + found.caches + RESERVED <= there
-    if there >= 64:
-        assert (found.clients, found.caches) == (there // 2, there // 3), "where there are many, as ever"
+    if available >= 16:
+        assert found.clients + found.caches + RESERVED <= available
+    if available >= 64:
+        assert (found.clients, found.caches) == (available // 2, available // 3), (
+            "with many descriptors, the same shares as ever"
+        )
 
 
-def test_with_more_caches_than_connections_the_longest_idle_one_ends_for_a_new_one(monkeypatch):
-    """Two a pool at least, and thirty pools, were more than the descriptors there were."""
+def test_with_more_caches_than_connections_the_longest_idle_one_is_closed(monkeypatch):
+    """At least two connections per pool, with thirty pools, exceeded the available descriptors."""
     monkeypatch.setattr(UpstreamConnection, "start", lambda self: None)
     now = [1]
-    back = Upstream(UpstreamCallbacks(print, lambda: now[0], print, print), from_protocol(ENV), 4)
-    backends, sents = [Backend(f"c{number}") for number in range(6)], []
+    upstream_side = Upstream(UpstreamCallbacks(print, lambda: now[0], print, print), from_protocol(ENV), 4)
+    backends, attempts = [Backend(f"c{number}") for number in range(6)], []
     call = lambda: SimpleNamespace(connections=[])  # noqa: E731
     for number, backend in enumerate(backends):
         now[0] += 1
-        back.add_backend(backend, ("127.0.0.1", 9))
-        sents.append(Attempt(call(), backend, 0, b"%d" % number, b"x", now[0]))
+        upstream_side.add_backend(backend, ("127.0.0.1", 9))
+        attempts.append(Attempt(call(), backend, 0, b"%d" % number, b"x", now[0]))
         if number < 4:
-            assert back.dispatch(sents[-1]) is None
-    lines = [sent.connection for sent in sents[:4]]
-    assert back.dispatch(sents[4]) is CloseReason.NO_LINE, "all four have something out"
-    for number in (2, 0):  # the third rests first, then the first one
+            assert upstream_side.dispatch(attempts[-1]) is None
+    connections = [sent.connection for sent in attempts[:4]]
+    assert upstream_side.dispatch(attempts[4]) is CloseReason.NO_LINE, "all four have attempts in flight"
+    for number in (2, 0):  # the third becomes idle first, then the first one
         now[0] += 1
-        back._detach(lines[number], sents[number])
+        upstream_side._detach(connections[number], attempts[number])
     assert (
-        back.dispatch(sents[4]) is None
-        and lines[2].close_reason is CloseReason.RETIRED
-        and lines[0].close_reason is None
+        upstream_side.dispatch(attempts[4]) is None
+        and connections[2].close_reason is CloseReason.RETIRED
+        and connections[0].close_reason is None
     )
-    assert back.dispatch(sents[5]) is None and lines[0].close_reason is CloseReason.RETIRED
-    assert [line.close_reason for line in (lines[1], lines[3])] == [None, None]
+    assert upstream_side.dispatch(attempts[5]) is None and connections[0].close_reason is CloseReason.RETIRED
+    assert [line.close_reason for line in (connections[1], connections[3])] == [None, None]
 
 
-class Again(Log):
-    """A change log that is back at the port of one that was down."""
+class RestartedLog(Log):
+    """A change log at the port of one that was down."""
 
     def __init__(self, port, frames):
         super().__init__(frames, port)
 
 
-def served(port, key):
-    """The answer to a client that asks again on a new connection where one ended unread."""
+def ask_until_answered(port, key):
+    """Return the answer to a client that retries on a new connection if one was closed without an answer."""
     for _ in range(100):
         try:
             asker = Asker(port)
@@ -99,21 +101,21 @@
     world.log.close()
     idle = [socket.create_connection(("127.0.0.1", world.port), 5) for _ in range(200)]
     with ThreadPoolExecutor(8) as pool:
-        words = list(pool.map(lambda key: served(world.port, key), range(4 * caches)))
+        words = list(pool.map(lambda key: ask_until_answered(world.port, key), range(4 * caches)))
     assert words.count(b"200") > 0.9 * len(words) and set(words) <= {b"200", b"503"}
     drained = world.caches[0]
-    world.log = Again(world.log.port, [(2, 2, record(1, drained.port, state=1))])
+    world.log = RestartedLog(world.log.port, [(2, 2, record(1, drained.port, state=1))])
     assert world.log.since.get(timeout=2) == 1
     os.kill(pid, signal.SIGHUP)
     for line in world.process.stderr:
         world.early.append(line)
         if "was read again" in line:
             break
-    assert served(world.port, 1) == b"200"  # the drain has been taken in by now
+    assert ask_until_answered(world.port, 1) == b"200"  # the drain has been taken in by now
     while waits_for(drained, 0.05):
         pass
     for key in range(4 * caches):
-        assert served(world.port, key) in (b"200", b"503")
+        assert ask_until_answered(world.port, key) in (b"200", b"503")
     assert not waits_for(drained, 0.05), "the drain is kept"
     over.set()
     watcher.join()
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -1,7 +1,8 @@
-"""Ends that cross something still owed, on real sockets, each forced to: by held peers, hooks and events.
+"""Ends of connections, requests and processes that race with work in progress, on real sockets. Each race is
+forced by blocked peers, hooks and events.
 
-The gateway of most of these is a Gateway in this process, so that its threads can be held at an instant;
-those about signals start the program."""
+Most tests use a Gateway in this process, so that its threads can be blocked at a given point; those about
+signals start the program."""
 
 import itertools
 import json
@@ -41,24 +42,27 @@
 ASKED = b"ref=%016x,allow=3000,lookup=%016x,nth=0,batch=7,room=400"
 
 
-# --- what was let go, and has not gone out when that holds no more ---
+# --- dispatches that are outdated before they are sent ---
 
 
-def waiting(world):
-    """The dispatch that waits for its connection to come up."""
+def waiting_attempt(world):
+    """Return the attempt that waits for its connection to be established."""
     (call,) = world.does(lambda: list(world.owner.open_requests.values()))
     return call.attempt
 
 
-@pytest.mark.parametrize("drains", ["cache", "source"])
-def test_what_waits_for_a_connection_is_not_sent_to_or_through_who_drains_by_then(in_process, late, drains):
-    """A send counts from its first byte: the grace of a drain may be over when the connection comes up."""
+@pytest.mark.parametrize("draining", ["cache", "source"])
+def test_a_dispatch_waiting_for_its_connection_is_not_sent_to_a_backend_that_drains(
+    in_process, late, draining
+):
+    """A dispatch counts as sent with its first byte: the grace of a drain may be over once the connection is
+    established."""
     world = in_process(serves(b"ok"), serves(b"ok"), changes=limits(connectTimeoutNs=10**10))
     asker = world.asker()
     tag = asker.ask(allow=3000)
     assert late.begun.acquire(timeout=5)
-    sent = waiting(world)
-    if drains == "cache":
+    sent = waiting_attempt(world)
+    if draining == "cache":
         place = int(sent.backend.name[2:], 16)
         world.log.add(2, 2, record(place, world.caches[place - 1].port, state=1))
         until(lambda: world.does(lambda: sent.backend.status) == 2)
@@ -68,7 +72,7 @@
         until(lambda: not world.does(lambda: world.owner.router.pools.parents))
     late.set()
     assert asker.answer() == [tag, b"200", b"", b"ok"]
-    if drains == "cache":
+    if draining == "cache":
         assert not waits_for(world.caches[place - 1], 0.1)
     else:
         place = int(sent.backend.name[2:], 16)
@@ -83,7 +87,7 @@
     asker = world.asker()
     tag = asker.ask(key=5, allow=3000)
     assert late.begun.acquire(timeout=5)
-    assert b"agelim=10000" in waiting(world).data
+    assert b"agelim=10000" in waiting_attempt(world).data
     at = time.time_ns() // 10**6
     world.log.add(2, kind, struct.pack(">QQ", 5, at) if kind == 3 else struct.pack(">HQ", 7, at))
     until(lambda: world.does(lambda: world.owner.router.freshness.purges))
@@ -94,8 +98,9 @@
     world.rests()
 
 
-def test_a_second_attempt_does_not_wait_for_its_connection_past_the_window(in_process, late):
-    """The first may have run; past its window the key is forgotten, and the effect would come twice."""
+def test_a_second_attempt_does_not_wait_for_its_connection_past_the_idempotency_window(in_process, late):
+    """The first attempt may have been executed; after the idempotency window a second one would repeat the
+    effect."""
 
     def changes(settings):
         settings["limits"]["connectTimeoutNs"] = 10**10
@@ -109,7 +114,7 @@
     first = next(one for one in world.caches if waits_for(one, 0.2))
     late.clear()
     first.break_off()
-    until(lambda: (sent := waiting(world)) and sent.seq == 1)  # none is out between the two
+    until(lambda: (sent := waiting_attempt(world)) and sent.seq == 1)  # there is no attempt between the two
     assert world.held()["out"]
     assert asker.answer()[:2] == [tag, b"503"]
     assert time.monotonic() - at < 0.6
@@ -118,11 +123,11 @@
     world.rests()
 
 
-# --- a close by us ---
+# --- closes by the gateway ---
 
 
-def test_a_req_that_crosses_our_close_is_never_half_taken(in_process, monkeypatch):
-    """Read after the close: not sent on, and its name is free for the try that comes again elsewhere."""
+def test_a_request_that_crosses_the_gateways_close_is_not_accepted(in_process, monkeypatch):
+    """A request read after the close is not forwarded, and its name is free for the client's next try."""
     world, admit = in_process(silent), ClientConnection.accept_request
 
     def crossed(self, call):
@@ -145,13 +150,13 @@
     assert world.owner.answer_counts["denied"] == world.owner.answer_counts["aborted"] == 0
 
 
-LONG = limits(connectTimeoutNs=5 * 10**9, keepaliveNs=10**9)
+LONG_CONNECT_TIMEOUT = limits(connectTimeoutNs=5 * 10**9, keepaliveNs=10**9)
 
 
-def test_a_long_connect_time_out_closes_no_client_that_has_just_come(in_process):
-    """The time-out is the settings'; it had been the span between two looks at clients as well, and what they
-    are owed, less two such spans, was below nothing: who had not brought a req yet was closed at once."""
-    world = in_process(serves(b"ok"), changes=LONG)
+def test_a_long_connect_time_out_closes_no_new_client(in_process):
+    """The connect time-out was also used as the maintenance interval. The limit for stalled clients, less two
+    intervals, became negative, so that clients without a request were closed at once."""
+    world = in_process(serves(b"ok"), changes=LONG_CONNECT_TIMEOUT)
     asker = world.asker()
     until(lambda: world.owner.front.counts["connections"])
     world.does(world.owner.run_maintenance)
@@ -160,9 +165,9 @@
     assert world.owner.front.counts["closed_idle"] == 0
 
 
-def test_a_long_connect_time_out_takes_no_time_from_what_is_out_at_the_signal(in_process):
-    """All was given up at once there: the last moment was reckoned a connect time-out before the kill."""
-    world = in_process(silent, changes=LONG)
+def test_a_long_connect_time_out_does_not_shorten_the_shutdown(in_process):
+    """All requests were given up at once: the shutdown deadline was a connect time-out before the kill."""
+    world = in_process(silent, changes=LONG_CONNECT_TIMEOUT)
     asker = world.asker()
     tag = asker.ask(allow=3000)
     _, sock, items = world.caches[0].next()
@@ -176,14 +181,14 @@
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
 
 
-def test_an_idle_connection_is_closed_before_the_cache_would_also_after_a_long_connect_time_out(in_process):
-    assert in_process(silent, changes=LONG).owner.back.idle_timeout <= 10_000 / 2
+def test_idle_connections_are_closed_before_the_cache_would_despite_a_long_connect_time_out(in_process):
+    assert in_process(silent, changes=LONG_CONNECT_TIMEOUT).owner.back.idle_timeout <= 10_000 / 2
 
 
 @pytest.mark.parametrize("how", [socket.SHUT_WR, socket.SHUT_RDWR])
-def test_a_connection_with_something_unread_or_open_is_not_closed_as_idle(in_process, monkeypatch, how):
-    """A close over unread bytes is a reset, and a req in the kernel's buffer would be lost with it."""
-    world, takes, go, in_it = (
+def test_a_connection_with_unread_input_or_open_requests_is_not_closed_as_idle(in_process, monkeypatch, how):
+    """A close with unread bytes sends a reset, and a request in the kernel's buffer would be lost."""
+    world, handle_message, go, is_blocked = (
         in_process(serves(b"ok")),
         Downstream.handle_message,
         threading.Event(),
@@ -192,14 +197,14 @@
 
     def held(self, client, items):
         if items[0] == b"ALIVE":
-            in_it.set()
+            is_blocked.set()
             assert go.wait(5)
-        takes(self, client, items)
+        handle_message(self, client, items)
 
     monkeypatch.setattr(Downstream, "handle_message", held)
     asker = world.asker()
     asker.send(b"ALIVE", b"99", b"")
-    assert in_it.wait(5)
+    assert is_blocked.wait(5)
     client = next(iter(world.owner.front.clients))
     tag = asker.ask()
     until(lambda: unread(client))
@@ -241,21 +246,21 @@
         return client.unread()
 
 
-def test_answers_before_the_end_of_who_writes_nonsense_arrive_whole_and_are_no_reset(in_process):
-    """It sends on at full speed: a close over what was not read would take the answers along."""
+def test_answers_arrive_completely_before_the_close_after_malformed_input(in_process):
+    """The client keeps sending: a close with unread input would discard the answers."""
     world = in_process(silent)
     asker = world.asker()
     tags = {asker.ask(key=number, allow=3000) for number in range(8)}
     for _ in tags:
         world.caches[0].next()
     asker.sock.sendall(b"GET / HTTP/1.1\r\n" + b"y" * 100_000)
-    got = list(iter(asker.answer, None))  # a reset would be an error here
+    got = list(iter(asker.answer, None))  # a reset would raise here
     assert {items[0] for items in got} == tags and {items[1] for items in got} == {b"503"}
     asker.sock.close()
     world.rests(but=("checks",))
 
 
-def test_who_does_not_close_after_our_end_is_cut_off(in_process):
+def test_a_client_that_does_not_close_after_our_half_close_is_closed(in_process):
     world = in_process(serves(b"ok"))
     asker = world.asker()
     asker.ask()
@@ -267,56 +272,58 @@
     asker.sock.close()
 
 
-def test_no_small_write_is_ever_held_back(in_process, monkeypatch):
-    """Each first byte, to clients and caches, goes out with TCP_NODELAY set."""
-    plain, sends = [], Connection._send_now
+def test_small_writes_are_never_delayed(in_process, monkeypatch):
+    """TCP_NODELAY is set before the first byte is sent, to clients and to caches."""
+    no_delay_options, send_now = [], Connection._send_now
 
-    def seen(self, rest, place):
-        plain.append((type(self), self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)))
-        return sends(self, rest, place)
+    def record_option(self, rest, place):
+        no_delay_options.append((type(self), self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)))
+        return send_now(self, rest, place)
 
-    monkeypatch.setattr(Connection, "_send_now", seen)
+    monkeypatch.setattr(Connection, "_send_now", record_option)
     asker = in_process(serves(b"ok")).asker()
     asker.ask()
     assert asker.answer()[1] == b"200"
-    assert {kind for kind, _ in plain} == {ClientConnection, UpstreamConnection}
-    assert all(set_ for _, set_ in plain)
+    assert {kind for kind, _ in no_delay_options} == {ClientConnection, UpstreamConnection}
+    assert all(set_ for _, set_ in no_delay_options)
 
 
-# --- the end of the process ---
+# --- shutdown ---
 
 
 @pytest.fixture
-def soon(monkeypatch):
-    """Clients come for a shorter while after SIGTERM."""
+def short_arrivals(monkeypatch):
+    """Shorten the time after SIGTERM in which clients may connect."""
     monkeypatch.setattr(lifecycle, "ARRIVALS_AFTER_STOP", 0.1)
     monkeypatch.setattr(lifecycle, "MAX_ARRIVAL_GAP", 0.05)
 
 
-def past_coming(world):
+def wait_past_arrivals(world):
     until(lambda: world.owner.lifecycle.phase is Phase.DRAINING)
     until(lambda: world.owner.time > world.owner.lifecycle.shutdown_started + 3000)
 
 
-def test_what_was_not_read_when_clients_come_no_more_is_read_and_answered(in_process, monkeypatch, soon):
-    """A whole req in the kernel's buffer, which its reading thread has not come to."""
-    world, takes = in_process(serves(b"ok")), Downstream.handle_message
-    go, in_it = threading.Event(), threading.Event()
+def test_a_request_unread_at_the_end_of_arrivals_is_read_and_answered(
+    in_process, monkeypatch, short_arrivals
+):
+    """A complete request in the kernel's buffer that its reading thread has not read."""
+    world, handle_message = in_process(serves(b"ok")), Downstream.handle_message
+    go, is_blocked = threading.Event(), threading.Event()
 
     def held(self, client, items):
         if items[0] == b"ALIVE":
-            in_it.set()
+            is_blocked.set()
             assert go.wait(5)
-        takes(self, client, items)
+        handle_message(self, client, items)
 
     monkeypatch.setattr(Downstream, "handle_message", held)
     asker = world.asker()
     asker.send(b"ALIVE", b"99", b"")
-    assert in_it.wait(5)
+    assert is_blocked.wait(5)
     tag = asker.ask()
     until(lambda: unread(next(iter(world.owner.front.clients))))
     world.owner.post(world.owner.stop)
-    past_coming(world)
+    wait_past_arrivals(world)
     assert world.thread.is_alive() and world.owner.lifecycle.phase is Phase.DRAINING
     go.set()
     assert asker.answer() == [b"99", b"not_serving"] and asker.answer() == [tag, b"200", b"", b"ok"]
@@ -326,24 +333,24 @@
     assert not world.thread.is_alive() and not any(world.owner.open_resources().values())
 
 
-def test_who_waits_at_the_door_when_the_process_is_told_to_end_is_let_in(in_process, monkeypatch, soon):
-    """A connection in the accept queue, with its req behind it."""
-    world, take = in_process(serves(b"ok")), Downstream._accept_client
-    go, in_it = threading.Event(), threading.Event()
+def test_clients_in_the_accept_queue_at_shutdown_are_accepted(in_process, monkeypatch, short_arrivals):
+    """A connection in the accept queue, with a request sent on it."""
+    world, accept_client = in_process(serves(b"ok")), Downstream._accept_client
+    go, is_blocked = threading.Event(), threading.Event()
 
     def held(self, sock):
-        in_it.set()
+        is_blocked.set()
         assert go.wait(5)
-        take(self, sock)
+        accept_client(self, sock)
 
     monkeypatch.setattr(Downstream, "_accept_client", held)
-    world.asker().sock.close()  # the accepting thread waits with the function that it had before
+    world.asker().sock.close()  # the accepting thread is still waiting in the original function
     first = world.asker()
-    assert in_it.wait(5)
+    assert is_blocked.wait(5)
     second = world.asker()
     tags = first.ask(), second.ask(key=2)
     world.owner.post(world.owner.stop)
-    past_coming(world)
+    wait_past_arrivals(world)
     assert world.thread.is_alive()
     go.set()
     assert first.answer()[:2] == [tags[0], b"200"] and second.answer()[:2] == [tags[1], b"200"]
@@ -354,14 +361,14 @@
     assert not world.thread.is_alive()
 
 
-def test_who_rests_is_told_the_end_and_what_it_sends_after_is_not_sent_on(in_process, soon):
+def test_idle_clients_are_closed_at_shutdown_and_later_requests_not_forwarded(in_process, short_arrivals):
     world = in_process(serves(b"ok"))
     resting, other = world.asker(), world.asker()
     tag = resting.ask()
     assert resting.answer()[:2] == [tag, b"200"]
     world.caches[0].next()
     world.owner.post(world.owner.stop)
-    assert resting.answer() is None and other.answer() is None  # in order, no reset
+    assert resting.answer() is None and other.answer() is None  # an orderly close, no reset
     resting.ask(key=3)
     other.sock.close()
     world.thread.join(3)
@@ -371,7 +378,7 @@
         world.asker()
 
 
-def test_half_a_message_at_the_signal_is_read_to_its_end(in_process, soon):
+def test_a_partial_message_at_shutdown_is_read_completely(in_process, short_arrivals):
     world = in_process(serves(b"ok"))
     asker = world.asker()
     told = encode(b"EXEC", b"1", b"clip", ASKED % (7, 7), b"")
@@ -386,18 +393,19 @@
     assert not world.thread.is_alive()
 
 
-def test_reqs_in_every_state_at_the_signal_have_one_answer_each(in_process, late, soon):
-    """Read but not taken by the owner, waiting for a connection, out, and being written back."""
+def test_requests_in_every_state_at_shutdown_get_one_answer_each(in_process, late, short_arrivals):
+    """Read but not handled by the event loop, waiting for a connection, in flight, and answer being
+    written."""
     gate = threading.Event()
 
-    def says(stand, sock, items):
+    def answer(stand, sock, items):
         if items[0] == b"do":
             key = items[2].split(b"thing=")[1][:16]
             if key == b"%016x" % 1:
                 assert gate.wait(5)
             sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", CLIP))
 
-    world = in_process(says)
+    world = in_process(answer)
     late.set()
     writes = Asker(world.port)
     writes.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -406,7 +414,7 @@
     until(lambda: any(client.settled for client in world.owner.front.clients))
     tags[out] = out.ask(key=1, allow=3000)
     until(lambda: world.held()["out"] == 1)
-    late.clear()  # from here on no connection comes up
+    late.clear()  # from here on no connection is established
     tags[waits] = waits.ask(key=3, allow=3000)
     until(lambda: world.held()["calls"] == 2)
     go = world.stall()
@@ -419,16 +427,16 @@
     late.set()
     for asker, tag in tags.items():
         assert asker.answer()[:2] == [tag, b"200"]
-        assert asker.answer() is None, "and nothing after"
+        assert asker.answer() is None, "nothing after the answer"
         asker.sock.close()
     world.thread.join(5)
     held = world.owner.open_resources()
-    del held["parting"]  # the slow reader may need longer than the farewell for what the kernel has of it
+    del held["parting"]  # the slow reader may need longer for the kernel's data than the draining time
     assert not world.thread.is_alive() and not any(held.values())
 
 
-def test_a_client_that_sends_on_after_the_signal_sees_its_connection_closed_in_order(in_process, soon):
-    """Requests were lost whose client used its open connection until the process had ended."""
+def test_a_client_that_keeps_sending_after_the_signal_is_closed_in_an_orderly_way(in_process, short_arrivals):
+    """Requests were lost if their client used its connection until the process had ended."""
     world = in_process(serves(b"ok"))
     asker, answered = world.asker(), []
     asker.sock.settimeout(5)
@@ -442,15 +450,18 @@
         assert answer[0] == tag
         time.sleep(0.03)
     assert answer is None and time.monotonic() - begun < 3
-    assert world.owner.front.counts["reqs"] == len(answered), "all that was taken is answered"
+    assert world.owner.front.counts["reqs"] == len(answered), "all accepted requests are answered"
     assert set(answered) == {b"200"} and len(answered) > 5
     asker.sock.close()
     world.thread.join(3)
     assert not world.thread.is_alive() and not any(world.owner.open_resources().values())
 
 
-def test_what_is_never_idle_is_closed_as_the_process_ends(in_process, soon, monkeypatch):
-    """A half-sent request is read to no end; its client must not wait at a process that answers no more."""
+def test_connections_that_are_never_idle_are_closed_as_the_process_ends(
+    in_process, short_arrivals, monkeypatch
+):
+    """A partial request never becomes complete; its client must not wait for a process that no longer
+    answers."""
     monkeypatch.setattr(lifecycle, "EARLIEST_KILL", 1.0)
     world = in_process(serves(b"ok"))
     asker = world.asker()
@@ -462,12 +473,12 @@
     asker.sock.close()
 
 
-def test_signals_before_after_and_again_change_no_end(world):
-    def slowly(stand, sock, items):
+def test_repeated_signals_do_not_disturb_the_shutdown(world):
+    def hold_request(stand, sock, items):
         held.append((sock, items))
 
     held = []
-    world = world(slowly)
+    world = world(hold_request)
     asker = world.asker()
     tag = asker.ask(allow=3000)
     world.caches[0].next()
@@ -476,7 +487,7 @@
         os.kill(world.process.pid, number)
     late = world.asker()
     late.send(b"ALIVE", b"1", b"")
-    while late.answer() == [b"1", b"serving"]:  # until the signal has come through
+    while late.answer() == [b"1", b"serving"]:  # until the signal was handled
         late.send(b"ALIVE", b"1", b"")
     os.kill(world.process.pid, signal.SIGTERM)
     serves(b"ok")(None, *held[0])
@@ -488,7 +499,7 @@
     assert code == 0 and "held: \n" in told and time.monotonic() - begun < 3
 
 
-def test_what_nobody_answers_is_given_up_before_the_process_may_be_killed(world):
+def test_unanswered_requests_are_rejected_before_the_process_may_be_killed(world):
     world = world(silent)
     asker = world.asker()
     tag = asker.ask(allow=3000)
@@ -501,12 +512,12 @@
     assert code == 0 and time.monotonic() - begun < 3.7 and "held: \n" in told
 
 
-# --- caches' ends ---
+# --- ends of caches' connections ---
 
 
-def test_what_waits_behind_something_withdrawn_has_not_gone_out():
-    """Places in the stream were compared with a count of bytes that had what was withdrawn in it: a req that
-    never went out passed for one that may have run, and was not sent again where it safely may be."""
+def test_a_message_behind_a_withdrawn_one_counts_as_unsent():
+    """Positions in the stream were compared with a byte count that included withdrawn messages: an unsent
+    request counted as possibly executed, and was not retried although it safely could be."""
     events, server = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0))
     ends, config = {}, from_protocol(ENV)
     callbacks = UpstreamCallbacks(
@@ -526,9 +537,9 @@
     line = out[0].connection
     mine = [sent for sent in out if sent.connection is line]
     until(lambda: line.writing)
-    waiting = [sent for sent in mine if not line.has_sent(sent.position)]
-    assert len(waiting) > 4
-    for sent in waiting[3:]:
+    unsent = [sent for sent in mine if not line.has_sent(sent.position)]
+    assert len(unsent) > 4
+    for sent in unsent[3:]:
         assert back.withdraw(sent)
     assert line.unsent_bytes() > 0
     for peer in peers:
@@ -537,13 +548,13 @@
     for _ in peers:
         what, *told = events.get(timeout=5)
         what(*told)
-    assert {ends[sent.name] for sent in waiting[:3]} == {CloseReason.UNWRITTEN}
+    assert {ends[sent.name] for sent in unsent[:3]} == {CloseReason.UNWRITTEN}
     assert ends[mine[0].name] is CloseReason.RESET
     server.close()
 
 
 @pytest.mark.parametrize("first", ["left", "answered"])
-def test_an_answer_in_the_instant_of_the_clients_leaving_ends_once(in_process, first):
+def test_a_request_ends_once_if_its_answer_and_its_cancellation_coincide(in_process, first):
     world = in_process(silent)
     asker = world.asker()
     asker.ask(key=1)
@@ -551,28 +562,28 @@
     go = world.stall()
     counts = world.owner.front.counts
 
-    def leaves():
+    def leave():
         asker.send(b"FORGET", b"1")
         until(lambda: counts["forgotten"] == 1)
 
     def answers():
-        many = world.owner.queue.qsize()
+        queued = world.owner.queue.qsize()
         sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
-        until(lambda: world.owner.queue.qsize() > many)
+        until(lambda: world.owner.queue.qsize() > queued)
 
-    for step in (leaves, answers) if first == "left" else (answers, leaves):
+    for step in (leave, answers) if first == "left" else (answers, leave):
         step()
     go.set()
     world.rests()
     tag = asker.ask(key=2)
     _, sock, items = world.caches[0].next()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
-    assert asker.answer() == [tag, b"200", b"", b"bytes"], "and nothing of the first one before it"
+    assert asker.answer() == [tag, b"200", b"", b"bytes"], "nothing of the first one before it"
     world.rests()
 
 
-def test_an_answer_in_the_instant_of_its_time_out_ends_the_req_once(in_process):
-    """It was read before the owner came to the time-out, so it counts, and its undo is not sent."""
+def test_a_request_ends_once_if_its_answer_and_its_time_out_coincide(in_process):
+    """The answer was read before the time-out was handled, so it counts, and no cancellation is sent."""
     world = in_process(silent)
     asker = world.asker()
     tag = asker.ask(key=1, allow=300)
@@ -580,7 +591,7 @@
     go = world.stall()
     sent = time.monotonic()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
-    until(lambda: time.monotonic() > sent + 0.35)  # its time is up while the owner is held
+    until(lambda: time.monotonic() > sent + 0.35)  # its deadline passes while the event loop is blocked
     go.set()
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
     world.rests()
@@ -594,13 +605,13 @@
         return None
 
 
-def test_a_cache_that_ends_a_resting_connection_as_a_req_is_written_to_it(in_process):
-    """It may have run: it is asked again on a new connection, and answered once."""
+def test_a_cache_that_closes_an_idle_connection_as_a_request_is_written(in_process):
+    """The request may have been executed: it is retried on a new connection, and answered once."""
 
-    def says(stand, sock, items):
+    def answer(stand, sock, items):
         if items[0] == b"do":
             turns.append(sock)
-            if len(turns) == 2:  # read whole, and closed under it
+            if len(turns) == 2:  # reads the request completely, and closes the connection
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 sock.shutdown(socket.SHUT_RD)
                 sock.close()
@@ -608,7 +619,7 @@
                 sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
 
     turns = []
-    world = in_process(says)
+    world = in_process(answer)
     asker = world.asker()
     for key in (1, 2):
         tag = asker.ask(key=key)
@@ -620,19 +631,20 @@
 # --- the change log ---
 
 
-def test_a_watch_that_drips_is_as_silent_as_one_that_says_nothing(monkeypatch):
-    """Half a frame whose bytes trickle in is no beat: it is followed anew, from the last event held."""
+def test_a_change_log_that_sends_byte_by_byte_counts_as_silent(monkeypatch):
+    """A partial frame that arrives byte by byte is no heartbeat: the watch reconnects after its last
+    event."""
     monkeypatch.setattr(discovery_watch, "MAX_SILENCE", 0.3)
     server, over = socket.create_server(("127.0.0.1", 0)), threading.Event()
     told = queue.SimpleQueue()
-    feed = DiscoveryWatch(server.getsockname(), 4, lambda event, number: told.put(number), "n7")
-    feed.start()
+    watch = DiscoveryWatch(server.getsockname(), 4, lambda event, number: told.put(number), "n7")
+    watch.start()
     sock, _ = server.accept()
     assert sock.recv(8, socket.MSG_WAITALL) == struct.pack(">Q", 4)
     sock.sendall(framed(5, 3, struct.pack(">QQ", 1, 2)))
     assert told.get(timeout=5) == 5
 
-    def drips():
+    def send_slowly():
         for byte in framed(6, 3, struct.pack(">QQ", 1, 2))[:-1] * 20:
             if over.wait(0.05):
                 return
@@ -641,7 +653,7 @@
             except OSError:
                 return
 
-    threading.Thread(target=drips, daemon=True).start()
+    threading.Thread(target=send_slowly, daemon=True).start()
     server.settimeout(3)
     again, _ = server.accept()
     assert again.recv(8, socket.MSG_WAITALL) == struct.pack(">Q", 5)
@@ -652,7 +664,7 @@
         one.close()
 
 
-def test_gateways_that_all_see_silence_do_not_all_come_back_at_once():
+def test_gateways_do_not_all_reconnect_at_once_after_a_silence():
     spans = {
         DiscoveryWatch(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._jitter() for number in range(200)
     }
@@ -660,25 +672,28 @@
     drawn = [
         DiscoveryWatch(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._jitter() for number in range(10)
     ]
-    assert max(drawn) - min(drawn) > 0.5, "also of ten whose names differ in one figure: it had been 0.04"
+    assert max(drawn) - min(drawn) > 0.5, (
+        "also for ten names that differ in one digit: the spread had been 0.04"
+    )
 
 
-# --- caches' ends, and the list ---
+# --- ends of caches' connections, and the endpoint list ---
 
 
-def test_an_answer_in_the_instant_of_its_caches_drain_is_passed_on_and_its_connection_given_back(in_process):
-    """Both lie in the owner's queue: the drain first. What is out there ends there; nothing new goes."""
+def test_an_answer_that_coincides_with_its_caches_drain_is_forwarded(in_process):
+    """Both are in the event loop's queue, the drain first. Attempts in flight finish there; no new ones are
+    sent."""
     world = in_process(silent, silent)
     asker = world.asker()
     tag = asker.ask(key=1)
     place = next(number for number, cache in enumerate(world.caches, 1) if waits_for(cache))
-    sent = waiting(world)
-    line, many, go = sent.connection, world.owner.queue.qsize(), world.stall()
+    sent = waiting_attempt(world)
+    line, queued, go = sent.connection, world.owner.queue.qsize(), world.stall()
     world.log.add(2, 2, record(place, world.caches[place - 1].port, state=2))
     until(lambda: world.owner.feed.last == 2)
     sock = world.caches[place - 1].socks[0]
     sock.sendall(encode(sent.name, b"data", b"remark=TCP_HIT", b"bytes"))
-    until(lambda: world.owner.queue.qsize() >= many + 2)
+    until(lambda: world.owner.queue.qsize() >= queued + 2)
     go.set()
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
     until(lambda: line.state is ConnectionState.CLOSED)
@@ -690,14 +705,14 @@
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_an_answer_in_the_instant_of_its_connections_end(in_process, whole):
-    """The answer and the end are read before the owner comes to either: a whole one counts, half a one does
-    not pass for one, and its req goes out again on another connection."""
+def test_an_answer_that_coincides_with_the_end_of_its_connection(in_process, whole):
+    """The answer and the end are both read before the event loop handles either: a complete answer counts;
+    after a partial one the request is retried on another connection."""
     world = in_process(silent)
     asker = world.asker()
     tag = asker.ask(key=1)
     _, sock, items = world.caches[0].next()
-    line, go = waiting(world).connection, world.stall()
+    line, go = waiting_attempt(world).connection, world.stall()
     told = encode(items[1], b"data", b"remark=TCP_HIT", b"bytes")
     sock.sendall(told if whole else told[:-4])
     sock.shutdown(socket.SHUT_RDWR)
@@ -708,14 +723,15 @@
         sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
     world.rests()
-    assert sum(waits_for(world.caches[0], 0.05) is not None for _ in range(2)) == 0, "and no more than that"
+    assert sum(waits_for(world.caches[0], 0.05) is not None for _ in range(2)) == 0, "no further dispatches"
 
 
-def test_an_answer_that_drips_in_is_given_up_in_time_and_its_connection_takes_nothing_more(in_process):
-    """It never stands still, and would hardly end: its time ends it, and what drips on is no answer."""
+def test_an_answer_that_arrives_byte_by_byte_is_given_up_in_time(in_process):
+    """The answer never stalls and would take too long: its deadline ends the request, and the rest is
+    discarded."""
     over = threading.Event()
 
-    def drips(stand, sock, items):
+    def send_slowly(stand, sock, items):
         if items[0] != b"do":
             return silent(stand, sock, items)
         told = encode(items[1], b"data", b"remark=TCP_HIT", CLIP)
@@ -732,18 +748,18 @@
         threading.Thread(target=on, daemon=True).start()
         return None
 
-    world = in_process(drips)
+    world = in_process(send_slowly)
     asker = world.asker()
     begun = time.monotonic()
     tag = asker.ask(key=1, allow=600)
     world.caches[0].next()
-    first = waiting(world).connection
+    first = waiting_attempt(world).connection
     assert asker.answer()[:2] == [tag, b"503"] and time.monotonic() - begun < 0.65
     until(lambda: first.state is ConnectionState.CLOSED)
     over.set()
     world.rests()
     asker.send(b"ALIVE", b"9", b"")
-    assert asker.answer() == [b"9", b"serving"], "and nothing before it"
+    assert asker.answer() == [b"9", b"serving"], "nothing else before it"
 
 
 @pytest.mark.parametrize("vhost, again", [(b"clip", True), (b"pay", True), (b"once", False)])
@@ -806,10 +822,10 @@
     world.rests()
 
 
-def test_the_change_log_down_from_the_start_and_back_with_a_drain_and_a_purge_at_once(tmp_path):
-    """Served from the configuration's list until then; an event held already that comes again, and an older
-    list, change nothing."""
-    world = Unheard(tmp_path, (serves(b"ok"), serves(b"ok")))
+def test_a_change_log_down_at_startup_comes_back_with_a_drain_and_a_purge(tmp_path):
+    """Requests are served from the configuration's list until then; repeated events and an older list are
+    ignored."""
+    world = UnavailableLog(tmp_path, (serves(b"ok"), serves(b"ok")))
     try:
         asker = world.asker()
         tag = asker.ask(key=1)
@@ -823,7 +839,7 @@
             (3, 3, struct.pack(">QQ", 1, at)),
             (2, 1, b""),
         ]
-        world.log = Replays(frames, world.log.port)
+        world.log = ReplayingLog(frames, world.log.port)
         assert world.log.since.get(timeout=5) == 1
         until(lambda: world.owner.feed.last == 3)
         tag = asker.ask(key=1)
@@ -837,8 +853,8 @@
         world.close()
 
 
-class Unheard(InProcessWorld):
-    """Its change log is down at the start."""
+class UnavailableLog(InProcessWorld):
+    """A world whose change log is down at the start."""
 
     def start(self):
         self.log.close()
@@ -849,8 +865,8 @@
         until(lambda: self.owner.lifecycle.phase is Phase.SERVING and self.does(lambda: True))
 
 
-class Replays(Log):
-    """A change log that tells all its frames, whatever was held."""
+class ReplayingLog(Log):
+    """A change log that sends all its frames, whichever event it is asked for."""
 
     def __init__(self, frames, port):
         self.given = frames
@@ -862,11 +878,11 @@
             sock.sendall(framed(*one))
 
 
-# --- floods and limits ---
+# --- limits ---
 
 
-def test_room_is_made_by_closing_who_rests_in_order_and_nobody_who_is_owed_anything(in_process):
-    """At the limit of clients: one is out, one is just taken, one was answered and rests."""
+def test_at_the_limit_of_clients_only_idle_ones_are_closed(in_process):
+    """At the limit of clients: one has a request in flight, one a request just accepted, one is idle."""
     world = in_process(silent)
     asker, crossing, answered = (world.asker() for _ in range(3))
     tag = answered.ask(key=1)
@@ -880,10 +896,12 @@
     reader = held[crossing.sock.getsockname()]
     go = world.stall()
     lies = crossing.ask(key=3)
-    until(lambda: reader.open)  # taken, and the owner has not come to it
+    until(lambda: reader.open)  # accepted, and not handled by the event loop yet
     world.owner.front.max_clients = 3
     newcomer = world.asker()
-    assert answered.answer() == [tag, b"200", b"", CLIP] and answered.answer() is None, "whole, then the end"
+    assert answered.answer() == [tag, b"200", b"", CLIP] and answered.answer() is None, (
+        "a complete answer, then the close"
+    )
     go.set()
     late = newcomer.ask(key=4)
     answers = {}
@@ -897,49 +915,52 @@
     world.rests()
 
 
-def test_no_thread_and_no_descriptor_for_one_connection_ends_that_one_alone(in_process, monkeypatch):
-    """A client is closed unserved, a cache's connection is not made; both pass, and nothing stays held."""
+def test_a_connection_without_a_thread_ends_alone(in_process, monkeypatch):
+    """A client is closed unserved, or a cache's connection not made; both are transient, and leave nothing
+    behind."""
     world, start, refused = in_process(serves(b"ok")), Connection.start, []
 
-    def starts(self):
+    def fail_once(self):
         if not refused:
             refused.append(type(self))
             raise RuntimeError("can't start new thread")
         start(self)
 
-    monkeypatch.setattr(Connection, "start", starts)
+    monkeypatch.setattr(Connection, "start", fail_once)
     first = world.asker()
     assert first.answer() is None and refused == [ClientConnection]
     refused.clear()
-    refused_line = []
+    refused_connection = []
 
-    def no_line(self):
-        if type(self) is UpstreamConnection and not refused_line:
-            refused_line.append(self)
+    def fail_first_upstream(self):
+        if type(self) is UpstreamConnection and not refused_connection:
+            refused_connection.append(self)
             raise RuntimeError("can't start new thread")
         start(self)
 
-    monkeypatch.setattr(Connection, "start", no_line)
+    monkeypatch.setattr(Connection, "start", fail_first_upstream)
     other = world.asker()
     tag = other.ask()
     told = other.answer()
-    assert told == [tag, b"200", b"", b"ok"] and refused_line, "no cache is to blame: it is asked again"
+    assert told == [tag, b"200", b"", b"ok"] and refused_connection, (
+        "not a failure of the cache: the request is retried"
+    )
     tag = other.ask(key=2)
     assert other.answer() == [tag, b"200", b"", b"ok"]
     world.rests()
 
 
-@pytest.mark.parametrize("leaves", [closes, resets])
-def test_who_floods_and_leaves_at_once_leaves_nothing_behind_and_others_are_served(in_process, leaves):
+@pytest.mark.parametrize("leave", [closes, resets])
+def test_clients_that_send_many_requests_and_leave_do_not_affect_others(in_process, leave):
     world = in_process(serves(b"ok"))
     other = world.asker()
     for _ in range(8):
         flood = world.asker()
-        for number in range(64):  # twice what a connection may carry, and none is read
+        for number in range(64):  # twice the limit per connection, and no answer is read
             flood.ask(key=number)
-        leaves(flood)
+        leave(flood)
     told = []
-    while told[1:2] != [b"200"]:  # refused while they are many, and never lost; served soon
+    while told[1:2] != [b"200"]:  # rejected while there are many, never lost, and served soon
         tag = other.ask(key=99)
         told = other.answer()
         assert told[0] == tag and told[1] in (b"200", b"503") and int(tag) < 500
@@ -947,12 +968,12 @@
     until(lambda: len(world.owner.front.clients) == 1)
 
 
-# --- a start with many at the door ---
+# --- startup with many waiting clients ---
 
 
 @pytest.mark.parametrize("rows", [0, 3000])
-def test_a_start_with_many_at_the_door_and_no_change_log_is_ready_in_time(tmp_path, rows):
-    """An empty and a full `known`: a minute's worth of caches, and as many clients as it may have."""
+def test_a_start_with_many_waiting_clients_and_no_change_log_is_ready_in_time(tmp_path, rows):
+    """With few and with many caches in `known`, and with as many clients as allowed."""
     world = World(tmp_path, (serves(b"ok"),))
     try:
         world.stop()
@@ -975,13 +996,15 @@
         events.append({"seq": 2, "fleet": {"rev": 2, "all": False, "targets": rows}})
         world.config["known"]["seq"] = 2
         begun = time.monotonic()
-        comers, told = [], queue.SimpleQueue()
+        waiting_clients, told = [], queue.SimpleQueue()
         for _ in range(100):
-            comers.append(threading.Thread(target=comes, args=(world.port, told), daemon=True))
-            comers[-1].start()
-        world.log.since.put(1)  # nobody will ask
+            waiting_clients.append(
+                threading.Thread(target=connect_and_ask, args=(world.port, told), daemon=True)
+            )
+            waiting_clients[-1].start()
+        world.log.since.put(1)  # nobody will connect
         world.start()
-        answers = [told.get(timeout=10) for _ in comers]
+        answers = [told.get(timeout=10) for _ in waiting_clients]
         assert time.monotonic() - begun < 10
         assert {answer[1] for answer in answers} <= {b"200", b"503"}
         assert sum(answer[1] == b"200" for answer in answers) > 0
@@ -989,8 +1012,8 @@
         world.close()
 
 
-def comes(port, told):
-    """A client that waits at the door until it is let in, and asks."""
+def connect_and_ask(port, told):
+    """Connect as soon as possible, send a request and report the answer."""
     while True:
         try:
             asker = Asker(port)
@@ -1002,20 +1025,21 @@
         return
 
 
-def test_whom_we_told_our_end_count_among_the_clients_that_descriptors_are_there_for(in_process, monkeypatch):
-    """They keep theirs until they close as well, and may not: the longest ago are cut off for who comes."""
+def test_half_closed_clients_count_towards_the_limit_of_clients(in_process, monkeypatch):
+    """Half-closed connections keep their descriptors until the client closes too, which it may not do: the
+    oldest are closed completely for new clients."""
     monkeypatch.setattr(downstream, "DRAIN_TIME", 60.0)
     monkeypatch.setattr(connections, "DRAIN_TIME", 60.0)
     world = in_process(serves(b"ok"))
-    front = world.owner.front
-    front.max_clients = 4
+    client_side = world.owner.front
+    client_side.max_clients = 4
     held = []
     for number in range(12):
         asker = world.asker()
         tag = asker.ask(key=number)
         assert asker.answer() == [tag, b"200", b"", b"ok"]
-        held.append(asker)  # it rests, and does not close when it is told our end
-        assert len(front.clients) + len(front.draining) <= 4 + 1
+        held.append(asker)  # idle, and does not close when the gateway closes its half
+        assert len(client_side.clients) + len(client_side.draining) <= 4 + 1
     assert all(asker.answer() is None for asker in held[:8])
     asker = held[-1]
     tag = asker.ask(key=99)
@@ -1025,36 +1049,36 @@
     world.rests(but=("checks",))
 
 
-# --- what processes hold, and several of them ---
+# --- resources of processes, and several processes ---
 
 
-def counted(pid):
-    """Threads and descriptors of a process."""
+def count_resources(pid):
+    """Return the numbers of threads and descriptors of a process."""
     return len(os.listdir(f"/proc/{pid}/task")), len(os.listdir(f"/proc/{pid}/fd"))
 
 
-def test_threads_and_descriptors_are_given_back_however_clients_and_caches_end(world):
-    """Of a real process: as many as before, once all connections have ended in every way at once."""
+def test_threads_and_descriptors_are_released_however_clients_and_caches_end(world):
+    """A real process has as many as before once its connections have ended in every way at the same time."""
     world = world(silent, serves(CLIP))
     pid, turn = world.process.pid, [forgets, closes, halves, resets]
-    before = counted(pid)
+    before = count_resources(pid)
     askers = [world.asker() for _ in range(48)]
     for number, asker in enumerate(askers):
         asker.ask(key=number, allow=3000)
         if number % 8 == 7:
-            asker.sock.sendall(b"*3\r\n$4\r\nEX")  # half a message behind it
+            asker.sock.sendall(b"*3\r\n$4\r\nEX")  # a partial message after it
     until(lambda: waits_for(world.caches[0], 0.1))
     for number, asker in enumerate(askers):
         turn[number % 4](asker)
     for asker in askers:
         asker.sock.close()
 
-    def all_back():
-        for cache in world.caches:  # also what was made for second attempts, and would rest for long
+    def all_released():
+        for cache in world.caches:  # also those made for second attempts, which would stay idle
             cache.break_off()
-        return counted(pid) == before
+        return count_resources(pid) == before
 
-    until(all_back, 5, lambda: (counted(pid), before))
+    until(all_released, 5, lambda: (count_resources(pid), before))
     code, told = world.stop()
     assert code == 0 and "held: \n" in told and "faults=" not in told
 
