--- a/tests/test_cancelled_attempts.py
+++ b/tests/test_cancelled_attempts.py
@@ -133,9 +133,9 @@
 
 
 @pytest.mark.parametrize("when", ["under way", "whole"])
-@pytest.mark.parametrize("ends, told", [(cancel_attempt, b"undo"), (close_connection, b"closed")])
+@pytest.mark.parametrize("end_attempt, verb", [(cancel_attempt, b"undo"), (close_connection, b"closed")])
 def test_the_next_attempt_waits_until_a_cache_behind_a_slow_link_has_read_the_cancellation(
-    in_process, links, when, ends, told
+    in_process, links, when, end_attempt, verb
 ):
     """The next attempt reached its cache 8 ms after a cancellation was sent that took 150 ms to arrive."""
     world = made(in_process, links)
@@ -145,9 +145,9 @@
     call = send_unanswered(world, links, asker, home)
     if when == "whole":
         until(lambda: links.first(b"do", home))
-    ends(world, call)
-    until(lambda: all((links.first(b"do", home), links.first(told, home), links.first(b"do", other))))
-    assert links.first(b"do", home)[0] < links.first(told, home)[0] < links.first(b"do", other)[0]
+    end_attempt(world, call)
+    until(lambda: all((links.first(b"do", home), links.first(verb, home), links.first(b"do", other))))
+    assert links.first(b"do", home)[0] < links.first(verb, home)[0] < links.first(b"do", other)[0]
     assert asker.answer()[1] == b"200"
     world.rests()
 
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -382,7 +382,7 @@
         if began_at is None or now - began_at >= MAX_LIMITED_TIME:
             assert age == 0
             continue
-        due = [told for told in unread if now - told > GRACE]
-        assert age > 0 and all(now - age > told for told in due)
+        due = [purged_at for purged_at in unread if now - purged_at > GRACE]
+        assert age > 0 and all(now - age > purged_at for purged_at in due)
         checked += bool(due)
     assert checked > 20
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -25,12 +25,12 @@
 @pytest.mark.parametrize("sockets", [1, 8, 11, 32, 64, 512, 4096])
 @pytest.mark.parametrize("system", [1, 16, 64, 1024, 1 << 60])
 def test_the_budgets_of_clients_and_caches_leave_the_reserve(sockets, system):
-    found, available = budgets({"sockets": sockets, "memory_mb": 80.0}, system), min(sockets, system)
-    assert found.clients >= 1 and found.caches >= 1 and found.unwritten == 20_000_000
+    allowed, available = budgets({"sockets": sockets, "memory_mb": 80.0}, system), min(sockets, system)
+    assert allowed.clients >= 1 and allowed.caches >= 1 and allowed.unwritten == 20_000_000
     if available >= 16:
-        assert found.clients + found.caches + RESERVED <= available
+        assert allowed.clients + allowed.caches + RESERVED <= available
     if available >= 64:
-        assert (found.clients, found.caches) == (available // 2, available // 3), (
+        assert (allowed.clients, allowed.caches) == (available // 2, available // 3), (
             "with many descriptors, the same shares as ever"
         )
 
@@ -76,8 +76,8 @@
             asker = Asker(port)
             asker.sock.settimeout(5)
             asker.ask(key=key)
-            if told := asker.answer():
-                return told[1]
+            if answer := asker.answer():
+                return answer[1]
         except OSError:
             pass
         time.sleep(0.01)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -61,22 +61,22 @@
     asker = world.asker()
     tag = asker.ask(allow=3000)
     assert late.begun.acquire(timeout=5)
-    sent = waiting_attempt(world)
+    attempt = waiting_attempt(world)
     if draining == "cache":
-        place = int(sent.backend.name[2:], 16)
-        world.log.add(2, 2, record(place, world.caches[place - 1].port, state=1))
-        until(lambda: world.does(lambda: sent.backend.status) == 2)
+        number = int(attempt.backend.name[2:], 16)
+        world.log.add(2, 2, record(number, world.caches[number - 1].port, state=1))
+        until(lambda: world.does(lambda: attempt.backend.status) == 2)
     else:
-        assert b"next=s-00000003" in sent.data
+        assert b"next=s-00000003" in attempt.data
         world.log.add(2, 2, record(3, world.parent.port, state=1, kind=2))
         until(lambda: not world.does(lambda: world.owner.router.pools.parents))
     late.set()
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     if draining == "cache":
-        assert not waits_for(world.caches[place - 1], 0.1)
+        assert not waits_for(world.caches[number - 1], 0.1)
     else:
-        place = int(sent.backend.name[2:], 16)
-        assert b"next=s-00000003" not in world.caches[place - 1].next()[2][2]
+        number = int(attempt.backend.name[2:], 16)
+        assert b"next=s-00000003" not in world.caches[number - 1].next()[2][2]
     world.rests()
 
 
@@ -109,17 +109,19 @@
     world = in_process(silent, silent, changes=changes)
     late.set()
     asker = world.asker()
-    at = time.monotonic()
+    started_at = time.monotonic()
     tag = asker.ask(b"pay", body=b"x", allow=3000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
-    first = next(one for one in world.caches if waits_for(one, 0.2))
+    first = next(cache for cache in world.caches if waits_for(cache, 0.2))
     late.clear()
     first.break_off()
-    until(lambda: (sent := waiting_attempt(world)) and sent.seq == 1)  # there is no attempt between the two
+    until(
+        lambda: (attempt := waiting_attempt(world)) and attempt.seq == 1
+    )  # there is no attempt between the two
     assert world.held()["out"]
     assert asker.answer()[:2] == [tag, b"503"]
-    assert time.monotonic() - at < 0.6
+    assert time.monotonic() - started_at < 0.6
     late.set()
-    assert not any(waits_for(one, 0.1) for one in world.caches)
+    assert not any(waits_for(cache, 0.1) for cache in world.caches)
     world.rests()
 
 
@@ -128,19 +130,19 @@
 
 def test_a_request_that_crosses_the_gateways_close_is_not_accepted(in_process, monkeypatch):
     """A request read after the close is not forwarded, and its name is free for the client's next try."""
-    world, admit = in_process(silent), ClientConnection.accept_request
+    world, accept_request = in_process(silent), ClientConnection.accept_request
 
-    def crossed(self, call):
+    def close_first(self, call):
         assert self.downstream._close_if_idle(self)
-        return admit(self, call)
+        return accept_request(self, call)
 
     asker = world.asker()
     asker.send(b"ALIVE", b"1", b"")
     assert asker.answer() == [b"1", b"serving"]
-    monkeypatch.setattr(ClientConnection, "accept_request", crossed)
+    monkeypatch.setattr(ClientConnection, "accept_request", close_first)
     asker.ask(ref="9b1f03aa5c7e2d41")
     assert asker.answer() is None
-    monkeypatch.setattr(ClientConnection, "accept_request", admit)
+    monkeypatch.setattr(ClientConnection, "accept_request", accept_request)
     again = world.asker()
     again.ask(key=2, ref="9b1f03aa5c7e2d41")
     assert world.caches[0].next()[2][2].find(b"thing=%016x" % 2) > 0
@@ -363,13 +365,13 @@
 
 def test_idle_clients_are_closed_at_shutdown_and_later_requests_not_forwarded(in_process, short_arrivals):
     world = in_process(serves(b"ok"))
-    resting, other = world.asker(), world.asker()
-    tag = resting.ask()
-    assert resting.answer()[:2] == [tag, b"200"]
+    idle, other = world.asker(), world.asker()
+    tag = idle.ask()
+    assert idle.answer()[:2] == [tag, b"200"]
     world.caches[0].next()
     world.owner.post(world.owner.stop)
-    assert resting.answer() is None and other.answer() is None  # an orderly close, no reset
-    resting.ask(key=3)
+    assert idle.answer() is None and other.answer() is None  # an orderly close, no reset
+    idle.ask(key=3)
     other.sock.close()
     world.thread.join(3)
     assert not world.thread.is_alive() and world.owner.time - world.owner.lifecycle.listener_closed_at < 5000
@@ -381,12 +383,12 @@
 def test_a_partial_message_at_shutdown_is_read_completely(in_process, short_arrivals):
     world = in_process(serves(b"ok"))
     asker = world.asker()
-    told = encode(b"EXEC", b"1", b"clip", ASKED % (7, 7), b"")
-    asker.sock.sendall(told[:30])
+    message = encode(b"EXEC", b"1", b"clip", ASKED % (7, 7), b"")
+    asker.sock.sendall(message[:30])
     until(lambda: any(client.buffer.has_partial() for client in world.owner.front.clients))
     world.owner.post(world.owner.stop)
     until(lambda: world.owner.lifecycle.phase is Phase.DRAINING)
-    asker.sock.sendall(told[30:])
+    asker.sock.sendall(message[30:])
     assert asker.answer() == [b"1", b"200", b"", b"ok"]
     asker.sock.close()
     world.thread.join(3)
@@ -407,15 +409,15 @@
 
     world = in_process(answer)
     late.set()
-    writes = Asker(world.port)
-    writes.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    out, waits, read = (world.asker() for _ in range(3))
-    tags = {writes: writes.ask(key=2)}
+    slow_reader = Asker(world.port)
+    slow_reader.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    in_flight, waiting, read = (world.asker() for _ in range(3))
+    tags = {slow_reader: slow_reader.ask(key=2)}
     until(lambda: any(client.settled for client in world.owner.front.clients))
-    tags[out] = out.ask(key=1, allow=3000)
+    tags[in_flight] = in_flight.ask(key=1, allow=3000)
     until(lambda: world.held()["out"] == 1)
     late.clear()  # from here on no connection is established
-    tags[waits] = waits.ask(key=3, allow=3000)
+    tags[waiting] = waiting.ask(key=3, allow=3000)
     until(lambda: world.held()["calls"] == 2)
     go = world.stall()
     world.owner.post(world.owner.stop)
@@ -430,9 +432,9 @@
         assert asker.answer() is None, "nothing after the answer"
         asker.sock.close()
     world.thread.join(5)
-    held = world.owner.open_resources()
-    del held["parting"]  # the slow reader may need longer for the kernel's data than the draining time
-    assert not world.thread.is_alive() and not any(held.values())
+    resources = world.owner.open_resources()
+    del resources["parting"]  # the slow reader may need longer for the kernel's data than the draining time
+    assert not world.thread.is_alive() and not any(resources.values())
 
 
 def test_a_client_that_keeps_sending_after_the_signal_is_closed_in_an_orderly_way(in_process, short_arrivals):
@@ -441,15 +443,15 @@
     asker, answered = world.asker(), []
     asker.sock.settimeout(5)
     world.owner.post(world.owner.stop)
-    begun = time.monotonic()
-    while time.monotonic() < begun + 5:
+    started_at = time.monotonic()
+    while time.monotonic() < started_at + 5:
         tag = asker.ask(key=len(answered))
         if (answer := asker.answer()) is None:
             break
         answered.append(answer[1])
         assert answer[0] == tag
         time.sleep(0.03)
-    assert answer is None and time.monotonic() - begun < 3
+    assert answer is None and time.monotonic() - started_at < 3
     assert world.owner.front.counts["reqs"] == len(answered), "all accepted requests are answered"
     assert set(answered) == {b"200"} and len(answered) > 5
     asker.sock.close()
@@ -482,7 +484,7 @@
     asker = world.asker()
     tag = asker.ask(allow=3000)
     world.caches[0].next()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
         os.kill(world.process.pid, number)
     late = world.asker()
@@ -495,8 +497,8 @@
     assert asker.answer() is None and late.answer() is None
     asker.sock.close()
     late.sock.close()
-    code, told = world.stop()
-    assert code == 0 and "held: \n" in told and time.monotonic() - begun < 3
+    code, output = world.stop()
+    assert code == 0 and "held: \n" in output and time.monotonic() - started_at < 3
 
 
 def test_unanswered_requests_are_rejected_before_the_process_may_be_killed(world):
@@ -504,12 +506,12 @@
     asker = world.asker()
     tag = asker.ask(allow=3000)
     world.caches[0].next()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     os.kill(world.process.pid, signal.SIGTERM)
     assert asker.answer()[:2] == [tag, b"503"] and asker.answer() is None
     asker.sock.close()
-    code, told = world.stop()
-    assert code == 0 and time.monotonic() - begun < 3.7 and "held: \n" in told
+    code, output = world.stop()
+    assert code == 0 and time.monotonic() - started_at < 3.7 and "held: \n" in output
 
 
 # --- ends of caches' connections ---
@@ -523,33 +525,33 @@
     callbacks = UpstreamCallbacks(
         lambda *event: events.put(event),
         lambda: 0,
-        lambda sent, end, *_: ends.update({sent.name: end}),
-        lambda sent, end, sure: ends.update({sent.name: end}),
+        lambda attempt, end, *_: ends.update({attempt.name: end}),
+        lambda attempt, end, confirmed_at: ends.update({attempt.name: end}),
     )
     back = Upstream(callbacks, config, 2)
     backend = Backend("s-1", status=1)
     back.add_backend(backend, server.getsockname())
-    out = [
+    attempts = [
         Attempt(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)
     ]
-    assert not any(back.dispatch(sent) for sent in out)
+    assert not any(back.dispatch(attempt) for attempt in attempts)
     peers = [server.accept()[0] for _ in range(2)]
-    line = out[0].connection
-    mine = [sent for sent in out if sent.connection is line]
-    until(lambda: line.writing)
-    unsent = [sent for sent in mine if not line.has_sent(sent.position)]
+    connection = attempts[0].connection
+    on_connection = [attempt for attempt in attempts if attempt.connection is connection]
+    until(lambda: connection.writing)
+    unsent = [attempt for attempt in on_connection if not connection.has_sent(attempt.position)]
     assert len(unsent) > 4
-    for sent in unsent[3:]:
-        assert back.withdraw(sent)
-    assert line.unsent_bytes() > 0
+    for attempt in unsent[3:]:
+        assert back.withdraw(attempt)
+    assert connection.unsent_bytes() > 0
     for peer in peers:
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
     for _ in peers:
-        what, *told = events.get(timeout=5)
-        what(*told)
-    assert {ends[sent.name] for sent in unsent[:3]} == {CloseReason.UNWRITTEN}
-    assert ends[mine[0].name] is CloseReason.RESET
+        callback, *arguments = events.get(timeout=5)
+        callback(*arguments)
+    assert {ends[attempt.name] for attempt in unsent[:3]} == {CloseReason.UNWRITTEN}
+    assert ends[on_connection[0].name] is CloseReason.RESET
     server.close()
 
 
@@ -635,18 +637,18 @@
     """A partial frame that arrives byte by byte is no heartbeat: the watch reconnects after its last
     event."""
     monkeypatch.setattr(discovery_watch, "MAX_SILENCE", 0.3)
-    server, over = socket.create_server(("127.0.0.1", 0)), threading.Event()
-    told = queue.SimpleQueue()
-    watch = DiscoveryWatch(server.getsockname(), 4, lambda event, number: told.put(number), "n7")
+    server, done = socket.create_server(("127.0.0.1", 0)), threading.Event()
+    numbers = queue.SimpleQueue()
+    watch = DiscoveryWatch(server.getsockname(), 4, lambda event, number: numbers.put(number), "n7")
     watch.start()
     sock, _ = server.accept()
     assert sock.recv(8, socket.MSG_WAITALL) == struct.pack(">Q", 4)
     sock.sendall(framed(5, 3, struct.pack(">QQ", 1, 2)))
-    assert told.get(timeout=5) == 5
+    assert numbers.get(timeout=5) == 5
 
     def send_slowly():
         for byte in framed(6, 3, struct.pack(">QQ", 1, 2))[:-1] * 20:
-            if over.wait(0.05):
+            if done.wait(0.05):
                 return
             try:
                 sock.sendall(bytes([byte]))
@@ -657,24 +659,22 @@
     server.settimeout(3)
     again, _ = server.accept()
     assert again.recv(8, socket.MSG_WAITALL) == struct.pack(">Q", 5)
-    over.set()
+    done.set()
     again.sendall(framed(6, 3, struct.pack(">QQ", 1, 2)))
-    assert told.get(timeout=5) == 6 and told.empty()
-    for one in (sock, again, server):
-        one.close()
+    assert numbers.get(timeout=5) == 6 and numbers.empty()
+    for opened in (sock, again, server):
+        opened.close()
 
 
 def test_gateways_do_not_all_reconnect_at_once_after_a_silence():
-    spans = {
+    jitters = {
         DiscoveryWatch(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._jitter() for number in range(200)
     }
-    assert len(spans) == 200 and min(spans) < 0.05 and max(spans) > 0.95
-    drawn = [
+    assert len(jitters) == 200 and min(jitters) < 0.05 and max(jitters) > 0.95
+    few = [
         DiscoveryWatch(("127.0.0.1", 1), 0, lambda *_: None, f"n{number}")._jitter() for number in range(10)
     ]
-    assert max(drawn) - min(drawn) > 0.5, (
-        "also for ten names that differ in one digit: the spread had been 0.04"
-    )
+    assert max(few) - min(few) > 0.5, "also for ten names that differ in one digit: the spread had been 0.04"
 
 
 # --- ends of caches' connections, and the endpoint list ---
@@ -686,19 +686,19 @@
     world = in_process(silent, silent)
     asker = world.asker()
     tag = asker.ask(key=1)
-    place = next(number for number, cache in enumerate(world.caches, 1) if waits_for(cache))
-    sent = waiting_attempt(world)
-    line, queued, go = sent.connection, world.owner.queue.qsize(), world.stall()
-    world.log.add(2, 2, record(place, world.caches[place - 1].port, state=2))
+    number = next(index for index, cache in enumerate(world.caches, 1) if waits_for(cache))
+    attempt = waiting_attempt(world)
+    connection, queued, go = attempt.connection, world.owner.queue.qsize(), world.stall()
+    world.log.add(2, 2, record(number, world.caches[number - 1].port, state=2))
     until(lambda: world.owner.feed.last == 2)
-    sock = world.caches[place - 1].socks[0]
-    sock.sendall(encode(sent.name, b"data", b"remark=TCP_HIT", b"bytes"))
+    sock = world.caches[number - 1].socks[0]
+    sock.sendall(encode(attempt.name, b"data", b"remark=TCP_HIT", b"bytes"))
     until(lambda: world.owner.queue.qsize() >= queued + 2)
     go.set()
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
-    until(lambda: line.state is ConnectionState.CLOSED)
+    until(lambda: connection.state is ConnectionState.CLOSED)
     other = asker.ask(key=1)
-    _, sock, items = world.caches[2 - place].next()
+    _, sock, items = world.caches[2 - number].next()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"more"))
     assert asker.answer() == [other, b"200", b"", b"more"]
     world.rests()
@@ -712,11 +712,11 @@
     asker = world.asker()
     tag = asker.ask(key=1)
     _, sock, items = world.caches[0].next()
-    line, go = waiting_attempt(world).connection, world.stall()
-    told = encode(items[1], b"data", b"remark=TCP_HIT", b"bytes")
-    sock.sendall(told if whole else told[:-4])
+    connection, go = waiting_attempt(world).connection, world.stall()
+    message = encode(items[1], b"data", b"remark=TCP_HIT", b"bytes")
+    sock.sendall(message if whole else message[:-4])
     sock.shutdown(socket.SHUT_RDWR)
-    until(lambda: line.state is ConnectionState.CLOSED)
+    until(lambda: connection.state is ConnectionState.CLOSED)
     go.set()
     if not whole:
         _, sock, items = world.caches[0].next()
@@ -729,34 +729,34 @@
 def test_an_answer_that_arrives_byte_by_byte_is_given_up_in_time(in_process):
     """The answer never stalls and would take too long: its deadline ends the request, and the rest is
     discarded."""
-    over = threading.Event()
+    done = threading.Event()
 
     def send_slowly(stand, sock, items):
         if items[0] != b"do":
             return silent(stand, sock, items)
-        told = encode(items[1], b"data", b"remark=TCP_HIT", CLIP)
+        message = encode(items[1], b"data", b"remark=TCP_HIT", CLIP)
 
-        def on():
-            for byte in told:
-                if over.wait(0.01):
+        def send_bytes():
+            for byte in message:
+                if done.wait(0.01):
                     return
                 try:
                     sock.sendall(bytes([byte]))
                 except OSError:
                     return
 
-        threading.Thread(target=on, daemon=True).start()
+        threading.Thread(target=send_bytes, daemon=True).start()
         return None
 
     world = in_process(send_slowly)
     asker = world.asker()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     tag = asker.ask(key=1, allow=600)
     world.caches[0].next()
     first = waiting_attempt(world).connection
-    assert asker.answer()[:2] == [tag, b"503"] and time.monotonic() - begun < 0.65
+    assert asker.answer()[:2] == [tag, b"503"] and time.monotonic() - started_at < 0.65
     until(lambda: first.state is ConnectionState.CLOSED)
-    over.set()
+    done.set()
     world.rests()
     asker.send(b"ALIVE", b"9", b"")
     assert asker.answer() == [b"9", b"serving"], "nothing else before it"
@@ -830,13 +830,13 @@
         asker = world.asker()
         tag = asker.ask(key=1)
         assert asker.answer() == [tag, b"200", b"", b"ok"]
-        place = next(number for number, cache in enumerate(world.caches, 1) if waits_for(cache, 0.2))
-        at = time.time_ns() // 10**6
+        number = next(index for index, cache in enumerate(world.caches, 1) if waits_for(cache, 0.2))
+        purged_at = time.time_ns() // 10**6
         frames = [
             (1, 1, b""),
-            (2, 2, record(place, world.caches[place - 1].port, state=1)),
-            (3, 3, struct.pack(">QQ", 1, at)),
-            (3, 3, struct.pack(">QQ", 1, at)),
+            (2, 2, record(number, world.caches[number - 1].port, state=1)),
+            (3, 3, struct.pack(">QQ", 1, purged_at)),
+            (3, 3, struct.pack(">QQ", 1, purged_at)),
             (2, 1, b""),
         ]
         world.log = ReplayingLog(frames, world.log.port)
@@ -844,9 +844,9 @@
         until(lambda: world.owner.feed.last == 3)
         tag = asker.ask(key=1)
         assert asker.answer() == [tag, b"200", b"", b"ok"]
-        told = world.caches[2 - place].next()[2][2]
-        assert int(told.split(b"agelim=")[1].split(b",")[0]) <= time.time_ns() // 10**6 - at
-        assert not waits_for(world.caches[place - 1], 0.05) and world.owner.feed.events == 2
+        fields = world.caches[2 - number].next()[2][2]
+        assert int(fields.split(b"agelim=")[1].split(b",")[0]) <= time.time_ns() // 10**6 - purged_at
+        assert not waits_for(world.caches[number - 1], 0.05) and world.owner.feed.events == 2
         assert len(world.does(lambda: world.owner.router.pools.caches)) == 1
         world.rests()
     finally:
@@ -889,13 +889,13 @@
     _, sock, items = world.caches[0].next()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", CLIP))
     until(lambda: any(client.settled for client in list(world.owner.front.clients)))
-    out = asker.ask(key=2)
+    tag_in_flight = asker.ask(key=2)
     _, sock, items = world.caches[0].next()
     until(lambda: len(world.owner.front.clients) == 3)
-    held = {client.sock.getpeername(): client for client in list(world.owner.front.clients)}
-    reader = held[crossing.sock.getsockname()]
+    by_address = {client.sock.getpeername(): client for client in list(world.owner.front.clients)}
+    reader = by_address[crossing.sock.getsockname()]
     go = world.stall()
-    lies = crossing.ask(key=3)
+    tag_accepted = crossing.ask(key=3)
     until(lambda: reader.open)  # accepted, and not handled by the event loop yet
     world.owner.front.max_clients = 3
     newcomer = world.asker()
@@ -903,15 +903,15 @@
         "a complete answer, then the close"
     )
     go.set()
-    late = newcomer.ask(key=4)
+    tag_new = newcomer.ask(key=4)
     answers = {}
     for _ in range(2):
         _, other, more = world.caches[0].next()
         other.sendall(encode(more[1], b"data", b"remark=TCP_HIT", b"bytes"))
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
-    for one, name in ((asker, out), (crossing, lies), (newcomer, late)):
-        answers[name] = one.answer()
-        assert answers[name][:2] == [name, b"200"]
+    for client_asker, expected_tag in ((asker, tag_in_flight), (crossing, tag_accepted), (newcomer, tag_new)):
+        answers[expected_tag] = client_asker.answer()
+        assert answers[expected_tag][:2] == [expected_tag, b"200"]
     world.rests()
 
 
@@ -941,8 +941,8 @@
     monkeypatch.setattr(Connection, "start", fail_first_upstream)
     other = world.asker()
     tag = other.ask()
-    told = other.answer()
-    assert told == [tag, b"200", b"", b"ok"] and refused_connection, (
+    answer = other.answer()
+    assert answer == [tag, b"200", b"", b"ok"] and refused_connection, (
         "not a failure of the cache: the request is retried"
     )
     tag = other.ask(key=2)
@@ -955,15 +955,15 @@
     world = in_process(serves(b"ok"))
     other = world.asker()
     for _ in range(8):
-        flood = world.asker()
+        leaver = world.asker()
         for number in range(64):  # twice the limit per connection, and no answer is read
-            flood.ask(key=number)
-        leave(flood)
-    told = []
-    while told[1:2] != [b"200"]:  # rejected while there are many, never lost, and served soon
+            leaver.ask(key=number)
+        leave(leaver)
+    answer = []
+    while answer[1:2] != [b"200"]:  # rejected while there are many, never lost, and served soon
         tag = other.ask(key=99)
-        told = other.answer()
-        assert told[0] == tag and told[1] in (b"200", b"503") and int(tag) < 500
+        answer = other.answer()
+        assert answer[0] == tag and answer[1] in (b"200", b"503") and int(tag) < 500
     world.rests(but=("checks", "clients"))
     until(lambda: len(world.owner.front.clients) == 1)
 
@@ -995,24 +995,24 @@
         ]
         events.append({"seq": 2, "fleet": {"rev": 2, "all": False, "targets": rows}})
         world.config["known"]["seq"] = 2
-        begun = time.monotonic()
-        waiting_clients, told = [], queue.SimpleQueue()
+        started_at = time.monotonic()
+        waiting_clients, reported = [], queue.SimpleQueue()
         for _ in range(100):
             waiting_clients.append(
-                threading.Thread(target=connect_and_ask, args=(world.port, told), daemon=True)
+                threading.Thread(target=connect_and_ask, args=(world.port, reported), daemon=True)
             )
             waiting_clients[-1].start()
         world.log.since.put(1)  # nobody will connect
         world.start()
-        answers = [told.get(timeout=10) for _ in waiting_clients]
-        assert time.monotonic() - begun < 10
+        answers = [reported.get(timeout=10) for _ in waiting_clients]
+        assert time.monotonic() - started_at < 10
         assert {answer[1] for answer in answers} <= {b"200", b"503"}
         assert sum(answer[1] == b"200" for answer in answers) > 0
     finally:
         world.close()
 
 
-def connect_and_ask(port, told):
+def connect_and_ask(port, answers):
     """Connect as soon as possible, send a request and report the answer."""
     while True:
         try:
@@ -1021,7 +1021,7 @@
             time.sleep(0.01)
             continue
         asker.ask(key=1)
-        told.put(asker.answer())
+        answers.put(asker.answer())
         return
 
 
@@ -1033,18 +1033,18 @@
     world = in_process(serves(b"ok"))
     client_side = world.owner.front
     client_side.max_clients = 4
-    held = []
+    askers = []
     for number in range(12):
         asker = world.asker()
         tag = asker.ask(key=number)
         assert asker.answer() == [tag, b"200", b"", b"ok"]
-        held.append(asker)  # idle, and does not close when the gateway closes its half
+        askers.append(asker)  # idle, and does not close when the gateway closes its half
         assert len(client_side.clients) + len(client_side.draining) <= 4 + 1
-    assert all(asker.answer() is None for asker in held[:8])
-    asker = held[-1]
+    assert all(asker.answer() is None for asker in askers[:8])
+    asker = askers[-1]
     tag = asker.ask(key=99)
     assert asker.answer() == [tag, b"200", b"", b"ok"]
-    for asker in held:
+    for asker in askers:
         asker.sock.close()
     world.rests(but=("checks",))
 
@@ -1060,7 +1060,7 @@
 def test_threads_and_descriptors_are_released_however_clients_and_caches_end(world):
     """A real process has as many as before once its connections have ended in every way at the same time."""
     world = world(silent, serves(CLIP))
-    pid, turn = world.process.pid, [forgets, closes, halves, resets]
+    pid, ways = world.process.pid, [forgets, closes, halves, resets]
     before = count_resources(pid)
     askers = [world.asker() for _ in range(48)]
     for number, asker in enumerate(askers):
@@ -1069,7 +1069,7 @@
             asker.sock.sendall(b"*3\r\n$4\r\nEX")  # a partial message after it
     until(lambda: waits_for(world.caches[0], 0.1))
     for number, asker in enumerate(askers):
-        turn[number % 4](asker)
+        ways[number % 4](asker)
     for asker in askers:
         asker.sock.close()
 
@@ -1079,8 +1079,8 @@
         return count_resources(pid) == before
 
     until(all_released, 5, lambda: (count_resources(pid), before))
-    code, told = world.stop()
-    assert code == 0 and "held: \n" in told and "faults=" not in told
+    code, output = world.stop()
+    assert code == 0 and "held: \n" in output and "faults=" not in output
 
 
 def test_processes_that_all_see_the_change_log_fall_silent_ask_again_one_after_the_other(world, tmp_path):
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -204,10 +204,10 @@
     path, errors = tmp_path / "config.json", [errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EINTR]
     path.write_text('{"name": "n0"}')
 
-    def fail(*told, **more):
+    def fail(*arguments, **keywords):
         if errors:
             raise OSError(errors.pop(), "open fails on purpose")
-        return open(*told, **more)
+        return open(*arguments, **keywords)
 
     monkeypatch.setattr(serving, "open", fail, raising=False)
     assert serving.read_config(str(path)) == {"name": "n0"}
@@ -217,12 +217,12 @@
 
 
 def test_the_listening_socket_is_created_despite_transient_failures(in_process, monkeypatch):
-    made, errors = socket.socket, [errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+    make_socket, errors = socket.socket, [errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
-    def fail(*told, **more):
+    def fail(*arguments, **keywords):
         if errors:
             raise OSError(errors.pop(), "socket fails on purpose")
-        return made(*told, **more)
+        return make_socket(*arguments, **keywords)
 
     monkeypatch.setattr(downstream, "socket", SimpleNamespace(**{**vars(socket), "socket": fail}))
     world = in_process(serves(b"ok"))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -48,9 +48,9 @@
     tag = asker.ask(key=0xABC, nth=3, batch=17, got="4be0c1927d55a6f3")
     assert asker.answer() == [tag, b"200", b"", bytes(range(256)) * 900]
     _, _, items = world.caches[0].next()
-    told = parse_fields(items[2])
-    assert len(items[1]) == 16 and items[3] == b"" and 0 < int(told.pop("max")) <= 1500
-    assert told == {
+    fields = parse_fields(items[2])
+    assert len(items[1]) == 16 and items[3] == b"" and 0 < int(fields.pop("max")) <= 1500
+    assert fields == {
         "profile": "clip",
         "thing": f"{0xABC:016x}",
         "nth": "3",
@@ -66,11 +66,11 @@
     """Clients that send no `room` had all their requests answered as invalid."""
     world = world(serves(b"bytes"))
     asker = world.asker()
-    told = b"ref=8a724ba239a2f880,allow=1500,lookup=00002e3abd68f6b3,batch=4,nth=9"
-    asker.send(b"EXEC", b"1", b"clip", told, b"")
+    fields = b"ref=8a724ba239a2f880,allow=1500,lookup=00002e3abd68f6b3,batch=4,nth=9"
+    asker.send(b"EXEC", b"1", b"clip", fields, b"")
     assert asker.answer() == [b"1", b"200", b"", b"bytes"]
     for number, room in enumerate((b"", b"x", b"-1", b"nan", b"1e9"), 2):
-        asker.send(b"EXEC", b"%d" % number, b"clip", told + b",room=" + room, b"")
+        asker.send(b"EXEC", b"%d" % number, b"clip", fields + b",room=" + room, b"")
         assert asker.answer() == [b"%d" % number, b"500"], "a size that is sent must be a number"
 
 
@@ -80,24 +80,24 @@
     tag = asker.ask(b"pay", body=b"\r\n\0,=" * 9000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     _, _, items = world.caches[0].next()
-    told = parse_fields(items[2])
-    assert items[3] == b"\r\n\0,=" * 9000 and told["replay"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-    assert told["next"] == "s-00000003" and "admit" not in told
+    fields = parse_fields(items[2])
+    assert items[3] == b"\r\n\0,=" * 9000 and fields["replay"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+    assert fields["next"] == "s-00000003" and "admit" not in fields
 
 
 @pytest.mark.parametrize(
-    "word, told, want",
+    "status, fields, expected",
     [
         (b"unchanged", b"sum=4be0c1927d55a6f3", [b"200", b"ok304=1", b""]),
         (b"failed", b"-", [b"503", b"cooldown=500", b""]),
         (b"full", b"-", [b"503", b"cooldown=500", b""]),
     ],
 )
-def test_each_status_of_a_cache_maps_to_one_client_answer(world, word, told, want):
-    world = world(lambda stand, sock, items: sock.sendall(encode(items[1], word, told)))
+def test_each_status_of_a_cache_maps_to_one_client_answer(world, status, fields, expected):
+    world = world(lambda stand, sock, items: sock.sendall(encode(items[1], status, fields)))
     asker = world.asker()
     tag = asker.ask(got="4be0c1927d55a6f3")
-    assert asker.answer() == [tag, *want]
+    assert asker.answer() == [tag, *expected]
 
 
 @pytest.mark.parametrize(
@@ -207,28 +207,30 @@
     """The rejections come at once: open requests may last longer than the time within which such a client
     must be closed."""
     world = world(silent)
-    asker, begun = world.asker(), time.monotonic()
+    asker, started_at = world.asker(), time.monotonic()
     tag = asker.ask(allow=3000)
     world.caches[0].next()
     offend(asker)
-    got = list(iter(asker.answer, None))
-    assert [items[1] for items in got if items[0] == tag] == [b"503"] and time.monotonic() - begun < 1
-    assert {items[1] for items in got if items[0] == b"9"} <= {b"500"}
+    answers = list(iter(asker.answer, None))
+    assert [items[1] for items in answers if items[0] == tag] == [
+        b"503"
+    ] and time.monotonic() - started_at < 1
+    assert {items[1] for items in answers if items[0] == b"9"} <= {b"500"}
     assert world.caches[0].next(b"undo")
 
 
 def test_clients_without_a_complete_message_and_idle_clients_are_closed(world):
     """Otherwise they keep new clients out. A message that arrives byte by byte counts from its first byte."""
     world = world(silent)
-    begun, half, holds, waits = time.monotonic(), world.asker(), world.asker(), world.asker()
-    holds.send(b"ALIVE", b"1", b"")
-    assert holds.answer() == [b"1", b"serving"]
-    tag = waits.ask(allow=3000)
+    started_at, partial, idle, waiting = time.monotonic(), world.asker(), world.asker(), world.asker()
+    idle.send(b"ALIVE", b"1", b"")
+    assert idle.answer() == [b"1", b"serving"]
+    tag = waiting.ask(allow=3000)
     none = world.asker()
-    half.sock.sendall(b"*5\r\n$4")
-    assert half.answer() is None and none.answer() is None and time.monotonic() - begun < 3
-    assert waits.answer()[0] == tag
-    assert holds.answer() is None and time.monotonic() - begun > 3.9
+    partial.sock.sendall(b"*5\r\n$4")
+    assert partial.answer() is None and none.answer() is None and time.monotonic() - started_at < 3
+    assert waiting.answer()[0] == tag
+    assert idle.answer() is None and time.monotonic() - started_at > 3.9
 
 
 def test_cancelled_requests_free_their_place_and_requests_above_the_limit_are_rejected():
@@ -251,34 +253,34 @@
         DownstreamLimits(9, 1e6),
         ListenEndpoint(("127.0.0.1", 0)),
     )
-    here, there = socket.socketpair()
-    client = ClientConnection(downstream, here)
-    told = b"ref=%016x,allow=1500,lookup=%016x,nth=0,batch=7,room=4"
+    server_side, client_side = socket.socketpair()
+    client = ClientConnection(downstream, server_side)
+    fields = b"ref=%016x,allow=1500,lookup=%016x,nth=0,batch=7,room=4"
     for tag in range(1, 4 * MAX_OPEN_REQUESTS):
-        downstream.handle_message(client, [b"EXEC", b"%d" % tag, b"clip", told % (tag, tag), b""])
+        downstream.handle_message(client, [b"EXEC", b"%d" % tag, b"clip", fields % (tag, tag), b""])
         if tag >= MAX_OPEN_REQUESTS:
-            downstream.handle_message(client, [b"EXEC", b"9999", b"clip", told % (9999, 9999), b""])
+            downstream.handle_message(client, [b"EXEC", b"9999", b"clip", fields % (9999, 9999), b""])
             downstream.handle_message(client, [b"FORGET", b"%d" % (tag - MAX_OPEN_REQUESTS + 1)])
     assert (
         posted.count(("arrived", client)) == 4 * MAX_OPEN_REQUESTS - 1
         and len(client.open) == MAX_OPEN_REQUESTS - 1
     )
-    buffer, words = MessageBuffer(), set()
-    buffer.read_from(there)
+    buffer, answers = MessageBuffer(), set()
+    buffer.read_from(client_side)
     while items := buffer.next_message():
-        words.add(tuple(items))
-    assert words == {(b"9999", b"503")}
-    here.close()
-    there.close()
+        answers.add(tuple(items))
+    assert answers == {(b"9999", b"503")}
+    server_side.close()
+    client_side.close()
     downstream.sock.close()
 
 
 def test_a_request_is_settled_only_after_its_answer_is_written(monkeypatch, world):
     """A client that had closed its half lost the answer if the request was settled before it was written."""
-    owner, told = Gateway({**world().config, "listen": "127.0.0.1:0"}), []
-    here, there = socket.socketpair()
-    client = ClientConnection(owner.front, here)
-    monkeypatch.setattr(owner.front, "answer", lambda *_: told.append(client.taken - client.settled))
+    owner, unsettled = Gateway({**world().config, "listen": "127.0.0.1:0"}), []
+    server_side, client_side = socket.socketpair()
+    client = ClientConnection(owner.front, server_side)
+    monkeypatch.setattr(owner.front, "answer", lambda *_: unsettled.append(client.taken - client.settled))
     owner.front.handle_message(
         client, [b"EXEC", b"1", b"clip", b"ref=%016x,allow=9,lookup=%016x,nth=0,batch=7,room=4" % (1, 1), b""]
     )
@@ -286,11 +288,11 @@
     call.request = Request(call.key, call.part, call.group, call.kbytes, 0, owner.time + 90, call.vhost)
     call.history = owner.request_history(call, call.request)
     owner.answers.send(call, AnswerKind.REJECTED)
-    assert told == [1] and client.taken == client.settled
+    assert unsettled == [1] and client.taken == client.settled
     owner.answers.send(call, AnswerKind.REJECTED)
-    assert told == [1], "one answer only"
-    here.close()
-    there.close()
+    assert unsettled == [1], "one answer only"
+    server_side.close()
+    client_side.close()
 
 
 def test_a_duplicate_request_name_is_rejected_and_unknown_objects_eject_no_cache(world):
@@ -324,11 +326,11 @@
     asker = world.asker()
     other = world.asker()
     other.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    for who, leave in (
+    for client, leave in (
         (asker, lambda tag: asker.send(b"FORGET", tag)),
         (other, lambda tag: other.sock.close()),  # a reset also shows that the client has left
     ):
-        tag = who.ask()
+        tag = client.ask()
         name = world.caches[0].next()[2][1]
         leave(tag)
         assert world.caches[0].next(b"undo")[2] == [b"undo", name]
@@ -344,39 +346,41 @@
         if sock is not stand.socks[0]:
             serves()(stand, sock, items)
 
-    asker, until, word = world(answer).asker(), time.monotonic() + 8, b""
-    while word != b"200" and time.monotonic() < until:
+    asker, until, status = world(answer).asker(), time.monotonic() + 8, b""
+    while status != b"200" and time.monotonic() < until:
         asker.ask(room=4, allow=3000)
-        word = asker.answer()[1]
-    assert word == b"200"
+        status = asker.answer()[1]
+    assert status == b"200"
 
 
 def test_a_cancellation_that_cannot_be_sent_closes_its_connection():
     """Otherwise two dispatches of the request could be in flight at once."""
     events, server = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0))
     config = from_protocol(ENV)
-    note = lambda *told: ends.append(told[:2])  # noqa: E731
-    back = Upstream(UpstreamCallbacks(lambda *event: events.put(event), lambda: 0, note, note), config, 2)
+    record_end = lambda *arguments: ends.append(arguments[:2])  # noqa: E731
+    back = Upstream(
+        UpstreamCallbacks(lambda *event: events.put(event), lambda: 0, record_end, record_end), config, 2
+    )
     backend, ends = Backend("s-1", status=1), []
     back.add_backend(backend, server.getsockname())
     in_flight = [
         Attempt(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)
     ]
-    assert not any(back.dispatch(sent) for sent in in_flight)
-    line = in_flight[0].connection
-    in_flight = [sent for sent in in_flight if sent.connection is line]
+    assert not any(back.dispatch(attempt) for attempt in in_flight)
+    connection = in_flight[0].connection
+    in_flight = [attempt for attempt in in_flight if attempt.connection is connection]
     peer, _ = server.accept()
     until = time.monotonic() + 5
-    while not line.writing and time.monotonic() < until:
+    while not connection.writing and time.monotonic() < until:
         time.sleep(0.005)
     back.cancel(in_flight[-1])
-    assert line.close_reason is None, "an unsent attempt is withdrawn"
+    assert connection.close_reason is None, "an unsent attempt is withdrawn"
     in_flight[0].call = in_flight[1].call = types.SimpleNamespace(connections=[])
     back.cancel(in_flight[0])
-    assert line.close_reason is CloseReason.CHOKED
-    what, *told = events.get(timeout=5)
-    what(*told)
-    assert [end for sent, end in ends if sent is in_flight[1]][0] in (
+    assert connection.close_reason is CloseReason.CHOKED
+    callback, *arguments = events.get(timeout=5)
+    callback(*arguments)
+    assert [end for attempt, end in ends if attempt is in_flight[1]][0] in (
         CloseReason.CHOKED,
         CloseReason.UNWRITTEN,
     )
@@ -408,30 +412,32 @@
 
 def test_a_cancellation_on_a_new_connection_waits_until_the_backend_must_have_accepted_it():
     events, server, time_now = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0)), [0]
-    told, config, backend = [], from_protocol(ENV), Backend("s-1", status=1)
+    cancelled, config, backend = [], from_protocol(ENV), Backend("s-1", status=1)
     post, now = (lambda *event: events.put(event)), (lambda: time_now[0])
-    back = Upstream(UpstreamCallbacks(post, now, print, lambda *what: told.append(what)), config, 2)
-    slack, patience = config["rules"]["answer_slack"], config["limits"]["connect_timeout"]
+    back = Upstream(
+        UpstreamCallbacks(post, now, print, lambda *callback: cancelled.append(callback)), config, 2
+    )
+    slack, connect_timeout = config["rules"]["answer_slack"], config["limits"]["connect_timeout"]
     back.add_backend(backend, server.getsockname())
     call = types.SimpleNamespace(connections=[], disconnected_since=lambda: None)
     first, second, third = (
-        Attempt(call, backend, 0, b"%d" % n, encode(b"do", b"%d" % n), 0) for n in range(3)
+        Attempt(call, backend, 0, b"%d" % number, encode(b"do", b"%d" % number), 0) for number in range(3)
     )
     back.dispatch(first)
     peer, _ = server.accept()
     peer.recv(100)
-    assert back.cancel(first) == patience, "nothing was received on the connection yet"
+    assert back.cancel(first) == connect_timeout, "nothing was received on the connection yet"
     call.connections.clear()
     back.dispatch(second)
-    line = second.connection
-    line.last_read_at, time_now[0] = 1, 50
+    connection = second.connection
+    connection.last_read_at, time_now[0] = 1, 50
     assert back.cancel(second) == 50 + slack
     call.connections.clear()
     back.dispatch(third)
     third.connection.close(CloseReason.GARBLED)
-    what, *args = events.get(timeout=5)
-    what(*args)
-    assert told == [(third, CloseReason.GARBLED, 50 + slack)]
+    callback, *args = events.get(timeout=5)
+    callback(*args)
+    assert cancelled == [(third, CloseReason.GARBLED, 50 + slack)]
     peer.close()
     server.close()
 
@@ -493,8 +499,8 @@
         pass
     asker.ask(key=0xABC)
     assert asker.answer()[3] == b"new"
-    told = parse_fields(new.next()[2][2])
-    assert 1 <= int(told["agelim"]) <= int(time.time() * 1000) - now
+    fields = parse_fields(new.next()[2][2])
+    assert 1 <= int(fields["agelim"]) <= int(time.time() * 1000) - now
     with pytest.raises(AssertionError):
         assert not new.seen.empty()
     # the same id, restarted at another address: connections belong to id and start time
@@ -523,8 +529,8 @@
     assert other.since.get(timeout=5) == 1, "resumed after the last known event"
     tag = asker.ask()
     assert asker.answer()[:2] == [tag, b"200"]
-    code, told = world.stop()
-    assert code == 0 and "kept till a restart: listen" in told and "events=1" in told
+    code, output = world.stop()
+    assert code == 0 and "kept till a restart: listen" in output and "events=1" in output
     other.close()
 
 
@@ -544,8 +550,8 @@
         late.send(b"ALIVE", b"1", b"")
     other = late.ask(key=3)
     assert asker.answer()[:2] == [tag, b"200"] and late.answer()[:2] == [other, b"200"]
-    code, told = world.stop()
-    assert code == 0 and "done=2" in told and "reqs=2" in told
+    code, output = world.stop()
+    assert code == 0 and "done=2" in output and "reqs=2" in output
     world.start()
     waiting = world.asker()  # keeps a reference: otherwise the socket is closed at once
     tag = waiting.ask()
@@ -570,8 +576,8 @@
     asker = world.asker()
     tag = asker.ask(allow=3000, room=4)
     assert asker.answer()[:2] == [tag, b"200"]
-    code, told = world.stop()
-    assert code == 0 and "undone" not in told and "left alone" not in told
+    code, output = world.stop()
+    assert code == 0 and "undone" not in output and "left alone" not in output
 
 
 def test_steps_of_the_wall_clock_do_not_affect_the_gateways_time(world):
@@ -592,19 +598,19 @@
 
 def test_durations_end_when_the_answer_was_read_and_an_exception_ends_only_its_event(monkeypatch, world):
     owner = Gateway({**world().config, "listen": "127.0.0.1:0"})
-    told, backend = [], owner.backends["s-00000001"]
+    durations, backend = [], owner.backends["s-00000001"]
     monkeypatch.setattr(
-        owner.router, "attempt_ended", lambda request, backend, result: told.append(result.duration)
+        owner.router, "attempt_ended", lambda request, backend, result: durations.append(result.duration)
     )
     call = types.SimpleNamespace(
         request=types.SimpleNamespace(finished=True), tag=b"1", client=None, name="1", history=None
     )
     monkeypatch.setattr(owner.front, "close_request", lambda _: False)
     owner.update_clock()
-    sent = Attempt(call, backend, 0, b"1", b"", owner.time - 3000)
-    owner.attempt_ended(sent, CloseReason.DATA, Reply(note=1, read_at=owner.monotonic_time - 2000))
-    owner.attempt_ended(sent, CloseReason.TIME_UP)
-    assert told == [1000, 3000]
+    attempt = Attempt(call, backend, 0, b"1", b"", owner.time - 3000)
+    owner.attempt_ended(attempt, CloseReason.DATA, Reply(note=1, read_at=owner.monotonic_time - 2000))
+    owner.attempt_ended(attempt, CloseReason.TIME_UP)
+    assert durations == [1000, 3000]
     seen = []
     owner.run_callback(lambda: 1 // 0, ())
     owner.run_callback(seen.append, (1,))
@@ -612,7 +618,7 @@
 
 
 @pytest.mark.parametrize(
-    "word, broken, told",
+    "command, damage, message",
     [
         ("check", lambda config: config["settings"].pop("familyInfo"), "lacks familyInfo"),
         ("check", lambda config: config.pop("changelog"), "lacks changelog"),
@@ -620,14 +626,14 @@
         ("serve", lambda config: None, "cannot be listened on"),
     ],
 )
-def test_an_invalid_configuration_is_reported_in_one_line(world, word, broken, told, capsys):
+def test_an_invalid_configuration_is_reported_in_one_line(world, command, damage, message, capsys):
     world = world()
-    broken(world.config)
+    damage(world.config)
     world.path.write_text(json.dumps(world.config))
-    assert main([word, "--config", str(world.path)]) == 2
+    assert main([command, "--config", str(world.path)]) == 2
     logger.remove()  # its handler writes to a stream that is closed after the test
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == 1 and told in lines[0]
+    assert len(lines) == 1 and message in lines[0]
 
 
 def test_the_gateway_serves_despite_many_short_connections_and_clients_that_do_not_read(world):
@@ -641,11 +647,11 @@
         for _ in range(31):
             asker.ask(room=4)
     asker = world.asker()
-    words, until = [], time.monotonic() + 5
-    while words.count(b"200") < 5 and time.monotonic() < until:  # some may be rejected at first
+    statuses, until = [], time.monotonic() + 5
+    while statuses.count(b"200") < 5 and time.monotonic() < until:  # some may be rejected at first
         asker.ask(room=4)
-        words.append(asker.answer()[1])
-    assert words.count(b"200") == 5
+        statuses.append(asker.answer()[1])
+    assert statuses.count(b"200") == 5
     files = len(os.listdir(f"/proc/{world.process.pid}/fd"))
     with open(f"/proc/{world.process.pid}/status") as file:
         memory = next(int(line.split()[1]) for line in file if line.startswith("VmRSS"))
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -47,9 +47,9 @@
             ),
         )
 
-        def held_handle_message(downstream, *told):
+        def held_handle_message(downstream, *arguments):
             self.block_at("parsed")
-            handle_message(downstream, *told)
+            handle_message(downstream, *arguments)
             self.block_at("taken")
 
         monkeypatch.setattr(Downstream, "handle_message", held_handle_message)
@@ -94,7 +94,7 @@
     downstream.close_stalled(10.0, 1 << 30, 0.5)
 
 
-def answer_across_close(world, reader, way, start, remainder):
+def answer_across_close(world, reader, close, start, remainder):
     """Return the answer to a client whose last bytes are held by its reader while its connection is
     closed."""
     asker = world.asker()
@@ -109,7 +109,7 @@
     def close_connection():
         client.used -= 10
         client.message_started_at -= 10
-        way(world.owner.front)
+        close(world.owner.front)
 
     world.does(close_connection)
     reader.go.set()
--- a/tests/test_lags.py
+++ b/tests/test_lags.py
@@ -90,8 +90,8 @@
         {"at": 1.2, "who": "relay", "what": "passed", "late": 0.1},
         {"at": 9.0, "who": "relay", "what": "passed", "late": 0.2},
     ]
-    told = who_was_late(Breach(1, 1.0, "clients", f"{REF} answered 0.100 s too late"), entries)
-    assert told == "s-00000001 read its do 0.300 s late; a relay passed a piece on 0.100 s late"
+    culprits = who_was_late(Breach(1, 1.0, "clients", f"{REF} answered 0.100 s too late"), entries)
+    assert culprits == "s-00000001 read its do 0.300 s late; a relay passed a piece on 0.100 s late"
     report = lateness(entries, [" lag of reads: to_1ms=3 longest_ms=12", " lag of reads: longest_ms=4"])
     assert report["boxes"] == {"of": 1, "over_20ms": 1, "longest_ms": 300}
     assert report["gateways_longest_ms"] == {"reads": 12}
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -114,8 +114,8 @@
 
 
 def test_fields_are_encoded_and_parsed():
-    told = {"ref": "9b", "room": "412.5"}
-    assert parse_fields(encode_fields([*told.items(), ("got", None)])) == told
+    fields = {"ref": "9b", "room": "412.5"}
+    assert parse_fields(encode_fields([*fields.items(), ("got", None)])) == fields
     assert parse_fields(b"-") == parse_fields(b"") == {} and encode_fields([]) == b"-"
     for data in (b"a", b"=1", b"a=1,,b=2", b"a=1,a=2", b"a=\xff"):
         with pytest.raises(GarbledError):
@@ -124,7 +124,7 @@
 
 def test_frames_and_the_configuration_hold_the_same_events():
     started, purged = 1764576000123, 1764576000480
-    told = {
+    row = {
         "uid": "s-00000007",
         "endpoint": "127.0.0.1:5050",
         "az": "here",
@@ -135,7 +135,7 @@
         "boot_ms": started,
     }
     lists = [
-        {"seq": 1, "fleet": {"rev": 1, "all": True, "targets": [told]}},
+        {"seq": 1, "fleet": {"rev": 1, "all": True, "targets": [row]}},
         {"seq": 2, "invalidate": {"object": f"{7:016x}", "time": purged}},
         {"seq": 3, "invalidate": {"bucket": 17, "time": purged}},
     ]
@@ -170,10 +170,10 @@
     )
 
     def serve(server):
-        for told in scripts:
+        for script in scripts:
             sock, _ = server.accept()
             since.put(struct.unpack(">Q", sock.recv(8, socket.MSG_WAITALL))[0])
-            sock.sendall(told)
+            sock.sendall(script)
             sock.shutdown(socket.SHUT_WR)
 
     with socket.create_server(("127.0.0.1", 0)) as server:
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -430,22 +430,26 @@
     askers = [request_in_flight(world, REPLY_KEY + number) for number in range(4)]
     has_unread, polls = world.owner.loop.has_unread_answers, []
     assert not world.does(has_unread)
-    make = select.poll
+    make_poll = select.poll
 
-    def counted():
+    def counting_poll():
         polls.append(1)
-        return make()
+        return make_poll()
 
-    monkeypatch.setattr(polling.select, "poll", counted)
+    monkeypatch.setattr(polling.select, "poll", counting_poll)
     assert not world.does(lambda: (polls.clear(), has_unread())[1] or len(polls) != 1)
     connections = [connection for pool in world.owner.back.pools.values() for connection in pool.connections]
-    held, go = threading.Event(), threading.Event()
+    is_blocked, go = threading.Event(), threading.Event()
     for connection in connections:
-        takes = connection.on_message
-        connection.on_message = lambda *told, takes=takes: (held.set(), go.wait(5), takes(*told))
+        on_message = connection.on_message
+        connection.on_message = lambda *arguments, on_message=on_message: (
+            is_blocked.set(),
+            go.wait(5),
+            on_message(*arguments),
+        )
     _, tag, sock, items = askers[0]
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
-    assert held.wait(5)
+    assert is_blocked.wait(5)
     assert world.does(has_unread), "read by its reader, and not passed on"
     go.set()
     assert askers[0][0].answer()[:2] == [tag, b"200"]
@@ -480,10 +484,10 @@
     until(lambda: time.monotonic() > asked + QUEUED / 1000)
     left = asked + 3.0 - time.monotonic()
     go.set()
-    told = [world.caches[0].next()[2][2]]
-    while b"thing=%016x" % SINGLE_KEY not in told[-1]:
-        told.append(world.caches[0].next()[2][2])
-    assert int(parse_fields(told[-1])["max"]) / 1000 <= left + 0.001
+    dispatches = [world.caches[0].next()[2][2]]
+    while b"thing=%016x" % SINGLE_KEY not in dispatches[-1]:
+        dispatches.append(world.caches[0].next()[2][2])
+    assert int(parse_fields(dispatches[-1])["max"]) / 1000 <= left + 0.001
 
 
 def test_a_queued_reply_is_handled_before_its_requests_time_out(in_process):
