--- a/lilacloft/failover/failover_control.py
+++ b/lilacloft/failover/failover_control.py
@@ -1,22 +1,22 @@
 """Decides for all gateways which locations are failed over, and how each returns slice by slice.
 
-Failover: a location is found faulty (`fault_detection`) `MIN_FAULTS` times in a row, and no more than
-`MAX_TRAFFIC_AWAY` of the traffic would then be away. All its slices leave at once, as their requests
-already fail.
+Failover: a location fails over when it is found faulty (`fault_detection`) `MIN_FAULTS` times in a row, and
+no more than `MAX_TRAFFIC_AWAY` of the traffic would then be failed over. All its slices are taken out of use
+at once, as their requests already fail.
 
-Canaries: one gateway at a time, by turns, may send a request that is safe to repeat, of any slice.
+Canaries: gateways take turns to send canary requests: requests that are safe to repeat, of any slice.
 
-Return: a location that was left for `min_outage`, and whose canaries were answered without a failure for
-`min_canary_span`, gets its first slice back. Both grow with each return that failed, so a location that
-flaps is tried ever less, and no more once its canaries would have to be answered for longer than it works.
-One failed return is forgiven after `STABLE_SPAN` in use.
+Return: a location gets its first slice back once it was out of use for `min_outage`, and its canaries were
+answered without a failure for `min_canary_span`. Both grow with each failed return, so a flapping location
+is tried less and less often, and no longer returns once canaries are required for longer than it works. One
+failed return is forgiven after `STABLE_SPAN` in use.
 
-Ramp: a step, then a look at the answers of the returned slices. Failures beyond `MAX_FAILED_SHARE` end the
-return; late answers beyond `HALT_LATE_SHARE` halt it, and beyond `REVERT_LATE_SHARE` revert half of the
-last step. Otherwise comes the next step, within the bounds of `recovery_ramp`.
+Ramp: after each step the answers of the returned slices are evaluated. Failures above `MAX_FAILED_SHARE` end
+the return; late answers above `HALT_LATE_SHARE` halt it, and above `REVERT_LATE_SHARE` revert half of the
+last step. Otherwise the next step follows, within the bounds of `recovery_ramp`.
 
-A controller that starts does not know what was decided before: it adopts what gateways follow, the most
-careful of their reports for each location, and says nothing of a location before it has heard of it.
+A controller that starts does not know earlier decisions: it adopts the states that gateways report, the most
+conservative one for each location, and issues no directive for a location before it has a report on it.
 """
 
 from __future__ import annotations
@@ -45,18 +45,20 @@
 from lilacloft.failover.substitutes import ZoneWeight
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
-MIN_FAULTS = 2  # findings in a row
-MAX_TRAFFIC_AWAY = 0.5  # of the fleet's traffic at once
-MIN_STEP_INTERVAL: Ticks = 5_000  # until the answers show what a step has done
+MIN_FAULTS = 2  # consecutive faulty findings
+MAX_TRAFFIC_AWAY = 0.5  # of the fleet's traffic, that may be failed over at once
+MIN_STEP_INTERVAL: Ticks = 5_000  # so that the answers show the effect of a step
 REVERT_LATE_SHARE = 0.5  # of the answers
-STABLE_SPAN: Ticks = 600_000  # in use, after which one failed return is forgiven
-ANNOUNCE_SPAN: Ticks = 50_000  # for which a returned location is still in plans, so that all know its rate
-LISTEN_SPAN: Ticks = 10_000  # for which a new controller listens before it takes locations for in use
+STABLE_SPAN: Ticks = 600_000  # of use, after which one failed return is forgiven
+ANNOUNCE_SPAN: Ticks = (
+    50_000  # for which a returned location stays in plans, so that all gateways learn its rate
+)
+LISTEN_SPAN: Ticks = 10_000  # for which a new controller collects reports before it decides
 ROUNDING = 1e-9
 
 
 class CountsKey(NamedTuple):
-    """Whose counts, and of which location."""
+    """Identifies counts: the reporting process and the location."""
 
     gateway: str
     incarnation: int
@@ -64,25 +66,25 @@
 
 
 class FailoverController:
-    """The failovers of all locations, as one planner decides them."""
+    """Decides the failovers of all locations, in one planner."""
 
     def __init__(self, now: Ticks) -> None:
         self.started_at = now
-        self.slow_starts: Mapping[int, SlowStartProfile] = {}  # by location, where the settings tell
+        self.slow_starts: Mapping[int, SlowStartProfile] = {}  # by location, if configured
         self.states: dict[int, FailoverState] = {}
         self.reported_counts: dict[CountsKey, OutcomeCounts] = {}
 
     # --- reports ---
 
     def record_counts(self, gateway: str, incarnation: int, zone: int, counts: OutcomeCounts) -> None:
-        """Take in what a gateway has counted for a location since its last report. The first report of a
-        process only sets where its counts begin, as they may be old."""
+        """Add what a gateway has counted for a location since its last report. The first report of a process
+        is only the baseline for later ones, as its counts may be old."""
         key = CountsKey(gateway, incarnation, zone)
         earlier = self.reported_counts.get(key)
         self.reported_counts[key] = counts
         if earlier is None:
-            for old in self._keys_before(key):
-                del self.reported_counts[old]
+            for outdated in self._keys_before(key):
+                del self.reported_counts[outdated]
             return
         state = self.states.setdefault(zone, FailoverState())
         state.outcomes = state.outcomes.plus(counts.since(earlier))
@@ -90,19 +92,19 @@
     def _keys_before(self, key: CountsKey) -> list[CountsKey]:
         """Return the keys of earlier processes of a gateway."""
         return [
-            old
-            for old in self.reported_counts
-            if old.gateway == key.gateway and old.incarnation < key.incarnation
+            other
+            for other in self.reported_counts
+            if other.gateway == key.gateway and other.incarnation < key.incarnation
         ]
 
     def forget_gateway(self, gateway: str) -> None:
-        """Drop the counts of a gateway that has ended."""
+        """Drop the counts of a gateway that has stopped."""
         for key in [key for key in self.reported_counts if key.gateway == gateway]:
             del self.reported_counts[key]
 
     def adopt(self, statuses: Mapping[int, FailoverStatus], now: Ticks) -> None:
-        """Go on from what gateways follow, the most careful report of each location: while another planner
-        decides, or during `LISTEN_SPAN`."""
+        """Adopt the states that gateways report, while another planner decides or during `LISTEN_SPAN`.
+        `statuses`: the most conservative report on each location."""
         for zone, status in sorted(statuses.items()):
             self.states.setdefault(zone, FailoverState()).adopt(status, now)
         for zone, state in self.states.items():
@@ -110,7 +112,7 @@
                 state.finish_return(now, "forwarders have it in use")
 
     def is_listening(self, now: Ticks) -> bool:
-        """Return whether this process started so lately that some gateways may not have reported."""
+        """Return whether this process has started so recently that some gateways may not have reported."""
         return now - self.started_at < LISTEN_SPAN
 
     # --- decisions ---
@@ -122,7 +124,7 @@
         capacities: Mapping[int, LocationCapacity],
         now: Ticks,
     ) -> None:
-        """Decide on all locations. `traffic`: requests a second of each location's own gateways; a hub has
+        """Decide on all locations. `traffic`: requests per second of each location's own gateways; a hub has
         none."""
         for zone in [zone for zone in self.states if zone not in findings]:
             del self.states[zone]
@@ -148,7 +150,9 @@
             return
         total = sum(traffic.values()) or 1.0
         if self._traffic_away(traffic) + traffic.get(zone, 0.0) > MAX_TRAFFIC_AWAY * total + ROUNDING:
-            state.waiting_for = f"no more than {MAX_TRAFFIC_AWAY:.0%} of the traffic may be away at once"
+            state.waiting_for = (
+                f"other locations: at most {MAX_TRAFFIC_AWAY:.0%} of the traffic may be failed over"
+            )
             return
         if state.history and now - state.stable_since < STABLE_SPAN:
             state.count_failed_return()
@@ -171,14 +175,14 @@
             state.canaries.add(outcomes.answered, now)
         outage, span = min_outage(state.failed_returns), min_canary_span(state.failed_returns)
         if now - state.phase_since < outage:
-            state.waiting_for = f"it stays left for {outage / TICKS_PER_SECOND:g} s at least"
+            state.waiting_for = f"the minimum outage of {outage / TICKS_PER_SECOND:g} s"
         elif not state.canaries.suffices(state.failed_returns):
             state.waiting_for = (
-                f"its trials answered for {span / TICKS_PER_SECOND:g} s and {MIN_CANARIES} of them, "
+                f"answered canaries for {span / TICKS_PER_SECOND:g} s, at least {MIN_CANARIES} of them, "
                 f"{state.canaries.answered} so far"
             )
         elif not recovery_ramp.max_returned_slices(capacity, self._slow_start(zone)):
-            state.waiting_for = "none of its bes is ready"
+            state.waiting_for = "a ready backend"
         else:
             state.begin_return(now)
 
@@ -191,11 +195,11 @@
             state.fail_over(now, f"its return failed: {failure}")
             return
         allowed = recovery_ramp.max_returned_slices(capacity, self._slow_start(zone))
-        if state.returned_slices > max(1, allowed):  # some of its backends are gone
+        if state.returned_slices > max(1, allowed):  # some of its backends are no longer ready
             state.set_returned(max(1, allowed), 1, now)
             state.record(now, "its bes bear no more")
         elif now - state.last_step_at < MIN_STEP_INTERVAL:
-            state.waiting_for = "what comes of the last step"
+            state.waiting_for = "the effect of the last step"
         elif not _slow_down(state, now):
             _advance(state, capacity, allowed, now)
 
@@ -210,8 +214,9 @@
         now: Ticks,
         substitutes: Mapping[int, tuple[ZoneWeight, ...]] | None = None,
     ) -> dict[int, FailoverDirective]:
-        """Return what a plan says, by location. `gateways`: those that may send a location canaries, in an
-        order that all planners share; `substitutes`: who serves what is away from one."""
+        """Return the directives of a plan, by location. `gateways`: those that may send canaries to a
+        location, in the same order at all planners; `substitutes`: the locations that serve its other
+        slices."""
         directives = {}
         for zone, state in sorted(self.states.items()):
             if not self._is_announced(state, now):
@@ -234,30 +239,30 @@
         return bool(state.history) and now - state.phase_since < ANNOUNCE_SPAN
 
     def _return_rate(self, zone: int, state: FailoverState) -> float:
-        """Return the slices a second at which gateways follow. The last step is followed within half of the
-        interval until the next; without a plan a gateway goes on at the rate of the slow start."""
+        """Return the slices per second at which gateways follow. They complete a step within half of the
+        interval before the next one; without a plan a gateway continues at the rate of the slow start."""
         by_slow_start = SLICE_COUNT * TICKS_PER_SECOND / max(1, self._slow_start(zone).duration)
         by_step = 2 * state.last_step * TICKS_PER_SECOND / MIN_STEP_INTERVAL
         return float(f"{max(by_slow_start, by_step):.3g}")
 
     def explain(self, zone: int, now: Ticks) -> list[str]:
-        """Return lines for operators: a location's state and its history."""
+        """Return lines for operators on the state and history of a location."""
         state = self.states.get(zone)
         if state is None:
-            return [f"location {zone}: nothing is known of it"]
+            return [f"location {zone} is unknown"]
         lines = [
-            f"location {zone}: {state.phase}, {state.returned_slices} of {SLICE_COUNT} slices at home"
+            f"location {zone}: {state.phase}, {state.returned_slices} of {SLICE_COUNT} slices in use"
             + (f"; {state.failed_returns} returns failed" if state.failed_returns else "")
         ]
         if state.waiting_for and state.phase != FailoverPhase.IN_USE:
-            lines.append(f"it waits for: {state.waiting_for}")
+            lines.append(f"waiting for: {state.waiting_for}")
         return lines + [
             f"{(now - entry.at) / TICKS_PER_SECOND:.1f} s ago: {entry.text}" for entry in state.history
         ]
 
 
 def _return_failure(state: FailoverState, finding: Finding) -> str:
-    """Return why a return has failed; empty: it has not."""
+    """Return why a return has failed; empty if it has not."""
     if state.faults_in_a_row >= MIN_FAULTS:
         return str(finding)
     failed, total = state.outcomes.failed, state.outcomes.total
@@ -267,7 +272,7 @@
 
 
 def _slow_down(state: FailoverState, now: Ticks) -> bool:
-    """Revert half of the last step, or halt, where answers come late; return whether they do."""
+    """Revert half of the last step, or halt, if answers are late; return whether they are."""
     late, total = state.outcomes.late, state.outcomes.total
     if total >= MIN_ANSWERS and late > REVERT_LATE_SHARE * total and state.returned_slices > 1:
         reverted = max(1, state.last_step // 2)
@@ -275,20 +280,20 @@
         state.record(now, f"{late} of {total} answers at home came late")
         return True
     if total and late > HALT_LATE_SHARE * total:
-        state.waiting_for, state.outcomes = "answers at home come late", OutcomeCounts()
+        state.waiting_for, state.outcomes = "fewer late answers from it", OutcomeCounts()
         state.last_step_at = now
         return True
     return False
 
 
 def _advance(state: FailoverState, capacity: LocationCapacity, allowed: int, now: Ticks) -> None:
-    """Return as many more slices as the bounds allow."""
+    """Return as many further slices as the bounds allow."""
     hit_ratio = state.outcomes.cache_hits / max(1, state.outcomes.answered)
     by_fills = recovery_ramp.max_next_step(capacity, hit_ratio, state.last_step)
     step = min(by_fills, allowed - state.returned_slices)
     if step <= 0:
         state.waiting_for = (
-            "its bes bear no more yet" if allowed < SLICE_COUNT else "its sources have nothing to spare"
+            "more capacity of its backends" if allowed < SLICE_COUNT else "spare capacity of its sources"
         )
         state.outcomes = OutcomeCounts()
         return
@@ -298,7 +303,7 @@
 
 
 def _canary_gateway(state: FailoverState, gateways: tuple[str, ...], now: Ticks) -> str:
-    """Return the gateway whose turn it is to send canaries; empty: none."""
+    """Return the gateway whose turn it is to send canaries; empty if there is none."""
     if not gateways or state.phase != FailoverPhase.FAILED_OVER:
         return ""
     return gateways[(now // CANARY_TURN) % len(gateways)]
--- a/lilacloft/failover/failover_state.py
+++ b/lilacloft/failover/failover_state.py
@@ -1,4 +1,5 @@
-"""The state of one location's failover, what a plan says of it, and the rules that all deciders share."""
+"""The state of a location's failover, the directive for it in a plan, and the rules that planners and
+gateways share."""
 
 from __future__ import annotations
 
@@ -11,18 +12,18 @@
 from lilacloft.failover.substitutes import ZoneWeight
 from lilacloft.routing.units import Ticks
 
-MIN_OUTAGE: Ticks = 10_000  # before a return; doubles with each return that failed
-MIN_CANARY_SPAN: Ticks = 10_000  # of answered canaries before a return; triples with each that failed
+MIN_OUTAGE: Ticks = 10_000  # before a return; doubles with each failed return
+MIN_CANARY_SPAN: Ticks = 10_000  # of answered canaries before a return; triples with each failed return
 MIN_CANARIES = 3
 CANARY_TURN: Ticks = 5_000  # for which one gateway may send canaries
-MAX_FAILED_SHARE, MIN_ANSWERS = 0.25, 4  # of the answers, of so many at least, that ends a return
-HALT_LATE_SHARE = 0.2  # of the answers, that halts a return
-MAX_FAILED_RETURNS = 6  # that are counted: an outage of 64 s, and canaries for 12 min
+MAX_FAILED_SHARE, MIN_ANSWERS = 0.25, 4  # a larger share of at least so many answers ends a return
+HALT_LATE_SHARE = 0.2  # of the answers; a larger share halts a return
+MAX_FAILED_RETURNS = 6  # maximum of the count: an outage of 64 s, and canaries for 12 min
 MAX_HISTORY = 32
 
 
 class FailoverPhase(StrEnum):
-    """Where a location is in its failover; the value is what operators read."""
+    """The phase of a location's failover. The values are shown to operators."""
 
     IN_USE = "in use"
     FAILED_OVER = "left"  # canaries only
@@ -30,7 +31,7 @@
 
 
 class FailoverStatus(NamedTuple):
-    """What a gateway follows of one location, as it reports to planners."""
+    """The state of one location at a gateway, as reported to planners."""
 
     returned_slices: int
     failed_returns: int
@@ -44,36 +45,37 @@
 
 
 def min_outage(failed_returns: int) -> Ticks:
-    """Return how long a location is left at least."""
+    """Return the minimum time for which a location stays out of use."""
     return MIN_OUTAGE << failed_returns
 
 
 def min_canary_span(failed_returns: int) -> Ticks:
-    """Return for how long canaries are answered before a location returns."""
+    """Return for how long canaries must have been answered before a location returns."""
     return MIN_CANARY_SPAN * 3**failed_returns
 
 
 @dataclass
 class CanaryRecord:
-    """The canaries answered in a row. The span ends with the last one: silence after it proves nothing."""
+    """The canaries answered in a row. Their span ends with the last answer, as silence after it proves
+    nothing."""
 
     answered: int = 0
     first_at: Ticks = 0
     last_at: Ticks = 0
 
     def add(self, answered: int, now: Ticks) -> None:
-        """Count answers."""
+        """Count answered canaries."""
         if not self.answered:
             self.first_at = now
         self.answered += answered
         self.last_at = now
 
     def reset(self) -> None:
-        """Begin the row again."""
+        """Start counting again."""
         self.answered = 0
 
     def suffices(self, failed_returns: int) -> bool:
-        """Return whether a location may return."""
+        """Return whether the canaries suffice for a location to return."""
         return self.answered >= MIN_CANARIES and self.last_at - self.first_at >= min_canary_span(
             failed_returns
         )
@@ -81,19 +83,21 @@
 
 @dataclass(frozen=True)
 class FailoverDirective:
-    """What a plan says of a location that is not wholly in use."""
+    """What a plan sets for a location that is not completely in use."""
 
     returned_slices: int
     failed_returns: int = 0
-    slices_per_second: float = 4.0  # at which more may return
+    slices_per_second: float = 4.0  # at which further slices may return
     canary_gateway: str = ""  # that may send canaries now
     reason: str = ""
-    substitutes: tuple[ZoneWeight, ...] = ()  # for what has not returned; none: bypass
+    substitutes: tuple[
+        ZoneWeight, ...
+    ] = ()  # for the slices that have not returned; none: they bypass the caches
 
 
 @dataclass
 class FailoverState:
-    """One location as the fleet's decider has it."""
+    """The state of one location at the planner that decides."""
 
     phase: FailoverPhase = FailoverPhase.IN_USE
     phase_since: Ticks = 0
@@ -104,19 +108,19 @@
     last_step: int = 0  # in slices
     last_step_at: Ticks = 0
     outcomes: OutcomeCounts = field(default_factory=OutcomeCounts)  # since the last step
-    stable_since: Ticks = 0  # in use since then, or since a failed return was forgiven
+    stable_since: Ticks = 0  # start of use, or when a failed return was last forgiven
     reason: str = ""
     waiting_for: str = ""
     history: list[HistoryEntry] = field(default_factory=list)
 
     def record(self, now: Ticks, reason: str) -> None:
-        """Note a change and its reason."""
+        """Record a change and its reason."""
         self.reason, self.waiting_for = reason, ""
         text = f"{self.phase}, {self.returned_slices} of {SLICE_COUNT} slices: {reason}"
         self.history = [*self.history[1 - MAX_HISTORY :], HistoryEntry(now, text)]
 
     def fail_over(self, now: Ticks, reason: str) -> None:
-        """Leave the location, all slices at once."""
+        """Take all slices of the location out of use at once."""
         self.phase, self.phase_since, self.returned_slices = FailoverPhase.FAILED_OVER, now, 0
         self.canaries.reset()
         self.outcomes = OutcomeCounts()
@@ -129,22 +133,22 @@
         self.record(now, f"{self.canaries.answered} trials answered in a row")
 
     def set_returned(self, slices: int, step: int, now: Ticks) -> None:
-        """Set how many slices have returned. `step`: what the next one is measured by."""
+        """Set how many slices have returned. `step`: the size of this step, which bounds the next one."""
         self.returned_slices, self.last_step = slices, step
         self.last_step_at, self.outcomes = now, OutcomeCounts()
 
     def finish_return(self, now: Ticks, reason: str) -> None:
-        """Take the location into use with all slices."""
+        """Put all slices of the location into use."""
         self.phase, self.returned_slices = FailoverPhase.IN_USE, SLICE_COUNT
         self.phase_since = self.stable_since = now
         self.record(now, reason)
 
     def count_failed_return(self) -> None:
-        """Count a return that failed."""
+        """Count a failed return."""
         self.failed_returns = min(MAX_FAILED_RETURNS, self.failed_returns + 1)
 
     def adopt(self, status: FailoverStatus, now: Ticks) -> None:
-        """Go on from what gateways follow."""
+        """Adopt the state that gateways report."""
         returned, failed_returns = status
         self.failed_returns = max(0, min(failed_returns, MAX_FAILED_RETURNS))
         phase = _phase_of(returned)
--- a/lilacloft/failover/fault_detection.py
+++ b/lilacloft/failover/fault_detection.py
@@ -1,21 +1,21 @@
-"""Detects which locations are faulty from what many gateways observe of many backends: a location's caches,
-its path to its sources, a hub, or no one location.
+"""Detects faulty locations from the observations of many gateways on many backends. A fault is in a
+location's caches, in its path to its sources, in a hub, or not specific to a location.
 
-A single gateway observes little of a single backend: with thin traffic one request or two. So all pairs of
-a location are judged together, and a location is faulty where
+A single gateway observes little of a single backend: with thin traffic one or two requests. So all pairs of
+gateway and backend of a location are evaluated together, and a location is faulty if
 
-- most of its gateways with recent observations observe most of those backends to fail (two gateways at
-  least, where it has two, so that one gateway's bad network path fails nothing over), and
-- over all of them most of the observed backends fail, which are two or more (where there are two), and at
-  least half of those ready, or `SUFFICIENT_BACKENDS`.
+- most of its gateways with recent observations observe that most of their observed backends fail (at least
+  two gateways, if it has two, so that the bad network path of one gateway does not cause a failover), and
+- over all gateways most of the observed backends fail, where at least two backends were observed (if there
+  are two), and at least half of the ready ones or `SUFFICIENT_BACKENDS`.
 
-A gateway that observes failures elsewhere too, and nothing elsewhere that answers, has a bad path of its
-own: it is heard, but does not vote. A hub is observed by the gateways of all locations, so a quarter of all
-that are heard must observe it to fail.
+A gateway that also observes failures at other locations, and no answers from there, has a bad network path
+itself: it is heard, but does not vote. A hub is observed by the gateways of all locations, so at least
+a quarter of all voting gateways must observe its failure.
 
-Faults that more than `MAX_FAULTY_SHARE` of all locations of a kind show have a cause that they share, such
-as the origin: none is failed over then, as none would be better. A planner that hears fewer than half of a
-location's gateways reports no fault there, as its own network path may be bad.
+Faults of more than `MAX_FAULTY_SHARE` of all locations of a kind have a shared cause, such as the origin:
+then no location fails over, as no other would be better. A planner that hears fewer than half of a location's
+gateways reports no fault there, as its own network path may be bad.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 FAILING_SHARE = 0.75  # of the observations of a gateway, of the gateways, of the backends
 MAX_FAULTY_SHARE = 0.5  # of the locations of a kind
 MIN_OBSERVED_SHARE = 0.5  # of a location's ready backends
-SUFFICIENT_BACKENDS = 8  # or so many, as with thin traffic half of them would take seconds
-MIN_AGREEING = 2  # gateways, where there are so many
-MIN_AGREEING_SHARE = 0.25  # and of all that are heard
+SUFFICIENT_BACKENDS = 8  # observed backends that suffice: with thin traffic, half of them would take seconds
+MIN_AGREEING = 2  # gateways, if the location has as many
+MIN_AGREEING_SHARE = 0.25  # of all gateways that vote
 MIN_HEARD_SHARE = 0.5  # of a location's gateways
 
 
 class Diagnosis(StrEnum):
-    """What is found of a location; the value is what operators read."""
+    """The diagnosis of a location. The values are shown to operators."""
 
     CACHES_FAIL = "its caches fail"
     SOURCE_PATH_FAILS = "its way to its sources fails"
@@ -47,8 +47,8 @@
 
 @dataclass(frozen=True)
 class BackendObservation:
-    """What one gateway has observed of one backend lately. Older answers do not count: with thin traffic they
-    would outvote for seconds a fault that has begun since."""
+    """One gateway's recent observation of one backend. Older answers do not count: with thin traffic they
+    would hide a fault that has begun since for seconds."""
 
     failure_streak: int = 0  # failed or overdue attempts since it last answered
     answered_lately: bool = False
@@ -56,17 +56,17 @@
     completed_fills: int = 0
 
     def is_failing(self) -> bool | None:
-        """Return whether it fails; None: nothing was observed."""
+        """Return whether the backend fails; None without observations."""
         return True if self.failure_streak else False if self.answered_lately else None
 
     def is_failing_as_source(self) -> bool | None:
-        """Return whether fills from it fail; None: nothing was observed."""
+        """Return whether fills from the backend fail; None without observations."""
         return True if self.missing_fills else False if self.completed_fills else None
 
 
 @dataclass(frozen=True)
 class Location:
-    """A location's ready backends, and its gateways according to the membership."""
+    """A location's ready backends, and its gateways in the membership table."""
 
     backends: tuple[str, ...]
     gateways: tuple[str, ...] = ()
@@ -75,12 +75,12 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """What was found of one location."""
+    """The result of fault detection for one location."""
 
     diagnosis: Diagnosis = Diagnosis.NO_FAULT
-    is_faulty: bool = False  # so that it should be failed over
-    failing_at: tuple[str, ...] = ()  # gateways that observe it to fail
-    working_at: tuple[str, ...] = ()  # gateways that observe it to work
+    is_faulty: bool = False  # whether the location should fail over
+    failing_at: tuple[str, ...] = ()  # gateways that observe the failure
+    working_at: tuple[str, ...] = ()  # gateways that observe no failure
     failing_backends: int = 0
     observed_backends: int = 0
 
@@ -99,21 +99,21 @@
 
 @dataclass
 class FleetView:
-    """What a planner knows of the fleet at one time."""
+    """A planner's view of the fleet at one time."""
 
     locations: Mapping[int, Location]
     observations: Mapping[str, Observations]  # by gateway
-    heard: frozenset[str] = frozenset()  # gateways that reported lately
-    distrusted: frozenset[str] = frozenset()  # gateways whose reports do not count
+    heard: frozenset[str] = frozenset()  # gateways that have reported recently
+    distrusted: frozenset[str] = frozenset()  # gateways whose observations are ignored
 
     def observation(self, gateway: str, backend: str) -> BackendObservation | None:
-        """Return what a gateway has observed of a backend."""
+        """Return a gateway's observation of a backend."""
         return self.observations.get(gateway, {}).get(backend)
 
 
 @dataclass
 class _BackendVotes:
-    """How many gateways observe one backend to fail and to work."""
+    """The number of gateways that observe one backend as failing and as working."""
 
     failing: int = 0
     working: int = 0
@@ -129,7 +129,7 @@
 
 @dataclass
 class _Votes:
-    """What the gateways that vote observe of one location."""
+    """The observations of the voting gateways on one location."""
 
     failing_at: list[str] = field(default_factory=list)
     working_at: list[str] = field(default_factory=list)
@@ -186,15 +186,15 @@
 
 
 def _observers(view: FleetView, location: Location) -> tuple[str, ...]:
-    """Return the gateways that observe a location."""
+    """Return the gateways whose observations of a location are evaluated."""
     if not location.is_hub:
         return location.gateways
     return tuple(sorted(name for other in view.locations.values() for name in other.gateways))
 
 
 def _has_bad_path(view: FleetView, backends: frozenset[str], gateway: str) -> bool:
-    """Return whether a gateway observes failures outside a location, whose backends are given, and nothing
-    there that works."""
+    """Return whether a gateway observes failures, and no working backend, outside of a location. `backends`:
+    the backends of the location."""
     outside = [
         fails
         for backend, observation in view.observations.get(gateway, {}).items()
@@ -220,7 +220,8 @@
 
 
 def _observed_failing(observation: BackendObservation | None, as_source: bool) -> bool | None:
-    """Return whether a backend, or `as_source` its fills, was observed to fail; None: nothing was."""
+    """Return whether a backend, or with `as_source` also fills from it, was observed to fail; None without
+    observations."""
     if observation is None:
         return None
     fails = observation.is_failing()
@@ -241,8 +242,8 @@
 
 
 def _find_source_path_fault(view: FleetView, voters: Iterable[str]) -> Finding | None:
-    """Return a finding where a location's caches answer, but fills from most sources fail that work for the
-    gateways of other locations."""
+    """Return a finding if a location's caches answer, but fills from most sources fail, and these sources
+    work for the gateways of other locations."""
     inside = frozenset(voters)
     outside = [name for name in view.observations if name not in inside and name not in view.distrusted]
     sources = [
@@ -271,8 +272,8 @@
 def _source_states(
     view: FleetView, source: str, gateways: Iterable[str], or_unknown: bool = False
 ) -> dict[str, bool | None]:
-    """Return by gateway whether fills from a source fail; `or_unknown`: also those (None) that have observed
-    the source, but none of its fills."""
+    """Return by gateway whether fills from a source fail. `or_unknown`: include gateways that have observed
+    the source, but none of its fills, as None."""
     states = {
         name: observation.is_failing_as_source()
         for name in gateways
--- a/lilacloft/failover/hash_slices.py
+++ b/lilacloft/failover/hash_slices.py
@@ -1,7 +1,8 @@
-"""The hash slices of objects, and the order in which a location's slices return: the same at every gateway.
+"""The hash slices of objects, and the order in which the slices of a location return. Both are the same at
+every gateway.
 
-Slices are even shares of all objects by hash. Each location has an order of its own, so that two locations
-that return together do not receive the same objects first.
+Slices are equal shares of all objects by hash. Each location has its own order, so that two locations that
+return together do not receive the same objects first.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 import zlib
 from functools import cache
 
-SLICE_COUNT = 64  # a slice has 1.6% of the objects: a cold location serves it even at a tenth of its capacity
+SLICE_COUNT = 64  # a slice is 1.6% of the objects: a cold location can serve it with a tenth of its capacity
 
 
 def slice_index(placement_key: str) -> int:
@@ -19,7 +20,7 @@
 
 @cache
 def return_positions(zone: int) -> tuple[int, ...]:
-    """Return by slice its position in the order in which a location's slices return."""
+    """Return the position of each slice in the order in which the slices of a location return."""
     order = sorted(
         range(SLICE_COUNT), key=lambda index: (zlib.crc32(f"zone {zone} slice {index}".encode()), index)
     )
@@ -30,7 +31,7 @@
 
 
 def is_away(placement_key: str, zone: int, returned_slices: int) -> bool:
-    """Return whether an object part is not served by a location of which so many slices have returned."""
+    """Return whether a location with so many returned slices does not serve an object part."""
     return (
         returned_slices < SLICE_COUNT
         and return_positions(zone)[slice_index(placement_key)] >= returned_slices
--- a/lilacloft/failover/local_failover.py
+++ b/lilacloft/failover/local_failover.py
@@ -1,15 +1,16 @@
-"""One gateway's side of failover: it follows the plan, and goes on by itself without one.
-
-While a plan is in force, slices leave at once as it says, and return only as fast as its own rate, so that
-a plan that jumps (another planner's, an old one, one that comes late or twice) moves no gateway in a jump.
-
-Without one, a location that is away stays away until this gateway has seen for itself that it answers. It
-sends canaries in its own turns (one of N for N gateways, so about one at a time sends them), and returns
-slice by slice, in the order that all share, at no more than all slices within a backend's slow start. As
-all gateways return no faster than that, together they ask a location of age a for no more than one slice
-and the share a / duration of its demand, which is below what its backends can serve then, wherever they
-serve their demand warm. A failure takes all slices back, and canaries then have to be answered for three
-times as long.
+"""One gateway's side of failover: it follows the plan, and decides on its own without one.
+
+While a plan is in force, slices are taken out of use at once as it directs, and return no faster than at its
+rate. So a plan with more returned slices (from another planner, outdated, late or duplicate) never moves all
+traffic back at once.
+
+Without a plan, a location that has failed over stays so until this gateway has observed that it answers. The
+gateway sends canaries in its own turns (one of N for N gateways, so about one gateway at a time sends them),
+and returns slice by slice, in the order common to all gateways, at a rate at which all slices take at least
+the duration of a backend's slow start. As no gateway is faster, all together send a location of age a no more
+than one slice and the share a / duration of its demand. Its backends can serve that, if they can serve their
+demand when warm. After a failure all slices are taken out of use again, and canaries must be answered for
+three times as long.
 """
 
 from __future__ import annotations
@@ -35,23 +36,23 @@
 from lilacloft.failover.substitutes import BYPASS_ZONE, ZoneWeight, substitute_zone
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
-MIN_CANARY_INTERVAL: Ticks = 1_000  # after a canary that has ended
-MIN_RATE = 0.01  # slices a second
+MIN_CANARY_INTERVAL: Ticks = 1_000  # from the end of a canary to the next one
+MIN_RATE = 0.01  # slices per second
 
 
 @dataclass
 class SliceFailover:
-    """What the gateway's decisions ask of one location (`fleet_plan.LocationFailover`)."""
+    """The failover of one location, as queried by the router (`fleet_plan.LocationFailover`)."""
 
     zone: int
     returned_slices: int = 0
-    sends_canaries: bool = False  # this gateway, now
-    next_canary_at: Ticks = 0  # in the time of the decisions
+    sends_canaries: bool = False  # whether it is this gateway's turn
+    next_canary_at: Ticks = 0  # in the router's time
     substitutes: tuple[ZoneWeight, ...] = ()
 
     def is_away(self, placement_key: str, is_safe: bool, now: Ticks) -> bool:
-        """Return whether the location is not used for an object part. Where it would not be, a canary may
-        pass: one at a time, of a request that is safe to repeat."""
+        """Return whether the location is not used for an object part. Of the requests that would not use it,
+        those that are safe to repeat (`is_safe`) may be sent there as canaries, one at a time."""
         if not hash_slices.is_away(placement_key, self.zone, self.returned_slices):
             return False
         if self.sends_canaries and is_safe and now >= self.next_canary_at:
@@ -60,37 +61,37 @@
         return True
 
     def substitute(self, placement_key: str) -> int:
-        """Return the location that serves an object part instead; `BYPASS_ZONE`: it bypasses the caches."""
+        """Return the location that serves an object part instead; `BYPASS_ZONE` if it bypasses the caches."""
         return substitute_zone(placement_key, self.substitutes) if self.substitutes else BYPASS_ZONE
 
     @property
     def canaries_only(self) -> bool:
-        """Whether only canaries go to the location."""
+        """Whether the location gets only canaries."""
         return self.returned_slices == 0
 
 
 @dataclass
 class LocationState:
-    """One location as this gateway has it."""
+    """The state of one location at this gateway."""
 
     failover: SliceFailover
     slices_per_second: float = 4.0
     failed_returns: int = 0
-    raised_at: Ticks = 0  # when more slices returned last, or could have
-    credit: float = 0.0  # slices that may return by the rate
+    raised_at: Ticks = 0  # when slices last returned, or could have returned
+    credit: float = 0.0  # slices that may return according to the rate
     canaries: CanaryRecord = field(default_factory=CanaryRecord)  # without a plan
     outcomes: OutcomeCounts = field(default_factory=OutcomeCounts)  # since the last step without a plan
     without_plan: bool = False
 
     def fail_return(self, now: Ticks) -> None:
-        """Take all slices back."""
+        """Take all slices out of use again."""
         self.failover.returned_slices = 0
         self.canaries.reset()
         self.outcomes, self.raised_at = OutcomeCounts(), now
         self.failed_returns = min(MAX_FAILED_RETURNS, self.failed_returns + 1)
 
     def return_fails(self) -> bool:
-        """Return whether the slices that have returned fail."""
+        """Return whether requests of the returned slices fail."""
         failed, total = self.outcomes.failed, self.outcomes.total
         is_conclusive = total >= MIN_ANSWERS or total == failed
         return self.failover.returned_slices > 0 and is_conclusive and failed > MAX_FAILED_SHARE * total
@@ -103,25 +104,25 @@
 
 
 class LocalFailover:
-    """The failovers of all locations, as one gateway follows or decides them."""
+    """Follows or decides the failovers of all locations, in one gateway."""
 
     def __init__(self, name: str, gateways: int, slow_start: Ticks) -> None:
-        """`gateways`: how many its location has; `slow_start`: how long a backend takes to warm up."""
+        """`gateways`: the number of gateways in its location; `slow_start`: the warm-up time of a backend."""
         self.name = name
         self.gateways = max(1, gateways)
         self.slices_per_second = SLICE_COUNT * TICKS_PER_SECOND / max(1, slow_start)
         self.canary_slot = zlib.crc32(name.encode()) % self.gateways
         self.states: dict[int, LocationState] = {}
         self.counts: dict[int, OutcomeCounts] = {}  # by location, since the process started
-        self.limited_returns = 0  # how often the rate held slices back that a plan returned
+        self.limited_returns = 0  # how often the rate delayed slices that a plan returned
 
     # --- observations ---
 
     def attempt_ended(
         self, zone: int, quality: AnswerQuality, is_hit: bool, now: Ticks, routing_now: Ticks
     ) -> None:
-        """Count an attempt at a location's backend. `routing_now`: the same moment in the time of the
-        decisions."""
+        """Count a completed attempt at a location's backend. `routing_now`: the current time of the router's
+        clock."""
         outcome = OutcomeCounts.of(quality, is_hit)
         self.counts[zone] = self.counts.get(zone, OutcomeCounts()).plus(outcome)
         state = self.states.get(zone)
@@ -135,7 +136,7 @@
             state.canaries.add(1, now)
 
     def statuses(self) -> dict[int, FailoverStatus]:
-        """Return what this gateway follows by location, for whichever planner decides next."""
+        """Return the states of locations at this gateway, to be adopted by the planner that decides next."""
         return {
             zone: FailoverStatus(state.failover.returned_slices, state.failed_returns)
             for zone, state in sorted(self.states.items())
@@ -146,7 +147,8 @@
     def update(
         self, directives: Mapping[int, FailoverDirective] | None, now: Ticks
     ) -> dict[int, SliceFailover]:
-        """Return the failovers in force now, by location. `directives`: the plan's; None: without a plan."""
+        """Return the failovers in force now, by location. `directives`: from the plan; None without a
+        plan."""
         for zone, directive in sorted((directives or {}).items()):
             if zone not in self.states and directive.returned_slices < SLICE_COUNT:
                 self.states[zone] = LocationState(SliceFailover(zone), raised_at=now)
@@ -172,42 +174,43 @@
             del self.states[zone]
 
     def _follow(self, state: LocationState, directive: FailoverDirective | None, now: Ticks) -> None:
-        """Follow a plan; None: it does not name the location, which is in use."""
+        """Follow a plan. `directive` is None if the plan has no directive for the location, which is then in
+        use."""
         failover = state.failover
         if directive is None:
-            goal, failover.sends_canaries = SLICE_COUNT, False
+            target, failover.sends_canaries = SLICE_COUNT, False
         else:
-            goal, state.failed_returns = directive.returned_slices, directive.failed_returns
+            target, state.failed_returns = directive.returned_slices, directive.failed_returns
             state.slices_per_second = max(MIN_RATE, directive.slices_per_second)
             failover.sends_canaries = directive.canary_gateway == self.name
             failover.substitutes = directive.substitutes
-        if goal > failover.returned_slices:
-            self._return_at_rate(state, goal, now)
+        if target > failover.returned_slices:
+            self._return_at_rate(state, target, now)
             return
-        failover.returned_slices, state.credit, state.raised_at = goal, 0.0, now
+        failover.returned_slices, state.credit, state.raised_at = target, 0.0, now
         if directive is None:
             state.failed_returns = 0
 
-    def _return_at_rate(self, state: LocationState, goal: int, now: Ticks) -> None:
-        """Return slices toward a goal, no more at once than the rate gives in half a second: a gateway that
-        was idle for long makes no jump either."""
+    def _return_at_rate(self, state: LocationState, target: int, now: Ticks) -> None:
+        """Return slices towards a target, at once at most as many as the rate allows in half a second, so
+        that a gateway that was idle for long does not return many at once."""
         rate = state.slices_per_second
         earned = rate * max(0, now - state.raised_at) / TICKS_PER_SECOND
         state.credit = min(state.credit + earned, max(1.0, rate / 2))
         state.raised_at = now
-        missing = goal - state.failover.returned_slices
+        missing = target - state.failover.returned_slices
         step = min(int(state.credit), missing)
         self.limited_returns += step < missing
         state.failover.returned_slices += step
         state.credit -= step
 
     def _decide(self, state: LocationState, now: Ticks) -> None:
-        """Go on without a plan."""
+        """Decide on a location without a plan."""
         failover = state.failover
         if not state.without_plan:
             state.without_plan, state.outcomes, state.raised_at = True, OutcomeCounts(), now
             state.canaries.reset()
-            failover.substitutes = ()  # nobody knows any more what they can serve
+            failover.substitutes = ()  # their spare capacity is no longer known
         if failover.returned_slices >= SLICE_COUNT:
             state.failed_returns = 0
             return
--- a/lilacloft/failover/outcome_counts.py
+++ b/lilacloft/failover/outcome_counts.py
@@ -1,4 +1,4 @@
-"""Counts of a location's answers, as gateways report them."""
+"""Counts of the outcomes of attempts at a location, as reported by gateways."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True)
 class OutcomeCounts:
-    """Attempts at a location's backends that ended."""
+    """The number of completed attempts at a location's backends, by outcome."""
 
     on_time: int = 0
     late: int = 0
     failed: int = 0
-    cache_hits: int = 0  # of those answered
+    cache_hits: int = 0  # of the answered attempts
 
     @classmethod
     def of(cls, quality: AnswerQuality, is_hit: bool) -> OutcomeCounts:
@@ -25,7 +25,7 @@
         return cls(on_time=int(quality == "well"), late=int(quality == "late"), cache_hits=int(is_hit))
 
     def since(self, earlier: OutcomeCounts) -> OutcomeCounts:
-        """Return what was counted after earlier counts of the same process."""
+        """Return what was counted since earlier counts of the same process."""
         return OutcomeCounts(
             max(0, self.on_time - earlier.on_time),
             max(0, self.late - earlier.late),
@@ -44,10 +44,10 @@
 
     @property
     def answered(self) -> int:
-        """How many were answered, on time or late."""
+        """The number of answered attempts, on time or late."""
         return self.on_time + self.late
 
     @property
     def total(self) -> int:
-        """How many ended."""
+        """The number of completed attempts."""
         return self.on_time + self.late + self.failed
--- a/lilacloft/failover/recovery_ramp.py
+++ b/lilacloft/failover/recovery_ramp.py
@@ -1,18 +1,18 @@
-"""How many of a location's slices may have returned now, and how many more the next step may bring.
+"""Limits how many slices of a location may have returned, and how many more the next step may return.
 
-The bounds, for all gateways together (docs/design/zones.md derives them):
+The bounds apply to all gateways together (docs/design/zones.md derives them):
 
-- Capacity: the returned slices have `returned_slices / SLICE_COUNT` of the location's demand. Of its ready
-  backends each serves its capacity times `capacity_share` of its age, and of that only `usable_share`. So
+- Capacity: the returned slices have `returned_slices / SLICE_COUNT` of the location's demand. Each ready
+  backend serves its capacity times the `capacity_share` for its age, of which `usable_share` is used. So
   `returned_slices <= SLICE_COUNT * sum(capacity * usable_share * capacity_share) / demand`.
-- Fills: a slice that returns to cold caches is filled from their sources. So the next step brings at most
-  `SLICE_COUNT * (spare - filling) / demand` more slices, where `spare` is what link, parents and origin have
-  besides what they send now, and `filling` what the returned slices still miss.
-- Growth: the first step is one slice, and no step is more than `MAX_STEP_GROWTH` times the last one, as a
-  location that cannot serve its demand is to show it early. Where `WARM_HIT_RATIO` of the answers or more are
-  cache hits nothing has to be filled, and the spare rate bounds no step.
-
-Rates are in KB a second, capacities in transfers at the full transfer rate.
+- Fills: a slice that returns to cold caches is filled from their sources. So the next step returns at most
+  `SLICE_COUNT * (spare - filling) / demand` more slices, where `spare` is the rate that link, parents and
+  origin have left besides their current load, and `filling` the rate of fills of the returned slices.
+- Growth: the first step is one slice, and each step is at most `MAX_STEP_GROWTH` times the last one, so that
+  a location that cannot serve its demand shows this early. If at least `WARM_HIT_RATIO` of the answers are
+  cache hits, few fills are needed, and the spare rate does not apply.
+
+Rates are in KB/s, capacities in transfers at the full transfer rate.
 """
 
 from __future__ import annotations
@@ -24,35 +24,35 @@
 from lilacloft.failover.hash_slices import SLICE_COUNT
 from lilacloft.routing.units import Ticks
 
-WARM_HIT_RATIO = 0.7  # from this share of cache hits on a location counts as warm
-MAX_STEP_GROWTH = 4  # steps of 1, 4, 16, 43: four at least until all slices have returned
-SPARE_SHARE = 0.8  # of a spare rate that is used, as demand is uneven over slices and time
-MAX_UTILIZATION = 0.8  # of a backend's capacity: above it all its answers are late
+WARM_HIT_RATIO = 0.7  # share of cache hits from which on a location counts as warm
+MAX_STEP_GROWTH = 4  # steps of 1, 4, 16, 43: all slices return in four steps at least
+SPARE_SHARE = 0.8  # of a spare rate that is used, as demand varies over slices and time
+MAX_UTILIZATION = 0.8  # of a backend's capacity; above it all answers are late
 ROUNDING = 1e-9  # so that a whole number of slices is not rounded down
 
 
 @dataclass(frozen=True)
 class SlowStartProfile:
-    """How a kind of backend warms up, from the settings."""
+    """The warm-up of a kind of backend, from the settings."""
 
-    initial_share: float = 0.2  # of its capacity, at its start
-    duration: Ticks = 150_000  # until it has its whole capacity
-    overload_multiple: float = 2.0  # of what it can serve, beyond which it fails
+    initial_share: float = 0.2  # of the capacity, at the start
+    duration: Ticks = 150_000  # until it has its full capacity
+    overload_multiple: float = 2.0  # of the rate that it can serve; above it the backend fails
 
     def capacity_share(self, age: Ticks) -> float:
-        """Return the share of its capacity that a backend has so long after its start."""
+        """Return the share of its capacity that a backend has at an age."""
         if not self.duration:
             return 1.0
         return self.initial_share + (1 - self.initial_share) * min(1.0, max(0, age) / self.duration)
 
     def usable_share(self) -> float:
-        """Return the share of that which all gateways together use. What is sent at the end of one plan's
-        step and at the beginning of the next may fall into one overload window: hence the half."""
+        """Return the share of this capacity that all gateways together use. Requests at the end of one plan's
+        step and at the start of the next may fall into one overload window, hence the division by 2."""
         return min(SPARE_SHARE * self.overload_multiple / 2, MAX_UTILIZATION)
 
 
 class ReadyBackend(NamedTuple):
-    """A backend that takes requests."""
+    """A backend that accepts requests."""
 
     capacity: float  # transfers at the full rate
     age: Ticks  # since its start
@@ -60,18 +60,18 @@
 
 @dataclass(frozen=True)
 class LocationCapacity:
-    """What a location is asked for and what it can serve now. Rates in KB a second."""
+    """The demand for a location and its current capacity. Rates in KB/s."""
 
-    demand: float  # of all its slices together
+    demand: float  # of all slices together
     transfer_rate: float  # of one transfer
     backends: tuple[ReadyBackend, ...] = ()
-    spare: float = math.inf  # that its sources and the links to them have left
-    filling: float = 0.0  # that it fills now
+    spare: float = math.inf  # rate left of its sources and the links to them
+    filling: float = 0.0  # current rate of fills
 
 
 def max_returned_slices(location: LocationCapacity, profile: SlowStartProfile) -> int:
-    """Return how many slices may have returned, by capacity: at least one where a backend is ready, for its
-    canaries, which the slow-start budgets bound."""
+    """Return how many slices may have returned, by capacity. It is at least one if a backend is ready; the
+    slow-start budgets bound the requests of that slice."""
     if not location.backends:
         return 0
     if location.demand <= 0:
@@ -97,10 +97,10 @@
 
 
 def max_next_step(location: LocationCapacity, hit_ratio: float, last_step: int) -> int:
-    """Return how many more slices the next step may bring; 0 where the sources have nothing to spare.
+    """Return how many more slices the next step may return; 0 if the sources have no spare capacity.
 
-    `hit_ratio`: the share of cache hits among the location's answers since the last step; `last_step`: its
-    slices.
+    `hit_ratio`: the share of cache hits among the location's answers since the last step; `last_step`: the
+    number of slices of that step.
     """
     by_growth = MAX_STEP_GROWTH * max(1, last_step)
     if hit_ratio >= WARM_HIT_RATIO or location.demand <= 0 or math.isinf(location.spare):
--- a/lilacloft/failover/substitutes.py
+++ b/lilacloft/failover/substitutes.py
@@ -1,4 +1,4 @@
-"""Which locations serve the objects of one that has failed over, and which of them serves a given object."""
+"""Assigns the objects of a location that has failed over to other locations."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from lilacloft.failover.recovery_ramp import SPARE_SHARE
 
-BYPASS_ZONE = -1 << 16  # stands for the route past all caches among the numbers of locations
+BYPASS_ZONE = -1 << 16  # pseudo-number of a location: requests bypass all caches
 MIN_BYPASS_WEIGHT = 0.01
 
 
@@ -21,8 +21,8 @@
 
 
 def substitute_zone(placement_key: str, weights: tuple[ZoneWeight, ...]) -> int:
-    """Return the location, or `BYPASS_ZONE`, that serves an object part: by weighted rendezvous hashing, the
-    same at every gateway. A change of one weight moves only the objects that it has to."""
+    """Return the location, or `BYPASS_ZONE`, that serves an object part, by weighted rendezvous hashing. The
+    result is the same at every gateway. A change of one weight moves as few objects as possible."""
     best_score, chosen = math.inf, BYPASS_ZONE
     for zone, weight in weights:
         if weight > 0:
@@ -34,10 +34,10 @@
 
 
 def share_out(spare: Mapping[int, float], demand: float) -> tuple[ZoneWeight, ...]:
-    """Return the weights of the locations that serve a failed location's demand, each by its spare capacity;
-    what they cannot serve bypasses the caches. Empty: all of it does.
+    """Return the weights of the locations that serve a failed location's demand, by their spare capacity. The
+    demand that they cannot serve bypasses the caches; with an empty result all of it does.
 
-    Rates in KB a second. Weights are whole hundredths, so that noise does not change them.
+    Rates are in KB/s. Weights are rounded to hundredths, so that noise does not change them.
     """
     if demand <= 0:
         return ()
--- a/lilacloft/membership/__init__.py
+++ b/lilacloft/membership/__init__.py
@@ -1,2 +1,1 @@
-"""Membership of the control plane: which gateways and planners are running, by their heartbeats and by
-gossip."""
+"""Membership of the control plane: which gateways and planners are running, from heartbeats and gossip."""
--- a/lilacloft/membership/table.py
+++ b/lilacloft/membership/table.py
@@ -1,15 +1,15 @@
-"""The membership table: which gateways and planners are alive, and which process runs under a name.
-
-Each member sends heartbeats to all planners with an incarnation that rises with each start; planners exchange
-by gossip what they have received. A member without a heartbeat is suspected, and counts as dead only once no
-other reachable planner has heard from it either, so that one bad network path removes nobody. A planner that
-learns that it is suspected refutes that with a higher incarnation. A later incarnation is another process:
-all state of the earlier one is void.
-
-The table is a persistent map: a reader keeps one consistent version while the table changes. The module does
-no I/O; times are `Ticks` of the caller's monotonic clock. Gossip carries ages, as no two clocks are compared.
-The protocol is a lease with each planner rather than SWIM among all members: the gateways send their load
-reports to each planner anyway, and a report is the heartbeat.
+"""The membership table: which gateways and planners are alive, and the incarnation of each.
+
+Each member sends heartbeats to all planners, with an incarnation that increases with each start; planners
+exchange the heartbeats that they have received by gossip. A member without a recent heartbeat is suspected,
+and counts as dead only once no other reachable planner has heard from it either, so that one bad network path
+does not remove a member. A planner that learns that it is suspected refutes this with a higher incarnation. A
+later incarnation is a new process: all state of the earlier one is void.
+
+The table is a persistent map: a reader keeps a consistent version while the table changes. The module does no
+I/O; times are `Ticks` of the caller's monotonic clock. Gossip carries ages, as no two clocks are compared.
+The protocol is a lease with each planner rather than SWIM among all members: gateways send their load reports
+to each planner anyway, and a report is the heartbeat.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 
 from lilacloft.routing.units import Ticks
 
-ALIVE, SUSPECT, DEAD, LEFT = "alive", "suspect", "gone", "left"  # sent in gossip
-FORWARDER, PLANNER = "forwarder", "planner"  # sent in gossip
+ALIVE, SUSPECT, DEAD, LEFT = "alive", "suspect", "gone", "left"  # values on the wire
+FORWARDER, PLANNER = "forwarder", "planner"  # roles: values on the wire
 SUSPECT_AFTER: Ticks = 15_000  # without a heartbeat
-DEAD_AFTER: Ticks = 40_000  # without a heartbeat at any planner
-FORGET_AFTER: Ticks = 600_000  # in the state dead or left
-MAX_AGE: Ticks = 1 << 20  # of a heartbeat told by another planner
+DEAD_AFTER: Ticks = 40_000  # without a heartbeat at any reachable planner
+FORGET_AFTER: Ticks = 600_000  # in the state DEAD or LEFT
+MAX_AGE: Ticks = 1 << 20  # of a heartbeat reported by another planner; rows with higher ages are ignored
 
 
 @dataclass(frozen=True)
 class Member:
-    """One process as this planner knows it."""
+    """One member, as known to this planner."""
 
     name: str
     role: str
     incarnation: int
     zone: int = 0
     address: str = ""
-    last_heartbeat: Ticks = 0  # the newest heartbeat at any planner, by this planner's clock
+    last_heartbeat: Ticks = 0  # the latest heartbeat at any planner, by this planner's clock
     state: str = ALIVE
     state_since: Ticks = 0
 
@@ -49,7 +49,7 @@
 
 
 class MemberRow(NamedTuple):
-    """What gossip says of one member."""
+    """The entry of one member in gossip."""
 
     name: str
     role: str
@@ -65,12 +65,12 @@
     """A change of a member's state."""
 
     member: Member
-    previous_state: str  # empty: the member was unknown
-    is_new_process: bool = False  # another incarnation under a known name
+    previous_state: str  # empty if the member was unknown
+    is_new_process: bool = False  # whether a known name has a new incarnation
 
 
 class MemberTable:
-    """The members that one planner knows."""
+    """The members known to one planner."""
 
     def __init__(self, name: str, incarnation: int) -> None:
         self.name, self.incarnation = name, incarnation
@@ -86,15 +86,15 @@
         return self._merge_member(Member(name, role, incarnation, zone, last_heartbeat=now), now)
 
     def record_leave(self, name: str, incarnation: int, now: Ticks) -> MembershipChange | None:
-        """Record that a member has announced its end."""
+        """Record that a member has announced its exit."""
         before = self.members.get(name)
         if before is None or before.incarnation > incarnation or before.state == LEFT:
             return None
         return self._set(Member(name, before.role, incarnation, before.zone, before.address, now, LEFT, now))
 
     def merge(self, rows: Iterable[MemberRow], now: Ticks) -> list[MembershipChange]:
-        """Merge the rows of another planner's gossip. Ages count from now: the message's delay makes them
-        too young by as much, for which `DEAD_AFTER` leaves a margin."""
+        """Merge the rows of another planner's gossip. Ages count from the receipt, so heartbeats appear more
+        recent by the message's delay; `DEAD_AFTER` includes a margin for that."""
         changes = []
         for row in rows:
             if row.name == self.name:
@@ -155,7 +155,7 @@
         return SUSPECT if silent_for < DEAD_AFTER else DEAD
 
     def expire(self, now: Ticks) -> list[MembershipChange]:
-        """Change the state of members that have been silent for too long, and forget dead ones."""
+        """Update the state of members without recent heartbeats, and forget those long dead or left."""
         changes = []
         for name in sorted(self.members):
             member = self.members[name]
@@ -171,7 +171,7 @@
     # --- queries ---
 
     def alive(self, role: str) -> list[str]:
-        """Return the names of a role's members that are alive or only suspected."""
+        """Return the names of the members of a role that are alive or suspected."""
         return sorted(
             name
             for name, member in self.members.items()
@@ -179,7 +179,7 @@
         )
 
     def export_rows(self, now: Ticks) -> list[MemberRow]:
-        """Return the rows that gossip carries to other planners."""
+        """Return the rows to send to other planners in gossip."""
         return [
             MemberRow(
                 member.name,
@@ -195,8 +195,9 @@
 
 
 def preferred_planner(versions: Mapping[str, tuple[int, int]]) -> str:
-    """Return the planner whose plan has precedence, given each one's epoch and plan number: the highest
-    epoch, then the highest number, then the first name. It is the same everywhere without coordination."""
+    """Return the planner whose plan has precedence, given the epoch and plan number of each: the one with the
+    highest epoch, then the highest number, then the first name. The result is the same everywhere without
+    coordination."""
     if not versions:
         return ""
     return min(versions, key=lambda name: (-versions[name][0], -versions[name][1], name))
