--- a/lilacloft/control/gateway_agent.py
+++ b/lilacloft/control/gateway_agent.py
@@ -28,16 +28,16 @@
     """The control plane agent of one gateway."""
 
     def __init__(
-        self, gateway: Any, name: str, planners: Mapping[str, Address], leave: str = "never"
+        self, gateway: Any, name: str, planners: Mapping[str, Address], failover_mode: str = "never"
     ) -> None:
-        """`leave`: the mode of location failover: `never`, `past` (requests bypass the caches of a location
-        that has failed over) or `across` (other locations' caches serve them)."""
+        """`failover_mode`: the mode of location failover: `never`, `past` (requests bypass the caches of a
+        location that has failed over) or `across` (other locations' caches serve them)."""
         self.gateway = gateway
-        self.follower = self._make_follower(name, planners, leave)
+        self.follower = self._make_follower(name, planners, failover_mode)
         self.observer = GatewayObserver(
             gateway.router, [vhost["name"] for vhost in gateway.vhosts], self.follower
         )
-        self.counted_requests = 0
+        self.reported_requests = 0
         self.clients = {
             planner: Client(address, self._make_hello, self._on_message)
             for planner, address in planners.items()
@@ -45,11 +45,11 @@
         self.plan_id = self.follower.lease.plan_id
         self.slices_in_use: dict[int, int] = {}  # by location, of those not completely in use
         gateway.agent = self
-        if leave == "across":
+        if failover_mode == "across":
             self._enable_cross_location()
         self.backends_changed(gateway.backends)
 
-    def _make_follower(self, name: str, planners: Mapping[str, Address], leave: str) -> Follower:
+    def _make_follower(self, name: str, planners: Mapping[str, Address], failover_mode: str) -> Follower:
         settings = self.gateway.router.settings
         keeper = LocalFailover(name, settings.zone_gateways, settings.cache_slow_start.duration)
         return Follower(
@@ -63,7 +63,7 @@
             ),
             self.gateway.monotonic_time,
             restarted=True,
-            keeper=None if leave == "never" else keeper,
+            keeper=None if failover_mode == "never" else keeper,
         )
 
     def _enable_cross_location(self) -> None:
@@ -105,7 +105,7 @@
 
     # --- called by the gateway ---
 
-    def attempt_ended(self, call: Any, backend: Any, outcome: str, took: Ticks, note: int) -> None:
+    def attempt_ended(self, call: Any, backend: Any, outcome: str, duration: Ticks, note: int) -> None:
         """Count a completed attempt."""
         request = call.request
         self.observer.attempt_ended(
@@ -113,7 +113,7 @@
                 backend,
                 call.vhost,
                 outcome,
-                took,
+                duration,
                 request.transfer_time,
                 note,
                 call.kbytes,
@@ -132,9 +132,9 @@
         gateway = self.gateway
         requests = gateway.front.counts["reqs"]
         self.observer.observe(
-            requests - self.counted_requests, gateway.feed.last, gateway.time, gateway.monotonic_time
+            requests - self.reported_requests, gateway.feed.last, gateway.time, gateway.monotonic_time
         )
-        self.counted_requests = requests
+        self.reported_requests = requests
         for name, client in self.clients.items():
             client.send(codec.encode_report(self.follower.make_report(name, gateway.monotonic_time)))
         self._apply()
@@ -159,10 +159,10 @@
             in_use, failed_returns = current.get(zone, (SLICE_COUNT, 0))
             before = self.slices_in_use.get(zone, SLICE_COUNT)
             if in_use != before:
-                self._note_location(zone, before, in_use, failed_returns)
+                self._log_location_change(zone, before, in_use, failed_returns)
         self.slices_in_use = {zone: in_use for zone, (in_use, _) in current.items()}
 
-    def _note_location(self, zone: int, before: int, in_use: int, failed_returns: int) -> None:
+    def _log_location_change(self, zone: int, before: int, in_use: int, failed_returns: int) -> None:
         has_plan = self.plan_id.planner != ""
         names = self.gateway.settings["zones"]
         name = names[zone] if 0 <= zone < len(names) else str(zone)
--- a/lilacloft/control/gateway_observer.py
+++ b/lilacloft/control/gateway_observer.py
@@ -34,7 +34,7 @@
     backend: Backend
     vhost: int
     outcome: str
-    took: Ticks
+    duration: Ticks
     transfer_time: float  # of the request
     note: int  # of the answer
     kbytes: float
@@ -70,7 +70,7 @@
 
     def _is_late(self, attempt: EndedAttempt) -> bool:
         vhost = self.router.virtual_hosts[attempt.vhost]
-        return attempt.took > vhost.latency_objective(attempt.transfer_time)
+        return attempt.duration > vhost.latency_objective(attempt.transfer_time)
 
     def _count_for_location(self, attempt: EndedAttempt, result: str) -> None:
         keeper = self.follower.keeper
--- a/lilacloft/control/location_planning.py
+++ b/lilacloft/control/location_planning.py
@@ -22,7 +22,7 @@
 from lilacloft.failover.failover_control import FailoverController
 from lilacloft.failover.failover_state import FailoverDirective
 from lilacloft.failover.hash_slices import SLICE_COUNT
-from lilacloft.failover.substitutes import share_out
+from lilacloft.failover.substitutes import distribute_demand
 from lilacloft.membership.table import FORWARDER, MemberTable
 from lilacloft.routing.units import Ticks
 
@@ -223,7 +223,7 @@
         }
         substitutes = {}
         for zone in failed_over:
-            weights = share_out(spare, loads[zone].demand)
+            weights = distribute_demand(spare, loads[zone].demand)
             before = previous[zone].substitutes if zone in previous else ()
             # small changes would move objects between caches without benefit
             substitutes[zone] = before if _is_similar(before, weights) else weights
--- a/lilacloft/control/planner_server.py
+++ b/lilacloft/control/planner_server.py
@@ -50,11 +50,11 @@
         config: Mapping[str, Any],
         planners: Mapping[str, Address],
         folder: str = "",
-        leave: str = "never",
+        failover_mode: str = "never",
     ) -> None:
-        """`folder`: the directory of the planner's store; empty for none. `leave`: the mode of location
-        failover: `never`, `past` (requests bypass the caches of a location that has failed over) or `across`
-        (other locations' caches serve them)."""
+        """`folder`: the directory of the planner's store; empty for none. `failover_mode`: the mode of
+        location failover: `never`, `past` (requests bypass the caches of a location that has failed over) or
+        `across` (other locations' caches serve them)."""
         settings = from_protocol(settings_validation.with_defaults(config["settings"]))
         family = settings["family"]
         self.name = name
@@ -62,7 +62,7 @@
         self.cold_duration: Ticks = settings["rules"]["cold"]
         self.store = self._open_store(folder)
         epoch, incarnation = self._begin()
-        site = _site_settings(settings, planners, leave)
+        site = _site_settings(settings, planners, failover_mode)
         self.planner = Planner(name, incarnation, site, epoch)
         self.stored_epoch = epoch
         self.queue: queue.SimpleQueue[tuple[Callable[..., None], tuple[Any, ...]]] = queue.SimpleQueue()
@@ -270,7 +270,9 @@
         return lines
 
 
-def _site_settings(settings: Mapping[str, Any], planners: Mapping[str, Address], leave: str) -> SiteSettings:
+def _site_settings(
+    settings: Mapping[str, Any], planners: Mapping[str, Address], failover_mode: str
+) -> SiteSettings:
     """Return the planner's settings, from those of the platform."""
     family, rules = settings["family"], settings["rules"]
     links = {zone: float(rate) for zone, rate in enumerate(family.get("feed_kb_per_s") or []) if rate}
@@ -279,8 +281,8 @@
         family["pace_kb_per_s"],
         links,
         quota_window=rules["fall"],
-        location_failover=leave != "never",
-        cross_location=leave == "across",
+        location_failover=failover_mode != "never",
+        cross_location=failover_mode == "across",
         lists_capacities=settings.get("weight_source", "silent") != "silent",
         cache_warming=SlowStartProfile(rules["start_capacity"], rules["cold"], rules["tip_multiple"]),
         parent_warming=SlowStartProfile(
--- a/lilacloft/failover/fault_detection.py
+++ b/lilacloft/failover/fault_detection.py
@@ -152,7 +152,7 @@
 
 def detect_faults(view: FleetView) -> dict[int, Finding]:
     """Return a finding for each location."""
-    findings = {zone: _judge(view, location) for zone, location in sorted(view.locations.items())}
+    findings = {zone: _evaluate(view, location) for zone, location in sorted(view.locations.items())}
     for is_hub in (False, True):
         zones = [zone for zone in findings if view.locations[zone].is_hub is is_hub]
         faulty = [zone for zone in zones if findings[zone].is_faulty]
@@ -162,7 +162,7 @@
     return findings
 
 
-def _judge(view: FleetView, location: Location) -> Finding:
+def _evaluate(view: FleetView, location: Location) -> Finding:
     observers = _observers(view, location)
     heard = [name for name in observers if name in view.heard]
     if observers and len(heard) < MIN_HEARD_SHARE * len(observers):
--- a/lilacloft/failover/recovery_ramp.py
+++ b/lilacloft/failover/recovery_ramp.py
@@ -6,8 +6,9 @@
   backend serves its capacity times the `capacity_share` for its age, of which `usable_share` is used. So
   `returned_slices <= SLICE_COUNT * sum(capacity * usable_share * capacity_share) / demand`.
 - Fills: a slice that returns to cold caches is filled from their sources. So the next step returns at most
-  `SLICE_COUNT * (spare - filling) / demand` more slices, where `spare` is the rate that link, parents and
-  origin have left besides their current load, and `filling` the rate of fills of the returned slices.
+  `SLICE_COUNT * (spare_fill_rate - fill_rate) / demand` more slices, where `spare_fill_rate` is the rate that
+  link, parents and origin have left besides their current load, and `fill_rate` the rate of fills of the
+  returned slices.
 - Growth: the first step is one slice, and each step is at most `MAX_STEP_GROWTH` times the last one, so that
   a location that cannot serve its demand shows this early. If at least `WARM_HIT_RATIO` of the answers are
   cache hits, few fills are needed, and the spare rate does not apply.
@@ -65,8 +66,8 @@
     demand: float  # of all slices together
     transfer_rate: float  # of one transfer
     backends: tuple[ReadyBackend, ...] = ()
-    spare: float = math.inf  # rate left of its sources and the links to them
-    filling: float = 0.0  # current rate of fills
+    spare_fill_rate: float = math.inf  # rate left of its sources and the links to them
+    fill_rate: float = 0.0  # current rate of fills
 
 
 def max_returned_slices(location: LocationCapacity, profile: SlowStartProfile) -> int:
@@ -103,7 +104,7 @@
     number of slices of that step.
     """
     by_growth = MAX_STEP_GROWTH * max(1, last_step)
-    if hit_ratio >= WARM_HIT_RATIO or location.demand <= 0 or math.isinf(location.spare):
+    if hit_ratio >= WARM_HIT_RATIO or location.demand <= 0 or math.isinf(location.spare_fill_rate):
         return by_growth
-    fill_rate = SPARE_SHARE * location.spare - location.filling
-    return max(0, min(by_growth, math.floor(SLICE_COUNT * fill_rate / location.demand + ROUNDING)))
+    available = SPARE_SHARE * location.spare_fill_rate - location.fill_rate
+    return max(0, min(by_growth, math.floor(SLICE_COUNT * available / location.demand + ROUNDING)))
--- a/lilacloft/failover/substitutes.py
+++ b/lilacloft/failover/substitutes.py
@@ -33,7 +33,7 @@
     return chosen
 
 
-def share_out(spare: Mapping[int, float], demand: float) -> tuple[ZoneWeight, ...]:
+def distribute_demand(spare: Mapping[int, float], demand: float) -> tuple[ZoneWeight, ...]:
     """Return the weights of the locations that serve a failed location's demand, by their spare capacity. The
     demand that they cannot serve bypasses the caches; with an empty result all of it does.
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -334,7 +334,9 @@
 
 
 def test_a_step_brings_no_more_misses_than_there_is_to_spare_and_doubles_where_copies_answer():
-    bears = LocationCapacity(64_000.0, 4000.0, (ReadyBackend(8.0, 0),) * 6, spare=10_000.0, filling=2_000.0)
+    bears = LocationCapacity(
+        64_000.0, 4000.0, (ReadyBackend(8.0, 0),) * 6, spare_fill_rate=10_000.0, fill_rate=2_000.0
+    )
     assert max_next_step(bears, 0.0, 9) == 6  # (0.8 * 10,000 - 2,000) KB/s at 1,000 a slice
     assert max_next_step(bears, 0.0, 1) == 4
     assert max_next_step(LocationCapacity(64_000.0, 4000.0, (), 10_000.0, 8_000.0), 0.0, 4) == 0
@@ -388,21 +390,21 @@
 def least_recovery_looks(location, profile, tick, kept):
     """The least looks in which all slices can return, for one who knows everything: each look as many as
     both bounds leave, and a slice misses `kept` of what it missed a look before."""
-    back, filling, now, last = 0, 0.0, 0, 1
+    back, fill_rate, now, last = 0, 0.0, 0, 1
     while back < SLICE_COUNT:
         aged = LocationCapacity(
             location.demand,
             location.transfer_rate,
             tuple(ReadyBackend(size, age + now) for size, age in location.backends),
-            location.spare,
-            filling,
+            location.spare_fill_rate,
+            fill_rate,
         )
         more = max_next_step(aged, 0.0, last) if back else 1
         now += tick
         more = max(0, min(more, max_returned_slices(aged, profile) - back))
         last = more or last
         back += more
-        filling = filling * kept + more / SLICE_COUNT * location.demand
+        fill_rate = fill_rate * kept + more / SLICE_COUNT * location.demand
         if now > 1_000_000 * tick:
             return -1
     return now // tick
@@ -724,10 +726,10 @@
 
 
 def test_what_is_away_is_spread_by_what_others_have_to_spare_and_moves_as_little_as_it_must():
-    even = substitutes.share_out({0: 50.0, 2: 50.0}, 40.0)
+    even = substitutes.distribute_demand({0: 50.0, 2: 50.0}, 40.0)
     assert even == ((0, 0.5), (2, 0.5))
-    short = substitutes.share_out({0: 10.0, 2: 0.0}, 40.0)
-    assert short == ((0, 0.2), (BYPASS_ZONE, 0.8)) and substitutes.share_out({0: 0.0}, 40.0) == ()
+    short = substitutes.distribute_demand({0: 10.0, 2: 0.0}, 40.0)
+    assert short == ((0, 0.2), (BYPASS_ZONE, 0.8)) and substitutes.distribute_demand({0: 0.0}, 40.0) == ()
     places = [f"o{number} 0" for number in range(4000)]
     before = {place: substitutes.substitute_zone(place, ((0, 0.5), (2, 0.5))) for place in places}
     after = {place: substitutes.substitute_zone(place, ((0, 0.5), (2, 0.5), (3, 0.25))) for place in places}
