--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,5 @@
-"""Shares of a budget that are lent: never used by two parties within one window, whatever is lost or late."""
+"""Tests of the quota ledger: no share is used by two parties within one window, even if messages are lost or
+late."""
 
 import random
 
@@ -9,106 +10,114 @@
 WINDOW = 1000
 
 
-def test_what_is_lent_is_gone_at_once_used_a_fall_span_later_and_back_a_fall_span_after_its_end():
-    mine, theirs = QuotaLedger(0.5, WINDOW), QuotaLedger(0.0, WINDOW)
-    terms = mine.lend(10_000, 0.2, 5_000)
-    assert terms == LeaseTerms(0.2, WINDOW, 5_000) and mine.usable(10_000) == pytest.approx(0.3)
-    assert theirs.borrow(terms, 9_900, 10_050)
-    assert theirs.usable(10_050 + WINDOW) == 0 and theirs.usable(10_050 + WINDOW + 2) == pytest.approx(0.2)
-    assert theirs.usable(9_900 + 5_000 - 7) == pytest.approx(0.2) and theirs.usable(14_900) == 0
-    assert mine.usable(15_000 + WINDOW) == pytest.approx(0.3)
-    assert mine.usable(15_000 + WINDOW + 10) == pytest.approx(0.5)
+def test_lent_share_is_given_up_at_once_usable_a_window_later_and_returns_a_window_after_expiry():
+    lender, borrower = QuotaLedger(0.5, WINDOW), QuotaLedger(0.0, WINDOW)
+    terms = lender.lend(10_000, 0.2, 5_000)
+    assert terms == LeaseTerms(0.2, WINDOW, 5_000) and lender.usable(10_000) == pytest.approx(0.3)
+    assert borrower.borrow(terms, 9_900, 10_050)
+    assert borrower.usable(10_050 + WINDOW) == 0 and borrower.usable(10_050 + WINDOW + 2) == pytest.approx(
+        0.2
+    )
+    assert borrower.usable(9_900 + 5_000 - 7) == pytest.approx(0.2) and borrower.usable(14_900) == 0
+    assert lender.usable(15_000 + WINDOW) == pytest.approx(0.3)
+    assert lender.usable(15_000 + WINDOW + 10) == pytest.approx(0.5)
 
 
-def test_what_is_not_there_is_not_lent_and_what_comes_too_late_is_nothing():
+def test_only_available_shares_are_lent_and_expired_leases_are_rejected():
     ledger = QuotaLedger(0.3, WINDOW)
     assert ledger.lend(0, 0.0, 5_000) is None and ledger.lend(0, 0.2, 2 * WINDOW) is None
     assert ledger.lend(0, 0.9, 5_000).share == 0.3 and ledger.lend(0, 0.1, 5_000) is None
-    other = QuotaLedger(0.0, WINDOW)
-    assert not other.borrow(LeaseTerms(0.3, WINDOW, 3_000), 0, 2_500) and other.lend(0, 0.1, 5_000) is None
-    late = QuotaLedger(0.3, WINDOW, 50_000)  # another process had its name
-    assert late.usable(49_999) == 0 and late.usable(50_000) == 0.3
-    assert late.next_expiry(0) == NEVER
-
-
-def test_a_part_that_was_borrowed_is_lent_on_for_no_longer_than_it_is_held():
-    mine, planner, other = QuotaLedger(0.5, WINDOW), QuotaLedger(0.0, WINDOW), QuotaLedger(0.1, WINDOW)
-    planner.borrow(mine.lend(0, 0.4, 20_000), 0, 100)
+    borrower = QuotaLedger(0.0, WINDOW)
+    assert (
+        not borrower.borrow(LeaseTerms(0.3, WINDOW, 3_000), 0, 2_500) and borrower.lend(0, 0.1, 5_000) is None
+    )
+    restarted = QuotaLedger(0.3, WINDOW, 50_000)  # a previous process may have lent the share
+    assert restarted.usable(49_999) == 0 and restarted.usable(50_000) == 0.3
+    assert restarted.next_expiry(0) == NEVER
+
+
+def test_borrowed_share_is_sublet_at_most_until_it_expires():
+    lender, planner, borrower = QuotaLedger(0.5, WINDOW), QuotaLedger(0.0, WINDOW), QuotaLedger(0.1, WINDOW)
+    planner.borrow(lender.lend(0, 0.4, 20_000), 0, 100)
     terms = planner.lend(5_000, 0.3, 50_000)
     assert terms.share == pytest.approx(0.3) and terms.duration <= 20_000 - 5_000
-    other.borrow(terms, 4_900, 5_100)
-    assert other.usable(7_000) == pytest.approx(0.4) and planner.usable(7_000) == pytest.approx(0.1)
-    assert other.usable(20_000) == pytest.approx(0.1) and planner.next_expiry(7_000) < 20_000
+    borrower.borrow(terms, 4_900, 5_100)
+    assert borrower.usable(7_000) == pytest.approx(0.4) and planner.usable(7_000) == pytest.approx(0.1)
+    assert borrower.usable(20_000) == pytest.approx(0.1) and planner.next_expiry(7_000) < 20_000
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_no_window_ever_sees_more_than_the_whole_budget(seed):
-    """Forwarders and planners with clocks of their own, answers late or lost, processes that start anew. The
-    plain model: in any fall span all that anybody used at any moment of it, together, is no more than one."""
-    chance = random.Random(seed)
-    count, planners = chance.randrange(2, 6), chance.randrange(1, 4)
-    skew = [chance.randrange(10**6) for _ in range(count + planners)]
-    speed = [1 + chance.uniform(0, MAX_CLOCK_DRIFT / 2) for _ in range(count + planners)]
-
-    def clock(who, true):
-        return skew[who] + int(true * speed[who])
-
-    ledgers = [QuotaLedger(1 / count, WINDOW, clock(who, 0)) for who in range(count)]
+def test_use_in_any_window_never_exceeds_the_budget(seed):
+    """Parties with clocks that differ, late and lost answers, and restarts. In any window the sum over all
+    parties of the highest share that each could use is at most 1."""
+    rng = random.Random(seed)
+    count, planners = rng.randrange(2, 6), rng.randrange(1, 4)
+    offsets = [rng.randrange(10**6) for _ in range(count + planners)]
+    rates = [1 + rng.uniform(0, MAX_CLOCK_DRIFT / 2) for _ in range(count + planners)]
+
+    def clock(party, time):
+        return offsets[party] + int(time * rates[party])
+
+    ledgers = [QuotaLedger(1 / count, WINDOW, clock(party, 0)) for party in range(count)]
     ledgers += [QuotaLedger(0.0, WINDOW) for _ in range(planners)]
-    wire, history = [], []
-    for true in range(0, 60_000, 50):
-        for who in range(len(ledgers)):
-            if chance.random() < 0.02:  # somebody asks another for a part
-                other = chance.randrange(len(ledgers))
-                if other != who:
-                    wire.append(
+    in_flight, history = [], []
+    for time in range(0, 60_000, 50):
+        for party in range(len(ledgers)):
+            if rng.random() < 0.02:  # one party requests a share from another
+                other = rng.randrange(len(ledgers))
+                if other != party:
+                    in_flight.append(
                         (
-                            true + chance.choice([10, 300, 4_000]),
+                            time + rng.choice([10, 300, 4_000]),
                             "ask",
-                            who,
+                            party,
                             other,
-                            clock(who, true),
-                            chance.uniform(0.01, 0.6),
-                            chance.choice([2_500, 6_000, 20_000]),
+                            clock(party, time),
+                            rng.uniform(0.01, 0.6),
+                            rng.choice([2_500, 6_000, 20_000]),
                         )
                     )
-        for message in sorted(wire, key=lambda one: one[0]):
-            if message[0] > true:
+        for message in sorted(in_flight, key=lambda entry: entry[0]):
+            if message[0] > time:
                 continue
-            wire.remove(message)
+            in_flight.remove(message)
             if message[1] == "ask":
-                _, _, who, other, asked, part, span = message
-                terms = ledgers[other].lend(clock(other, true), part, span)
-                if terms and chance.random() < 0.8:  # else the answer is lost
-                    wire.append((true + chance.choice([10, 300, 4_000]), "give", who, terms, asked))
+                _, _, party, other, requested_at, share, duration = message
+                terms = ledgers[other].lend(clock(other, time), share, duration)
+                if terms and rng.random() < 0.8:  # otherwise the answer is lost
+                    in_flight.append(
+                        (time + rng.choice([10, 300, 4_000]), "give", party, terms, requested_at)
+                    )
             else:
-                _, _, who, terms, asked = message
-                ledgers[who].borrow(terms, asked, clock(who, true))
-        if chance.random() < 0.004:
-            who = chance.randrange(len(ledgers))
-            own = ledgers[who].own_share
-            wire = [message for message in wire if not (message[1] == "give" and message[2] == who)]
-            # nothing was lent for longer than 20,000
-            ledgers[who] = QuotaLedger(own, WINDOW, clock(who, true) + 20_000 + 2 * WINDOW)
-        history.append([ledger.usable(clock(who, true)) for who, ledger in enumerate(ledgers)])
+                _, _, party, terms, requested_at = message
+                ledgers[party].borrow(terms, requested_at, clock(party, time))
+        if rng.random() < 0.004:
+            party = rng.randrange(len(ledgers))
+            own_share = ledgers[party].own_share
+            in_flight = [
+                message for message in in_flight if not (message[1] == "give" and message[2] == party)
+            ]
+            # no lease is longer than 20,000
+            ledgers[party] = QuotaLedger(own_share, WINDOW, clock(party, time) + 20_000 + 2 * WINDOW)
+        history.append([ledger.usable(clock(party, time)) for party, ledger in enumerate(ledgers)])
         window = history[-WINDOW // 50 :]
-        assert sum(max(moment[who] for moment in window) for who in range(len(ledgers))) <= 1 + 1e-9
+        assert sum(max(shares[party] for shares in window) for party in range(len(ledgers))) <= 1 + 1e-9
 
 
-def test_parts_are_divided_by_max_min_and_alike_by_all():
+def test_max_min_fair_division_is_independent_of_order():
     assert max_min_fair({"a": 0.1, "b": 0.9, "c": 0.9}, 0.9) == {
         "a": 0.1,
         "b": pytest.approx(0.4),
         "c": pytest.approx(0.4),
     }
     assert max_min_fair({"a": 0.1, "b": 0.2}, 0.9) == {"a": 0.1, "b": 0.2} and max_min_fair({}, 1.0) == {}
-    chance = random.Random(5)
+    rng = random.Random(5)
     for _ in range(200):
-        wants = {f"n{number}": chance.choice([0.0, chance.random()]) for number in range(6)}
-        parts = chance.random() * 2
-        got = max_min_fair(wants, parts)
-        assert all(0 <= got[name] <= wants[name] + 1e-12 for name in wants)
-        assert sum(got.values()) == pytest.approx(min(parts, sum(wants.values())))
-        assert got == max_min_fair(dict(reversed(wants.items())), parts)
-        top = max(got.values(), default=0.0)
-        assert all(got[name] >= min(wants[name], top) - 1e-9 for name in wants)
+        demands = {f"n{number}": rng.choice([0.0, rng.random()]) for number in range(6)}
+        supply = rng.random() * 2
+        divided = max_min_fair(demands, supply)
+        assert all(0 <= divided[name] <= demands[name] + 1e-12 for name in demands)
+        assert sum(divided.values()) == pytest.approx(min(supply, sum(demands.values())))
+        assert divided == max_min_fair(dict(reversed(demands.items())), supply)
+        largest = max(divided.values(), default=0.0)
+        assert all(divided[name] >= min(demands[name], largest) - 1e-9 for name in demands)
