--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Leaving a location and returning: each core beside its plain words, on generated inputs."""
+"""Tests of location failover and return: each module against its rules, on generated inputs."""
 
 import random
 
@@ -40,18 +40,18 @@
 from lilacloft.failover.substitutes import BYPASS_ZONE
 
 SECOND = 10_000
-GOOD, BAD, QUIET = (
+WORKING, FAILING, UNOBSERVED = (
     BackendObservation(answered_lately=True),
     BackendObservation(failure_streak=2),
     BackendObservation(),
 )
-FAILS = Finding(Diagnosis.CACHES_FAIL, True, ("a", "b"), (), 4, 4)
-FINE = Finding(Diagnosis.NO_FAULT, False, (), ("a", "b"), 0, 4)
+FAULT = Finding(Diagnosis.CACHES_FAIL, True, ("a", "b"), (), 4, 4)
+NO_FAULT = Finding(Diagnosis.NO_FAULT, False, (), ("a", "b"), 0, 4)
 
 # --- slices ---
 
 
-def test_slices_are_even_parts_and_each_location_has_an_order_of_its_own():
+def test_slices_are_even_and_each_location_has_its_own_order():
     counts = [0] * SLICE_COUNT
     for number in range(64_000):
         counts[slice_index(f"{number:016x} {number % 3}")] += 1
@@ -61,79 +61,81 @@
     ) != return_positions(1)
 
 
-def test_more_slices_back_never_takes_one_away():
+def test_returning_more_slices_never_removes_one():
     for number in range(300):
-        place = f"o{number} 0"
-        states = [is_away(place, 2, back) for back in range(SLICE_COUNT + 1)]
+        placement_key = f"o{number} 0"
+        states = [is_away(placement_key, 2, returned_slices) for returned_slices in range(SLICE_COUNT + 1)]
         assert states == sorted(states, reverse=True) and states[0] and not states[-1]
 
 
-# --- who fails ---
+# --- fault detection ---
 
 
-def world(looks, zones=3, caches=4, forwarders=3, hub=2, heard=None):
-    """A view of locations `z` with caches `cz-n` and forwarders `fz-n`, and one hub with parents; `looks`
-    says what a forwarder has of a be."""
-    places = {
+def make_view(observe, zones=3, caches=4, gateways=3, parents=2, heard=None):
+    """A view of locations `z` with caches `cz-n` and gateways `fz-n`, and one hub with parents. `observe`
+    returns a gateway's observation of a backend."""
+    locations = {
         zone: Location(
-            tuple(f"c{zone}-{one}" for one in range(caches)),
-            tuple(f"f{zone}-{one}" for one in range(forwarders)),
+            tuple(f"c{zone}-{index}" for index in range(caches)),
+            tuple(f"f{zone}-{index}" for index in range(gateways)),
         )
         for zone in range(zones)
     }
-    places[-1] = Location(tuple(f"p{one}" for one in range(hub)), (), True)
-    seen = {
+    locations[-1] = Location(tuple(f"p{index}" for index in range(parents)), (), True)
+    observations = {
         name: {
-            backend: look
-            for backend in [*place.backends, *places[-1].backends]
-            if (look := looks(zone, name, backend)) is not None
+            backend: observation
+            for backend in [*location.backends, *locations[-1].backends]
+            if (observation := observe(zone, name, backend)) is not None
         }
-        for zone, place in places.items()
-        for name in place.gateways
+        for zone, location in locations.items()
+        for name in location.gateways
     }
-    return FleetView(places, seen, frozenset(seen) if heard is None else frozenset(heard))
+    return FleetView(locations, observations, frozenset(observations) if heard is None else frozenset(heard))
 
 
-def caches_of(*zones):
-    return lambda zone, name, backend: BAD if zone in zones and backend[0] == "c" else GOOD
+def failing_caches_of(*zones):
+    return lambda zone, name, backend: FAILING if zone in zones and backend[0] == "c" else WORKING
 
 
 CASES = {
-    "nothing": (lambda *_: GOOD, {}),
-    "a location's caches": (caches_of(1), {1: Diagnosis.CACHES_FAIL}),
-    "two of three: what they share": (
-        caches_of(0, 1),
+    "no failures": (lambda *_: WORKING, {}),
+    "caches of one location": (failing_caches_of(1), {1: Diagnosis.CACHES_FAIL}),
+    "caches of two of three locations": (
+        failing_caches_of(0, 1),
         {0: Diagnosis.SHARED_FAULT, 1: Diagnosis.SHARED_FAULT},
     ),
-    "all: everybody's": (
-        caches_of(0, 1, 2),
+    "caches of all locations": (
+        failing_caches_of(0, 1, 2),
         {0: Diagnosis.SHARED_FAULT, 1: Diagnosis.SHARED_FAULT, 2: Diagnosis.SHARED_FAULT},
     ),
-    "one forwarder's bad path": (lambda zone, name, backend: BAD if name == "f1-0" else GOOD, {}),
-    "half of a location's caches": (
-        lambda zone, name, backend: BAD if zone == 1 and backend in ("c1-0", "c1-1") else GOOD,
+    "bad path of one gateway": (lambda zone, name, backend: FAILING if name == "f1-0" else WORKING, {}),
+    "half of the caches of a location": (
+        lambda zone, name, backend: FAILING if zone == 1 and backend in ("c1-0", "c1-1") else WORKING,
         {},
     ),
     "three of four caches": (
-        lambda zone, name, backend: BAD if zone == 1 and backend in ("c1-0", "c1-1", "c1-2") else GOOD,
+        lambda zone, name, backend: FAILING if zone == 1 and backend in ("c1-0", "c1-1", "c1-2") else WORKING,
         {1: Diagnosis.CACHES_FAIL},
     ),
-    "two of three forwarders see it": (
-        lambda zone, name, backend: BAD if zone == 1 and name != "f1-2" and backend[0] == "c" else GOOD,
+    "observed by two of three gateways": (
+        lambda zone, name, backend: FAILING
+        if zone == 1 and name != "f1-2" and backend[0] == "c"
+        else WORKING,
         {},
     ),
-    "nobody has looked": (
-        lambda zone, name, backend: QUIET if zone == 1 and backend[0] == "c" else GOOD,
+    "no observations": (
+        lambda zone, name, backend: UNOBSERVED if zone == 1 and backend[0] == "c" else WORKING,
         {1: Diagnosis.TOO_FEW_OBSERVATIONS},
     ),
-    "one cache of four was looked at": (
-        lambda zone, name, backend: (BAD if backend == "c1-0" else QUIET)
+    "one of four caches observed": (
+        lambda zone, name, backend: (FAILING if backend == "c1-0" else UNOBSERVED)
         if zone == 1 and backend[0] == "c"
-        else GOOD,
+        else WORKING,
         {},
     ),
-    "the hub's parents, asked past the caches": (
-        lambda zone, name, backend: BAD if backend[0] == "p" else GOOD,
+    "parents of the hub": (
+        lambda zone, name, backend: FAILING if backend[0] == "p" else WORKING,
         {
             0: Diagnosis.TOO_FEW_OBSERVATIONS,
             1: Diagnosis.TOO_FEW_OBSERVATIONS,
@@ -141,221 +143,246 @@
             -1: Diagnosis.SHARED_FAULT,
         },
     ),
-    "fills of one location only": (
+    "fills of one location": (
         lambda zone, name, backend: BackendObservation(missing_fills=2)
         if zone == 1 and backend[0] == "p"
         else BackendObservation(completed_fills=3)
         if backend[0] == "p"
-        else GOOD,
+        else WORKING,
         {1: Diagnosis.SOURCE_PATH_FAILS},
     ),
 }
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_who_fails_is_told_from_who_sees_it(name):
-    looks, expected = CASES[name]
-    found = detect_faults(world(looks))
+def test_diagnosis_follows_from_which_gateways_observe_failures(name):
+    observe, expected = CASES[name]
+    findings = detect_faults(make_view(observe))
     assert {
-        zone: one.diagnosis for zone, one in found.items() if one.diagnosis != Diagnosis.NO_FAULT
+        zone: finding.diagnosis
+        for zone, finding in findings.items()
+        if finding.diagnosis != Diagnosis.NO_FAULT
     } == expected
-    assert [zone for zone, one in found.items() if one.is_faulty] == [
-        zone for zone, why in expected.items() if why == Diagnosis.CACHES_FAIL
+    assert [zone for zone, finding in findings.items() if finding.is_faulty] == [
+        zone for zone, diagnosis in expected.items() if diagnosis == Diagnosis.CACHES_FAIL
     ]
 
 
-def test_one_hub_of_two_fails_as_seen_from_all_locations():
-    view = world(
-        lambda zone, name, backend: BackendObservation(missing_fills=1) if backend[0] == "p" else GOOD
+def test_hub_is_faulty_if_gateways_of_all_locations_observe_it_failing():
+    view = make_view(
+        lambda zone, name, backend: BackendObservation(missing_fills=1) if backend[0] == "p" else WORKING
     )
     view.locations[-2] = Location(("q0", "q1"), (), True)
     for name in view.observations:
         view.observations[name].update(
             q0=BackendObservation(completed_fills=1), q1=BackendObservation(completed_fills=1)
         )
-    found = detect_faults(view)
-    assert found[-1].is_faulty and found[-1].diagnosis == Diagnosis.PARENTS_FAIL and not found[-2].is_faulty
-    assert not any(found[zone].is_faulty for zone in (0, 1, 2))
+    findings = detect_faults(view)
+    assert (
+        findings[-1].is_faulty
+        and findings[-1].diagnosis == Diagnosis.PARENTS_FAIL
+        and not findings[-2].is_faulty
+    )
+    assert not any(findings[zone].is_faulty for zone in (0, 1, 2))
 
 
-def test_a_planner_that_hears_nobody_of_a_location_names_nothing_there():
-    heard = [f"f{zone}-{one}" for zone in (0, 2) for one in range(3)] + ["f1-0"]
-    found = detect_faults(world(caches_of(1), heard=heard))
-    assert found[1].diagnosis == Diagnosis.GATEWAYS_NOT_HEARD and not found[1].is_faulty
-    assert str(found[1]) == Diagnosis.GATEWAYS_NOT_HEARD
+def test_no_fault_is_found_where_most_gateways_are_not_heard():
+    heard = [f"f{zone}-{index}" for zone in (0, 2) for index in range(3)] + ["f1-0"]
+    findings = detect_faults(make_view(failing_caches_of(1), heard=heard))
+    assert findings[1].diagnosis == Diagnosis.GATEWAYS_NOT_HEARD and not findings[1].is_faulty
+    assert str(findings[1]) == Diagnosis.GATEWAYS_NOT_HEARD
 
 
-def test_who_sees_all_elsewhere_fail_as_well_sees_its_own_path():
-    def looks(zone, name, backend):
+def test_gateways_that_observe_only_failures_elsewhere_do_not_vote():
+    def observe(zone, name, backend):
         if name in ("f1-0", "f1-1"):
-            return BAD
-        return QUIET if name == "f1-2" and backend[0] == "c" else GOOD
-
-    found = detect_faults(world(looks))  # two of three of a location, and the third has not looked
-    assert found[1].diagnosis == Diagnosis.TOO_FEW_OBSERVATIONS and not found[1].is_faulty
-    seen = detect_faults(
-        world(lambda zone, name, backend: GOOD if backend[0] == "p" else looks(zone, name, backend))
+            return FAILING
+        return UNOBSERVED if name == "f1-2" and backend[0] == "c" else WORKING
+
+    # two of three gateways of a location, and the third has no observations
+    findings = detect_faults(make_view(observe))
+    assert findings[1].diagnosis == Diagnosis.TOO_FEW_OBSERVATIONS and not findings[1].is_faulty
+    findings_with_parents = detect_faults(
+        make_view(lambda zone, name, backend: WORKING if backend[0] == "p" else observe(zone, name, backend))
     )
-    assert seen[1].is_faulty and seen[1].failing_at == (
-        "f1-0",
-        "f1-1",
-    )  # they reach parents: the location it is
+    # they reach the parents, so the location is at fault
+    assert findings_with_parents[1].is_faulty and findings_with_parents[1].failing_at == ("f1-0", "f1-1")
 
 
-def test_two_of_twelve_name_no_hub():
-    def looks(zone, name, backend):
+def test_hub_is_not_faulty_if_few_gateways_observe_failures():
+    def observe(zone, name, backend):
         if backend[0] != "p":
-            return GOOD
-        return BackendObservation(missing_fills=3) if backend == "p0" and name in ("f0-0", "f1-0") else QUIET
+            return WORKING
+        return (
+            BackendObservation(missing_fills=3)
+            if backend == "p0" and name in ("f0-0", "f1-0")
+            else UNOBSERVED
+        )
 
-    view = world(looks, forwarders=4, hub=1)
+    view = make_view(observe, gateways=4, parents=1)
     view.locations[-2] = Location(("q0",), (), True)
     assert not detect_faults(view)[-1].is_faulty
 
 
-def test_the_evidence_reads_as_a_sentence():
-    assert str(detect_faults(world(caches_of(1)))[1]) == (
+def test_finding_is_readable():
+    assert str(detect_faults(make_view(failing_caches_of(1)))[1]) == (
         "its caches fail: 4 of 4 that were looked at fail, as 3 of 3 forwarders see it"
     )
 
 
-def plain(view):
-    """The rules of `evidence` for caches in their plainest words, pair by pair."""
-    named = []
-    for zone, place in view.locations.items():
-        if place.is_hub:
+def reference_findings(view):
+    """A direct implementation of the rules of `fault_detection` for caches, over pairs of gateway and
+    backend."""
+    faulty = []
+    for zone, location in view.locations.items():
+        if location.is_hub:
             continue
-        names = [name for name in place.gateways if name in view.heard]
-        if len(names) * 2 < len(place.gateways):
+        voters = [name for name in location.gateways if name in view.heard]
+        if len(voters) * 2 < len(location.gateways):
             continue
-        names = [
+        voters = [
             name
-            for name in names
+            for name in voters
             if not (
                 outside := [
-                    look.is_failing()
-                    for backend, look in view.observations[name].items()
-                    if backend not in place.backends and look.is_failing() is not None
+                    observation.is_failing()
+                    for backend, observation in view.observations[name].items()
+                    if backend not in location.backends and observation.is_failing() is not None
                 ]
             )
             or not all(outside)
         ]
         pairs = {
             (name, backend): view.observations[name][backend].is_failing()
-            for name in names
-            for backend in place.backends
+            for name in voters
+            for backend in location.backends
             if backend in view.observations[name]
             and view.observations[name][backend].is_failing() is not None
         }
-        who = {name for name, _ in pairs}
-        see = {
+        observers = {name for name, _ in pairs}
+        agreeing = {
             name
-            for name in who
-            if sum(bad for (one, _), bad in pairs.items() if one == name)
-            >= 0.75 * sum(one == name for one, _ in pairs)
+            for name in observers
+            if sum(fails for (other, _), fails in pairs.items() if other == name)
+            >= 0.75 * sum(other == name for other, _ in pairs)
         }
         backends = {backend for _, backend in pairs}
-        dead = {
+        failing = {
             backend
             for backend in backends
-            if sum(bad for (_, one), bad in pairs.items() if one == backend)
-            > sum(not bad for (_, one), bad in pairs.items() if one == backend)
+            if sum(fails for (_, other), fails in pairs.items() if other == backend)
+            > sum(not fails for (_, other), fails in pairs.items() if other == backend)
         }
         if (
-            len(see) >= max(min(2, len(place.gateways)), len(names) / 4)
-            and see
-            and len(see) >= 0.75 * len(who)
-            and (2 * len(backends) >= len(place.backends) or len(backends) >= 8)
-            and len(backends) >= min(2, len(place.backends))
+            len(agreeing) >= max(min(2, len(location.gateways)), len(voters) / 4)
+            and agreeing
+            and len(agreeing) >= 0.75 * len(observers)
+            and (2 * len(backends) >= len(location.backends) or len(backends) >= 8)
+            and len(backends) >= min(2, len(location.backends))
             and backends
-            and len(dead) >= 0.75 * len(backends)
+            and len(failing) >= 0.75 * len(backends)
         ):
-            named.append(zone)
-    return named if 2 * len(named) <= sum(not place.is_hub for place in view.locations.values()) else []
+            faulty.append(zone)
+    return (
+        faulty if 2 * len(faulty) <= sum(not location.is_hub for location in view.locations.values()) else []
+    )
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_findings_agree_with_the_plain_rules(seed):
+def test_findings_agree_with_the_reference_rules(seed):
     rng = random.Random(seed)
-    zones, caches, forwarders = rng.randint(2, 5), rng.randint(1, 24), rng.randint(1, 6)
-    dead = {zone for zone in range(zones) if rng.random() < 0.35}
-    lie = 0.3 * rng.random()
+    zones, caches, gateways = rng.randint(2, 5), rng.randint(1, 24), rng.randint(1, 6)
+    failing = {zone for zone in range(zones) if rng.random() < 0.35}
+    error_rate = 0.3 * rng.random()
 
-    def looks(zone, name, backend):
+    def observe(zone, name, backend):
         if rng.random() < 0.3:
             return None
-        bad = (zone in dead) != (rng.random() < lie)
-        return rng.choice([BAD if bad else GOOD, BAD if bad else GOOD, QUIET])
+        fails = (zone in failing) != (rng.random() < error_rate)
+        return rng.choice([FAILING if fails else WORKING, FAILING if fails else WORKING, UNOBSERVED])
 
-    heard = [f"f{zone}-{one}" for zone in range(zones) for one in range(forwarders) if rng.random() < 0.85]
-    view = world(looks, zones, caches, forwarders, heard=heard)
-    assert [zone for zone, one in detect_faults(view).items() if one.is_faulty] == plain(view)
+    heard = [f"f{zone}-{index}" for zone in range(zones) for index in range(gateways) if rng.random() < 0.85]
+    view = make_view(observe, zones, caches, gateways, heard=heard)
+    assert [zone for zone, finding in detect_faults(view).items() if finding.is_faulty] == reference_findings(
+        view
+    )
 
 
 @pytest.mark.parametrize("seed", range(100))
-def test_observers_that_are_hurt_move_nobody(seed):
-    """Fewer than a quarter of a location's forwarders see nothing but failures, everywhere."""
+def test_gateways_with_bad_paths_cause_no_failover(seed):
+    """Less than a quarter of a location's gateways observe only failures, at all locations."""
     rng = random.Random(seed)
-    forwarders = rng.randint(5, 12)
-    hurt = {f"f{zone}-{one}" for zone in range(3) for one in rng.sample(range(forwarders), forwarders // 5)}
+    gateways = rng.randint(5, 12)
+    bad_path = {
+        f"f{zone}-{index}" for zone in range(3) for index in rng.sample(range(gateways), gateways // 5)
+    }
 
-    def looks(zone, name, backend):
-        return None if rng.random() < 0.2 else BAD if name in hurt else GOOD
+    def observe(zone, name, backend):
+        return None if rng.random() < 0.2 else FAILING if name in bad_path else WORKING
 
     assert not any(
-        one.is_faulty for one in detect_faults(world(looks, caches=8, forwarders=forwarders)).values()
+        finding.is_faulty
+        for finding in detect_faults(make_view(observe, caches=8, gateways=gateways)).values()
     )
 
 
-# --- pace ---
+# --- recovery ramp ---
 
 
-def test_how_many_slices_may_be_back_follows_from_what_its_bes_bear():
-    warming = SlowStartProfile(0.2, 15 * SECOND, 2.0)
+def test_number_of_returned_slices_is_bounded_by_backend_capacity():
+    slow_start = SlowStartProfile(0.2, 15 * SECOND, 2.0)
     warm = LocationCapacity(40_000.0, 4000.0, (ReadyBackend(8.0, 1 << 40),) * 6)
-    assert max_returned_slices(warm, warming) == SLICE_COUNT
-    cold = LocationCapacity(
-        100_000.0, 4000.0, (ReadyBackend(8.0, 0),) * 6
-    )  # 48 * 0.2 * 0.8 transfers of 25 that are asked for
-    assert max_returned_slices(cold, warming) == int(SLICE_COUNT * 48 * 0.2 * 0.8 / 25)
-    assert max_returned_slices(LocationCapacity(100_000.0, 4000.0, ()), warming) == 0
-    assert max_returned_slices(LocationCapacity(0.0, 4000.0, (ReadyBackend(8.0, 0),)), warming) == SLICE_COUNT
+    assert max_returned_slices(warm, slow_start) == SLICE_COUNT
+    # serves 48 * 0.2 * 0.8 transfers of the 25 requested
+    cold = LocationCapacity(100_000.0, 4000.0, (ReadyBackend(8.0, 0),) * 6)
+    assert max_returned_slices(cold, slow_start) == int(SLICE_COUNT * 48 * 0.2 * 0.8 / 25)
+    assert max_returned_slices(LocationCapacity(100_000.0, 4000.0, ()), slow_start) == 0
     assert (
-        max_returned_slices(LocationCapacity(1e9, 4000.0, (ReadyBackend(8.0, 0),)), warming) == 1
-    )  # its trials are to go somewhere
+        max_returned_slices(LocationCapacity(0.0, 4000.0, (ReadyBackend(8.0, 0),)), slow_start) == SLICE_COUNT
+    )
+    # at least one slice, for the canaries
+    assert max_returned_slices(LocationCapacity(1e9, 4000.0, (ReadyBackend(8.0, 0),)), slow_start) == 1
+    # unknown capacities
     assert (
-        max_returned_slices(LocationCapacity(10.0, 4000.0, (ReadyBackend(float("inf"), 0),)), warming)
+        max_returned_slices(LocationCapacity(10.0, 4000.0, (ReadyBackend(float("inf"), 0),)), slow_start)
         == SLICE_COUNT
-    )  # nobody has told their sizes
+    )
     half = LocationCapacity(
         100_000.0, 4000.0, (ReadyBackend(8.0, 0),) * 3 + (ReadyBackend(8.0, 1 << 40),) * 3
     )
-    assert max_returned_slices(cold, warming) < max_returned_slices(half, warming)
+    assert max_returned_slices(cold, slow_start) < max_returned_slices(half, slow_start)
 
 
-def test_a_step_brings_no_more_misses_than_there_is_to_spare_and_doubles_where_copies_answer():
-    bears = LocationCapacity(
+def test_next_step_is_bounded_by_spare_fill_rate_and_by_growth():
+    capacity = LocationCapacity(
         64_000.0, 4000.0, (ReadyBackend(8.0, 0),) * 6, spare_fill_rate=10_000.0, fill_rate=2_000.0
     )
-    assert max_next_step(bears, 0.0, 9) == 6  # (0.8 * 10,000 - 2,000) KB/s at 1,000 a slice
-    assert max_next_step(bears, 0.0, 1) == 4
+    assert max_next_step(capacity, 0.0, 9) == 6  # (0.8 * 10,000 - 2,000) KB/s at 1,000 KB/s per slice
+    assert max_next_step(capacity, 0.0, 1) == 4
     assert max_next_step(LocationCapacity(64_000.0, 4000.0, (), 10_000.0, 8_000.0), 0.0, 4) == 0
-    assert (
-        max_next_step(bears, 0.9, 4) == 16 and max_next_step(bears, 0.0, 2) == 6
-    )  # but four times the last one at most
+    # at most four times the last step
+    assert max_next_step(capacity, 0.9, 4) == 16 and max_next_step(capacity, 0.0, 2) == 6
     assert max_next_step(LocationCapacity(0.0, 4000.0, ()), 0.0, 3) == 12
 
 
-# --- the course ---
+# --- failover controller ---
 
 
-class Loop:
-    """A location and its controller: what is at home is answered as the location is, and reported back."""
+class SimulatedLocation:
+    """A location and its controller: requests of the returned slices are answered while the location works,
+    and the outcomes reported to the controller."""
 
-    def __init__(self, good, bears, rate=60.0, hits=lambda now: 0.9, zones=4, tick=2_500):
-        self.good, self.bears, self.rate, self.hits, self.tick, self.now = good, bears, rate, hits, tick, 0
+    def __init__(self, is_working, capacity, rate=60.0, hit_ratio=lambda now: 0.9, zones=4, tick=2_500):
+        self.is_working, self.capacity, self.rate, self.hit_ratio, self.tick, self.now = (
+            is_working,
+            capacity,
+            rate,
+            hit_ratio,
+            tick,
+            0,
+        )
         self.controller = FailoverController(-SECOND * 9)
-        self.total, self.part, self.path = OutcomeCounts(), 0.0, []
+        self.total, self.fraction, self.path = OutcomeCounts(), 0.0, []
         self.zones = zones
 
     def run(self, span):
@@ -363,20 +390,22 @@
         while self.now < end:
             self.now += self.tick
             state = self.controller.states.get(0)
-            back = state.returned_slices if state else SLICE_COUNT
-            self.part += self.rate * self.tick / SECOND * back / SLICE_COUNT
-            asked = int(self.part)
-            self.part -= asked
-            if back == 0:
-                asked = 1  # a trial
-            good = self.good(self.now)
-            hits = round(asked * self.hits(self.now)) if good else 0
-            self.total = self.total.plus(OutcomeCounts(asked if good else 0, 0, 0 if good else asked, hits))
+            returned = state.returned_slices if state else SLICE_COUNT
+            self.fraction += self.rate * self.tick / SECOND * returned / SLICE_COUNT
+            requests = int(self.fraction)
+            self.fraction -= requests
+            if returned == 0:
+                requests = 1  # a canary
+            is_working = self.is_working(self.now)
+            hits = round(requests * self.hit_ratio(self.now)) if is_working else 0
+            self.total = self.total.plus(
+                OutcomeCounts(requests if is_working else 0, 0, 0 if is_working else requests, hits)
+            )
             self.controller.record_counts("f0", 1, 0, self.total)
-            fails = not good and asked > 0 and back > 0
-            findings = {zone: FAILS if zone == 0 and fails else FINE for zone in range(self.zones)}
+            is_faulty = not is_working and requests > 0 and returned > 0
+            findings = {zone: FAULT if zone == 0 and is_faulty else NO_FAULT for zone in range(self.zones)}
             self.controller.update(
-                findings, dict.fromkeys(range(self.zones), self.rate), {0: self.bears(self.now)}, self.now
+                findings, dict.fromkeys(range(self.zones), self.rate), {0: self.capacity(self.now)}, self.now
             )
             self.path.append(
                 (self.now, self.controller.states[0].phase, self.controller.states[0].returned_slices)
@@ -384,100 +413,122 @@
 
     def changes(self):
         states = [state for _, state, _ in self.path]
-        return [two for one, two in zip(states, states[1:], strict=False) if one != two]
+        return [after for before, after in zip(states, states[1:], strict=False) if before != after]
 
 
-def least_recovery_looks(location, profile, tick, kept):
-    """The least looks in which all slices can return, for one who knows everything: each look as many as
-    both bounds leave, and a slice misses `kept` of what it missed a look before."""
-    back, fill_rate, now, last = 0, 0.0, 0, 1
-    while back < SLICE_COUNT:
-        aged = LocationCapacity(
+def min_recovery_steps(location, profile, tick, remaining_misses):
+    """The minimum number of steps in which all slices can return, with full knowledge: each step returns as
+    many as both bounds allow, and a slice misses `remaining_misses` of what it missed one step before."""
+    returned, fill_rate, now, last_step = 0, 0.0, 0, 1
+    while returned < SLICE_COUNT:
+        current = LocationCapacity(
             location.demand,
             location.transfer_rate,
-            tuple(ReadyBackend(size, age + now) for size, age in location.backends),
+            tuple(ReadyBackend(backend_capacity, age + now) for backend_capacity, age in location.backends),
             location.spare_fill_rate,
             fill_rate,
         )
-        more = max_next_step(aged, 0.0, last) if back else 1
+        step = max_next_step(current, 0.0, last_step) if returned else 1
         now += tick
-        more = max(0, min(more, max_returned_slices(aged, profile) - back))
-        last = more or last
-        back += more
-        fill_rate = fill_rate * kept + more / SLICE_COUNT * location.demand
+        step = max(0, min(step, max_returned_slices(current, profile) - returned))
+        last_step = step or last_step
+        returned += step
+        fill_rate = fill_rate * remaining_misses + step / SLICE_COUNT * location.demand
         if now > 1_000_000 * tick:
             return -1
     return now // tick
 
 
-WARMED = LocationCapacity(40_000.0, 4000.0, (ReadyBackend(8.0, 1 << 40),) * 6)
-
+WARM_CAPACITY = LocationCapacity(40_000.0, 4000.0, (ReadyBackend(8.0, 1 << 40),) * 6)
 
-def test_a_location_that_fails_is_left_and_is_back_once_it_has_proven_itself():
-    loop = Loop(lambda now: not 5 * SECOND <= now < 10 * SECOND, lambda now: WARMED)
-    loop.run(40 * SECOND)
-    left = next(at for at, state, _ in loop.path if state == FailoverPhase.FAILED_OVER)
-    again = next(at for at, state, _ in loop.path if state == FailoverPhase.RETURNING)
-    full = next(at for at, state, _ in loop.path if state == FailoverPhase.IN_USE and at > again)
-    assert 5 * SECOND <= left <= 5 * SECOND + 3 * loop.tick
-    assert 10 * SECOND + MIN_CANARY_SPAN <= again <= 10 * SECOND + MIN_CANARY_SPAN + 4 * loop.tick
-    assert full - again <= 5 * MIN_STEP_INTERVAL  # its copies are there: no step waits for fills
-    assert loop.changes() == [FailoverPhase.FAILED_OVER, FailoverPhase.RETURNING, FailoverPhase.IN_USE]
-    assert "all of its slices are back" in "\n".join(loop.controller.explain(0, loop.now))
 
-
-def test_ten_minutes_of_turns_of_three_seconds_change_it_four_times_at_most():
-    for phase in range(0, 60_000, 7_000):
-        loop = Loop(lambda now, phase=phase: (now + phase) // (3 * SECOND) % 2 == 0, lambda now: WARMED)
-        loop.run(600 * SECOND)
-        assert 1 <= len(loop.changes()) <= 4, (phase, loop.changes())
+def test_failing_location_fails_over_and_returns_after_its_canaries_succeed():
+    simulated = SimulatedLocation(lambda now: not 5 * SECOND <= now < 10 * SECOND, lambda now: WARM_CAPACITY)
+    simulated.run(40 * SECOND)
+    failed_over_at = next(at for at, state, _ in simulated.path if state == FailoverPhase.FAILED_OVER)
+    returning_at = next(at for at, state, _ in simulated.path if state == FailoverPhase.RETURNING)
+    in_use_at = next(
+        at for at, state, _ in simulated.path if state == FailoverPhase.IN_USE and at > returning_at
+    )
+    assert 5 * SECOND <= failed_over_at <= 5 * SECOND + 3 * simulated.tick
+    assert 10 * SECOND + MIN_CANARY_SPAN <= returning_at <= 10 * SECOND + MIN_CANARY_SPAN + 4 * simulated.tick
+    # the caches have their copies: no step waits for fills
+    assert in_use_at - returning_at <= 5 * MIN_STEP_INTERVAL
+    assert simulated.changes() == [FailoverPhase.FAILED_OVER, FailoverPhase.RETURNING, FailoverPhase.IN_USE]
+    assert "all of its slices are back" in "\n".join(simulated.controller.explain(0, simulated.now))
+
+
+def test_location_flapping_for_ten_minutes_changes_phase_at_most_four_times():
+    for offset in range(0, 60_000, 7_000):
+        simulated = SimulatedLocation(
+            lambda now, offset=offset: (now + offset) // (3 * SECOND) % 2 == 0, lambda now: WARM_CAPACITY
+        )
+        simulated.run(600 * SECOND)
+        assert 1 <= len(simulated.changes()) <= 4, (offset, simulated.changes())
 
 
 @pytest.mark.parametrize(
-    "demand, spare", [(100_000.0, 40_000.0), (100_000.0, 12_000.0), (30_000.0, 40_000.0)]
+    "demand, spare_fill_rate", [(100_000.0, 40_000.0), (100_000.0, 12_000.0), (30_000.0, 40_000.0)]
 )
-def test_a_cold_return_is_within_its_bounds_and_near_the_least_possible(demand, spare):
-    """Slices miss all at first and a fifth less each quarter of a second."""
-    warming, sizes = SlowStartProfile(), (ReadyBackend(8.0, 0),) * 6
-    misses, born = [0.0], 10 * SECOND
-
-    def bears(now):
-        aged = tuple(ReadyBackend(size, max(0, now - born)) for size, _ in sizes)
-        return LocationCapacity(demand, 4000.0, aged, spare, misses[0])
-
-    loop = Loop(lambda now: not 5 * SECOND <= now < born, bears, hits=lambda now: 0.1)
-    before, began = SLICE_COUNT, None
-    while began is None or before < SLICE_COUNT:
-        loop.run(loop.tick)
-        back = loop.controller.states[0].returned_slices
+def test_cold_return_keeps_its_bounds_and_is_nearly_as_fast_as_possible(demand, spare_fill_rate):
+    """All requests of a returned slice miss at first; the misses fall by a fifth every quarter of a
+    second."""
+    slow_start, backends = SlowStartProfile(), (ReadyBackend(8.0, 0),) * 6
+    misses, started_at = [0.0], 10 * SECOND
+
+    def capacity(now):
+        current_backends = tuple(
+            ReadyBackend(backend_capacity, max(0, now - started_at)) for backend_capacity, _ in backends
+        )
+        return LocationCapacity(demand, 4000.0, current_backends, spare_fill_rate, misses[0])
+
+    simulated = SimulatedLocation(
+        lambda now: not 5 * SECOND <= now < started_at, capacity, hit_ratio=lambda now: 0.1
+    )
+    before, returning_since = SLICE_COUNT, None
+    while returning_since is None or before < SLICE_COUNT:
+        simulated.run(simulated.tick)
+        returned = simulated.controller.states[0].returned_slices
         misses[0] *= 0.8
-        if loop.now > born and back > before:
-            misses[0] += (back - before) / SLICE_COUNT * demand
-            assert misses[0] <= spare and back <= max(1, max_returned_slices(bears(loop.now), warming))
-            began = began or loop.now
-        before = back
-        assert loop.now < 100 * SECOND
-    start = tuple(ReadyBackend(size, began - born) for size, _ in sizes)
-    best = least_recovery_looks(LocationCapacity(demand, 4000.0, start, spare, 0.0), warming, loop.tick, 0.8)
-    assert loop.now - began <= 1.5 * best * loop.tick + 4 * MIN_STEP_INTERVAL
+        if simulated.now > started_at and returned > before:
+            misses[0] += (returned - before) / SLICE_COUNT * demand
+            assert misses[0] <= spare_fill_rate and returned <= max(
+                1, max_returned_slices(capacity(simulated.now), slow_start)
+            )
+            returning_since = returning_since or simulated.now
+        before = returned
+        assert simulated.now < 100 * SECOND
+    start = tuple(
+        ReadyBackend(backend_capacity, returning_since - started_at) for backend_capacity, _ in backends
+    )
+    min_steps = min_recovery_steps(
+        LocationCapacity(demand, 4000.0, start, spare_fill_rate, 0.0), slow_start, simulated.tick, 0.8
+    )
+    assert simulated.now - returning_since <= 1.5 * min_steps * simulated.tick + 4 * MIN_STEP_INTERVAL
 
 
 @pytest.mark.parametrize("seed", range(120))
-def test_a_course_keeps_its_rules_whatever_comes(seed):
-    """Locations that fail and come back at random; all rules are checked from the outside."""
+def test_random_failovers_keep_all_rules(seed):
+    """Locations fail and recover at random; all rules are checked from outside of the controller."""
     rng = random.Random(seed)
     zones = rng.randint(2, 6)
     traffic = {zone: rng.choice((1.0, 5.0, 20.0)) for zone in range(zones)}
     controller, now, totals = FailoverController(-9 * SECOND), 0, dict.fromkeys(range(zones), OutcomeCounts())
-    left_at, wells, proven, proved, steps = {}, dict.fromkeys(range(zones), 0), {}, {}, {}
+    failed_over_at, answered_canaries, first_canary_at, last_canary_at, last_step_at = (
+        {},
+        dict.fromkeys(range(zones), 0),
+        {},
+        {},
+        {},
+    )
     before = {}
     for _ in range(400):
         now += rng.choice((1_000, 2_500, 2_500, 6_000))
-        findings, bears = {}, {}
+        findings, capacities = {}, {}
         for zone in range(zones):
-            bad = rng.random() < (0.3 if zone % 2 else 0.05)
-            findings[zone] = FAILS if bad else FINE
-            bears[zone] = LocationCapacity(
+            is_failing = rng.random() < (0.3 if zone % 2 else 0.05)
+            findings[zone] = FAULT if is_failing else NO_FAULT
+            capacities[zone] = LocationCapacity(
                 rng.choice((0.0, 40_000.0)),
                 4000.0,
                 (ReadyBackend(8.0, rng.randrange(200_000)),) * rng.randint(0, 6),
@@ -485,78 +536,84 @@
                 0.0,
             )
             if rng.random() < 0.6:
-                ended = OutcomeCounts(
+                counts = OutcomeCounts(
                     rng.randrange(6),
-                    rng.randrange(3) if bad else 0,
-                    rng.randrange(3) if bad else 0,
+                    rng.randrange(3) if is_failing else 0,
+                    rng.randrange(3) if is_failing else 0,
                     rng.randrange(3),
                 )
-                totals[zone] = totals[zone].plus(ended)
+                totals[zone] = totals[zone].plus(counts)
                 controller.record_counts("f", 1, zone, totals[zone])
                 if before.get(zone, (FailoverPhase.IN_USE,))[0] == FailoverPhase.FAILED_OVER:
-                    if ended.failed or ended.late > ended.on_time:
-                        wells[zone] = 0
-                    elif ended.on_time:
-                        proven[zone] = proven[zone] if wells[zone] else now
-                        wells[zone] += ended.on_time + ended.late
-                        proved[zone] = now
-        controller.update(findings, traffic, bears, now)
-        away_now = 0.0
-        for zone, one in controller.states.items():
-            state, back, fails = before.get(zone, (FailoverPhase.IN_USE, SLICE_COUNT, 0))
-            if state == FailoverPhase.IN_USE and one.phase == FailoverPhase.FAILED_OVER:
-                away_now += traffic[zone]
-            if one.phase == FailoverPhase.FAILED_OVER and state != FailoverPhase.FAILED_OVER:
-                assert findings[zone].is_faulty or state == FailoverPhase.RETURNING
-                again = state == FailoverPhase.RETURNING or (
-                    zone in left_at and now - one.stable_since < failover_control.STABLE_SPAN
+                    if counts.failed or counts.late > counts.on_time:
+                        answered_canaries[zone] = 0
+                    elif counts.on_time:
+                        first_canary_at[zone] = first_canary_at[zone] if answered_canaries[zone] else now
+                        answered_canaries[zone] += counts.on_time + counts.late
+                        last_canary_at[zone] = now
+        controller.update(findings, traffic, capacities, now)
+        newly_failed_over = 0.0
+        for zone, state in controller.states.items():
+            phase, returned, failed_returns = before.get(zone, (FailoverPhase.IN_USE, SLICE_COUNT, 0))
+            if phase == FailoverPhase.IN_USE and state.phase == FailoverPhase.FAILED_OVER:
+                newly_failed_over += traffic[zone]
+            if state.phase == FailoverPhase.FAILED_OVER and phase != FailoverPhase.FAILED_OVER:
+                assert findings[zone].is_faulty or phase == FailoverPhase.RETURNING
+                is_failed_return = phase == FailoverPhase.RETURNING or (
+                    zone in failed_over_at and now - state.stable_since < failover_control.STABLE_SPAN
                 )
-                left_at[zone], wells[zone] = now, 0
-                assert one.returned_slices == 0 and one.failed_returns == min(
-                    failover_state.MAX_FAILED_RETURNS, fails + again
+                failed_over_at[zone], answered_canaries[zone] = now, 0
+                assert state.returned_slices == 0 and state.failed_returns == min(
+                    failover_state.MAX_FAILED_RETURNS, failed_returns + is_failed_return
                 )
-            if state == FailoverPhase.FAILED_OVER and one.phase == FailoverPhase.RETURNING:
-                assert now - left_at[zone] >= MIN_OUTAGE << fails
+            if phase == FailoverPhase.FAILED_OVER and state.phase == FailoverPhase.RETURNING:
+                assert now - failed_over_at[zone] >= MIN_OUTAGE << failed_returns
                 assert (
-                    wells[zone] >= MIN_CANARIES and proved[zone] - proven[zone] >= MIN_CANARY_SPAN * 3**fails
+                    answered_canaries[zone] >= MIN_CANARIES
+                    and last_canary_at[zone] - first_canary_at[zone] >= MIN_CANARY_SPAN * 3**failed_returns
                 )
-                assert one.returned_slices == 1 and bears[zone].backends
-                steps[zone] = now
-            elif state == FailoverPhase.RETURNING and one.returned_slices > back:
-                assert now - steps[zone] >= MIN_STEP_INTERVAL and one.returned_slices <= max_returned_slices(
-                    bears[zone], SlowStartProfile()
+                assert state.returned_slices == 1 and capacities[zone].backends
+                last_step_at[zone] = now
+            elif phase == FailoverPhase.RETURNING and state.returned_slices > returned:
+                assert now - last_step_at[
+                    zone
+                ] >= MIN_STEP_INTERVAL and state.returned_slices <= max_returned_slices(
+                    capacities[zone], SlowStartProfile()
                 )
-                steps[zone] = now
-            elif state == FailoverPhase.RETURNING and one.returned_slices < back:
-                steps[zone] = now
-            assert (one.phase == FailoverPhase.IN_USE) == (
-                one.returned_slices == SLICE_COUNT
-            ) and 0 <= one.returned_slices <= SLICE_COUNT
-            before[zone] = one.phase, one.returned_slices, one.failed_returns
-        if away_now:
-            out = sum(
+                last_step_at[zone] = now
+            elif phase == FailoverPhase.RETURNING and state.returned_slices < returned:
+                last_step_at[zone] = now
+            assert (state.phase == FailoverPhase.IN_USE) == (
+                state.returned_slices == SLICE_COUNT
+            ) and 0 <= state.returned_slices <= SLICE_COUNT
+            before[zone] = state.phase, state.returned_slices, state.failed_returns
+        if newly_failed_over:
+            failed_over = sum(
                 rate
                 for zone, rate in traffic.items()
                 if controller.states[zone].phase == FailoverPhase.FAILED_OVER
             )
-            assert away_now <= MAX_TRAFFIC_AWAY * sum(traffic.values()) + 1e-6 or out == away_now
+            assert (
+                newly_failed_over <= MAX_TRAFFIC_AWAY * sum(traffic.values()) + 1e-6
+                or failed_over == newly_failed_over
+            )
 
 
-def test_no_more_than_half_of_the_traffic_leaves():
+def test_at_most_half_of_the_traffic_fails_over():
     controller, traffic = FailoverController(-9 * SECOND), dict.fromkeys(range(4), 10.0)
     for now in range(0, 5 * SECOND, 2_500):
-        controller.update({zone: FAILS if zone < 3 else FINE for zone in range(4)}, traffic, {}, now)
+        controller.update({zone: FAULT if zone < 3 else NO_FAULT for zone in range(4)}, traffic, {}, now)
     states = [controller.states[zone].phase for zone in range(4)]
     assert states.count(FailoverPhase.FAILED_OVER) == 2 and "half" not in states
     assert "50% of the traffic" in controller.states[2].waiting_for
 
 
-def test_a_second_location_that_fails_while_the_first_returns_waits_for_room():
+def test_second_failing_location_waits_until_enough_of_the_first_has_returned():
     controller, traffic = FailoverController(-9 * SECOND), {0: 10.0, 1: 10.0, 2: 5.0}
     for now in (1, 2, 3):
-        controller.update({0: FAILS, 1: FINE, 2: FINE}, traffic, {}, now)
+        controller.update({0: FAULT, 1: NO_FAULT, 2: NO_FAULT}, traffic, {}, now)
     for now in (4, 5, 6):
-        controller.update({0: FINE, 1: FAILS, 2: FINE}, traffic, {}, now)
+        controller.update({0: NO_FAULT, 1: FAULT, 2: NO_FAULT}, traffic, {}, now)
     assert [controller.states[zone].phase for zone in range(3)] == [
         FailoverPhase.FAILED_OVER,
         FailoverPhase.IN_USE,
@@ -565,12 +622,12 @@
     controller.states[0].returned_slices, controller.states[0].phase = (
         SLICE_COUNT - 16,
         FailoverPhase.RETURNING,
-    )  # three quarters are back
-    controller.update({0: FINE, 1: FAILS, 2: FINE}, traffic, {0: WARMED}, 7)
+    )  # three quarters have returned
+    controller.update({0: NO_FAULT, 1: FAULT, 2: NO_FAULT}, traffic, {0: WARM_CAPACITY}, 7)
     assert controller.states[1].phase == FailoverPhase.FAILED_OVER
 
 
-def test_who_begins_to_decide_takes_up_what_forwarders_keep_to():
+def test_new_controller_adopts_the_states_reported_by_gateways():
     controller = FailoverController(0)
     controller.adopt({0: FailoverStatus(0, 2), 1: FailoverStatus(20, 0)}, 100)
     assert [(controller.states[zone].phase, controller.states[zone].returned_slices) for zone in (0, 1)] == [
@@ -578,18 +635,18 @@
         (FailoverPhase.RETURNING, 20),
     ]
     assert controller.is_listening(100) and not controller.is_listening(2 * SECOND)
-    told = controller.directives({0: ("f0", "f1")}, 100)
+    directives = controller.directives({0: ("f0", "f1")}, 100)
     assert (
-        told[0].failed_returns == 2
-        and told[0].canary_gateway in ("f0", "f1")
-        and told[1].returned_slices == 20
-        and not told[1].canary_gateway
+        directives[0].failed_returns == 2
+        and directives[0].canary_gateway in ("f0", "f1")
+        and directives[1].returned_slices == 20
+        and not directives[1].canary_gateway
     )
     controller.adopt({0: FailoverStatus(0, 2)}, 200)
     assert controller.states[1].phase == FailoverPhase.IN_USE
 
 
-def test_counts_of_a_process_before_and_what_came_before_the_first_are_passed_over():
+def test_counts_of_earlier_processes_and_before_the_first_report_are_ignored():
     controller = FailoverController(0)
     controller.record_counts("f", 1, 0, OutcomeCounts(100, 0, 50, 90))
     assert 0 not in controller.states or controller.states[0].outcomes == OutcomeCounts()
@@ -602,11 +659,11 @@
     assert not controller.reported_counts
 
 
-def test_trials_go_by_turns():
+def test_gateways_take_turns_to_send_canaries():
     controller = FailoverController(0)
     controller.adopt({0: FailoverStatus(0, 0)}, 0)
-    who = {0: ("a", "b", "c")}
-    assert [controller.directives(who, turn * CANARY_TURN)[0].canary_gateway for turn in range(4)] == [
+    gateways = {0: ("a", "b", "c")}
+    assert [controller.directives(gateways, turn * CANARY_TURN)[0].canary_gateway for turn in range(4)] == [
         "a",
         "b",
         "c",
@@ -614,29 +671,28 @@
     ]
 
 
-# --- a forwarder ---
+# --- local failover ---
 
 
-def test_a_plan_is_followed_down_at_once_and_up_at_its_pace():
+def test_gateway_follows_a_failover_at_once_and_a_return_at_its_rate():
     gateway = LocalFailover("f0", 4, 150_000)
-    left = gateway.update({0: FailoverDirective(0, slices_per_second=8.0)}, 0)[0]
-    assert left.returned_slices == 0 and left.canaries_only
+    failover = gateway.update({0: FailoverDirective(0, slices_per_second=8.0)}, 0)[0]
+    assert failover.returned_slices == 0 and failover.canaries_only
     gateway.update({0: FailoverDirective(64, slices_per_second=8.0)}, 2_500)
-    assert left.returned_slices == 2
-    gateway.update({}, 5_000)  # another planner's, that knows nothing of it
-    assert left.returned_slices == 4 and gateway.limited_returns
+    assert failover.returned_slices == 2
+    gateway.update({}, 5_000)  # from another planner, without a directive for the location
+    assert failover.returned_slices == 4 and gateway.limited_returns
     gateway.update({0: FailoverDirective(1, slices_per_second=8.0)}, 7_500)
-    assert left.returned_slices == 1
-    assert (
-        gateway.update({}, 7_500 + 100 * SECOND)[0].returned_slices <= 1 + 4
-    )  # not asked for long: no jump either
+    assert failover.returned_slices == 1
+    # no jump after a long idle period either
+    assert gateway.update({}, 7_500 + 100 * SECOND)[0].returned_slices <= 1 + 4
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_no_row_of_plans_moves_a_forwarder_faster_than_the_highest_pace_told(seed):
+def test_no_sequence_of_plans_returns_slices_faster_than_the_highest_rate(seed):
     rng = random.Random(seed)
     gateway, now, path = LocalFailover("f0", rng.randint(1, 9), 150_000), 0, []
-    top = 64 * SECOND / 150_000
+    max_rate = 64 * SECOND / 150_000
     plan = None
     for _ in range(200):
         now += rng.choice((100, 2_500, 2_500, 40_000))
@@ -654,50 +710,56 @@
                 ]
             )
         if plan and 0 in plan:
-            top = max(top, plan[0].slices_per_second)
+            max_rate = max(max_rate, plan[0].slices_per_second)
         for _ in range(rng.randrange(3)):
             gateway.attempt_ended(0, rng.choice(("well", "well", "late", "failed")), True, now, now)
-        left = gateway.update(plan, now)
-        path.append((now, left[0].returned_slices if 0 in left else SLICE_COUNT))
-    rises = [(two[0], two[1] - one[1], two[0] - one[0]) for one, two in zip(path, path[1:], strict=False)]
-    assert all(rise <= top * span / SECOND + max(1.0, top / 2) for _, rise, span in rises)
-    for begin in range(0, len(path), 20):  # and over longer spans
-        span, rise = path[-1][0] - path[begin][0], sum(max(0, one[1]) for one in rises[begin:])
-        assert rise <= top * span / SECOND + max(1.0, top / 2) + 1
+        failovers = gateway.update(plan, now)
+        path.append((now, failovers[0].returned_slices if 0 in failovers else SLICE_COUNT))
+    increases = [
+        (after[0], after[1] - before[1], after[0] - before[0])
+        for before, after in zip(path, path[1:], strict=False)
+    ]
+    assert all(
+        increase <= max_rate * span / SECOND + max(1.0, max_rate / 2) for _, increase, span in increases
+    )
+    for begin in range(0, len(path), 20):  # over longer spans as well
+        span, increase = path[-1][0] - path[begin][0], sum(max(0, before[1]) for before in increases[begin:])
+        assert increase <= max_rate * span / SECOND + max(1.0, max_rate / 2) + 1
 
 
-def test_forwarders_alone_return_no_faster_than_its_bes_grow_warm():
-    """Twenty without a plan, each at its own time: never more of the slices than the age of its bes bears."""
+def test_gateways_without_a_plan_return_slices_no_faster_than_the_slow_start():
+    """Twenty gateways without a plan and with different clocks never return more slices than the backends can
+    serve at their age."""
     gateways = [LocalFailover(f"f{number}", 20, 150_000) for number in range(20)]
-    clocks = [777 * number for number in range(20)]
-    for gateway, clock in zip(gateways, clocks, strict=True):
-        gateway.update({0: FailoverDirective(0)}, clock)
-    asked, now, least_full = [], 0, None
+    offsets = [777 * number for number in range(20)]
+    for gateway, offset in zip(gateways, offsets, strict=True):
+        gateway.update({0: FailoverDirective(0)}, offset)
+    history, now, all_returned_at = [], 0, None
     while now < 120 * SECOND:
         now += 2_500
-        backs = []
-        for gateway, clock in zip(gateways, clocks, strict=True):
-            left = gateway.update(None, clock + now).get(0)
-            back = left.returned_slices if left else SLICE_COUNT
-            backs.append(back)
-            if left is None or back or not left.is_away("k 0", True, clock + now):
-                gateway.attempt_ended(0, "well", True, clock + now, clock + now)
-        asked.append((now, max(backs)))
-        if min(backs) == SLICE_COUNT and least_full is None:
-            least_full = now
-    assert all(back <= 1 + SLICE_COUNT * at / 150_000 for at, back in asked)
-    assert least_full is not None and least_full < 90 * SECOND
-
-
-def test_a_forwarder_alone_takes_all_back_where_it_fails_and_waits_three_times_as_long():
+        returned = []
+        for gateway, offset in zip(gateways, offsets, strict=True):
+            failover = gateway.update(None, offset + now).get(0)
+            slices = failover.returned_slices if failover else SLICE_COUNT
+            returned.append(slices)
+            if failover is None or slices or not failover.is_away("k 0", True, offset + now):
+                gateway.attempt_ended(0, "well", True, offset + now, offset + now)
+        history.append((now, max(returned)))
+        if min(returned) == SLICE_COUNT and all_returned_at is None:
+            all_returned_at = now
+    assert all(slices <= 1 + SLICE_COUNT * at / 150_000 for at, slices in history)
+    assert all_returned_at is not None and all_returned_at < 90 * SECOND
+
+
+def test_gateway_without_a_plan_reverts_a_failed_return_and_waits_three_times_as_long():
     gateway = LocalFailover("f0", 1, 150_000)
     for now in (0, 5_000, 10_000, 15_000):
         assert gateway.update({0: FailoverDirective(9)}, now)[0].returned_slices == now // 2_500
     gateway.update(None, 17_500)
     for _ in range(4):
         gateway.attempt_ended(0, "failed", False, 18_000, 18_000)
-    left = gateway.update(None, 20_000)[0]
-    assert left.returned_slices == 0 and gateway.statuses() == {0: (0, 1)}
+    failover = gateway.update(None, 20_000)[0]
+    assert failover.returned_slices == 0 and gateway.statuses() == {0: (0, 1)}
     for now in range(21_000, 21_000 + 3 * MIN_CANARY_SPAN, 500):
         gateway.attempt_ended(0, "well", True, now, now)
         assert gateway.update(None, now)[0].returned_slices == 0
@@ -705,34 +767,48 @@
     assert gateway.update(None, 21_000 + 3 * MIN_CANARY_SPAN + 500)[0].returned_slices == 1
 
 
-def test_trials_are_one_at_a_time_and_only_of_what_may_be_repeated():
-    left = SliceFailover(0, 0, True)
-    assert left.is_away("a 0", False, 10)
-    assert not left.is_away("a 0", True, 10) and left.is_away("b 0", True, 11)
-    assert not left.is_away("b 0", True, 10 + CANARY_TURN)
+def test_canaries_are_sent_one_at_a_time_and_only_if_safe_to_repeat():
+    failover = SliceFailover(0, 0, True)
+    assert failover.is_away("a 0", False, 10)
+    assert not failover.is_away("a 0", True, 10) and failover.is_away("b 0", True, 11)
+    assert not failover.is_away("b 0", True, 10 + CANARY_TURN)
     gateway = LocalFailover("f0", 1, 150_000)
-    mine = gateway.update({0: FailoverDirective(0, canary_gateway="f0")}, 0)[0]
-    assert not mine.is_away("a 0", True, 0) and mine.is_away("a 0", True, 500)
+    own_turn = gateway.update({0: FailoverDirective(0, canary_gateway="f0")}, 0)[0]
+    assert not own_turn.is_away("a 0", True, 0) and own_turn.is_away("a 0", True, 500)
     gateway.attempt_ended(0, "well", True, 600, 600)
-    assert mine.is_away("a 0", True, 600) and not mine.is_away("a 0", True, 600 + MIN_CANARY_INTERVAL)
+    assert own_turn.is_away("a 0", True, 600) and not own_turn.is_away("a 0", True, 600 + MIN_CANARY_INTERVAL)
 
 
-def test_what_of_a_location_is_back_is_asked_for_at_home():
-    left = SliceFailover(3, 20)
-    homes = [
-        place for place in (f"o{number} 0" for number in range(1000)) if not left.is_away(place, True, 0)
+def test_objects_of_returned_slices_use_their_own_location():
+    failover = SliceFailover(3, 20)
+    returned = [
+        placement_key
+        for placement_key in (f"o{number} 0" for number in range(1000))
+        if not failover.is_away(placement_key, True, 0)
     ]
-    assert 230 < len(homes) < 400 and all(return_positions(3)[slice_index(place)] < 20 for place in homes)
+    assert 230 < len(returned) < 400 and all(
+        return_positions(3)[slice_index(placement_key)] < 20 for placement_key in returned
+    )
 
 
-def test_what_is_away_is_spread_by_what_others_have_to_spare_and_moves_as_little_as_it_must():
+def test_substitutes_are_weighted_by_spare_capacity_and_changes_move_few_objects():
     even = substitutes.distribute_demand({0: 50.0, 2: 50.0}, 40.0)
     assert even == ((0, 0.5), (2, 0.5))
-    short = substitutes.distribute_demand({0: 10.0, 2: 0.0}, 40.0)
-    assert short == ((0, 0.2), (BYPASS_ZONE, 0.8)) and substitutes.distribute_demand({0: 0.0}, 40.0) == ()
-    places = [f"o{number} 0" for number in range(4000)]
-    before = {place: substitutes.substitute_zone(place, ((0, 0.5), (2, 0.5))) for place in places}
-    after = {place: substitutes.substitute_zone(place, ((0, 0.5), (2, 0.5), (3, 0.25))) for place in places}
+    insufficient = substitutes.distribute_demand({0: 10.0, 2: 0.0}, 40.0)
+    assert (
+        insufficient == ((0, 0.2), (BYPASS_ZONE, 0.8)) and substitutes.distribute_demand({0: 0.0}, 40.0) == ()
+    )
+    placement_keys = [f"o{number} 0" for number in range(4000)]
+    before = {
+        placement_key: substitutes.substitute_zone(placement_key, ((0, 0.5), (2, 0.5)))
+        for placement_key in placement_keys
+    }
+    after = {
+        placement_key: substitutes.substitute_zone(placement_key, ((0, 0.5), (2, 0.5), (3, 0.25)))
+        for placement_key in placement_keys
+    }
     assert 1800 < sum(zone == 0 for zone in before.values()) < 2200
-    moved = [place for place in places if before[place] != after[place]]
-    assert all(after[place] == 3 for place in moved) and 700 < len(moved) < 900
+    moved = [
+        placement_key for placement_key in placement_keys if before[placement_key] != after[placement_key]
+    ]
+    assert all(after[placement_key] == 3 for placement_key in moved) and 700 < len(moved) < 900
