--- a/lilacloft/failover/failover_control.py
+++ b/lilacloft/failover/failover_control.py
@@ -1,8 +1,8 @@
 """Decides for all gateways which locations are failed over, and how each returns slice by slice.
 
 Failover: a location fails over when it is found faulty (`fault_detection`) `MIN_FAULTS` times in a row, and
-no more than `MAX_TRAFFIC_AWAY` of the traffic would then be failed over. All its slices are taken out of use
-at once, as their requests already fail.
+no more than `MAX_FAILED_OVER_TRAFFIC` of the traffic would then be failed over. All its slices are taken out
+of use at once, as their requests already fail.
 
 Canaries: gateways take turns to send canary requests: requests that are safe to repeat, of any slice.
 
@@ -46,7 +46,7 @@
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
 MIN_FAULTS = 2  # consecutive faulty findings
-MAX_TRAFFIC_AWAY = 0.5  # of the fleet's traffic, that may be failed over at once
+MAX_FAILED_OVER_TRAFFIC = 0.5  # of the fleet's traffic, that may be failed over at once
 MIN_STEP_INTERVAL: Ticks = 5_000  # so that the answers show the effect of a step
 REVERT_LATE_SHARE = 0.5  # of the answers
 STABLE_SPAN: Ticks = 600_000  # of use, after which one failed return is forgiven
@@ -149,16 +149,19 @@
         if state.faults_in_a_row < MIN_FAULTS:
             return
         total = sum(traffic.values()) or 1.0
-        if self._traffic_away(traffic) + traffic.get(zone, 0.0) > MAX_TRAFFIC_AWAY * total + ROUNDING:
+        if (
+            self._failed_over_traffic(traffic) + traffic.get(zone, 0.0)
+            > MAX_FAILED_OVER_TRAFFIC * total + ROUNDING
+        ):
             state.waiting_for = (
-                f"other locations: at most {MAX_TRAFFIC_AWAY:.0%} of the traffic may be failed over"
+                f"other locations: at most {MAX_FAILED_OVER_TRAFFIC:.0%} of the traffic may be failed over"
             )
             return
         if state.history and now - state.stable_since < STABLE_SPAN:
             state.count_failed_return()
         state.fail_over(now, str(finding))
 
-    def _traffic_away(self, traffic: Mapping[int, float]) -> float:
+    def _failed_over_traffic(self, traffic: Mapping[int, float]) -> float:
         return sum(
             rate * (1 - self.states[zone].returned_slices / SLICE_COUNT)
             for zone, rate in traffic.items()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -6,7 +6,7 @@
 
 from lilacloft.failover import failover_control, failover_state, substitutes
 from lilacloft.failover.failover_control import (
-    MAX_TRAFFIC_AWAY,
+    MAX_FAILED_OVER_TRAFFIC,
     MIN_STEP_INTERVAL,
     FailoverController,
 )
@@ -594,7 +594,7 @@
                 if controller.states[zone].phase == FailoverPhase.FAILED_OVER
             )
             assert (
-                newly_failed_over <= MAX_TRAFFIC_AWAY * sum(traffic.values()) + 1e-6
+                newly_failed_over <= MAX_FAILED_OVER_TRAFFIC * sum(traffic.values()) + 1e-6
                 or failed_over == newly_failed_over
             )
 
