--- a/lilacloft/handover/phase_reporter.py
+++ b/lilacloft/handover/phase_reporter.py
@@ -23,7 +23,7 @@
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.control: Channel | None = None  # to the upgrade command; None after the final report
+        self.command_channel: Channel | None = None  # to the upgrade command; None after the final report
 
     def report(self, phase: Phase, reason: str, previous_phase_seconds: float, pid: int) -> None:
         """Report that a phase has begun. `pid`: of the new process; 0: not started."""
@@ -32,16 +32,16 @@
         (log.warning if phase == Phase.IDLE else log.info)("{}", text)
         if self.gateway.recorder:
             self.gateway.recorder.upgrade_phase(str(phase), reason)
-        if self.control is not None:
+        if self.command_channel is not None:
             self._send(phase, reason, previous_phase_seconds, pid)
 
     def _send(self, phase: Phase, reason: str, previous_phase_seconds: float, pid: int) -> None:
         """Send a phase to the upgrade command; the last phase of a handover is marked as final."""
-        assert self.control is not None
+        assert self.command_channel is not None
         is_final = phase in (Phase.IDLE, Phase.DONE)
         reason = reason[:MAX_REASON_CHARACTERS]
         report = PhaseReport(phase, reason, previous_phase_seconds, pid, is_final, phase == Phase.DONE)
         with contextlib.suppress(ChannelError, FormatError):
-            self.control.send(MessageKind.PHASE, report, timeout=SEND_TIMEOUT)
+            self.command_channel.send(MessageKind.PHASE, report, timeout=SEND_TIMEOUT)
         if is_final:
-            self.control = None
+            self.command_channel = None
--- a/lilacloft/handover/phases.py
+++ b/lilacloft/handover/phases.py
@@ -275,7 +275,7 @@
         if not self.is_gateway:
             self.is_aborted, self.reason = True, reason
 
-    def channel_broken(self, sender_lives: bool) -> bool:
+    def channel_broken(self, sender_is_running: bool) -> bool:
         """The channel broke without a dismissal; returns whether the receiver is the gateway.
 
         A receiver that is dismissed is notified or killed, so if the sender no longer runs, it has crashed.
@@ -283,8 +283,8 @@
         connections are still quiesced, so no request is sent or answered twice.
         """
         if not self.is_gateway:
-            self.is_gateway = self.has_state and not self.is_aborted and not sender_lives
+            self.is_gateway = self.has_state and not self.is_aborted and not sender_is_running
             self.is_aborted = not self.is_gateway
-            default = "the old process closed the channel" if sender_lives else "the old process exited"
+            default = "the old process closed the channel" if sender_is_running else "the old process exited"
             self.reason = self.reason or default
         return self.is_gateway
--- a/lilacloft/handover/receiver.py
+++ b/lilacloft/handover/receiver.py
@@ -119,7 +119,7 @@
         try:
             self._receive(MessageKind.COMMIT)
         except ChannelError as error:
-            if not self.state_machine.channel_broken(self._sender_lives()):
+            if not self.state_machine.channel_broken(self._sender_is_running()):
                 raise NotWantedError(f"{error}; {self.state_machine.reason}") from error
             logger.warning("upgrade: {}: this process goes on", self.state_machine.reason)
             return
@@ -154,7 +154,7 @@
             raise NotWantedError(reason)
         return frame
 
-    def _sender_lives(self) -> bool:
+    def _sender_is_running(self) -> bool:
         """Return whether the sender still runs.
 
         Polled for a while: an exiting process closes its sockets shortly before its exit can be observed.
--- a/lilacloft/handover/sender.py
+++ b/lilacloft/handover/sender.py
@@ -86,9 +86,9 @@
 
     # --- the driving thread ---
 
-    def _upgrade(self, request: messages.UpgradeRequest, control: Channel) -> None:
-        """Carry out an upgrade request; the phases are reported on `control`."""
-        self._begin(request, control)
+    def _upgrade(self, request: messages.UpgradeRequest, command_channel: Channel) -> None:
+        """Carry out an upgrade request; the phases are reported on `command_channel`."""
+        self._begin(request, command_channel)
         try:
             if self.receiver.start_error:
                 raise ChannelError(self.receiver.start_error)
@@ -99,11 +99,11 @@
             if self.state_machine.phase == Phase.IDLE:
                 self.receiver.close_channel()
 
-    def _begin(self, request: messages.UpgradeRequest, control: Channel) -> None:
+    def _begin(self, request: messages.UpgradeRequest, command_channel: Channel) -> None:
         """Start the receiver; raises UpgradeRefusedError if no handover may begin."""
         with self.lock:
             if self.state_machine.phase == Phase.IDLE:
-                self.reporter.control = control
+                self.reporter.command_channel = command_channel
                 self.receiver_is_serving = self.was_reloaded = False
                 self.command = self._command_of(request)
             refusal = self.state_machine.upgrade_requested(
--- a/lilacloft/handover/upgrade_listener.py
+++ b/lilacloft/handover/upgrade_listener.py
@@ -91,24 +91,24 @@
                 logger.error("handover: {}", error)
                 time.sleep(PAUSE_AFTER_ERROR)
 
-    def _serve(self, control: Channel) -> None:
+    def _serve(self, command_channel: Channel) -> None:
         """Serve one connection; errors on it do not affect the gateway."""
         pid = 0
         try:
-            pid, uid = control.peer()
+            pid, uid = command_channel.peer()
             if uid not in (ROOT_UID, os.getuid()):
                 raise UpgradeRefusedError(f"user {uid} is not allowed to request an upgrade")
-            frame = control.receive(REQUEST_TIMEOUT, (MessageKind.UPGRADE_REQUEST,))
-            self.handle(frame.decode(UpgradeRequest), control)
+            frame = command_channel.receive(REQUEST_TIMEOUT, (MessageKind.UPGRADE_REQUEST,))
+            self.handle(frame.decode(UpgradeRequest), command_channel)
         except (FormatError, ChannelError, OSError) as error:
             logger.warning("handover: closing the connection of process {}: {}", pid, error)
         except UpgradeRefusedError as error:
             logger.warning("handover: refused the request of process {}: {}", pid, error)
             with contextlib.suppress(ChannelError):
-                control.send(MessageKind.PHASE, PhaseReport(PHASE_REFUSED, str(error), is_final=True))
+                command_channel.send(MessageKind.PHASE, PhaseReport(PHASE_REFUSED, str(error), is_final=True))
         except Exception:
             logger.exception("handover failed")
             self.on_internal_error("internal error in the old process")
         finally:
-            control.close()
+            command_channel.close()
             self.slots.release()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Whole gateway processes that replace each other: with open requests, partial messages and failures."""
+"""Handovers between gateway processes, with open requests, partial messages and failures."""
 
 import contextlib
 import json
@@ -23,7 +23,7 @@
 from rigs.stands import World, encode, record, serves, silent
 
 CLIP = bytes(range(256)) * 800
-# starting: well before the change log's silence counts, as that of the stands says nothing
+# starting: shorter than the time after which the simulated change log counts as silent, as it sends nothing
 LIMITS = "(starting 3s) (warming 3s) (taking 1s) (committed 1s) (letting-go 4s)"
 
 
@@ -38,9 +38,9 @@
 
 
 def assert_nothing_more_sent(cache, ref, wait=0.2):
-    """Assert that no more attempts of a request come."""
-    until = time.monotonic() + wait
-    while time.monotonic() < until:
+    """Assert that no further attempt of a request arrives within `wait` seconds."""
+    deadline = time.monotonic() + wait
+    while time.monotonic() < deadline:
         while not cache.seen.empty():
             _, _, items = cache.seen.get()
             assert items[0] != b"do" or items[1] != ref, "sent twice"
@@ -50,53 +50,53 @@
 @pytest.mark.parametrize("step", [*STEPS, "old", "fine"])
 def test_a_request_in_flight_is_sent_once_and_answered_once_wherever_the_receiver_fails(world, step):
     world = world(silent)
-    asker = world.asker()
-    tag = asker.ask(b"book", body=b"seat", allow=8000)
+    client = world.asker()
+    tag = client.ask(b"book", body=b"seat", allow=8000)
     _, sock, items = world.caches[0].next()
-    limits = {"hang": 1.0}.get(step)
-    if limits:  # the answer comes while the new process hangs
-        threading.Timer(limits, lambda: sock.sendall(booked_answer(items[1]))).start()
-    elif step == "old":  # open reqs stay with the old process, which waits for this one
+    answer_delay = {"hang": 1.0}.get(step)
+    if answer_delay:  # the answer arrives while the receiver hangs
+        threading.Timer(answer_delay, lambda: sock.sendall(booked_answer(items[1]))).start()
+    elif step == "old":  # open requests stay with the sender, which waits for the answer to this one
         threading.Timer(0.6, lambda: sock.sendall(booked_answer(items[1]))).start()
-    done, why = world.upgrade(step)
-    assert done == (step in ("fine", "old")), why
+    succeeded, reason = world.upgrade(step)
+    assert succeeded == (step in ("fine", "old")), reason
     if step not in ("hang", "old"):
         sock.sendall(booked_answer(items[1]))
-    assert asker.answer() == [tag, b"200", b"", b"booked"]
+    assert client.answer() == [tag, b"200", b"", b"booked"]
     assert_nothing_more_sent(world.caches[0], items[1])
-    tag = asker.ask(b"book", body=b"seat")  # on the same connection, whoever has it now
+    tag = client.ask(b"book", body=b"seat")  # on the same connection, whichever process has it now
     _, sock, items = world.caches[0].next()
     sock.sendall(booked_answer(items[1]))
-    assert asker.answer() == [tag, b"200", b"", b"booked"]
-    if not done:
+    assert client.answer() == [tag, b"200", b"", b"booked"]
+    if not succeeded:
         world.told("upgrade: idle")
-        assert world.upgrade()[0]  # and the next attempt goes well
+        assert world.upgrade()[0]  # the next upgrade succeeds
 
 
-def test_an_answer_that_comes_with_the_commit_is_delivered_once(world):
+def test_an_answer_that_arrives_in_any_phase_is_delivered_once(world):
     world = world(silent)
-    asker = world.asker()
-    for moment in ("taking", "taking", "committed", "committed", "letting_go", "ready"):
-        tag = asker.ask(b"book", body=b"seat")
+    client = world.asker()
+    for phase_name in ("taking", "taking", "committed", "committed", "letting_go", "ready"):
+        tag = client.ask(b"book", body=b"seat")
         _, sock, items = world.caches[0].next()
 
-        def answer(phase, moment=moment, sock=sock, items=items):
-            if phase.phase == moment:
+        def answer(phase, phase_name=phase_name, sock=sock, items=items):
+            if phase.phase == phase_name:
                 sock.sendall(booked_answer(items[1]))
 
         assert world.upgrade(seen=answer) == (True, "")
-        assert asker.answer() == [tag, b"200", b"", b"booked"]
+        assert client.answer() == [tag, b"200", b"", b"booked"]
         assert_nothing_more_sent(world.caches[0], items[1], 0.05)
 
 
 def test_if_the_receiver_dies_after_its_acknowledgement_the_sender_serves_and_sends_nothing_again(world):
     world = world(silent)
-    asker = world.asker()
-    asker.ask(b"book", body=b"seat")
+    client = world.asker()
+    client.ask(b"book", body=b"seat")
     _, sock, items = world.caches[0].next()
-    done, why = world.upgrade("taken")
-    assert not done and "letting go" in why
-    assert asker.answer() is None  # lost with the process that had it, as in any crash
+    succeeded, reason = world.upgrade("taken")
+    assert not succeeded and "letting go" in reason
+    assert client.answer() is None  # lost with the receiver, as in any crash
     assert_nothing_more_sent(world.caches[0], items[1])
     again = world.asker()
     tag = again.ask(b"book", body=b"seat")
@@ -107,53 +107,53 @@
 
 @pytest.mark.parametrize("step", ["orphan", "orphaned"])
 def test_if_the_sender_is_killed_the_receiver_continues_with_all_open_requests(world, step):
-    """Before the new one has said that all is there, or by the time it does."""
+    """It is killed before the receiver reports the restored state; with `orphaned` it has exited by then."""
     world = world(silent)
-    asker = world.asker()
-    tag = asker.ask(b"book", body=b"seat")
+    client = world.asker()
+    tag = client.ask(b"book", body=b"seat")
     _, sock, items = world.caches[0].next()
-    done, _ = world.upgrade(step)
-    assert not done  # nobody is left to tell
+    succeeded, _ = world.upgrade(step)
+    assert not succeeded  # the process that reports the phases is gone
     world.told("this process goes on")
     sock.sendall(booked_answer(items[1]))
-    assert asker.answer() == [tag, b"200", b"", b"booked"]
+    assert client.answer() == [tag, b"200", b"", b"booked"]
     assert_nothing_more_sent(world.caches[0], items[1])
-    waiting = world.asker()  # kept, else it closes at once
+    waiting = world.asker()  # kept in a variable: else its connection is closed at once
     tag = waiting.ask(b"book", body=b"seat")
     world.caches[0].next()
 
 
 def once_silent():
-    """Takes the first read, whose answer the test sends by halves, and answers further ones at once.
+    """Leave the first read to the test, which answers it in two halves, and answer further reads at once.
 
-    Where the second half comes later than the gateway waits, as on a slow machine, it retries elsewhere.
+    On a slow machine the second half may arrive after the gateway's timeout: it retries at another backend.
     """
     reads = []
 
-    def says(stand, sock, items):
+    def handle(stand, sock, items):
         if items[0] == b"do" and b"profile=clip" in items[2]:
             reads.append(items)
             if len(reads) > 1:
                 sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", CLIP))
         silent(stand, sock, items)
 
-    return says
+    return handle
 
 
 @pytest.mark.parametrize("mode", ["whole", "drain"])
 def test_half_a_request_and_half_an_answer_are_completed_after_the_handover(world, mode):
     world = world(once_silent())
-    asker, other = world.asker(), world.asker()
-    tag = asker.ask(key=1)
+    client, other = world.asker(), world.asker()
+    tag = client.ask(key=1)
     _, sock, items = world.caches[0].next()
     good = encode(items[1], b"data", b"remark=TCP_HIT", CLIP)
     sock.sendall(good[:70_000])
-    told = {"ref": f"{77:016x}", "allow": 2000, "lookup": f"{2:016x}", "nth": 0, "batch": 7, "room": 400.0}
-    half = encode(b"EXEC", b"5", b"book", encode_fields(told.items()), b"seat" * 50)
+    fields = {"ref": f"{77:016x}", "allow": 2000, "lookup": f"{2:016x}", "nth": 0, "batch": 7, "room": 400.0}
+    half = encode(b"EXEC", b"5", b"book", encode_fields(fields.items()), b"seat" * 50)
     other.sock.sendall(half[:60])
 
     def rest():
-        with contextlib.suppress(OSError):  # it stood still for too long
+        with contextlib.suppress(OSError):  # closed by the gateway after its timeout
             sock.sendall(good[70_000:])
         other.sock.sendall(half[60:])
 
@@ -165,7 +165,7 @@
         thread.start()
         world.told("upgrade: letting go")
         rest()
-    assert asker.answer() == [tag, b"200", b"", CLIP]
+    assert client.answer() == [tag, b"200", b"", CLIP]
     _, sock, items = world.caches[0].next()
     while b"profile=book" not in items[2]:
         _, sock, items = world.caches[0].next()
@@ -176,46 +176,46 @@
 
 def test_a_client_that_reads_slowly_gets_the_complete_answer(world):
     world = world(serves(CLIP))
-    asker = world.asker()
-    asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
-    tags = [asker.ask(key=key) for key in range(8)]  # 1.6 MB: more than the sockets hold
+    client = world.asker()
+    client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
+    tags = [client.ask(key=key) for key in range(8)]  # 1.6 MB: more than the socket buffers hold
     time.sleep(0.3)
     assert world.upgrade() == (True, "")
-    assert sorted(asker.answer()[0] for _ in tags) == sorted(tags)
+    assert sorted(client.answer()[0] for _ in tags) == sorted(tags)
 
 
 def test_a_cancel_reaches_a_request_that_was_transferred(world):
     world = world(silent)
-    asker = world.asker()
-    tag = asker.ask()
+    client = world.asker()
+    tag = client.ask()
     _, sock, items = world.caches[0].next()
     assert world.upgrade() == (True, "")
-    asker.send(b"FORGET", tag)
+    client.send(b"FORGET", tag)
     _, again, undone = world.caches[0].next(b"undo")
-    assert undone[1] == items[1] and again is sock  # on the connection that carried it
-    tag = asker.ask(key=3)
+    assert undone[1] == items[1] and again is sock  # on the connection on which it was sent
+    tag = client.ask(key=3)
     _, sock, items = world.caches[0].next()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"x"))
-    assert asker.answer()[:2] == [tag, b"200"]
+    assert client.answer()[:2] == [tag, b"200"]
 
 
 def test_a_purge_that_only_the_sender_got_holds_in_the_receiver(world):
     world = world(serves())
-    asker = world.asker()
-    asker.ask(key=9)
-    asker.answer()
+    client = world.asker()
+    client.ask(key=9)
+    client.answer()
     world.caches[0].next()
 
     def purge(phase):
         if phase.phase == "ready":
             world.log.add(2, 3, (9).to_bytes(8, "big") + int(time.time() * 1000).to_bytes(8, "big"))
             time.sleep(0.05)
-            world.log.close()  # nobody is told again
+            world.log.close()  # no process gets the event a second time
             world.log.break_off()
 
     assert world.upgrade(seen=purge) == (True, "")
-    asker.ask(key=9)
-    assert asker.answer()[1] == b"200"
+    client.ask(key=9)
+    assert client.answer()[1] == b"200"
     _, _, items = world.caches[0].next()
     assert 0 < int(parse_fields(items[2])["agelim"]) < 5000
 
@@ -223,61 +223,62 @@
 def test_a_break_of_discovery_during_the_handover_loses_no_event(world):
     world = world(serves(), serves())
 
-    def breaks(phase):
+    def break_discovery(phase):
         if phase.phase == "warming":
             world.log.break_off()
             world.log.add(2, 2, record(1, world.caches[0].port, state=1))
 
-    assert world.upgrade(seen=breaks) == (True, "")
-    asker = world.asker()
-    until = time.monotonic() + 5
-    while time.monotonic() < until:
+    assert world.upgrade(seen=break_discovery) == (True, "")
+    client = world.asker()
+    deadline = time.monotonic() + 5
+    while time.monotonic() < deadline:
         for key in range(8):
-            asker.ask(key=key)
-            asker.answer()
+            client.ask(key=key)
+            client.answer()
         while not world.caches[0].seen.empty():
             world.caches[0].seen.get()
         for key in range(8):
-            asker.ask(key=key)
-            asker.answer()
+            client.ask(key=key)
+            client.answer()
         if world.caches[0].seen.empty():
             return
-    raise AssertionError("the drain was never heard of")
+    raise AssertionError("the backend still gets requests: the event was lost")
 
 
 def test_a_second_upgrade_is_refused_and_sigterm_aborts_the_first(world):
     world = world(silent)
-    asker = world.asker()
-    tag = asker.ask(b"book", body=b"seat")
+    client = world.asker()
+    tag = client.ask(b"book", body=b"seat")
     _, sock, items = world.caches[0].next()
     first = []
     thread = threading.Thread(target=lambda: first.append(world.upgrade("hang")))
     thread.start()
     world.told("upgrade: starting")
-    done, why = world.upgrade()
-    assert not done and "another upgrade is in progress (phase: starting)" in why
+    succeeded, reason = world.upgrade()
+    assert not succeeded and "another upgrade is in progress (phase: starting)" in reason
     world.process.terminate()
     thread.join(10)
     assert first[0][0] is False and "received SIGTERM" in first[0][1]
     sock.sendall(booked_answer(items[1]))
-    assert asker.answer() == [tag, b"200", b"", b"booked"]
+    assert client.answer() == [tag, b"200", b"", b"booked"]
     assert world.process.wait(10) == 0
 
 
 def test_sighup_during_the_handover_reaches_whichever_process_is_the_gateway(world):
     world = world(serves())
 
-    def hup(phase):
+    def send_sighup(phase):
         if phase.phase == "warming":
             os.kill(world.process.pid, signal.SIGHUP)
             time.sleep(0.05)
 
-    assert world.upgrade(seen=hup) == (True, "")
-    world.told("the configuration was read again", 2)  # by the old one, and by the new one as it may not have
+    assert world.upgrade(seen=send_sighup) == (True, "")
+    # by the sender, and by the receiver, which may have read it before the change
+    world.told("the configuration was read again", 2)
 
 
 @pytest.mark.parametrize(
-    "to, told",
+    "command, expected_reason",
     [
         ("/nowhere/lilacloft serve", "cannot be run"),
         ("'half a word", "No closing quotation"),
@@ -289,19 +290,19 @@
         ),
     ],
 )
-def test_a_command_that_does_not_serve_is_reported_and_the_sender_resumes(world, to, told):
+def test_a_command_that_does_not_serve_is_reported_and_the_sender_resumes(world, command, expected_reason):
     world = world(serves())
-    done, why = world.upgrade(to=to)
-    assert not done and re.search(told, why), why
-    asker = world.asker()
-    asker.ask()
-    assert asker.answer()[1] == b"200"
+    succeeded, reason = world.upgrade(to=command)
+    assert not succeeded and re.search(expected_reason, reason), reason
+    client = world.asker()
+    client.ask()
+    assert client.answer()[1] == b"200"
 
 
-def test_an_upgrade_without_capacity_is_refused_before_anything_starts(world):
+def test_an_upgrade_without_capacity_is_refused_before_the_receiver_starts(world):
     world = world(serves(), memory_mb=40)
-    done, why = world.upgrade()
-    assert not done and "insufficient resources" in why and len(world.pids) == 1
+    succeeded, reason = world.upgrade()
+    assert not succeeded and "insufficient resources" in reason and len(world.pids) == 1
 
 
 @pytest.mark.parametrize(
@@ -323,32 +324,32 @@
         sock.connect(world.handover)
         sock.sendall(bad)
         sock.settimeout(5)
-        with contextlib.suppress(ConnectionResetError):  # what was not read makes it one
+        with contextlib.suppress(ConnectionResetError):  # unread input makes it a reset
             assert sock.recv(100) == b""
     world.told("handover: closing the connection of process")
-    asker = world.asker()
-    asker.ask()
-    assert asker.answer()[1] == b"200"
+    client = world.asker()
+    client.ask()
+    assert client.answer()[1] == b"200"
     assert world.upgrade() == (True, "")
 
 
 def test_another_user_is_refused():
-    class Stranger:
+    class OtherUser:
         sent, closed = (), False
 
         def peer(self):
             return 7, os.getuid() + 1
 
-        def send(self, kind, record, **more):
-            self.sent = (*self.sent, record)
+        def send(self, kind, message, **options):
+            self.sent = (*self.sent, message)
 
-        def receive(self, *told):
-            raise AssertionError("a stranger is not listened to")
+        def receive(self, *arguments):
+            raise AssertionError("a message of another user was read")
 
         def close(self):
             self.closed = True
 
-    listener, control = UpgradeListener.__new__(UpgradeListener), Stranger()
+    listener, control = UpgradeListener.__new__(UpgradeListener), OtherUser()
     listener.slots = threading.BoundedSemaphore(1)
     listener.slots.acquire()
     listener._serve(control)
@@ -375,11 +376,11 @@
 
 def test_counters_and_learned_state_continue_and_the_command_prints_the_phases(world):
     world = world(serves())
-    asker = world.asker()
+    client = world.asker()
     for key in range(5):
-        asker.ask(key=key)
-        asker.answer()
-    words = [
+        client.ask(key=key)
+        client.answer()
+    command = [
         sys.executable,
         "-m",
         "lilacloft",
@@ -389,10 +390,10 @@
         "--handover",
         world.handover,
     ]
-    told = subprocess.run(words, capture_output=True, text=True, timeout=30)
-    assert told.returncode == 0, told.stderr
-    phases = [json.loads(line)["record"]["extra"] for line in told.stderr.splitlines()]
-    assert [one["phase"] for one in phases] == [
+    result = subprocess.run(command, capture_output=True, text=True, timeout=30)
+    assert result.returncode == 0, result.stderr
+    phases = [json.loads(line)["record"]["extra"] for line in result.stderr.splitlines()]
+    assert [phase["phase"] for phase in phases] == [
         "starting",
         "warming",
         "ready",
@@ -402,36 +403,36 @@
         "gone",
     ]
     world.pids.append(phases[-1]["pid"])
-    asker.ask(key=1)
-    asker.answer()
+    client.ask(key=1)
+    client.answer()
     os.kill(phases[-1]["pid"], signal.SIGTERM)
     assert world.told("answers: done=6")
-    told = subprocess.run(words, capture_output=True, text=True, timeout=30)
-    assert told.returncode == 1 and "not upgraded" in told.stderr
+    result = subprocess.run(command, capture_output=True, text=True, timeout=30)
+    assert result.returncode == 1 and "not upgraded" in result.stderr
 
 
-def test_clients_that_stay_are_transferred_one_by_one_as_they_become_idle(world):
+def test_in_drain_mode_clients_are_transferred_one_by_one_as_they_become_idle(world):
     world = world(silent)
-    askers = [world.asker() for _ in range(3)]
-    tags = [asker.ask(b"book", body=b"seat") for asker in askers]
+    clients = [world.asker() for _ in range(3)]
+    tags = [client.ask(b"book", body=b"seat") for client in clients]
     asked = [world.caches[0].next() for _ in tags]
     for number, (_, sock, items) in enumerate(asked):
         answer = booked_answer(items[1])
         threading.Timer(0.3 + 0.2 * number, sock.sendall, (answer,)).start()
     assert world.upgrade(mode="drain") == (True, "")
-    for asker, tag in zip(askers, tags, strict=True):
-        assert asker.answer() == [tag, b"200", b"", b"booked"]
-        tag = asker.ask(b"book", body=b"seat")
+    for client, tag in zip(clients, tags, strict=True):
+        assert client.answer() == [tag, b"200", b"", b"booked"]
+        tag = client.ask(b"book", body=b"seat")
         _, sock, items = world.caches[0].next()
         sock.sendall(booked_answer(items[1]))
-        assert asker.answer() == [tag, b"200", b"", b"booked"]
+        assert client.answer() == [tag, b"200", b"", b"booked"]
 
 
 def test_a_supervisor_outlives_its_workers_and_forwards_signals(world):
     world = world(serves(), words=("--supervised",))
-    asker = world.asker()
-    asker.ask()
-    assert asker.answer()[1] == b"200"
+    client = world.asker()
+    client.ask()
+    assert client.answer()[1] == b"200"
 
     def worker(count):
         line = world.told("supervisor: worker", count)
@@ -439,15 +440,15 @@
 
     first = worker(1)
     assert world.upgrade() == (True, "")
-    asker.ask()
-    assert asker.answer()[1] == b"200"
+    client.ask()
+    assert client.answer()[1] == b"200"
     second = worker(2)
     assert second != first
     os.kill(world.process.pid, signal.SIGHUP)
     world.told("the configuration was read again")
     os.kill(world.process.pid, signal.SIGUSR1)
     world.told("answers: done=2")
-    os.kill(second, signal.SIGKILL)  # the door stays open meanwhile: who comes waits
+    os.kill(second, signal.SIGKILL)  # meanwhile the listening socket stays open, and new connections wait
     other = world.asker()
     other.ask()
     assert other.answer()[1] == b"200"
@@ -456,7 +457,7 @@
 
 
 def test_internal_options_are_not_in_the_original_command():
-    words = [
+    command = [
         "python",
         "-m",
         "lilacloft",
@@ -472,7 +473,7 @@
         "--handover",
         "h",
     ]
-    assert original_command(words) == [
+    assert original_command(command) == [
         "python",
         "-m",
         "lilacloft",
@@ -484,13 +485,13 @@
     ]
 
 
-def test_the_platforms_own_command_imports_nothing_of_a_handover(tmp_path):
-    """`serve` there has 32 MB at least: it carries no library that it does not use."""
+def test_serve_without_handover_imports_no_optional_modules(tmp_path):
+    """`serve` may have as little as 32 MB of memory, so it must not import libraries that it does not use."""
     plain = World(tmp_path, python=("-X", "importtime"))
     try:
-        asker = plain.asker()
-        asker.ask()
-        assert asker.answer()[1] == b"200"
+        client = plain.asker()
+        client.ask()
+        assert client.answer()[1] == b"200"
         imported = {line.rsplit("|", 1)[1].strip() for line in plain.stop()[1].splitlines() if "|" in line}
     finally:
         plain.close()
--- a/tests/test_handover_phases.py
+++ b/tests/test_handover_phases.py
@@ -1,4 +1,4 @@
-"""State machines of a handover in every order of messages and process deaths; the watchdog of workers."""
+"""The state machines of a handover, with every order of messages and crashes; the workers' watchdog."""
 
 import itertools
 import random
@@ -19,22 +19,22 @@
 
 
 class Actions:
-    """Records what a state machine does, with a clock of its own."""
+    """Records the actions of a state machine, and has its own clock."""
 
     def __init__(self):
-        self.time, self.calls, self.phases, self.answered = 0.0, [], [], False
+        self.time, self.calls, self.phases, self.acknowledged = 0.0, [], [], False
 
     def now(self):
         return self.time
 
     def was_acknowledged(self):
-        return self.answered
+        return self.acknowledged
 
     def report_phase(self, phase, reason, previous_phase_seconds):
         self.phases.append((phase, reason))
 
     def __getattr__(self, name):
-        return lambda *told, **more: self.calls.append((name, *told, *more.values()))
+        return lambda *arguments, **options: self.calls.append((name, *arguments, *options.values()))
 
 
 def started_sender(mode="whole", **limits):
@@ -76,7 +76,7 @@
         "drain",
         "exit",
     ]
-    machine.receiver_failed("its channel has ended")
+    machine.receiver_failed("the peer closed the channel")
     machine.stop_requested()
     assert machine.phase == Phase.DONE and actions.calls[-1] == ("exit",)
 
@@ -84,9 +84,9 @@
 @pytest.mark.parametrize("steps_done", range(6))
 @pytest.mark.parametrize("failure", ["lost", "late", "stop"])
 def test_the_sender_resumes_whatever_fails_in_a_phase(steps_done, failure):
-    """With everything up to `committed`; after the acknowledgement without what was transferred.
+    """Up to `committed` it resumes everything, after the acknowledgement all but what was transferred.
 
-    SIGTERM aborts the handover before the commit, and not after it."""
+    SIGTERM aborts the handover before the commit, but not after it."""
     machine, actions = started_sender(letting_go=5.0)
     for step in EVENTS[:steps_done]:
         step(machine)
@@ -106,9 +106,9 @@
         "dismiss_receiver",
         "kill_receiver",
     ]
-    after = [entry for entry in calls if entry[0] == "resume"]
-    began = phase in (Phase.TRANSFERRING, Phase.COMMITTED, Phase.DRAINING)
-    assert after == ([("resume", phase == Phase.DRAINING)] if began else [])
+    resumed = [call for call in calls if call[0] == "resume"]
+    transfer_began = phase in (Phase.TRANSFERRING, Phase.COMMITTED, Phase.DRAINING)
+    assert resumed == ([("resume", phase == Phase.DRAINING)] if transfer_began else [])
     assert phase.replace("_", " ") in actions.phases[-1][1]
     if failure != "stop":
         assert machine.upgrade_requested("whole", OWN, ALLOWED) == ""  # another may begin
@@ -119,8 +119,8 @@
     for step in EVENTS[:4]:
         step(machine)
     assert machine.phase == Phase.COMMITTED
-    actions.answered = True
-    machine.receiver_failed("nothing came in time")
+    actions.acknowledged = True
+    machine.receiver_failed("no message arrived in time")
     assert ("resume", True) in actions.calls and machine.phase == Phase.IDLE
 
 
@@ -163,8 +163,8 @@
 
 def test_a_receiver_that_cannot_continue_open_requests_gets_idle_connections():
     machine, actions = started_sender()
-    machine.hello_received(False, "form 1 cannot hold open reqs")
-    assert machine.mode == HandoverMode.DRAIN and "form 1" in actions.phases[-1][1]
+    machine.hello_received(False, "state version 1 cannot contain open requests")
+    assert machine.mode == HandoverMode.DRAIN and "state version 1" in actions.phases[-1][1]
     machine, _ = started_sender("drain")
     machine.hello_received(True)
     assert machine.mode == HandoverMode.DRAIN
@@ -192,16 +192,16 @@
 
 
 class Pair:
-    """Both state machines with a channel of messages between them; either may die before any step.
+    """Both state machines, connected by message queues; either process may crash before any step.
 
-    Messages that are on the way when one dies still arrive, as on a socket."""
+    Messages that were sent before a crash still arrive, as on a socket."""
 
     def __init__(self):
         self.sender, self.receiver = SenderStateMachine(self), ReceiverStateMachine()
         self.to_receiver, self.to_sender = [], []
         self.sender_lives = self.receiver_lives = True
-        self.touched = 0  # how often the receiver began to read and write
-        self.resumed_with = None  # what the sender resumed with
+        self.serving_starts = 0  # how often the receiver began to read and write
+        self.resumed_with = None  # by the sender: "whole", or "remaining" without what was transferred
         self.sender.upgrade_requested("whole", OWN, ALLOWED)
         self.stage = "hello"
 
@@ -215,7 +215,7 @@
         pass
 
     def send_warm_up(self):
-        self.to_receiver.append("warm")
+        self.to_receiver.append("warm_up")
 
     def transfer_state(self, mode):
         self.to_receiver.append("state")
@@ -224,7 +224,7 @@
         self.to_receiver.append("commit")
 
     def resume(self, transferred_is_lost):
-        self.resumed_with = "emptied" if transferred_is_lost else "whole"
+        self.resumed_with = "remaining" if transferred_is_lost else "whole"
 
     def drain(self, mode):
         pass
@@ -242,53 +242,53 @@
         self.receiver_lives = False
 
     def was_acknowledged(self):
-        return "taken" in self.to_sender
+        return "acknowledged" in self.to_sender
 
     def steps(self):
-        """What may happen next."""
-        out = []
+        """Return the steps that are possible next."""
+        possible = []
         if self.receiver_lives:
-            out.append("new dies")
+            possible.append("receiver crashes")
             if self.stage == "hello" or self.to_receiver or not self.sender_lives:
-                out.append("new acts")
+                possible.append("receiver acts")
         if self.sender_lives:
-            out.append("old dies")
+            possible.append("sender crashes")
             if self.to_sender or not self.receiver_lives or self.sender.phase == Phase.READY:
-                out.append("old acts")
-        return out
+                possible.append("sender acts")
+        return possible
 
     def step(self, what):
-        if what == "new dies":
+        if what == "receiver crashes":
             self.receiver_lives = False
-        elif what == "old dies":
+        elif what == "sender crashes":
             self.sender_lives = False
-        elif what == "new acts":
+        elif what == "receiver acts":
             self.receiver_acts()
         else:
             self.sender_acts()
 
     def receiver_acts(self):
         if self.stage == "hello":
-            self.stage = "warm"
+            self.stage = "warm_up"
             self.to_sender.append("hello")
         elif not self.to_receiver:
             if self.stage != "serving" and self.receiver.channel_broken(False):
-                self.stage, self.touched = "serving", self.touched + 1
+                self.stage, self.serving_starts = "serving", self.serving_starts + 1
             elif self.stage != "serving":
                 self.receiver_lives = False
         else:
             message = self.to_receiver.pop(0)
-            if message == "warm":
+            if message == "warm_up":
                 self.to_sender.append("ready")
             elif message == "state":
                 self.receiver.state_restored()
-                self.to_sender.append("have")
+                self.to_sender.append("state_restored")
             elif message == "dismiss":
                 self.receiver.dismissed("")
                 self.receiver_lives = self.receiver.is_gateway
             elif message == "commit" and self.receiver.commit_received():
-                self.to_sender.append("taken")
-                self.stage, self.touched = "serving", self.touched + 1
+                self.to_sender.append("acknowledged")
+                self.stage, self.serving_starts = "serving", self.serving_starts + 1
 
     def sender_acts(self):
         if self.to_sender:
@@ -296,8 +296,8 @@
             {
                 "hello": lambda: self.sender.hello_received(True),
                 "ready": self.sender.ready_received,
-                "have": self.sender.state_restored,
-                "taken": self.sender.commit_acknowledged,
+                "state_restored": self.sender.state_restored,
+                "acknowledged": self.sender.commit_acknowledged,
             }[message]()
         elif not self.receiver_lives:
             self.sender.receiver_failed("ended")
@@ -305,28 +305,28 @@
             self.sender.begin_transfer()
 
     def gateways(self):
-        """Which processes read and write now."""
-        out = []
+        """Return the processes that read and write now."""
+        serving = []
         if self.sender_lives and self.sender.phase not in (
             Phase.TRANSFERRING,
             Phase.COMMITTED,
             Phase.DRAINING,
             Phase.DONE,
         ):
-            out.append("old")
+            serving.append("sender")
         if self.receiver_lives and self.receiver.is_gateway and self.stage == "serving":
-            out.append("new")
-        return out
+            serving.append("receiver")
+        return serving
 
 
 def explore(pair_of, path=(), seen=None):
-    """All orders of steps, each from a fresh pair; yields every path with the pair at its end."""
+    """Explore all orders of steps, each from a new pair; yields every path with the resulting pair."""
     seen = set() if seen is None else seen
     pair = pair_of()
     for what in path:
         pair.step(what)
     receiver = pair.receiver
-    place = (
+    state = (
         pair.sender.phase,
         pair.stage,
         tuple(pair.to_receiver),
@@ -338,40 +338,39 @@
         receiver.is_aborted,
         pair.resumed_with,
     )
-    if place in seen:
+    if state in seen:
         return
-    seen.add(place)
+    seen.add(state)
     yield path, pair
     for what in pair.steps():
-        if path.count("old dies") + path.count("new dies") + ("dies" in what) <= 2:
+        if path.count("sender crashes") + path.count("receiver crashes") + ("crashes" in what) <= 2:
             yield from explore(pair_of, (*path, what), seen)
 
 
 def test_in_every_order_of_messages_and_deaths_at_most_one_process_is_the_gateway():
-    """One that survives with the state is the gateway in the end. If the sender resumes with everything, the
-    receiver has touched nothing."""
+    """A surviving process that has the state is the gateway in the end. If the sender resumes everything, the
+    receiver has neither read nor written."""
     ends = 0
     for path, pair in explore(Pair):
         assert len(pair.gateways()) <= 1, path
         if pair.resumed_with == "whole":
-            assert not pair.touched, path
-        if pair.steps() in ([], ["new dies"], ["old dies"]) or not pair.steps():
+            assert not pair.serving_starts, path
+        if pair.steps() in ([], ["receiver crashes"], ["sender crashes"]) or not pair.steps():
             ends += 1
             if pair.sender_lives and not pair.receiver_lives:
-                assert pair.gateways() == ["old"], path
+                assert pair.gateways() == ["sender"], path
             if pair.receiver_lives and not pair.sender_lives:
-                assert pair.gateways() == ["new"], path
+                assert pair.gateways() == ["receiver"], path
     assert ends > 10
 
 
 def test_a_receiver_does_not_serve_while_a_silent_sender_lives():
     receiver = ReceiverStateMachine()
     receiver.state_restored()
-    assert not receiver.channel_broken(sender_lives=True) and receiver.is_aborted
+    assert not receiver.channel_broken(sender_is_running=True) and receiver.is_aborted
     receiver = ReceiverStateMachine()
-    assert not receiver.channel_broken(
-        sender_lives=False
-    )  # without the state there is nothing to continue with
+    # without the state the receiver cannot take over
+    assert not receiver.channel_broken(sender_is_running=False)
     receiver = ReceiverStateMachine()
     receiver.state_restored()
     receiver.dismissed("no")
@@ -449,7 +448,7 @@
     watchdog.worker_exited(101, -6)
     actions.time += watchdog.seconds_until_start()
     watchdog.start_if_due()
-    watchdog.worker_exited(actions.next, 2)  # the file has become invalid since: it is retried
+    watchdog.worker_exited(actions.next, 2)  # the file has become invalid since the first start: retry
     assert actions.code is None and watchdog.seconds_until_start() > 0
 
 
@@ -474,28 +473,28 @@
     assert actions.code == 0
 
 
-def test_on_generated_events_there_are_never_two_workers_nor_none_for_long():
-    """Beside a plain model: the workers alive, by what was started, handed over, and ended."""
+def test_on_generated_events_there_is_at_most_one_worker_and_never_none_for_long():
+    """Compared with a simple model: the live workers, by what was started, replaced, and ended."""
     for seed in range(300):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         watchdog, actions = started_watchdog()
-        alive, told = {actions.next}, set()
+        alive, reported = {actions.next}, set()
         for _ in range(60):
-            actions.time += chance.choice([0.0, 0.1, 2.0])
+            actions.time += rng.choice([0.0, 0.1, 2.0])
             gateway = watchdog.gateway
-            doing = chance.random()
-            if gateway in alive and doing < 0.5:
+            action = rng.random()
+            if gateway in alive and action < 0.5:
                 watchdog.worker_serving(gateway)
-                told.add(gateway)
-            elif gateway in alive and gateway in told and doing < 0.7:
+                reported.add(gateway)
+            elif gateway in alive and gateway in reported and action < 0.7:
                 actions.next += 1
                 alive = {actions.next}
                 watchdog.worker_serving(actions.next)
-                told.add(actions.next)
+                reported.add(actions.next)
                 watchdog.worker_exited(gateway, 0)
             elif gateway in alive:
                 alive.discard(gateway)
-                watchdog.worker_exited(gateway, chance.choice([-9, 1, -11]))
+                watchdog.worker_exited(gateway, rng.choice([-9, 1, -11]))
             if actions.code is not None:
                 break
             if not alive:
