--- a/tests/test_durability.py
+++ b/tests/test_durability.py
@@ -1,4 +1,4 @@
-"""The durability gate, with a model of a disk that commits in order until a crash."""
+"""The durability gate, on a simulated disk that commits records in order until a crash."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 class FakeHost:
-    """A host with a list of records, of which the first `durable` are durable, and what was released."""
+    """A host with a list of records, the first `durable` of which are durable, and the released tokens."""
 
     def __init__(self, records=(), time=100_000):
         self.time, self.records, self.durable = time, list(records), len(records)
@@ -48,21 +48,21 @@
         self.durable = len(self.records) if count is None else min(len(self.records), self.durable + count)
         self.gate.records_durable(self.durable)
 
-    def admit(self, token, key=b"k", effect="uniqued", group="all", cell=1):
-        return self.gate.admit(token, key, IdempotencyPolicy(effect, WINDOW, group), cell)
+    def admit(self, token, key=b"k", idempotency="uniqued", scope="all", cell=1):
+        return self.gate.admit(token, key, IdempotencyPolicy(idempotency, WINDOW, scope), cell)
 
     def crash(self, after=1000):
-        """Start a new process with the durable records."""
+        """Return the host of a new process that has only the durable records."""
         return FakeHost(self.records[: self.durable], self.time + after)
 
 
 def test_a_dispatch_that_is_not_idempotent_waits_until_its_intent_is_durable_and_others_never_wait():
     host = FakeHost()
-    assert host.admit("a", effect="replayable") == Verdict.SEND and not host.records
+    assert host.admit("a", idempotency="replayable") == Verdict.SEND and not host.records
     assert host.admit("b") == Verdict.WAIT and not host.released
     host.sync()
     assert host.released == ["b"]
-    assert host.admit("c") == Verdict.SEND  # under the same key, whose intent is durable
+    assert host.admit("c") == Verdict.SEND  # same key, whose intent is durable
 
 
 def test_a_stalled_disk_rejects_pending_dispatches_and_a_late_sync_releases_none():
@@ -76,7 +76,7 @@
     assert host.rejected == ["a"] and host.gate.next_expiry() is None
     host.sync()
     assert not host.released
-    assert host.crash().admit("a2") == Verdict.WAIT  # it was not executed, and that is durable as well
+    assert host.crash().admit("a2") == Verdict.WAIT  # it was not executed, which is durable as well
 
 
 def test_a_pending_dispatch_is_rejected_before_its_client_disconnects():
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize(
-    "effect, group, cell, after, want",
+    "idempotency, scope, cell, after, expected",
     [
         ("non-replayable", "all", 1, 10, Verdict.FAIL),
         ("uniqued", "all", 1, 10, Verdict.WAIT),
@@ -103,40 +103,43 @@
         ("uniqued", "cell", 1, WINDOW, Verdict.FAIL),
     ],
 )
-def test_the_verdict_on_what_an_earlier_process_may_have_sent(effect, group, cell, after, want):
+def test_the_verdict_on_a_request_that_an_earlier_process_may_have_sent(
+    idempotency, scope, cell, after, expected
+):
     host = FakeHost()
-    assert host.admit("a", effect=effect, group=group) == Verdict.WAIT
+    assert host.admit("a", idempotency=idempotency, scope=scope) == Verdict.WAIT
     host.sync()
     next_host = host.crash(after)
-    assert next_host.admit("b", effect=effect, group=group, cell=cell) == want
-    if want == Verdict.WAIT:  # the window counts from the first dispatch, also after another crash
+    assert next_host.admit("b", idempotency=idempotency, scope=scope, cell=cell) == expected
+    if expected == Verdict.WAIT:  # the window starts at the first dispatch, also after another crash
         next_host.sync()
-        assert next_host.crash(WINDOW - after).admit("c", effect=effect, group=group) != Verdict.WAIT
+        last_host = next_host.crash(WINDOW - after)
+        assert last_host.admit("c", idempotency=idempotency, scope=scope) != Verdict.WAIT
 
 
-def test_what_was_surely_not_executed_leaves_no_intent():
+def test_a_dispatch_that_was_not_executed_leaves_no_intent():
     host = FakeHost()
-    host.admit("a", effect="non-replayable")
+    host.admit("a", idempotency="non-replayable")
     host.sync()
     host.gate.dispatch_ended("a", executed=False)
     host.sync()
-    assert host.crash().admit("b", effect="non-replayable") == Verdict.WAIT
-    host.admit("b", effect="non-replayable")
+    assert host.crash().admit("b", idempotency="non-replayable") == Verdict.WAIT
+    host.admit("b", idempotency="non-replayable")
     host.sync()
     host.gate.dispatch_ended("b", executed=True)
     host.sync()
-    assert host.crash().admit("c", effect="non-replayable") == Verdict.FAIL
+    assert host.crash().admit("c", idempotency="non-replayable") == Verdict.FAIL
 
 
 def test_a_client_that_disconnects_withdraws_its_pending_dispatch():
     host = FakeHost()
-    host.admit("a", effect="non-replayable")
+    host.admit("a", idempotency="non-replayable")
     host.gate.withdraw("a")
     host.sync()
-    assert not host.released and host.crash().admit("b", effect="non-replayable") == Verdict.WAIT
+    assert not host.released and host.crash().admit("b", idempotency="non-replayable") == Verdict.WAIT
 
 
-def test_intents_are_removed_when_no_rule_can_refer_to_them_and_not_before():
+def test_intents_are_removed_once_no_rule_needs_them_and_not_before():
     host = FakeHost()
     host.admit("a", b"old")
     host.admit("b", b"out")
@@ -146,7 +149,7 @@
     assert host.gate.remove_expired(60_000) == 0
     host.time += 20_000
     assert host.gate.remove_expired(60_000) == 1 and b"out" in host.gate.intents
-    host.time -= 90_000  # the clock is set back: nothing is old now
+    host.time -= 90_000  # the clock is set back: no intent is old
     assert host.gate.remove_expired(60_000) == 0
 
 
@@ -163,19 +166,19 @@
     assert len(host.records) == 2
 
 
-def test_slow_start_work_is_recovered_and_what_is_unknown_counts_as_sent():
+def test_slow_start_work_is_recovered_and_unrecorded_work_counts_as_sent():
     recovered = RecoveredState(slow_start_work={"s": [(900, 2.0)], "t": [(900, 2.0)], "u": [(900, 2.0)]})
     started = {"s": 500, "t": 950}
     got = recovered_work(recovered, started, 10_000, 1000, {"s": 5.0, "t": 5.0, "u": 5.0})
-    assert got == {"s": [(900, 2.0), (1000, 3.0)], "t": []}  # t has restarted since, u is not listed
+    assert got == {"s": [(900, 2.0), (1000, 3.0)], "t": []}  # t has restarted since; u is not listed
     assert recovered_work(recovered, {"s": 500}, 10_000, 1000 + 2 * WORK_INTERVAL, {"s": 5.0}) == {"s": []}
 
 
 @pytest.mark.parametrize("seed", range(300))
-def test_on_random_events_nothing_is_sent_before_its_intent_is_durable_and_no_crash_sends_twice(seed):
-    """Under one key, a request that is not idempotent is sent again only if no earlier one may have been
-    executed; one with an idempotency key only within its window from the first that may have been; every
-    pending one is released or rejected, once."""
+def test_with_random_events_nothing_is_sent_before_its_intent_is_durable_or_twice_after_a_crash(seed):
+    """A request that is not idempotent is sent again under its key only if no earlier dispatch may have been
+    executed, one with an idempotency key only within the window of the first dispatch that may have been.
+    Each pending dispatch is released or rejected exactly once."""
     random_source = random.Random(seed)
     host = FakeHost()
     executed_keys, first_sent_at, in_flight, pending, number = {}, {}, {}, {}, 0
@@ -187,10 +190,10 @@
             and durable_records[-1][2] is not None
             or key in {k for k, _ in in_flight.values()}
         )
-        effect = "non-replayable" if key.startswith(b"n") else "uniqued"
-        if effect == "uniqued" and first_sent_at.get(key) is not None and crashed.get(key):
+        idempotency = "non-replayable" if key.startswith(b"n") else "uniqued"
+        if idempotency == "uniqued" and first_sent_at.get(key) is not None and crashed.get(key):
             assert host.time < first_sent_at[key] + WINDOW
-        if effect == "non-replayable" and crashed.get(key):
+        if idempotency == "non-replayable" and crashed.get(key):
             assert not executed_keys.get(key)
         first_sent_at[key] = host.time if first_sent_at.get(key) is None else first_sent_at[key]
         in_flight[token] = (key, host.time)
@@ -228,7 +231,7 @@
             host.gate.withdraw(token)
         elif choice < 0.9:
             host.gate.expire_pending()
-        elif choice < 0.93:  # a handover: another process goes on
+        elif choice < 0.93:  # a handover: another process takes over
             assert set(host.gate.withdraw_all()) == set(pending)
             pending.clear()
             host.sync()
@@ -242,7 +245,7 @@
                 if ended_key not in {k for k, _ in in_flight.values()}:
                     crashed[ended_key] = crashed.get(ended_key) or executed_keys[ended_key]
             host = next_host
-        elif choice < 0.95:  # a handover to a process that sends some and dies; the old one goes on
+        elif choice < 0.95:  # a failed handover: the new process sends requests and dies; the old one goes on
             assert set(host.gate.withdraw_all()) == set(pending)
             pending.clear()
             host.sync()
@@ -272,7 +275,7 @@
             host.gate.merge_intents(recovered.intents)
         else:
             for ended_key, _ in in_flight.values():
-                executed_keys[ended_key] = crashed[ended_key] = True  # it may have been
+                executed_keys[ended_key] = crashed[ended_key] = True  # it may have been executed
             for ended_key in list(executed_keys):
                 crashed[ended_key] = crashed.get(ended_key) or executed_keys[ended_key]
             in_flight.clear()
@@ -300,16 +303,16 @@
     assert host.crash().admit("d", b"n", "non-replayable") == Verdict.FAIL
 
 
-def test_relayed_records_of_an_earlier_process_bar_its_requests_here():
+def test_relayed_records_of_an_earlier_process_block_its_requests_in_the_next_one():
     host, next_host = FakeHost(), FakeHost()
     host.admit("a", b"n", "non-replayable")
     ticket = next_host.gate.write_relayed(*host.records[0])
     assert ticket == 1 and next_host.admit("b", b"n", "non-replayable") == Verdict.FAIL
-    next_host.gate.write_relayed(RecordKind.INTENT, b"n", None)  # it was surely not executed
+    next_host.gate.write_relayed(RecordKind.INTENT, b"n", None)  # it was not executed
     assert next_host.admit("c", b"n", "non-replayable") == Verdict.WAIT
 
 
-def test_what_was_handed_over_to_a_process_that_died_is_never_sent_again():
+def test_a_dispatch_handed_over_to_a_process_that_died_is_never_sent_again():
     host = FakeHost()
     host.admit("a", b"n", "non-replayable")
     host.sync()
@@ -323,7 +326,7 @@
     assert host.crash().admit("c", b"n", "non-replayable") == Verdict.FAIL
 
 
-def test_what_an_earlier_process_sent_without_a_store_is_stored_from_now_on():
+def test_the_intent_of_an_adopted_dispatch_is_stored():
     host = FakeHost()
     host.gate.adopt("r", b"x", "replayable", 5, 1)
     assert not host.records
@@ -335,6 +338,8 @@
     assert host.crash().admit("b", b"n", "non-replayable") == Verdict.WAIT
 
 
-def test_a_packed_intent_reads_the_same():
-    for effect in record_types.STORED_IDEMPOTENCY:
-        assert record_types.unpack_intent(Intent(7, effect, True, 9).pack()) == Intent(7, effect, True, 9)
+def test_an_unpacked_intent_equals_the_packed_one():
+    for idempotency in record_types.STORED_IDEMPOTENCY:
+        assert record_types.unpack_intent(Intent(7, idempotency, True, 9).pack()) == Intent(
+            7, idempotency, True, 9
+        )
--- a/tests/test_endpoint_rows.py
+++ b/tests/test_endpoint_rows.py
@@ -1,4 +1,4 @@
-"""Which endpoint list a start uses after a crash, compared with a replay of all events."""
+"""The endpoint list used at a start after a crash, compared with a replay of all events."""
 
 import random
 
@@ -7,15 +7,15 @@
 from lilacloft.store.endpoint_rows import FULL_LIST_KEY, STATUS_INDEX, EndpointRows
 
 
-def row(name, status, turn=0):
-    return (name, ("127.0.0.1", 9), 0, 0, turn, status, 1.0, 0)
+def row(name, status, variant=0):
+    return (name, ("127.0.0.1", 9), 0, 0, variant, status, 1.0, 0)
 
 
-def replayed(events, upto):
-    """Return the list after the event with a number: rows by name."""
+def replayed(events, last):
+    """Return the rows by backend name after the event numbered `last`."""
     current = {}
     for number, (mode, rows) in enumerate(events, 1):
-        if number > upto:
+        if number > last:
             break
         if mode == "full":
             current = {}
@@ -25,20 +25,20 @@
 
 
 def random_events(random_source, count):
-    out = [("full", [row(f"s{name}", 1) for name in range(4)])]
-    for turn in range(count):
+    events = [("full", [row(f"s{name}", 1) for name in range(4)])]
+    for variant in range(count):
         names = random_source.sample(range(6), random_source.randrange(1, 4))
-        out.append(
+        events.append(
             (
                 "full" if random_source.random() < 0.15 else "delta",
-                [row(f"s{name}", random_source.choice([0, 1, 2]), turn) for name in names],
+                [row(f"s{name}", random_source.choice([0, 1, 2]), variant) for name in names],
             )
         )
-    return out
+    return events
 
 
 class FakeStore:
-    """The records that a store has after any event."""
+    """The records of a store, as of any event."""
 
     def __init__(self):
         self.writes = []
@@ -47,14 +47,14 @@
         self.writes.append((number, changes))
 
     def at(self, number):
-        found = {}
-        for when, changes in self.writes:
-            if when <= number:
+        records = {}
+        for event_number, changes in self.writes:
+            if event_number <= number:
                 for key, stored in changes.items():
-                    found.pop(key, None)
+                    records.pop(key, None)
                     if stored is not None:
-                        found[key] = stored
-        return found
+                        records[key] = stored
+        return records
 
 
 @pytest.mark.parametrize("seed", range(200))
@@ -71,7 +71,7 @@
             restored = EndpointRows()
             restored.restore(store.at(last), base)
             events_to_apply, read_after = restored.starting_point(configured, last)
-            current = replayed(log_events, configured)  # as the configuration has it
+            current = replayed(log_events, configured)  # as in the configuration
             for mode, rows in events_to_apply:
                 current = {} if mode == "full" else current
                 current.update((endpoint[0], endpoint) for endpoint in rows)
@@ -85,12 +85,12 @@
 
 
 def test_without_a_durable_event_the_change_log_is_read_from_its_first_event_on():
-    """Purges that the configuration is too new to have may have been heard, and never become durable."""
+    """Purges that are not in the configuration may have been received without ever becoming durable."""
     endpoint_rows = EndpointRows()
     assert endpoint_rows.starting_point(7, 0) == ([], 0) and endpoint_rows.complete_from == 7
 
 
-def test_stored_rows_are_bounded_by_the_backends_in_events():
+def test_there_is_at_most_one_stored_row_per_backend():
     endpoint_rows = EndpointRows(complete_from=1)
     for number in range(2, 200):
         changes = endpoint_rows.apply("delta", [row("a", number % 3)], number)
@@ -99,5 +99,5 @@
     changes = endpoint_rows.apply("full", [row("b", 1)], 200)
     assert changes == {FULL_LIST_KEY: (200, ()), b"a": None, b"b": (200, row("b", 1))}
     assert list(endpoint_rows.rows) == ["b"]
-    again = endpoint_rows.apply("full", [row("b", 2)], 201)
-    assert list(again) == [FULL_LIST_KEY, b"b"] and again[b"b"] == (201, row("b", 2))
+    next_changes = endpoint_rows.apply("full", [row("b", 2)], 201)
+    assert list(next_changes) == [FULL_LIST_KEY, b"b"] and next_changes[b"b"] == (201, row("b", 2))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: what was reported as durable survives any crash; all else is there as a whole or not at all."""
+"""The store: records reported as durable survive any crash; a commit is recovered entirely or not at all."""
 
 import random
 import threading
@@ -48,78 +48,78 @@
         for number in range(40):
             store.put(1, b"%d" % (number % 10), b"%d" % number, number)
             store.commit()
-        store.put(2, b"x", b"waits")
+        store.put(2, b"x", b"pending")
         disk.crash_at = disk.calls + step
-        done = False
+        compacted = False
         try:
             store.compact()
-            done = True
+            compacted = True
         except CrashError:
             pass
         disk.restart()
         recovered = Store(disk)
-        assert [recovered.get(1, b"%d" % place) for place in range(10)] == [
-            b"%d" % (30 + place) for place in range(10)
+        assert [recovered.get(1, b"%d" % key) for key in range(10)] == [
+            b"%d" % (30 + key) for key in range(10)
         ]
         assert recovered.report.damage == [] and recovered.durable_sequence in (40, 41)
-        assert recovered.get(2, b"x") in ((b"waits",) if done else (None, b"waits"))
-        if done:
+        assert recovered.get(2, b"x") in ((b"pending",) if compacted else (None, b"pending"))
+        if compacted:
             assert len(disk.names()) == 2
             break
-    assert done
+    assert compacted
 
 
-def test_a_value_that_is_being_replaced_stays_until_its_successor_is_durable():
-    """A snapshot that is written while records are pending has the durable values, not the pending ones."""
+def test_a_value_is_kept_until_its_replacement_is_durable():
+    """A snapshot written while records are pending contains the durable values, not the pending ones."""
     disk = Disk(1)
     store = Store(disk, segment_bytes=200)
     store.put(1, b"k", b"old" * 100)
     store.commit()
     store.put(1, b"k", b"new")
-    appended = disk.append
+    append = disk.append
 
-    def cut(name, data):
+    def crash_on_new_value(name, data):
         if name.startswith("log") and b"new" in data:
             raise CrashError()
-        appended(name, data)
+        append(name, data)
 
-    disk.append = cut
+    disk.append = crash_on_new_value
     with pytest.raises(CrashError):
         store.commit()
-    disk.append = appended
+    disk.append = append
     disk.restart()
     assert Store(disk).get(1, b"k") == b"old" * 100
 
 
-@pytest.mark.parametrize("what", ["append", "sync", "create", "sync_directory", "rename", "remove"])
-def test_after_any_failure_a_new_segment_has_all_pending_records(what):
+@pytest.mark.parametrize("operation", ["append", "sync", "create", "sync_directory", "rename", "remove"])
+def test_after_any_failure_a_new_segment_has_all_pending_records(operation):
     disk = Disk(3)
     store = Store(disk, segment_bytes=300)
     for number in range(6):
         store.put(1, b"%d" % number, b"x" * 40)
         store.commit()
-    works = getattr(disk, what)
+    working = getattr(disk, operation)
     calls = []
 
-    def fails(*arguments):
+    def fail(*arguments):
         calls.append(arguments)
         raise OSError(5, "Input/output error")
 
-    setattr(disk, what, fails)
+    setattr(disk, operation, fail)
     store.put(1, b"new", b"y" * 300)
-    before = store.durable_sequence
+    durable_before = store.durable_sequence
     failed = False
     for _ in range(2):
         try:
             store.commit()
         except OSError:
             failed = True
-            assert store.durable_sequence >= before
+            assert store.durable_sequence >= durable_before
         store.put(1, b"more", b"z" * 300)
-    assert failed or not calls or what in ("rename", "remove")
-    setattr(disk, what, works)
+    assert failed or not calls or operation in ("rename", "remove")
+    setattr(disk, operation, working)
     store.commit()
-    assert store.durable_sequence == before + 3
+    assert store.durable_sequence == durable_before + 3
     disk.restart()
     recovered = Store(disk)
     assert recovered.get(1, b"new") == b"y" * 300 and recovered.get(1, b"more") == b"z" * 300
@@ -131,15 +131,15 @@
     data, ends = make_log(4000, 3)
     random_source = random.Random(1)
     for _ in range(60):
-        place = random_source.randrange(framing.FILE_HEADER.size, ends[-2].offset)
+        position = random_source.randrange(framing.FILE_HEADER.size, ends[-2].offset)
         damaged = bytearray(data)
-        damaged[place] ^= 1 << random_source.randrange(8)
+        damaged[position] ^= 1 << random_source.randrange(8)
         store = Store(MemoryFiles({segment_name(1): bytes(damaged)}))
         assert len(store.report.damage) == 1 and "the frames after them are kept" in store.report.damage[0]
         assert store.report.frames == len(ends) - 1 and store.durable_sequence == ends[-1].records
 
 
-def test_a_damaged_header_costs_no_frame_and_an_unknown_version_is_an_error():
+def test_a_damaged_header_loses_no_frame_and_an_unknown_version_is_an_error():
     data, ends = make_log(1000, 3)
     store = Store(MemoryFiles({segment_name(1): b"xxxx" + data[4:]}))
     assert store.durable_sequence == ends[-1].records and "not a store file" in store.report.damage[0]
@@ -176,20 +176,20 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_two_processes_that_write_by_turns_each_read_what_the_other_has_committed(seed):
-    """One disk without faults. The process that does not write reads at random times, also during the other's
-    writes and compactions, and must have read everything before it writes itself."""
+def test_two_processes_that_write_alternately_read_each_others_commits(seed):
+    """Two processes share a disk without faults. The reader reads at random times, also during writes and
+    compactions of the writer, and must have read all records before it becomes the writer itself."""
     random_source, disk = random.Random(seed), Disk(seed)
     writer, reader = Store(disk, segment_bytes=400), Store(disk, segment_bytes=400)
     expected = {}
-    for turn in range(40):
+    for round_number in range(40):
         writer.catch_up()
-        found = {key: record.value for mine in writer.records.values() for key, record in mine.items()}
+        found = {key: record.value for by_key in writer.records.values() for key, record in by_key.items()}
         assert found == expected and not writer.report.damage
         assert writer.durable_sequence == Store(disk).durable_sequence
         for step in range(random_source.randrange(6)):
             key = b"k%d" % random_source.randrange(5)
-            value = random_source.choice([None, b"%d %d" % (turn, step) * 9])
+            value = random_source.choice([None, b"%d %d" % (round_number, step) * 9])
             writer.put(1, key, value)
             expected.pop(key, None)
             if value is not None:
@@ -199,13 +199,13 @@
             if random_source.random() < 0.1:
                 writer.compact()
             if random_source.random() < 0.2:
-                reader.catch_up()  # it only reads
+                reader.catch_up()  # without becoming the writer
         writer.commit()
         if random_source.random() < 0.5:
             writer, reader = reader, writer
 
 
-def test_pending_records_follow_what_catching_up_has_found():
+def test_pending_records_follow_the_records_read_by_catch_up():
     disk = Disk(1)
     writer, reader = Store(disk), Store(disk)
     writer.put(1, b"a", b"of one")
@@ -227,31 +227,31 @@
         store.put(1, b"%d" % number, b"x", 1000 + number)
     assert store.apply_retention(1010) == 3
     assert [record.key for record in store.records_of(1)] == [b"%d" % n for n in range(3, 8)]
-    assert store.apply_retention(500) == 0  # all of them are in its future
+    assert store.apply_retention(500) == 0  # all timestamps are in the future
     assert store.apply_retention(1105) == 2
 
 
-def test_a_second_writer_gets_an_error_that_names_the_first(tmp_path, capsys):
-    folder = StoreDirectory(str(tmp_path))
-    store = Store(folder)
+def test_a_second_writer_gets_an_error_that_names_the_first_process(tmp_path, capsys):
+    directory = StoreDirectory(str(tmp_path))
+    store = Store(directory)
     store.put(1, b"k", b"v")
     store.commit()
     with pytest.raises(StoreError, match="process .* has locked the store"):
         StoreDirectory(str(tmp_path))
     assert main(["store", "compact", str(tmp_path)]) == 1
     assert "has locked the store" in capsys.readouterr().err
-    assert main(["store", "check", str(tmp_path)]) == 0  # reading needs no lock
-    folder.close()
+    assert main(["store", "check", str(tmp_path)]) == 0  # reading requires no lock
+    directory.close()
     StoreDirectory(str(tmp_path)).close()
 
 
 def test_the_commands_report_damage_and_drop_no_valid_record(tmp_path, capsys):
-    folder = StoreDirectory(str(tmp_path))
-    store = Store(folder)
+    directory = StoreDirectory(str(tmp_path))
+    store = Store(directory)
     for number in range(20):
         store.put(RecordKind.PURGE, b"%016x" % number, record_types.pack_time(number), number)
         store.commit()
-    folder.close()
+    directory.close()
     path = tmp_path / segment_name(1)
     data = bytearray(path.read_bytes())
     data[400] ^= 4
@@ -274,8 +274,8 @@
 
 
 def test_many_writers_share_a_sync_and_each_learns_when_its_record_is_durable(tmp_path):
-    folder = StoreDirectory(str(tmp_path))
-    committer = GroupCommitter(Store(folder))
+    directory = StoreDirectory(str(tmp_path))
+    committer = GroupCommitter(Store(directory))
     durable = []
 
     def work(number):
@@ -288,7 +288,7 @@
         thread.join()
     committer.close()
     assert durable == [True] * 64 and committer.sync_count < 64
-    folder.close()
+    directory.close()
     assert sum(1 for _ in Store(StoreDirectory(str(tmp_path))).records_of(1)) == 64
 
 
@@ -306,19 +306,19 @@
 
 def test_a_stalled_disk_delays_no_writer_beyond_its_timeout_and_commits_go_on_afterwards():
     disk = Disk(1)
-    answers = threading.Event()
+    disk_responds = threading.Event()
     sync = disk.sync
 
-    def slow(name):
-        answers.wait(20)
+    def stall(name):
+        disk_responds.wait(20)
         sync(name)
 
-    disk.sync = slow
+    disk.sync = stall
     committer = GroupCommitter(Store(disk))
     began = time.monotonic()
     assert committer.write(Record(1, b"k", b"v", 0), timeout=0.1) is False
     assert 0.05 < time.monotonic() - began < 5 and committer.stalled_for() > 0
-    answers.set()
+    disk_responds.set()
     assert committer.write(Record(1, b"k2", b"v", 0), timeout=20.0) is True
     assert committer.stalled_for() == 0 or committer.stalled_for() < 1
     committer.close()
@@ -328,13 +328,13 @@
     disk = Disk(1)
     sync, failures = disk.sync, [1, 2]
 
-    def fails(name):
+    def fail_twice(name):
         if failures:
             failures.pop()
             raise OSError(5, "Input/output error")
         sync(name)
 
-    disk.sync = fails
+    disk.sync = fail_twice
     committer = GroupCommitter(Store(disk))
     assert committer.write(Record(1, b"k", b"v", 0), timeout=20.0) is True
     assert not failures and committer.sync_count == 1
@@ -346,7 +346,7 @@
 # --- what a gateway stores ---
 
 
-def test_which_dispatches_need_a_durable_intent_and_what_a_stalled_disk_does_to_them():
+def test_which_dispatches_need_a_durable_intent_and_their_verdicts_while_the_disk_is_stalled():
     assert list(map(needs_durable_intent, record_types.STORED_IDEMPOTENCY)) == [False, True, True]
     assert verdict_while_pending("replayable", 10**9, 5) == Verdict.SEND
     assert verdict_while_pending("non-replayable", 4, 5) == Verdict.WAIT
@@ -354,7 +354,7 @@
 
 
 @pytest.mark.parametrize(
-    "effect, over, cell, now, group, may",
+    "idempotency, not_executed, cell, now, scope, allowed",
     [
         ("replayable", False, 1, 100, "all", True),
         ("non-replayable", False, 1, 100, "all", False),
@@ -362,15 +362,18 @@
         ("uniqued", False, 1, 100, "all", True),
         ("uniqued", False, 1, 151, "all", False),
         ("uniqued", False, 1, 51, "all", True),
-        ("uniqued", False, 1, 50, "all", False),  # the clock was set back: its age is unknown
+        ("uniqued", False, 1, 50, "all", False),  # the clock was set back: the age is unknown
         ("uniqued", False, 2, 100, "cell", False),
         ("uniqued", False, 1, 100, "cell", True),
     ],
 )
-def test_whether_what_an_earlier_process_may_have_sent_is_sent_again(effect, over, cell, now, group, may):
-    before, policy = Intent(101 - 50, effect, over, 1), IdempotencyPolicy(effect, 100, group)
-    assert record_types.unpack_intent(before.pack()) == before
-    assert may_send_again(policy, before, now, cell) is may
+def test_whether_a_request_that_an_earlier_process_may_have_sent_is_sent_again(
+    idempotency, not_executed, cell, now, scope, allowed
+):
+    earlier = Intent(101 - 50, idempotency, not_executed, 1)
+    policy = IdempotencyPolicy(idempotency, 100, scope)
+    assert record_types.unpack_intent(earlier.pack()) == earlier
+    assert may_send_again(policy, earlier, now, cell) is allowed
     assert may_send_again(policy, None, now, cell)
 
 
@@ -379,7 +382,7 @@
         Record(RecordKind.PURGE, record_types.pack_purge_key("00ff"), record_types.pack_time(900)),
         Record(
             RecordKind.PURGE, record_types.pack_purge_key(7), record_types.pack_time(5000)
-        ),  # ahead of the clock
+        ),  # in the future
         Record(RecordKind.PURGE, record_types.pack_purge_key("old"), record_types.pack_time(10)),
         Record(RecordKind.PURGE, b"#x", record_types.pack_time(900)),
         Record(RecordKind.INTENT, b"ref", Intent(5, "uniqued", False, 3).pack()),
@@ -387,8 +390,8 @@
         Record(RecordKind.SLOW_START, b"s-1", record_types.pack_work([(1, 2.5), (3, 4.0)])),
         Record(RecordKind.LAST_EVENT, b"", record_types.pack_time(41)),
     ]
-    found = recover_state(records, 1000, 500)
-    assert found.purges == {"00ff": 900, 7: 1000} and found.last_event == 41
-    assert found.intents == {b"ref": Intent(5, "uniqued", False, 3)}
-    assert found.slow_start_work == {"s-1": [(1, 2.5), (3, 4.0)]}
-    assert len(found.unreadable) == 2 and "intent b'bad'" in found.unreadable[1]
+    recovered = recover_state(records, 1000, 500)
+    assert recovered.purges == {"00ff": 900, 7: 1000} and recovered.last_event == 41
+    assert recovered.intents == {b"ref": Intent(5, "uniqued", False, 3)}
+    assert recovered.slow_start_work == {"s-1": [(1, 2.5), (3, 4.0)]}
+    assert len(recovered.unreadable) == 2 and "intent b'bad'" in recovered.unreadable[1]
