--- a/lilacloft/store/crash_recovery.py
+++ b/lilacloft/store/crash_recovery.py
@@ -19,7 +19,7 @@
     return endpoint_rows
 
 
-def restore_decisions(gateway: Any, endpoint_rows: EndpointRows, recovered: RecoveredState) -> None:
+def restore_routing_state(gateway: Any, endpoint_rows: EndpointRows, recovered: RecoveredState) -> None:
     """Apply the recovered state to a gateway whose routing state is that of its configuration."""
     _restore_endpoints(gateway, endpoint_rows, recovered)
     _restore_learned_state(gateway, recovered)
--- a/lilacloft/store/gateway_store.py
+++ b/lilacloft/store/gateway_store.py
@@ -21,7 +21,7 @@
 from lilacloft.routing.units import Ticks
 from lilacloft.store import durability_snapshot
 from lilacloft.store.background_records import BackgroundRecords
-from lilacloft.store.crash_recovery import recover_endpoint_rows, restore_decisions
+from lilacloft.store.crash_recovery import recover_endpoint_rows, restore_routing_state
 from lilacloft.store.durability import DEFAULT_DURABILITY_TIMEOUT, DurabilityGate
 from lilacloft.store.files import StoreDirectory
 from lilacloft.store.group_commit import GroupCommitter
@@ -90,13 +90,13 @@
         self.pending: dict[str, PendingAttempt] = {}  # by token
         self.tokens: dict[Attempt, str] = {}
         self.withdrawn: list[Attempt] = []  # attempts that were pending when the gateway was quiesced
-        self.transferred: list[tuple[str, bytes]] = []  # tokens and keys of the dispatches handed over
+        self.transferred_dispatches: list[tuple[str, bytes]] = []  # tokens and keys
         self.relayed_tickets: dict[int, int] = {}  # tickets of the previous process, by our tickets
         self.report_relayed: Callable[[int], None] | None = None  # called with its last durable ticket
         self.relay: Relay | None = None  # set while another process writes the store
         self.last_relay_ticket = 0
         if inherited is None:
-            restore_decisions(gateway, self.endpoint_rows, recovered)
+            restore_routing_state(gateway, self.endpoint_rows, recovered)
         else:
             durability_snapshot.restore(self.gate, inherited.state)
         self.committer = GroupCommitter(
@@ -164,7 +164,7 @@
         exported = durability_snapshot.export(self.gate)
         keys = durability_snapshot.GATE_KEYS
         in_flight = [pair for pair in exported[keys["in_flight"]] if pair[0].split()[0] in calls]
-        self.transferred = [(token, key) for token, key in in_flight]
+        self.transferred_dispatches = [(token, key) for token, key in in_flight]
         used = {key for _, key in in_flight}
         key_name = durability_snapshot.KEY_USE_KEYS["key"]
         key_uses = [use for use in exported[keys["key_uses"]] if use[key_name] in used]
@@ -184,9 +184,9 @@
         withdrawn, self.withdrawn = self.withdrawn, []
         for attempt in withdrawn:
             self.gateway.report_end(attempt, CloseReason.UNWRITTEN)
-        transferred, self.transferred = self.transferred, []
+        lost, self.transferred_dispatches = self.transferred_dispatches, []
         if other_may_have_written:
-            self.gate.dispatches_lost(transferred)
+            self.gate.dispatches_lost(lost)
             self.committer.run_before_writing(self._catch_up)
             self.committer.run_before_writing(self.directory.write_pid)
             if not self.background.is_scheduled():
--- a/lilacloft/store/log.py
+++ b/lilacloft/store/log.py
@@ -48,9 +48,7 @@
         """Recover the records in the files. `retention` has the limits by kind; other kinds are unlimited."""
         self.retention, self.segment_bytes = retention or {}, segment_bytes
         self.pending: list[Record] = []  # not yet durable
-        self.replaced_records: dict[
-            tuple[int, bytes], Record | None
-        ] = {}  # the durable records that pending ones replace
+        self.replaced_records: dict[tuple[int, bytes], Record | None] = {}  # durable ones, by kind and key
         self.segment_size = 0
         self.appendable = False  # whether the newest segment may be appended to
         super().__init__(directory)
