--- a/lilacloft/handover/state_restore.py
+++ b/lilacloft/handover/state_restore.py
@@ -109,8 +109,8 @@
             for client in state.clients
         }
         upstreams = [
-            self._restore_backend_connection(exported, socket_at(exported.descriptor))
-            for exported in state.backend_connections
+            self._restore_backend_connection(connection, socket_at(connection.descriptor))
+            for connection in state.backend_connections
         ]
         client_requests = [
             self._restore_request(exported, request, clients[exported.client], upstreams)
