--- a/lilacloft/store/crash_recovery.py
+++ b/lilacloft/store/crash_recovery.py
@@ -55,8 +55,8 @@
 def _restore_purges(gateway: Any, recovered: RecoveredState) -> None:
     for target, purged_at in recovered.purges.items():
         key, group = (target, 0) if isinstance(target, str) else ("", target)
-        age = gateway.clock_offset.purge_time(gateway.time, purged_at)
-        gateway.router.object_purged(key, group, gateway.time - age)
+        purge_time = gateway.clock_offset.purge_time(gateway.time, purged_at)
+        gateway.router.object_purged(key, group, gateway.time - purge_time)
 
 
 def _restore_slow_start(gateway: Any, recovered: RecoveredState) -> None:
--- a/lilacloft/store/durability.py
+++ b/lilacloft/store/durability.py
@@ -60,7 +60,7 @@
     There can be several at a time, since attempts of one request can overlap.
     """
 
-    earlier: Intent | None  # the intent stored under the key before the first of these dispatches
+    previous_intent: Intent | None  # the intent stored under the key before the first of these dispatches
     dispatches: int = 0  # number of dispatches pending or in flight
     may_have_executed: bool = False  # whether any of them was sent and may have been executed
     intent_durable: bool = False
@@ -200,9 +200,9 @@
             return
         use = self.key_uses[key]
         if executed:
-            use.earlier, use.may_have_executed = self.intents[key], True
+            use.previous_intent, use.may_have_executed = self.intents[key], True
         elif key not in self.in_flight.values():
-            use.may_have_executed = False  # an earlier execution is recorded in `earlier`
+            use.may_have_executed = False  # an earlier execution is recorded in `previous_intent`
         self._end_use(key)
 
     def expire_pending(self) -> None:
@@ -236,14 +236,14 @@
         if use.dispatches:
             return
         del self.key_uses[key]
-        if use.may_have_executed or self.intents.get(key) == use.earlier:
+        if use.may_have_executed or self.intents.get(key) == use.previous_intent:
             return
-        if use.earlier is None:
+        if use.previous_intent is None:
             del self.intents[key]
             self.host.write_record(RecordKind.INTENT, key, None)
         else:
-            self.intents[key] = use.earlier
-            self.host.write_record(RecordKind.INTENT, key, use.earlier.pack())
+            self.intents[key] = use.previous_intent
+            self.host.write_record(RecordKind.INTENT, key, use.previous_intent.pack())
 
     # --- handover between processes ---
 
@@ -284,8 +284,9 @@
             if use is None:
                 self.intents[key] = intent
                 self.earlier_keys.add(key)
-            elif not use.intent_durable and intent != use.earlier:  # not ours, even if it is equal to ours
-                use.earlier = intent
+            elif not use.intent_durable and intent != use.previous_intent:
+                # the intent is that of the other process, even if it equals ours
+                use.previous_intent = intent
                 self.earlier_keys.add(key)
                 for pending in [pending for pending in self.pending.values() if pending.key == key]:
                     self._reject(pending)
--- a/lilacloft/store/durability_snapshot.py
+++ b/lilacloft/store/durability_snapshot.py
@@ -17,7 +17,7 @@
 GATE_KEYS = {"key_uses": "chains", "in_flight": "out", "work_written_at": "budgets", "counts": "counts"}
 KEY_USE_KEYS = {
     "key": "key",
-    "earlier": "before",
+    "previous_intent": "before",
     "dispatches": "users",
     "may_have_executed": "sent",
     "intent_durable": "down",
@@ -39,7 +39,7 @@
 def _export_use(key: bytes, use: KeyUse, is_earlier_key: bool) -> dict[str, Any]:
     values = {
         "key": key,
-        "earlier": use.earlier.pack() if use.earlier else None,
+        "previous_intent": use.previous_intent.pack() if use.previous_intent else None,
         "dispatches": use.dispatches,
         "may_have_executed": use.may_have_executed,
         "intent_durable": use.intent_durable,
@@ -61,9 +61,9 @@
 
 
 def _restore_use(gate: DurabilityGate, values: Mapping[str, Any]) -> None:
-    key, earlier = values["key"], values["earlier"]
+    key, previous_intent = values["key"], values["previous_intent"]
     gate.key_uses[key] = KeyUse(
-        unpack_intent(earlier) if earlier else None,
+        unpack_intent(previous_intent) if previous_intent else None,
         values["dispatches"],
         values["may_have_executed"],
         values["intent_durable"],
--- a/lilacloft/store/endpoint_rows.py
+++ b/lilacloft/store/endpoint_rows.py
@@ -98,7 +98,7 @@
         """
         if not last or configured < self.complete_from:  # the events in between are missing
             self.complete_from, self.last_full, self.rows = configured, 0, {}
-            # a store can be empty because the disk failed: the purges before `configured` are read again
+            # a failing disk may have kept the store empty: earlier purges must be read again
             return StartingPoint([], min(last, configured))
         if last <= configured:
             # the change log sends again purges that were not durable; repeated rows are older and ignored
--- a/lilacloft/store/group_commit.py
+++ b/lilacloft/store/group_commit.py
@@ -93,7 +93,7 @@
             self.condition.notify_all()
 
     def stalled_for(self) -> float:
-        """Return the duration in seconds of the commit in progress; 0 if there is none."""
+        """Return for how many seconds the commit or retry delay in progress has lasted; 0 if none is."""
         began_at = self.commit_began_at
         return time.monotonic() - began_at if began_at else 0.0
 
--- a/lilacloft/store/record_types.py
+++ b/lilacloft/store/record_types.py
@@ -76,7 +76,7 @@
 def retention_limits(
     purge_lifetime: Ticks, longest_timeout: Ticks, longest_window: Ticks
 ) -> dict[int, RetentionLimit]:
-    """Return the limits by kind. Each maximum age is the longest time for which a rule needs the records."""
+    """Return the limits by kind. No record is retained for longer than a rule can refer to it."""
     max_ages = {
         RecordKind.PURGE: purge_lifetime,
         RecordKind.INTENT: max(DAY, 2 * longest_timeout, 2 * longest_window),
