--- a/lilacloft/gateway/discovery.py
+++ b/lilacloft/gateway/discovery.py
@@ -24,7 +24,7 @@
     """Follows the change log and applies its events to one gateway."""
 
     def __init__(self, gateway: GatewayContext) -> None:
-        """Set `gateway.feed`, without starting it."""
+        """Create the gateway's watch on the change log, without starting it."""
         configuration = gateway.configuration
         self.gateway = gateway
         self.clock_offset = ClockOffset()
--- a/lilacloft/gateway/lifecycle.py
+++ b/lilacloft/gateway/lifecycle.py
@@ -74,7 +74,7 @@
         last_moment = self.shutdown_deadline + self.gateway.maintenance_interval // 2
         if not is_settled and self.gateway.clock.time <= last_moment:
             return False
-        self.gateway.front.close_remaining()  # the process may run on for a while, but answers nothing more
+        self.gateway.front.close_remaining()  # the process may run on, but answers nothing more
         return True
 
     def _is_busy(self) -> bool:
