--- a/lilacloft/routing/catch_up.py
+++ b/lilacloft/routing/catch_up.py
@@ -3,7 +3,7 @@
 A purge takes effect for a gateway once it is in the change log. A gateway that starts, follows the log at
 another address, has lost its connection, or reconnects to a log that had refused connections, does not know
 the purges since then until it has read the log to its end. Until then it accepts only copies younger than
-the grace period within which a purge must be applied: no purge applies to those yet.
+the grace period within which a purge must be applied: unread purges need not apply to those.
 
 The limit costs fills, so it is lifted: at once when a heartbeat shows that the log was read to its end, or
 when a connection to the log is refused or times out, as the log cannot be read then; `MAX_UNTOLD_TIME` after
--- a/lilacloft/routing/snapshot.py
+++ b/lilacloft/routing/snapshot.py
@@ -111,8 +111,8 @@
         "purges": list(router.freshness.purges.items()),
         "reqs": [_export_request(request, router.link_limit) for request in requests],
         "due": [
-            (due_at, index[request], seq)
-            for due_at, _, request, seq in sorted(router.deadlines.deadlines)
+            (due_at, index[request], attempt)
+            for due_at, _, request, attempt in sorted(router.deadlines.deadlines)
             if request in index
         ],
     }
@@ -211,8 +211,8 @@
     for name, values in exported["bes"].items():
         if name in backends:
             _restore_in_flight(backends[name], values, requests)
-    for due_at, position, seq in exported["due"]:
-        router.deadlines.add(due_at, requests[position], seq)
+    for due_at, position, attempt in exported["due"]:
+        router.deadlines.add(due_at, requests[position], attempt)
     return requests
 
 
