--- a/tests/test_cancelled_attempts.py
+++ b/tests/test_cancelled_attempts.py
@@ -35,7 +35,7 @@
         self.received = []  # (when, stand, verb, id)
         self.timers = Timers()
 
-    def says(self, stand, sock, items):
+    def send_to_cache(self, stand, sock, items):
         """Deliver a message from the gateway to a cache after the link's delay."""
         self.timers.after(self.delay(stand), lambda: self.arrives(stand, sock, items))
 
@@ -82,7 +82,7 @@
         settings["limits"].update(LONG_CONNECT, **more)
         settings["classes"][0]["promiseNs"] = 2 * 10**9
 
-    world = in_process(links.says, links.says, changes=changes)
+    world = in_process(links.send_to_cache, links.send_to_cache, changes=changes)
     for cache in world.caches:
         cache.closed = lambda _sock, cache=cache: links.closed(cache)
     return world
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -217,11 +217,11 @@
     answers."""
     serve = serves(b"x" * size)
 
-    def says(stand, sock, items):
+    def answer(stand, sock, items):
         if items[0] != b"do" or b"thing=%016x" % 1 not in items[2]:
             serve(stand, sock, items)
 
-    return says
+    return answer
 
 
 @pytest.mark.parametrize("block_reader", [block_within_message, block_behind_answers])
@@ -300,8 +300,8 @@
         (request,) = owner.open_requests
         assert owner.client_left_at(request) is None
         only_client(world).input_ended = owner.monotonic_time
-        begun = time.monotonic()
-        wait_until(begun + 0.04)
+        started_at = time.monotonic()
+        wait_until(started_at + 0.04)
         return owner.time - owner.client_left_at(request)
 
     assert world.does(within_a_long_event) >= 400
@@ -314,10 +314,10 @@
     world = in_process(silent, silent)
     asker = world.asker()
     asker.ask(allow=3000)
-    cache, begun = first_cache(world), time.monotonic()
-    wait_until(begun + MAX_SEND_DELAY)
+    cache, sent_at = first_cache(world), time.monotonic()
+    wait_until(sent_at + MAX_SEND_DELAY)
     cache.break_off()
-    assert any(waits_for(one, 0.5) for one in world.caches)
+    assert any(waits_for(other, 0.5) for other in world.caches)
     forgets(asker)
     world.rests()
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -41,14 +41,14 @@
     now = [1]
     upstream_side = Upstream(UpstreamCallbacks(print, lambda: now[0], print, print), from_protocol(ENV), 4)
     backends, attempts = [Backend(f"c{number}") for number in range(6)], []
-    call = lambda: SimpleNamespace(connections=[])  # noqa: E731
+    new_request = lambda: SimpleNamespace(connections=[])  # noqa: E731
     for number, backend in enumerate(backends):
         now[0] += 1
         upstream_side.add_backend(backend, ("127.0.0.1", 9))
-        attempts.append(Attempt(call(), backend, 0, b"%d" % number, b"x", now[0]))
+        attempts.append(Attempt(new_request(), backend, 0, b"%d" % number, b"x", now[0]))
         if number < 4:
             assert upstream_side.dispatch(attempts[-1]) is None
-    connections = [sent.connection for sent in attempts[:4]]
+    connections = [attempt.connection for attempt in attempts[:4]]
     assert upstream_side.dispatch(attempts[4]) is CloseReason.NO_LINE, "all four have attempts in flight"
     for number in (2, 0):  # the third becomes idle first, then the first one
         now[0] += 1
@@ -59,7 +59,7 @@
         and connections[0].close_reason is None
     )
     assert upstream_side.dispatch(attempts[5]) is None and connections[0].close_reason is CloseReason.RETIRED
-    assert [line.close_reason for line in (connections[1], connections[3])] == [None, None]
+    assert [connection.close_reason for connection in (connections[1], connections[3])] == [None, None]
 
 
 class RestartedLog(Log):
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -874,8 +874,8 @@
 
     def _serve(self, sock):
         self.since.put(struct.unpack(">Q", sock.recv(8, socket.MSG_WAITALL))[0])
-        for one in self.given:
-            sock.sendall(framed(*one))
+        for frame in self.given:
+            sock.sendall(framed(*frame))
 
 
 # --- limits ---
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -94,10 +94,10 @@
         buffer = MessageBuffer(sizes)
         buffer.append(encode(*longest))
         assert buffer.next_message() == longest
-        for place, size in enumerate(sizes):
+        for index, size in enumerate(sizes):
             buffer = MessageBuffer(sizes)
             with pytest.raises(GarbledError):
-                buffer.append(encode(*longest[:place]).replace(b"*%d" % place, b"*%d" % len(sizes), 1))
+                buffer.append(encode(*longest[:index]).replace(b"*%d" % index, b"*%d" % len(sizes), 1))
                 buffer.append(b"$%d\r\n" % (size + 1))
                 buffer.next_message()
         with pytest.raises(GarbledError):
@@ -257,9 +257,9 @@
             full[-1].setblocking(False)
             full[-1].connect_ex(server.getsockname())
         conn = Connection(fail, closed.put, target=ConnectTarget(server.getsockname(), 0.2))
-        place = conn.send(b"never out")
+        position = conn.send(b"never out")
         conn.start()
-        assert closed.get(timeout=5).close_reason is CloseReason.UNMADE and place > conn.written
+        assert closed.get(timeout=5).close_reason is CloseReason.UNMADE and position > conn.written
         for sock in full:
             sock.close()
 
--- a/tests/test_read_barrier.py
+++ b/tests/test_read_barrier.py
@@ -68,11 +68,14 @@
 
 
 def test_the_stand_in_waits_a_bounded_time_for_a_connection_without_a_number():
-    log, begun = Log(), time.monotonic()
+    log, started_at = Log(), time.monotonic()
     with socket.create_connection(("127.0.0.1", log.port)) as silent:
         with socket.create_connection(("127.0.0.1", log.port)) as later:
             later.sendall(RESUME.pack(4))
-            assert log.since.get(timeout=MAX_HOLD_BACK + 1) == 4 and time.monotonic() - begun > MAX_HOLD_BACK
+            assert (
+                log.since.get(timeout=MAX_HOLD_BACK + 1) == 4
+                and time.monotonic() - started_at > MAX_HOLD_BACK
+            )
         silent.sendall(RESUME.pack(3))
         assert log.since.get(timeout=1) == 3
     log.close()
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -111,19 +111,19 @@
 
 def test_of_the_first_of_two_unread_requests_on_one_connection(world):
     """The kernel reports only the time of the last byte, and the first request arrived well before."""
-    one = world(serves())
-    asker = one.asker()
+    gateway_world = world(serves())
+    asker = gateway_world.asker()
     asker.ask(key=9)
     assert asker.answer()[1] == b"200"
-    one.caches[0].next()
-    with stopped(one.process):
+    gateway_world.caches[0].next()
+    with stopped(gateway_world.process):
         asked = time.monotonic()
         first = asker.ask(key=1, allow=ALLOW)
         time.sleep(0.6)
         asker.ask(key=2, allow=ALLOW)
     answers = {answer[0]: answer[1] for answer in (asker.answer(), asker.answer())}
     if answers[first] == b"200":
-        dispatches = [one.caches[0].next()[2] for word in answers.values() if word == b"200"]
+        dispatches = [gateway_world.caches[0].next()[2] for status in answers.values() if status == b"200"]
         assert_limit_in_time(next(items for items in dispatches if b"thing=%016x" % 1 in items[2]), asked)
     else:
         assert answers[first] == b"503"
@@ -133,12 +133,12 @@
     """They take several reads, and the time of a read does not show how long the next read's bytes have
     waited. After a killed worker's successor took over, limits were up to 0.8 s too long (rigs.upgrade
     --kill)."""
-    one = world(serves())
-    asker, warm_up = one.asker(), one.asker()
+    gateway_world = world(serves())
+    asker, warm_up = gateway_world.asker(), gateway_world.asker()
     warm_up.ask(key=9)
     assert warm_up.answer()[1] == b"200"
-    one.caches[0].next()
-    with stopped(one.process):
+    gateway_world.caches[0].next()
+    with stopped(gateway_world.process):
         asked = time.monotonic()
         # these take two reads
         early = [asker.ask(key=key, allow=ALLOW, got=f"{key:016x}") for key in range(1, 31)]
@@ -146,7 +146,7 @@
         asker.ask(key=31, allow=ALLOW)
     answers = dict(asker.answer()[:2] for _ in range(31))
     assert set(answers.values()) <= {b"200", b"503"}
-    dispatches = [one.caches[0].next()[2] for word in answers.values() if word == b"200"]
+    dispatches = [gateway_world.caches[0].next()[2] for status in answers.values() if status == b"200"]
     for key, tag in enumerate(early, 1):
         if answers[tag] == b"200":
             assert_limit_in_time(
@@ -171,7 +171,7 @@
     may_accept.set()
     answers = dict(asker.answer()[:2] for _ in range(2))
     if answers[first] == b"200":
-        dispatches = [world.caches[0].next()[2] for word in answers.values() if word == b"200"]
+        dispatches = [world.caches[0].next()[2] for status in answers.values() if status == b"200"]
         assert_limit_in_time(next(items for items in dispatches if b"thing=%016x" % 1 in items[2]), asked)
     else:
         assert answers[first] == b"503"
@@ -242,22 +242,22 @@
 
 def test_of_a_request_unread_while_the_process_was_stopped(world):
     """A client's time counts from its last byte, not from when the process read it."""
-    one = world(serves())
-    warm_up = one.asker()
+    gateway_world = world(serves())
+    warm_up = gateway_world.asker()
     warm_up.ask(key=9)
     assert warm_up.answer()[1] == b"200"
-    one.caches[0].next()
-    with stopped(one.process):
-        asker = one.asker()
+    gateway_world.caches[0].next()
+    with stopped(gateway_world.process):
+        asker = gateway_world.asker()
         asked = time.monotonic()
         asker.ask(key=2, allow=ALLOW)
         time.sleep(0.8)
-    tag, word, *_ = asker.answer()
-    if word == b"200":
-        _, _, items = one.caches[0].next()
+    tag, status, *_ = asker.answer()
+    if status == b"200":
+        _, _, items = gateway_world.caches[0].next()
         assert_limit_in_time(items, asked)
     else:
-        assert word == b"503"
+        assert status == b"503"
     assert time.monotonic() < asked + ALLOW / 1000
 
 
@@ -286,13 +286,13 @@
 def test_requests_unread_while_the_process_was_stopped_are_served_while_clients_wait(world):
     """Requests that waited unread in a stopped process or its accept queue were rejected after half of their
     target."""
-    one = world(serves())
-    held = one.asker()
+    gateway_world = world(serves())
+    held = gateway_world.asker()
     for key in range(60):  # rejection is by value, which is estimated from earlier requests
         held.ask(key=key)
         assert held.answer()[1] == b"200"
-    with stopped(one.process):
-        fresh = one.asker()
+    with stopped(gateway_world.process):
+        fresh = gateway_world.asker()
         tags = held.ask(key=1, allow=2500), fresh.ask(key=2, allow=2500)
         time.sleep(0.5)
     assert held.answer()[:2] == [tags[0], b"200"] and fresh.answer()[:2] == [tags[1], b"200"]
