--- a/lilacloft/failover/failover_control.py
+++ b/lilacloft/failover/failover_control.py
@@ -50,9 +50,7 @@
 MIN_STEP_INTERVAL: Ticks = 5_000  # so that the answers show the effect of a step
 REVERT_LATE_SHARE = 0.5  # of the answers
 STABLE_SPAN: Ticks = 600_000  # of use, after which one failed return is forgiven
-ANNOUNCE_SPAN: Ticks = (
-    50_000  # for which a returned location stays in plans, so that all gateways learn its rate
-)
+ANNOUNCE_SPAN: Ticks = 50_000  # for which a returned location stays in plans: all gateways learn its rate
 LISTEN_SPAN: Ticks = 10_000  # for which a new controller collects reports before it decides
 ROUNDING = 1e-9
 
