--- a/lilacloft/sign/verdict.py
+++ b/lilacloft/sign/verdict.py
@@ -31,7 +31,7 @@
 from lilacloft.sign.paths import PathError, canonicalize, pattern_matches
 
 MAX_TOKEN_BYTES = 4096
-MAX_FIELDS = 12
+MAX_FIELDS = 12  # also of lists in a token; JSON objects may have twice as many members
 ALGORITHMS = ("HS256", "EdDSA", "ES256", "RS256")
 MAX_VALIDITY_SECONDS = 400 * 86_400  # no legitimate link is signed for longer
 CLOCK_SKEW_SECONDS = 30  # tolerated clock difference unless the settings give another
@@ -204,7 +204,7 @@
         or len(parsed) > MAX_FIELDS
         or not all(isinstance(item, str) for item in parsed)
     ):
-        raise TokenError(f"{label} is not a string or a list of strings, or has too many")
+        raise TokenError(f"{label} is not a string or a list of strings, or the list is too long")
     return tuple(parsed)
 
 
@@ -356,7 +356,9 @@
         )
     if claims.regex:
         covered = is_safe_regex(claims.regex) and re.fullmatch(claims.regex, uri)
-        return "" if covered else "the URI does not match the regular expression, or that is not allowed"
+        return (
+            "" if covered else "the URI does not match the regular expression, or the latter is not allowed"
+        )
     for pattern in claims.patterns:
         if pattern.startswith("//"):
             host, slash, rest = pattern[2:].partition("/")
@@ -368,7 +370,7 @@
 
 
 def is_safe_regex(regex: str) -> bool:
-    """Returns whether a regular expression is valid and cannot cause excessive backtracking.
+    """Returns whether a regular expression is valid and free of constructs that may match slowly.
 
     Repeated groups, back-references, stacked quantifiers and more than 8 of `*` and `+` are rejected.
     """
