--- a/lilacloft/record/__init__.py
+++ b/lilacloft/record/__init__.py
@@ -1,4 +1,4 @@
-"""The records that a gateway writes of its own events: their types, files and live stream, and their reader.
+"""The event records of a gateway: their types, files and live stream, and their reader.
 
-Recording never delays the gateway, writes nothing per request, and decides nothing.
+Recording never delays the gateway, writes nothing per request, and takes no part in routing.
 """
--- a/lilacloft/record/file_rotation.py
+++ b/lilacloft/record/file_rotation.py
@@ -1,7 +1,7 @@
 """Rotation of a gateway's record files: when a new file begins, which old ones are removed, and how many
-records a failing disk has cost.
+records were lost to disk errors.
 
-No I/O but through the `RecordDirectory` that it is given. Times are seconds of the monotonic clock.
+All I/O goes through the `RecordDirectory` that is passed in. Times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -62,8 +62,8 @@
         self.error = ""
 
     def write(self, lines: list[bytes], head: bytes) -> int:
-        """Write whole lines, in a new file behind the head where one is due. Return how many were lost:
-        none, or all if the disk fails."""
+        """Write whole lines, first rotating to a new file that starts with `head` if one is due. Return how
+        many lines were lost: 0, or all of them if the disk fails."""
         if not lines:
             return 0
         now = self.directory.now()
@@ -75,7 +75,7 @@
                 self._rotate(now, head)
             self.directory.write(b"".join(lines))
         except OSError as error:
-            # The file may end within a line now: nothing may be appended to it.
+            # The file may now end with a partial line, so nothing more may be appended to it.
             self.is_open = False
             self.retry_at = now + RETRY_DELAY
             self.error = error.strerror or str(error)
@@ -84,7 +84,7 @@
         return 0
 
     def take_losses(self) -> WriteLosses:
-        """Return what the disk has cost since the last call; nothing while a retry is not due."""
+        """Return the losses since the last call; none until the next retry is due."""
         if self.directory.now() < self.retry_at or not self.lost:
             return WriteLosses(0, "")
         lost, self.lost = self.lost, 0
@@ -108,7 +108,7 @@
         )
 
     def _rotate(self, now: float, head: bytes) -> None:
-        """Close the open file, remove old ones, and begin the next."""
+        """Close the open file, remove old files, and open the next one."""
         self.close()
         self._remove_old_files()
         self.file_number += 1
@@ -117,7 +117,7 @@
         self.is_open, self.size, self.opened_at = True, len(head), now
 
     def _remove_old_files(self) -> None:
-        """Remove the oldest files until another full one fits."""
+        """Remove the oldest files until a file of the maximum size fits."""
         files = self.directory.list_files()
         total = sum(size for _, size in files)
         for name, size in files:
--- a/lilacloft/record/live_stream.py
+++ b/lilacloft/record/live_stream.py
@@ -15,7 +15,7 @@
 
 from loguru import logger
 
-RECENT_RECORDS = 900  # that a new reader gets first: about ten minutes
+RECENT_RECORDS = 900  # replayed to a new reader: about ten minutes
 MAX_READERS = 8
 SEND_BUFFER_BYTES = 1 << 20  # for each reader
 PEER_CREDENTIALS = struct.Struct("3i")  # process id, user id, group id
@@ -25,7 +25,7 @@
     """The stream of one gateway. The writing thread publishes; another thread accepts readers."""
 
     def __init__(self, path: str, head: bytes) -> None:
-        """Listen at `path`; `head` is sent first to each reader. Raises OSError."""
+        """Listen on `path`; `head` is the first line sent to each reader. Raises OSError."""
         self.path, self.head = path, head
         self.recent: deque[bytes] = deque(maxlen=RECENT_RECORDS)
         self.lock = threading.Lock()
@@ -52,7 +52,8 @@
 
     @staticmethod
     def _send(reader: socket.socket, data: bytes) -> bool:
-        """Send all data at once, or close the connection, as nothing may follow a part of a line."""
+        """Send all data in one call. Close the connection if only a part fits, as nothing may follow a
+        partial line."""
         try:
             if reader.send(data, socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL) == len(data):
                 return True
@@ -67,7 +68,7 @@
                 reader, _ = self.sock.accept()
                 self._add_reader(reader)
             except OSError as error:
-                logger.error("records' socket: {}", error)
+                logger.error("record socket: no more readers are accepted: {}", error)
                 return
 
     def _add_reader(self, reader: socket.socket) -> None:
--- a/lilacloft/record/metrics.py
+++ b/lilacloft/record/metrics.py
@@ -1,4 +1,4 @@
-"""Writes the summaries as a Prometheus text file, for a node's collector; no listener is opened."""
+"""Writes the summaries to a Prometheus text file for the node's collector; opens no listener."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
         self.has_changed = False
         self.registry = CollectorRegistry()
 
-        def make(kind: type, name: str, text: str, *labels: str) -> Counter | Gauge:
+        def register(kind: type, name: str, text: str, *labels: str) -> Counter | Gauge:
             return kind(f"lilacloft_{name}", text, ["gateway", *labels], registry=self.registry)
 
-        self.requests = make(Counter, "reqs", "reqs by what became of them", "vhost", "outcome")
-        self.dispatches = make(Counter, "dispatches", "dispatches by vhost", "vhost")
-        self.hits = make(Counter, "hits", "answers from a cache's own copy", "vhost")
-        self.value = make(Counter, "value", "value of what was done in time", "vhost")
-        self.ends = make(Counter, "be_ends", "ends of dispatches", "be", "end")
-        self.utilization = make(Gauge, "be_util", "told by the be", "be")
-        self.in_flight = make(Gauge, "be_in_flight", "dispatches out", "be")
-        self.limit = make(Gauge, "be_limit", "learned limit", "be")
-        self.ejected = make(Gauge, "be_left_alone", "1 while it is left alone", "be")
-        self.refused = make(Counter, "refused", "messages and connections refused", "cause")
+        self.requests = register(Counter, "reqs", "reqs by what became of them", "vhost", "outcome")
+        self.dispatches = register(Counter, "dispatches", "dispatches by vhost", "vhost")
+        self.hits = register(Counter, "hits", "answers from a cache's own copy", "vhost")
+        self.value = register(Counter, "value", "value of what was done in time", "vhost")
+        self.ends = register(Counter, "be_ends", "ends of dispatches", "be", "end")
+        self.utilization = register(Gauge, "be_util", "told by the be", "be")
+        self.in_flight = register(Gauge, "be_in_flight", "dispatches out", "be")
+        self.limit = register(Gauge, "be_limit", "learned limit", "be")
+        self.ejected = register(Gauge, "be_left_alone", "1 while it is left alone", "be")
+        self.refused = register(Counter, "refused", "messages and connections refused", "cause")
 
     def add(self, summary: SummaryRecord) -> None:
         """Add a summary's counts, and set the gauges to its values."""
@@ -68,7 +68,8 @@
         self.ejected.labels(self.gateway, name).set(backend.ejected)
 
     def write(self) -> None:
-        """Replace the file if there is anything new, so that a collector never reads half of it."""
+        """Write the file if anything has changed, replacing it atomically so that a collector never reads a
+        partial one."""
         if self.has_changed:
             self.has_changed = False
             with contextlib.suppress(OSError):
--- a/lilacloft/record/reader.py
+++ b/lilacloft/record/reader.py
@@ -1,5 +1,5 @@
-"""Reads record files. What can be read is returned; what cannot is reported with its file and line. The
-content of a file never raises an exception."""
+"""Reads record files. Readable records are returned; anything else is reported with its file and line.
+Malformed content never raises an exception."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Damage:
-    """A file or line that cannot be read; line 0 stands for the whole file."""
+    """A file or line that cannot be read; line 0 means the whole file."""
 
     file: str
     line: int
@@ -30,7 +30,7 @@
 
 @dataclass
 class Run:
-    """The life of one process, as its files record it."""
+    """The records of one process, from its start to its end."""
 
     head: record_types.Head
     records: list[record_types.Record] = field(default_factory=list)
@@ -39,13 +39,13 @@
 
     @property
     def name(self) -> str:
-        """A name unique among all gateways' runs; runs on two machines may have the same `head.run`."""
+        """A name unique across gateways; runs on two machines may have the same `head.run`."""
         return f"{self.head.gateway} {self.head.run}"
 
 
 @dataclass
 class FileContents:
-    """What one file holds."""
+    """The header, the records and the damage of one file."""
 
     head: record_types.Head | None = None
     records: list[record_types.Record] = field(default_factory=list)
@@ -53,8 +53,7 @@
 
 
 def read_lines(path: Path) -> Iterator[tuple[int, bytes]]:
-    """Yield the lines of a file with their numbers from 1. A line that is cut off has no line end. Raises
-    OSError."""
+    """Yield the lines of a file, numbered from 1. A truncated line has no line end. Raises OSError."""
     with path.open("rb") as file:
         number = 0
         while data := file.readline(MAX_LINE_BYTES):
@@ -63,12 +62,12 @@
 
 
 def read_file(path: Path) -> FileContents:
-    """Read one file up to the first line that is cut off."""
+    """Read one file up to the first truncated line."""
     contents = FileContents()
     try:
         for number, data in read_lines(path):
             if not data.endswith(b"\n"):
-                text = f"cut off after {len(data)} bytes"
+                text = f"line truncated after {len(data)} bytes"
                 contents.damage.append(Damage(str(path), number, text))
                 break
             _read_line(contents, path, number, data)
@@ -78,7 +77,8 @@
 
 
 def _read_line(contents: FileContents, path: Path, number: int, data: bytes) -> None:
-    """Add a line's record, or its damage, to the contents; skip kinds of later versions."""
+    """Add the record of a line, or its damage, to the contents; skip unknown kinds, which later versions
+    write."""
     try:
         record = record_types.decode(data)
     except DECODE_ERRORS as error:
@@ -102,8 +102,8 @@
 
 
 def find(paths: Iterable[str]) -> tuple[list[Path], list[Damage]]:
-    """Return the record files among paths and in folders among them, each once; and the paths that do not
-    exist."""
+    """Return the record files named by the paths or found below them, without duplicates, and as damage the
+    paths that do not exist."""
     files: list[Path] = []
     damage: list[Damage] = []
     for name in paths:
@@ -113,12 +113,12 @@
         elif path.exists():
             files.append(path)
         else:
-            damage.append(Damage(name, 0, "there is no such file or folder"))
+            damage.append(Damage(name, 0, "no such file or directory"))
     return list(dict.fromkeys(files)), damage
 
 
 def read(paths: Iterable[str]) -> tuple[dict[str, list[Run]], list[Damage]]:
-    """Return all runs in folders or files, by gateway in the order of their starts; and all damage."""
+    """Return the runs in directories or files, by gateway and in start order, and all damage."""
     files, damage = find(paths)
     runs: dict[tuple[str, str], Run] = {}
     for path in files:
@@ -126,12 +126,12 @@
         damage += contents.damage
         head = contents.head
         if head is None:
-            text = f"no head: {len(contents.records)} records are passed over"
+            text = f"no head record: {len(contents.records)} records skipped"
             damage.append(Damage(str(path), 1, text))
             continue
         if head.schema > record_types.SCHEMA_VERSION:
             versions = f"schema {head.schema} is newer than {record_types.SCHEMA_VERSION}"
-            damage.append(Damage(str(path), 1, f"{versions}: what is not known is skipped"))
+            damage.append(Damage(str(path), 1, f"{versions}: unknown records and fields are skipped"))
         run = runs.setdefault((head.gateway, head.run), Run(head))
         run.records += contents.records
         run.files.append(str(path))
@@ -140,7 +140,7 @@
 
 
 def _by_gateway(runs: dict[tuple[str, str], Run]) -> dict[str, list[Run]]:
-    """Return runs by gateway, in the order of their names, each with its records in the order of time."""
+    """Return the runs by gateway, sorted by name, with the records of each sorted by time."""
     by_gateway: dict[str, list[Run]] = {}
     for (gateway, _), run in sorted(runs.items()):
         run.records.sort(key=lambda record: record.monotonic_time)
--- a/lilacloft/record/record_directory.py
+++ b/lilacloft/record/record_directory.py
@@ -1,4 +1,4 @@
-"""The directory on disk that has a gateway's record files."""
+"""The directory on disk that holds a gateway's record files."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from io import FileIO
 from pathlib import Path
 
-UNSAFE_CHARACTER = re.compile(r"[^A-Za-z0-9_.-]")  # in the name of a file
+UNSAFE_CHARACTER = re.compile(r"[^A-Za-z0-9_.-]")  # in file names
 
 
 class DiskDirectory:
-    """A `RecordDirectory` on disk. The names of files sort by gateway, run and number."""
+    """A `RecordDirectory` on disk. File names sort by gateway, run and number."""
 
     def __init__(self, path: str, gateway: str, run: str) -> None:
         self.path, self.gateway, self.run = Path(path), UNSAFE_CHARACTER.sub("_", gateway), run
@@ -22,7 +22,7 @@
         return time.monotonic()
 
     def open_file(self, number: int) -> None:
-        """Create a file, and the directory if there is none. Raises OSError."""
+        """Create a file, and the directory if it does not exist. Raises OSError."""
         self.path.mkdir(parents=True, exist_ok=True)
         name = f"{self.gateway}.{self.run}.{number:05}.jsonl"
         self.file = open(self.path / name, "xb", buffering=0)  # noqa: SIM115
--- a/lilacloft/record/record_queue.py
+++ b/lilacloft/record/record_queue.py
@@ -9,7 +9,8 @@
 
 
 class QueuedRecords(NamedTuple):
-    """What a queue held: its lines, the number dropped after them, and since when (as passed to `put`)."""
+    """The contents of a queue: its lines, how many were dropped after them, and the time of the first drop
+    (as passed to `put`)."""
 
     lines: list[bytes]
     dropped: int
@@ -17,9 +18,9 @@
 
 
 class RecordQueue:
-    """Encoded records that wait to be written. Those that do not fit are dropped and counted.
+    """Encoded records that wait to be written. Records that do not fit are dropped and counted.
 
-    Its methods are called under the caller's lock.
+    The caller holds a lock around each call.
     """
 
     def __init__(self, capacity: int = MAX_QUEUED_RECORDS) -> None:
@@ -38,7 +39,7 @@
         return True
 
     def drain(self) -> QueuedRecords:
-        """Remove and return all lines, with the number of dropped ones, which starts from 0 again."""
+        """Remove and return all lines, and the number of dropped ones, which is reset to 0."""
         drained = QueuedRecords(list(self.lines), self.dropped, self.dropped_since)
         self.lines, self.dropped = deque(), 0
         return drained
--- a/lilacloft/record/record_types.py
+++ b/lilacloft/record/record_types.py
@@ -1,9 +1,8 @@
 """The types of records. A file of records has one JSON object a line; `kind` names its type.
 
-Each record has a number that grows by one within a run (the life of one process), and its time by the
-machine's clock and by the monotonic clock. Times and durations are whole tenths of a millisecond. A file
-begins with its `Head`. Readers skip fields and kinds that they do not know; `Head.schema` is the version of
-the form.
+Each record has a number, consecutive within a run (the lifetime of one process), and its time by the system
+clock and by the monotonic clock. Times and durations are whole tenths of a millisecond. A file begins with
+its `Head`. Readers skip unknown fields and kinds; `Head.schema` is the version of the format.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 from msgspec import Struct
 
 SCHEMA_VERSION = 1
-# The stored name of each field that is named otherwise in the code.
+# The stored name of each field that has another name in the code.
 FIELDS_IN_FILES = {
     "abandoned": "left",
     "backend": "be",
@@ -77,14 +76,14 @@
 
 
 class Start(Record, tag="start", rename=FIELDS_IN_FILES):
-    """The process has begun to serve."""
+    """The process has started to serve."""
 
-    reason: str = "start"  # or `upgrade`: it has replaced another process
+    reason: str = "start"  # or `upgrade`: it has taken over from another process
     backend_count: int = 0
 
 
 class Stop(Record, tag="over", rename=FIELDS_IN_FILES):
-    """The process ends in order."""
+    """The process shuts down cleanly."""
 
     reason: str = ""  # stop, upgrade
 
@@ -97,7 +96,7 @@
 
 
 class BackendList(Record, tag="listed", rename=FIELDS_IN_FILES):
-    """The list of backends, or a change of it."""
+    """The list of backends, or a change to it."""
 
     event: int  # number in the change log; 0: from the configuration or another process
     whole: bool = False
@@ -110,7 +109,7 @@
     event: int
     key: str = ""
     group: int = 0
-    purged_at: int = 0  # Unix time by the clock of whoever purged
+    purged_at: int = 0  # Unix time by the clock of the host that issued the purge
 
 
 class HealthChange(Record, tag="belief", rename=FIELDS_IN_FILES):
@@ -180,8 +179,8 @@
     late_answers: int = 0
     ends: dict[str, int] = {}  # ends other than done, by name
     fills: int = 0  # likely fills from this source that ended
-    source_wait_total: int = 0  # time that fills waited for this source, as caches report it or measured here
-    source_waits: int = 0  # number of these fills
+    source_wait_total: int = 0  # time that fills waited for this source, reported by caches or measured here
+    source_waits: int = 0  # number of fills in `source_wait_total`
     in_flight: int = 0
     utilization: float = -1.0  # as the backend reports it; -1: not reported
     limit: float = 0.0
@@ -209,9 +208,9 @@
 
 
 class ClockStep(Record, tag="clock", rename=FIELDS_IN_FILES):
-    """The machine's clock was set."""
+    """The system clock was set."""
 
-    step: int  # against the monotonic clock since the last record
+    step: int  # relative to the monotonic clock, since the last record
 
 
 class ChangeLogConnection(Record, tag="log", rename=FIELDS_IN_FILES):
--- a/lilacloft/record/record_writer.py
+++ b/lilacloft/record/record_writer.py
@@ -1,6 +1,6 @@
-"""Numbers a gateway's records and writes them in a thread of its own, behind a bounded queue.
+"""Numbers a gateway's records and writes them from a bounded queue in a separate thread.
 
-A disk that fails costs records, which are counted; it never delays or ends the gateway.
+When the disk fails, records are lost and counted; the gateway is neither delayed nor stopped.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
     from lilacloft.record.live_stream import LiveStream
     from lilacloft.record.metrics import Metrics
 
-CLOCK_STEP_THRESHOLD: Ticks = 500  # a smaller difference between the clocks' courses is not recorded
-FAILED_DISK_POLL = 0.25  # seconds between checks whether a disk that failed may be tried again
-STOP_TIMEOUT = 1.0  # seconds for the last records to be written
+CLOCK_STEP_THRESHOLD: Ticks = 500  # smaller changes between the system and monotonic clocks are not recorded
+FAILED_DISK_POLL = 0.25  # seconds between checks whether a failed disk may be retried
+STOP_TIMEOUT = 1.0  # seconds allowed for writing the last records
 
 
 def unix_ticks() -> Ticks:
@@ -50,17 +50,17 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """Write what is queued and end the thread; wait for it `STOP_TIMEOUT` at most."""
+        """Write what is queued and end the thread, waiting for at most `STOP_TIMEOUT`."""
         self.is_stopping = True
         self.wakeup.set()
         self.thread.join(STOP_TIMEOUT)
 
     def wake(self) -> None:
-        """Let the thread write what is queued."""
+        """Wake the writing thread to write what is queued."""
         self.wakeup.set()
 
     def add(self, record: record_types.Record) -> None:
-        """Queue a record with its number and times, behind a `ClockStep` if the machine's clock was set."""
+        """Number, timestamp and queue a record, preceded by a `ClockStep` if the system clock was set."""
         monotonic_time, unix_time = monotonic_ticks(), unix_ticks()
         offset = unix_time - monotonic_time
         if self.clock_offset is None:
@@ -97,7 +97,8 @@
                 return
 
     def _next_lines(self) -> list[bytes]:
-        """Return what is queued, and records of what was dropped before it and behind it."""
+        """Return the queued lines, preceded by a record of the lines lost to the disk and followed by one of
+        the lines dropped from the queue."""
         with self.lock:
             lines, dropped, since = self.queue.drain()
         if dropped:
@@ -108,7 +109,7 @@
         return lines
 
     def _write(self, lines: list[bytes], was_failing: bool) -> bool:
-        """Write lines, and log where the disk begins or ceases to fail; return whether it fails."""
+        """Write lines, and log when the disk starts or stops failing; return whether it is failing."""
         self.head.file_number = self.files.file_number + 1
         self.head.unix_time, self.head.monotonic_time = unix_ticks(), monotonic_ticks()
         is_failing = self.files.write(lines, record_types.encode_line(self.head)) > 0
--- a/lilacloft/record/recorder.py
+++ b/lilacloft/record/recorder.py
@@ -1,6 +1,6 @@
-"""The hooks by which a gateway records what happens to it.
+"""The hooks through which a gateway records its events.
 
-A hook only counts, or adds a record to a queue: it never waits, and never calls the decision module.
+A hook only updates counters or queues a record: it never blocks, and never calls into routing decisions.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
     from lilacloft.record.metrics import Metrics
     from lilacloft.routing.model import Backend
 
-# The front's counters that are stored with each summary, by their stored names.
+# Counters of the front that are stored with each summary, under these names.
 REFUSED = ("unusable", "turned_away", "closed_idle", "choked", "not_taken")
 
 
 @dataclass(frozen=True)
 class RecorderOptions:
-    """Where a gateway's records go."""
+    """Where a gateway writes its records."""
 
     folder: str
     gateway_name: str
@@ -51,10 +51,10 @@
 
 
 class Recorder:
-    """The recorder of one gateway. The event loop's thread calls it, for upgrades another one as well."""
+    """The recorder of one gateway. Called by the event loop's thread, and during upgrades by another one."""
 
     def __init__(self, gateway: Gateway, options: RecorderOptions) -> None:
-        """`gateway`: its `recorder` becomes this one."""
+        """Install this recorder as `gateway.recorder`."""
         self.gateway, self.options = gateway, options
         run = f"{time.time_ns() // NS_PER_TICK:015}-{os.getpid()}"
         directory = DiskDirectory(options.folder, options.gateway_name, run)
@@ -84,8 +84,8 @@
         )
 
     def start(self, reason: str = "start") -> None:
-        """Begin to write: the gateway serves. `reason`: start or upgrade."""
-        if self.options.socket_path:  # not before: another process may have been the gateway until now
+        """Start recording once the gateway serves. `reason`: start or upgrade."""
+        if self.options.socket_path:  # only now, as the replaced process may have owned the socket until here
             self._open_live_stream(self.options.socket_path)
         self.writer.start()
         backends = self.gateway.backends
@@ -100,10 +100,11 @@
         try:
             self.writer.live_stream = LiveStream(path, record_types.encode_line(self.head))
         except OSError as error:
-            logger.error("records' socket {}: {}", path, error.strerror)
+            logger.error("record socket {}: cannot listen: {}", path, error.strerror)
 
     def end(self, reason: str) -> None:
-        """Write what is left, for a short while at most: the gateway ends. `reason`: stop or upgrade."""
+        """Write the last records, for at most `STOP_TIMEOUT`, as the gateway ends. `reason`: stop or
+        upgrade."""
         self.note(self._take_summary())
         self.note(record_types.Stop(reason=reason))
         self.writer.stop()
@@ -149,7 +150,7 @@
         self.summary.answered(self.vhost_names[call.vhost], kind, duration, attempts)
 
     def client_disconnected(self, call: Call) -> None:
-        """A client has disconnected before its answer."""
+        """A client has disconnected before it was answered."""
         self.summary.client_disconnected(self.vhost_names[call.vhost])
 
     # --- backends, plans and upgrades ---
@@ -212,7 +213,7 @@
         )
 
     def upgrade_phase(self, phase: str, reason: str) -> None:
-        """An upgrade has entered a phase; called by the thread that drives the upgrade."""
+        """An upgrade has entered a phase; called by the thread that runs the upgrade."""
         self.note(record_types.Upgrade(phase=phase, reason=reason))
 
     def discovery_event(self, event: DiscoveryEvent, number: int) -> None:
@@ -265,7 +266,7 @@
         )
 
     def backend_states(self) -> dict[str, BackendState]:
-        """Return the present state of each backend by name."""
+        """Return the current state of each backend by name."""
         return {
             backend.name: BackendState(
                 in_flight=len(backend.requests),
--- a/lilacloft/record/summary.py
+++ b/lilacloft/record/summary.py
@@ -1,4 +1,4 @@
-"""Counts what happens between two summary records, by virtual host and by backend.
+"""Counts events between two summary records, by virtual host and by backend.
 
 No I/O and no clock of its own; times and durations are `Ticks`.
 """
@@ -16,7 +16,7 @@
 
 SUMMARY_INTERVAL: Ticks = 10_000
 IDLE_SUMMARY_INTERVAL: Ticks = 100_000  # while nothing happens
-# Names of the notes in caches' answers, by number.
+# Names of the numeric notes in caches' answers.
 NOTES = (
     "",
     "TCP_HIT",
@@ -32,12 +32,12 @@
 )
 HIT_NOTES = ("TCP_HIT", "TCP_STALE")
 FILL_NOTES = ("TCP_MISS", "TCP_MISS_ROOT", "TCP_JOIN")
-MAX_DURATION: Ticks = 1_000_000  # that the histograms have
-SIGNIFICANT_FIGURES = 2  # of the histograms
+MAX_DURATION: Ticks = 1_000_000  # upper bound of the histograms; longer durations count as this one
+SIGNIFICANT_FIGURES = 2  # of the values in the histograms
 
 
 class VhostTargets(NamedTuple):
-    """Settings of a virtual host that the summaries compare its answers with."""
+    """Settings of a virtual host against which its answers are measured."""
 
     first_byte_target: float  # ticks
     client_timeout: float  # ticks
@@ -45,7 +45,7 @@
 
 
 class BackendState(NamedTuple):
-    """A backend at the end of a summary's period."""
+    """The state of a backend at the end of a summary's period."""
 
     in_flight: int
     limit: float
@@ -65,11 +65,11 @@
     duration: Ticks
     is_late: bool
     note: int  # index in NOTES
-    queued: Ticks  # that the backend waited for the source; 0: not reported
+    queued: Ticks  # how long the backend waited for the source; 0: not reported
 
 
 class Summary:
-    """Counts of one gateway. `finish_period` returns them as a record and starts again from 0."""
+    """The counters of one gateway. `finish_period` returns them as a record and resets them."""
 
     def __init__(self, targets: Mapping[str, VhostTargets], now: Ticks) -> None:
         """`targets`: by name of the virtual host."""
@@ -140,11 +140,11 @@
         self._vhost(vhost).abandoned += 1
 
     def utilization_reported(self, backend: str, utilization: float) -> None:
-        """Note the utilization in a backend's last health check."""
+        """Set the utilization from a backend's last health check."""
         self._backend(backend).utilization = utilization
 
     def loop_lagged(self, lag: Ticks) -> None:
-        """Note a lateness of the event loop."""
+        """Record a delay of the event loop; the summary has the largest one."""
         self.loop_lag = max(self.loop_lag, lag)
 
     def count_refused(self, counts: Mapping[str, int]) -> None:
@@ -156,8 +156,9 @@
                 self.refused[name] = self.refused.get(name, 0) + growth
 
     def limit_changed(self, name: str, before: float, limit: float, late_share: float) -> LimitChange | None:
-        """Return the record of a change of a learned limit, if it gets one: each cut does, and growth, which
-        comes in small steps, where the limit is back at its value before the first cut."""
+        """Return the record of a change to a learned limit, or None if it is not recorded. Each cut is
+        recorded; growth comes in small steps and is recorded only when the limit is back at its value before
+        the first cut."""
         is_cut = limit < before
         if is_cut:
             self.uncut_limits.setdefault(name, before)
@@ -188,8 +189,8 @@
     def finish_period(
         self, now: Ticks, backends: Mapping[str, BackendState], link_limit: float
     ) -> SummaryRecord:
-        """Return the record of the period that ends now, and begin the next. `backends`: by name; those that
-        are ready and idle are left out of the record."""
+        """Return the record of the period that ends now, and begin the next one. `backends`: by name; idle
+        backends that are ready are left out of the record."""
         for name, state in backends.items():
             self._set_state(name, state)
         for vhost, histogram in self.durations.items():
