--- a/lilacloft/report/charts.py
+++ b/lilacloft/report/charts.py
@@ -89,11 +89,11 @@
     x = (bounds[:-1] - found.begin) / 1000
     width = (bounds[1] - bounds[0]) / 1000
     sums = {name: np.zeros(len(x)) for name in ("done", "late", "denied", "aborted")}
-    for seen in found.seen.values():
-        mine = seen.columns.vhosts.get(vhost)
+    for history in found.histories.values():
+        mine = history.columns.vhosts.get(vhost)
         if mine is not None:
             for name in sums:
-                sums[name] += binned(seen.columns.begin, mine[name], bounds) / width
+                sums[name] += binned(history.columns.begin, mine[name], bounds) / width
     figure, (upper, lower) = plt.subplots(2, 1, figsize=(9, 3.2), sharex=True, height_ratios=(2, 1))
     good = np.maximum(sums["done"] - sums["late"], 0)
     upper.stackplot(
@@ -122,16 +122,16 @@
 def latency(found: Timeline, vhost: str, bounds: NDArray[Any]) -> tuple[list[int], list[float], list[float]]:
     """Median and p99 in milliseconds by bin, of the histograms that were kept."""
     held: dict[int, HdrHistogram] = {}
-    for seen in found.seen.values():
-        for place, name, took in seen.columns.took:
+    for history in found.histories.values():
+        for place, name, encoded in history.columns.histograms:
             if name != vhost:
                 continue
-            spot = int(np.searchsorted(bounds, seen.columns.begin[place], "right")) - 1
+            spot = int(np.searchsorted(bounds, history.columns.begin[place], "right")) - 1
             if not 0 <= spot < len(bounds) - 1:
                 continue
             if spot not in held:
                 held[spot] = HdrHistogram(1, 1_000_000, 2)
-            held[spot].decode_and_add(took)
+            held[spot].decode_and_add(encoded)
     places = sorted(held)
     return (
         places,
@@ -146,14 +146,14 @@
     width = (bounds[1] - bounds[0]) / 1000
     sums = {name: np.zeros(len(bounds) - 1) for name in ("dispatches", "done", "ends")}
     util = np.zeros(len(bounds) - 1)
-    for seen in found.seen.values():
-        mine = seen.columns.backends.get(backend)
+    for history in found.histories.values():
+        mine = history.columns.backends.get(backend)
         if mine is None:
             continue
         for name in sums:
-            sums[name] += binned(seen.columns.begin, mine[name], bounds) / width
-        told = binned(seen.columns.begin, mine["util"], bounds)
-        count = binned(seen.columns.begin, ~np.isnan(mine["util"]) * 1.0, bounds)
+            sums[name] += binned(history.columns.begin, mine[name], bounds) / width
+        told = binned(history.columns.begin, mine["util"], bounds)
+        count = binned(history.columns.begin, ~np.isnan(mine["util"]) * 1.0, bounds)
         util = np.maximum(util, np.divide(told, count, out=np.zeros_like(told), where=count > 0))
     top = max(1.0, float(sums["dispatches"].max()), float(sums["done"].max()))
     high = 60
@@ -239,9 +239,9 @@
             f'<text x="0" y="{y + 11}" font-size="10" fill="currentColor">'
             f"{html.escape(f'records of {name}')}</text>"
         )
-        seen = found.seen[name]
-        long = max(1.0, at(seen.end) - at(seen.begin))
-        x = at(seen.begin)
+        history = found.histories[name]
+        long = max(1.0, at(history.end) - at(history.begin))
+        x = at(history.begin)
         out.append(f'<rect x="{x:.1f}" y="{y + 6}" width="{long:.1f}" height="3" fill="{GOOD}"/>')
         for gap in found.gaps:
             if gap.gateway == name:
--- a/lilacloft/report/console.py
+++ b/lilacloft/report/console.py
@@ -94,9 +94,9 @@
     def fleet(self, found: Timeline, damage: int) -> Text:
         now, since = found.end, found.end - RECENT
         sums = dict.fromkeys(("reqs", "done", "denied", "aborted", "late", "hits"), 0.0)
-        for seen in found.seen.values():
-            recent = seen.columns.begin >= since
-            for columns in seen.columns.vhosts.values():
+        for history in found.histories.values():
+            recent = history.columns.begin >= since
+            for columns in history.columns.vhosts.values():
                 for name in sums:
                     sums[name] += float(columns[name][recent].sum())
         seconds = max(1.0, min(RECENT, found.end - found.begin) / 1000)
@@ -116,21 +116,21 @@
         table = Table(expand=True, box=None, pad_edge=False)
         for name in ("gateway", "reqs/s", "denied", "late", "clock", "last"):
             table.add_column(name, justify="left" if name == "gateway" else "right", no_wrap=True)
-        for name, seen in found.seen.items():
-            recent = seen.columns.begin >= found.end - RECENT
-            vhosts = seen.columns.vhosts.values()
+        for name, history in found.histories.items():
+            recent = history.columns.begin >= found.end - RECENT
+            vhosts = history.columns.vhosts.values()
             sums = {
                 field: sum(float(columns[field][recent].sum()) for columns in vhosts)
                 for field in ("reqs", "denied", "late")
             }
-            age = found.end - seen.end
-            seconds = max(1.0, min(RECENT, seen.end - seen.begin) / 1000)
+            age = found.end - history.end
+            seconds = max(1.0, min(RECENT, history.end - history.begin) / 1000)
             table.add_row(
                 name,
                 f"{sums['reqs'] / seconds:.0f}",
                 f"{sums['denied']:.0f}",
                 f"{sums['late']:.0f}",
-                f"{seen.offset:+.0f} ms",
+                f"{history.offset:+.0f} ms",
                 f"{span(age)} ago" if age > 3000 else "now",
                 style="red" if age > 15_000 else "",
             )
@@ -144,17 +144,19 @@
         rows = []
         open_ = {one.subject: one for one in found.incidents if one.end is None or one.end > found.end - 2000}
         last = {one.subject: one.end for one in found.incidents if one.end is not None}
-        names = sorted({backend for seen in found.seen.values() for backend in seen.columns.backends})
+        names = sorted(
+            {backend for history in found.histories.values() for backend in history.columns.backends}
+        )
         seconds = max(1.0, min(RECENT, found.end - found.begin) / 1000)
         for backend in names:
             sums = dict.fromkeys(("dispatches", "late", "ends"), 0.0)
             util, flight, role = 0.0, 0.0, "cache"
-            for seen in found.seen.values():
-                columns = seen.columns.backends.get(backend)
+            for history in found.histories.values():
+                columns = history.columns.backends.get(backend)
                 if columns is None:
                     continue
-                role = seen.role(backend)
-                recent = seen.columns.begin >= found.end - RECENT
+                role = history.role(backend)
+                recent = history.columns.begin >= found.end - RECENT
                 for field in sums:
                     sums[field] += float(columns[field][recent].sum())
                 flight += float(columns["flight"][-1])
@@ -185,7 +187,7 @@
                 )
             )
         order = {"trouble": lambda row: row[:3], "name": lambda row: row[2], "load": lambda row: row[1:3]}
-        room = max(5, self.terminal.height - len(found.seen) - (12 if self.shows_course else 5))
+        room = max(5, self.terminal.height - len(found.histories) - (12 if self.shows_course else 5))
         for well, _, _, cells in sorted(rows, key=order[self.sort])[:room]:
             table.add_row(*cells, style="" if well else "bold red")
         return table
--- a/lilacloft/report/export.py
+++ b/lilacloft/report/export.py
@@ -94,8 +94,8 @@
         for line in summaries(rows):
             table, name = f"{line[4]}s", line[5]
             values = line[6 : 6 + len(VHOST)] if line[4] == "vhost" else line[6 + len(VHOST) :]
-            clock_marks = ", ".join("?" * (5 + len(values)))
-            base.execute(f"insert into {table} values ({clock_marks})", [*line[:4], name, *values])
+            placeholders = ", ".join("?" * (5 + len(values)))
+            base.execute(f"insert into {table} values ({placeholders})", [*line[:4], name, *values])
         base.execute("create index by_time on records (wall_ms)")
     base.close()
     os.replace(beside, out)
--- a/lilacloft/report/facts.py
+++ b/lilacloft/report/facts.py
@@ -8,7 +8,7 @@
 from lilacloft.record.reader import Damage
 from lilacloft.timeline.gaps import Gap
 from lilacloft.timeline.incidents import Incident
-from lilacloft.timeline.timeline import Timeline, groups
+from lilacloft.timeline.timeline import Timeline, group_by_time
 
 VERSION = 1
 
@@ -30,7 +30,7 @@
 
 def facts(found: Timeline, damage: list[Damage], zone: tzinfo = UTC) -> dict[str, Any]:
     """All that the records tell, as plain values."""
-    ordered = groups(found.incidents)
+    ordered = group_by_time(found.incidents)
     place = {id(one): number for number, group in enumerate(ordered) for one in group}
     return {
         "version": VERSION,
@@ -53,15 +53,15 @@
 
 
 def _gateway(found: Timeline, name: str) -> dict[str, Any]:
-    seen = found.seen[name]
+    history = found.histories[name]
     return {
         "name": name,
-        "begin": seen.begin,
-        "end": seen.end,
-        "offset_ms": round(seen.offset, 1),
-        "spread_ms": round(seen.uncertainty, 1),
-        "runs": seen.run_names,
-        "seconds": len(seen.columns.begin),
+        "begin": history.begin,
+        "end": history.end,
+        "offset_ms": round(history.offset, 1),
+        "spread_ms": round(history.uncertainty, 1),
+        "runs": history.run_names,
+        "seconds": len(history.columns.begin),
     }
 
 
@@ -108,13 +108,13 @@
 
 def _bes(found: Timeline) -> list[dict[str, Any]]:
     out: dict[str, dict[str, Any]] = {}
-    for name, seen in found.seen.items():
-        for backend, columns in seen.columns.backends.items():
+    for name, history in found.histories.items():
+        for backend, columns in history.columns.backends.items():
             row = out.setdefault(
                 backend,
                 {
                     "name": backend,
-                    "role": seen.role(backend),
+                    "role": history.role(backend),
                     "dispatches": 0,
                     "done": 0,
                     "late": 0,
@@ -134,8 +134,8 @@
 
 def _vhosts(found: Timeline) -> list[dict[str, Any]]:
     out: dict[str, dict[str, Any]] = {}
-    for seen in found.seen.values():
-        for vhost, columns in seen.columns.vhosts.items():
+    for history in found.histories.values():
+        for vhost, columns in history.columns.vhosts.items():
             row = out.setdefault(vhost, {"name": vhost, **dict.fromkeys(columns, 0)})
             for field, values in columns.items():
                 row[field] += int(values.sum())
@@ -158,7 +158,7 @@
         )
     if not found.incidents:
         out.append("Nothing happened that the records show.")
-    for group in groups(found.incidents):
+    for group in group_by_time(found.incidents):
         said = [_sentence(one, zone) for one in group]
         out.append(("At about the same time: " if len(said) > 1 else "") + " ".join(said))
     holes = [gap for gap in found.gaps if gap.kind not in ("upgrade", "clock")]
--- a/lilacloft/report/load.py
+++ b/lilacloft/report/load.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 
 from lilacloft.record.reader import Damage, Run, find, read
-from lilacloft.timeline.clocks import Clock, ClockMarks, clock_marks, estimate, run_time
-from lilacloft.timeline.gaps import Gap, gaps
+from lilacloft.timeline.clocks import Clock, RunAnchors, estimate_clocks, local_time, run_anchors
+from lilacloft.timeline.gaps import Gap, find_gaps
 from lilacloft.timeline.observations import GatewayHistory, Observation
 from lilacloft.timeline.observe import observe
 from lilacloft.timeline.timeline import Timeline, assemble_timeline, build_timeline
@@ -60,7 +60,7 @@
     workers = [ProcessPoolExecutor(1) for _ in shares]
     try:
         first = [worker.submit(_read, share) for worker, share in zip(workers, shares, strict=True)]
-        every: dict[str, list[ClockMarks]] = defaultdict(list)
+        every: dict[str, list[RunAnchors]] = defaultdict(list)
         damage: list[Damage] = []
         expected, ends = 0, {}
         for place, future in enumerate(first):
@@ -71,15 +71,15 @@
             expected = max(expected, counted)
             ends.update(last)
             progress("reading", (place + 1) / count / 2)
-        clocks = estimate(every)
-        last_ = max((clocks[run].true(at) for run, at in ends.items()), default=0.0)
+        clocks = estimate_clocks(every)
+        last_ = max((clocks[run].to_common(at) for run, at in ends.items()), default=0.0)
         second = [worker.submit(_see, clocks, last_) for worker in workers]
-        seen: dict[str, GatewayHistory] = {}
+        histories: dict[str, GatewayHistory] = {}
         every_observation: list[Observation] = []
         holes: list[Gap] = []
         for place, other in enumerate(second):
             mine_, observed, gone = other.result()
-            seen.update(mine_)
+            histories.update(mine_)
             every_observation += observed
             holes += gone
             progress("looking", 0.5 + (place + 1) / count / 2)
@@ -88,14 +88,14 @@
             worker.shutdown(cancel_futures=True)
     holes.sort(key=lambda gap: (gap.begin, gap.gateway))
     return assemble_timeline(
-        dict(sorted(seen.items())), every_observation, holes, clocks, expected, begin, end
+        dict(sorted(histories.items())), every_observation, holes, clocks, expected, begin, end
     ), damage
 
 
 # --- in the worker processes ---
 
 
-def _read(files: list[str]) -> tuple[dict[str, list[ClockMarks]], list[Damage], int, dict[str, float]]:
+def _read(files: list[str]) -> tuple[dict[str, list[RunAnchors]], list[Damage], int, dict[str, float]]:
     runs, damage = read(files)
     _held.clear()
     for name, mine in runs.items():
@@ -103,18 +103,22 @@
             _held[name] = kept
     every = [run for mine in _held.values() for run in mine]
     return (
-        {name: [clock_marks(run) for run in mine] for name, mine in _held.items()},
+        {name: [run_anchors(run) for run in mine] for name, mine in _held.items()},
         damage,
         max((run.head.gateways for run in every), default=0),
-        {run.name: run_time(run, run.records[-1]) for run in every},
+        {run.name: local_time(run, run.records[-1]) for run in every},
     )
 
 
 def _see(
     clocks: dict[str, Clock], last: float
 ) -> tuple[dict[str, GatewayHistory], list[Observation], list[Gap]]:
-    seen = {name: GatewayHistory(name, mine, clocks) for name, mine in _held.items()}
-    every = [observation for one in seen.values() for observation in observe(one)]
-    for one in seen.values():
-        one.columns.thin(LATENCIES)
-    return {name: one.slim() for name, one in seen.items()}, every, gaps(_held, clocks, last)
+    histories = {name: GatewayHistory(name, mine, clocks) for name, mine in _held.items()}
+    observations = [observation for history in histories.values() for observation in observe(history)]
+    for history in histories.values():
+        history.columns.thin_histograms(LATENCIES)
+    return (
+        {name: history.copy_without_records() for name, history in histories.items()},
+        observations,
+        find_gaps(_held, clocks, last),
+    )
--- a/lilacloft/timeline/__init__.py
+++ b/lilacloft/timeline/__init__.py
@@ -1,2 +1,2 @@
-"""One course of events from many gateways' records. It does no I/O, and must never claim an order that
-clocks do not bear."""
+"""One timeline of events from the records of many gateways. It does no I/O, and claims no order of events
+that the accuracy of the clocks does not support."""
--- a/lilacloft/timeline/clocks.py
+++ b/lilacloft/timeline/clocks.py
@@ -1,9 +1,10 @@
-"""Decides how far each gateway's clock is off, and how sure that is, from what several were told in common.
+"""Estimates the clock offset of each gateway, and its uncertainty, from events that several gateways
+recorded.
 
-A run (a process's life) has a time of its own: its monotonic clock, laid on Unix time where its first
-record was written, so that a clock that is set while it runs moves nothing. What the change log told to
-several at once is an anchor: one content, one moment. Offsets are what makes the anchors meet; the median
-gateway is taken to be right. No I/O. All times here are Unix milliseconds as floats.
+A run (the lifetime of one process) has a local time: its monotonic clock, aligned with Unix time at its first
+record, so that a system clock that is set during the run has no effect. An event of the change log that
+several runs recorded is an anchor: the same content at the same moment. Offsets are chosen so that the
+anchors coincide; the median gateway is taken to be right. No I/O. All times are Unix milliseconds as floats.
 """
 
 from __future__ import annotations
@@ -16,40 +17,40 @@
 from lilacloft.record.reader import Run
 from lilacloft.record.record_types import BackendList, Purge, Record
 
-LEAST = 5.0  # ms: threads and queues differ by no less
-ALONE = 2000.0  # how far a clock may be off that nothing is known of
-ONE = 250.0  # and one with a single anchor, which may have come late
-SAME = 50.0  # two runs of a gateway whose clocks differ by less have had the same one
-LONG = 600_000.0  # from so long a span on a drift can be told from noise
-MANY = 6  # and from so many anchors on
-DRIFT = 2e-5  # below, it is noise
-ROUNDS = 8
+MIN_UNCERTAINTY = 5.0  # ms: threads and queues alone cause differences of this size
+UNANCHORED_UNCERTAINTY = 2000.0  # of a clock that nothing is known about
+SINGLE_ANCHOR_UNCERTAINTY = 250.0  # a single anchor may have arrived late
+SAME_CLOCK_TOLERANCE = 50.0  # two runs of a gateway whose clocks differ by less used the same system clock
+MIN_DRIFT_SPAN = 600_000.0  # span of the anchors from which drift can be told from noise
+MIN_DRIFT_ANCHORS = 6  # number of anchors from which drift can be told from noise
+MIN_DRIFT = 2e-5  # less is noise
+ITERATIONS = 8
 
 
 @dataclass(frozen=True)
 class Clock:
-    """One run's clock: what to add to its own times, how much that grows, and how far it may be off."""
+    """The clock of one run: the correction from its local time to the common time, and its uncertainty."""
 
     offset: float
     uncertainty: float
     anchors: int = 0
-    drift: float = 0.0  # ms a ms
-    since: float = 0.0  # own time from which drift counts
+    drift: float = 0.0  # ms per ms
+    since: float = 0.0  # local time from which drift accumulates
 
-    def true(self, run_time: float) -> float:
-        """The common time of a moment by this run's own."""
-        return run_time + self.offset + self.drift * (run_time - self.since)
+    def to_common(self, local_time: float) -> float:
+        """Return the common time of a moment in the run's local time."""
+        return local_time + self.offset + self.drift * (local_time - self.since)
 
 
-def run_time(run: Run, record: Record) -> float:
-    """A record's time by its run's own clock."""
+def local_time(run: Run, record: Record) -> float:
+    """Return the time of a record by the local clock of its run."""
     first = run.records[0]
     return (record.monotonic_time + (first.unix_time - first.monotonic_time)) / 10
 
 
-def anchors(run: Run) -> dict[tuple[object, ...], float]:
-    """What this run was told that others may have been told too, with its own time of each. What comes
-    several times with one content is told apart by its count."""
+def find_anchors(run: Run) -> dict[tuple[object, ...], float]:
+    """Return the events of a run that other runs may have recorded too, with their local times. Repeated
+    events with the same content are told apart by their count."""
     out: dict[tuple[object, ...], float] = {}
     count: dict[tuple[object, ...], int] = defaultdict(int)
     for record in run.records:
@@ -60,113 +61,122 @@
         else:
             continue
         count[key] += 1
-        out[(*key, count[key])] = run_time(run, record)
+        out[(*key, count[key])] = local_time(run, record)
     return out
 
 
 @dataclass(frozen=True)
-class ClockMarks:
-    """What a run's clock is told by."""
+class RunAnchors:
+    """What the clock of a run is estimated from."""
 
     run: str
-    since: float  # the first record's time, by its own clock
-    base: float  # Unix time less the monotonic clock, when that was
+    since: float  # local time of the first record
+    base: float  # Unix time less monotonic time at the first record
     anchors: Mapping[tuple[object, ...], float]
 
 
-def clock_marks(run: Run) -> ClockMarks:
-    """A run's marks; it must have a record."""
+def run_anchors(run: Run) -> RunAnchors:
+    """Return the anchors of a run that has at least one record."""
     first = run.records[0]
-    return ClockMarks(
-        run.name, run_time(run, first), (first.unix_time - first.monotonic_time) / 10, anchors(run)
+    return RunAnchors(
+        run.name, local_time(run, first), (first.unix_time - first.monotonic_time) / 10, find_anchors(run)
     )
 
 
-def slope(points: Iterable[tuple[float, float]]) -> float:
-    """The median slope of all pairs (Theil and Sen): bears a part of the points being far off."""
+def median_slope(points: Iterable[tuple[float, float]]) -> float:
+    """Return the median slope of all pairs (Theil-Sen estimator), which is robust against outliers."""
     points = sorted(points)
-    found = [
+    slopes = [
         (y2 - y1) / (x2 - x1)
-        for place, (x1, y1) in enumerate(points)
-        for x2, y2 in points[place + 1 :]
+        for index, (x1, y1) in enumerate(points)
+        for x2, y2 in points[index + 1 :]
         if x2 - x1 > 1000.0
     ]
-    return statistics.median(found) if found else 0.0
+    return statistics.median(slopes) if slopes else 0.0
 
 
-def estimate(runs: Mapping[str, list[ClockMarks]]) -> dict[str, Clock]:
-    """A clock for each run, by its name, from each gateway's marks."""
-    every = [run for mine in runs.values() for run in mine]
-    seen = {run.run: run.anchors for run in every}
+def estimate_clocks(runs: Mapping[str, list[RunAnchors]]) -> dict[str, Clock]:
+    """Return the clock of each run by its name. `runs`: by gateway."""
+    all_runs = [run for gateway_runs in runs.values() for run in gateway_runs]
+    anchors_by_run = {run.run: run.anchors for run in all_runs}
     shared: dict[tuple[object, ...], list[str]] = defaultdict(list)
-    for name, told in seen.items():
-        for key in told:
+    for name, anchors in anchors_by_run.items():
+        for key in anchors:
             shared[key].append(name)
     shared = {key: names for key, names in shared.items() if len(names) > 1}
-    offsets = dict.fromkeys(seen, 0.0)
-    drifts = dict.fromkeys(seen, 0.0)
-    since = {run.run: run.since for run in every}
+    offsets = dict.fromkeys(anchors_by_run, 0.0)
+    drifts = dict.fromkeys(anchors_by_run, 0.0)
+    since = {run.run: run.since for run in all_runs}
 
-    def at(name: str, key: tuple[object, ...]) -> float:
-        told = seen[name][key]
-        return told + offsets[name] + drifts[name] * (told - since[name])
+    def common_time(name: str, key: tuple[object, ...]) -> float:
+        local = anchors_by_run[name][key]
+        return local + offsets[name] + drifts[name] * (local - since[name])
 
     moments: dict[tuple[object, ...], float] = {}
-    for turn in range(ROUNDS):
-        moments = {key: statistics.median(at(name, key) for name in names) for key, names in shared.items()}
-        for name, told in seen.items():
-            mine = [key for key in told if key in shared]
-            if not mine:
+    for iteration in range(ITERATIONS):
+        moments = {
+            key: statistics.median(common_time(name, key) for name in names) for key, names in shared.items()
+        }
+        for name, anchors in anchors_by_run.items():
+            keys = [key for key in anchors if key in shared]
+            if not keys:
                 continue
-            offsets[name] += statistics.median(moments[key] - at(name, key) for key in mine)
-            times = [told[key] for key in mine]
-            if turn >= ROUNDS // 2 and len(mine) >= MANY and max(times) - min(times) >= LONG:
-                more = slope((told[key], moments[key] - at(name, key)) for key in mine)
-                if abs(drifts[name] + more) >= DRIFT:
-                    drifts[name] += more
-    centre = _centre(runs, offsets, shared)
+            offsets[name] += statistics.median(moments[key] - common_time(name, key) for key in keys)
+            times = [anchors[key] for key in keys]
+            if (
+                iteration >= ITERATIONS // 2
+                and len(keys) >= MIN_DRIFT_ANCHORS
+                and max(times) - min(times) >= MIN_DRIFT_SPAN
+            ):
+                change = median_slope((anchors[key], moments[key] - common_time(name, key)) for key in keys)
+                if abs(drifts[name] + change) >= MIN_DRIFT:
+                    drifts[name] += change
+    median_offset = _median_offset(runs, offsets, shared)
     out = {}
-    for name, told in seen.items():
-        mine = [key for key in told if key in shared]
-        if not mine:
+    for name, anchors in anchors_by_run.items():
+        keys = [key for key in anchors if key in shared]
+        if not keys:
             continue
-        wrong = sorted(abs(moments[key] - at(name, key)) for key in mine)
-        uncertainty = max(LEAST, 2 * wrong[len(wrong) // 2], wrong[int(0.9 * (len(wrong) - 1))])
-        if len(mine) == 1:
-            uncertainty = max(uncertainty, ONE)
-        out[name] = Clock(offsets[name] - centre, uncertainty, len(mine), drifts[name], since[name])
-    for alike in runs.values():
-        _lone(alike, out)
+        errors = sorted(abs(moments[key] - common_time(name, key)) for key in keys)
+        uncertainty = max(MIN_UNCERTAINTY, 2 * errors[len(errors) // 2], errors[int(0.9 * (len(errors) - 1))])
+        if len(keys) == 1:
+            uncertainty = max(uncertainty, SINGLE_ANCHOR_UNCERTAINTY)
+        out[name] = Clock(offsets[name] - median_offset, uncertainty, len(keys), drifts[name], since[name])
+    for gateway_runs in runs.values():
+        _add_unanchored(gateway_runs, out)
     return out
 
 
-def _centre(
-    runs: Mapping[str, list[ClockMarks]],
+def _median_offset(
+    runs: Mapping[str, list[RunAnchors]],
     offsets: Mapping[str, float],
     shared: Mapping[tuple[object, ...], list[str]],
 ) -> float:
-    """What the median gateway's clock would have to be put back by: it is taken to be right."""
+    """Return the offset of the median gateway, whose clock is taken to be right."""
     anchored = {name for names in shared.values() for name in names}
-    found = [
-        statistics.median(offsets[run.run] for run in mine if run.run in anchored)
-        for mine in runs.values()
-        if any(run.run in anchored for run in mine)
+    medians = [
+        statistics.median(offsets[run.run] for run in gateway_runs if run.run in anchored)
+        for gateway_runs in runs.values()
+        if any(run.run in anchored for run in gateway_runs)
     ]
-    return statistics.median_low(found) if found else 0.0
+    return statistics.median_low(medians) if medians else 0.0
 
 
-def _lone(mine: list[ClockMarks], out: dict[str, Clock]) -> None:
-    """Runs without an anchor: as another of the same gateway whose clock was the same, else as it says."""
-    for run in mine:
+def _add_unanchored(gateway_runs: list[RunAnchors], out: dict[str, Clock]) -> None:
+    """Add clocks for the runs of a gateway without shared anchors: that of another run with the same system
+    clock, else the system clock as it is."""
+    for run in gateway_runs:
         if run.run in out:
             continue
-        like = [
+        same_clock = [
             other
-            for other in mine
-            if other.run in out and out[other.run].anchors and abs(other.base - run.base) <= SAME
+            for other in gateway_runs
+            if other.run in out
+            and out[other.run].anchors
+            and abs(other.base - run.base) <= SAME_CLOCK_TOLERANCE
         ]
-        if like:
-            clock = out[like[0].run]
-            out[run.run] = Clock(clock.offset, clock.uncertainty + SAME)
+        if same_clock:
+            clock = out[same_clock[0].run]
+            out[run.run] = Clock(clock.offset, clock.uncertainty + SAME_CLOCK_TOLERANCE)
         else:
-            out[run.run] = Clock(0.0, ALONE)
+            out[run.run] = Clock(0.0, UNANCHORED_UNCERTAINTY)
--- a/lilacloft/timeline/gaps.py
+++ b/lilacloft/timeline/gaps.py
@@ -1,5 +1,4 @@
-"""Decides where a gateway's records leave something out, and between which moments. No I/O; Unix
-milliseconds."""
+"""Finds the gaps in a gateway's records, and their bounds. No I/O; times are Unix milliseconds."""
 
 from __future__ import annotations
 
@@ -8,47 +7,49 @@
 
 from lilacloft.record.reader import Run
 from lilacloft.record.record_types import ClockStep, DroppedRecords, Record, Start, Stop
-from lilacloft.timeline.clocks import Clock, run_time
+from lilacloft.timeline.clocks import Clock, local_time
 
-SILENT = 13_000.0  # ms without a record: an idle gateway writes one every ten seconds
-ENDS = 5_000.0  # ms by which others go on before one is said to have ended early
+MAX_SILENCE = 13_000.0  # ms without a record: an idle gateway writes one every ten seconds
+EARLY_END_MARGIN = 5_000.0  # ms by which other records must go on before a gateway is said to have ended
 
 
 @dataclass(frozen=True)
 class Gap:
-    """A stretch that a gateway's records do not tell of."""
+    """An interval that a gateway's records do not cover."""
 
     gateway: str
     begin: float
-    end: float | None  # none: to the end of all records
+    end: float | None  # None: up to the end of all records
     kind: str  # restart, upgrade, lost, missing, silent, ended, clock
     why: str
     planned: bool = False
     uncertainty: float = 0.0
 
 
-def gaps(runs: Mapping[str, list[Run]], clocks: Mapping[str, Clock], last: float | None = None) -> list[Gap]:
-    """All gaps, by gateway and time; `last` is when the last of all records was written. A whole gateway
-    without records is the caller's to tell."""
+def find_gaps(
+    runs: Mapping[str, list[Run]], clocks: Mapping[str, Clock], last: float | None = None
+) -> list[Gap]:
+    """Return all gaps by time and gateway. `last`: time of the last of all records. A gateway without any
+    records is not reported here."""
     out: list[Gap] = []
-    every = [run for mine in runs.values() for run in mine if run.records]
+    all_runs = [run for gateway_runs in runs.values() for run in gateway_runs if run.records]
     if last is None:
-        last = max((_at(run, run.records[-1], clocks) for run in every), default=0.0)
-    for gateway, mine in runs.items():
-        mine = [run for run in mine if run.records]
-        mine.sort(key=lambda run: _at(run, run.records[0], clocks))
-        for place, run in enumerate(mine):
+        last = max((_common_time(run, run.records[-1], clocks) for run in all_runs), default=0.0)
+    for gateway, gateway_runs in runs.items():
+        gateway_runs = [run for run in gateway_runs if run.records]
+        gateway_runs.sort(key=lambda run: _common_time(run, run.records[0], clocks))
+        for index, run in enumerate(gateway_runs):
             clock = clocks[run.name]
-            out += _within(gateway, run, clocks)
-            end = _at(run, run.records[-1], clocks)
-            over = next((one for one in reversed(run.records) if isinstance(one, Stop)), None)
-            if place + 1 < len(mine):
-                after = mine[place + 1]
-                start = next((one for one in after.records if isinstance(one, Start)), None)
+            out += _gaps_within_run(gateway, run, clocks)
+            end = _common_time(run, run.records[-1], clocks)
+            stop = next((record for record in reversed(run.records) if isinstance(record, Stop)), None)
+            if index + 1 < len(gateway_runs):
+                following = gateway_runs[index + 1]
+                start = next((record for record in following.records if isinstance(record, Start)), None)
                 kind = "upgrade" if start and start.reason == "upgrade" else "restart"
-                ended = "ended in order" if over else "ended without a word"
+                ended = "shut down cleanly" if stop else "ended without a stop record"
                 why = "replaced by a new process" if kind == "upgrade" else f"{ended} and started again"
-                begin = _at(after, after.records[0], clocks)
+                begin = _common_time(following, following.records[0], clocks)
                 out.append(
                     Gap(
                         gateway,
@@ -56,21 +57,21 @@
                         max(begin, end),
                         kind,
                         why,
-                        over is not None,
-                        clock.uncertainty + clocks[after.name].uncertainty,
+                        stop is not None,
+                        clock.uncertainty + clocks[following.name].uncertainty,
                     )
                 )
-            elif over is not None and last - end > ENDS:
-                why = f"ended in order ({over.reason})"
+            elif stop is not None and last - end > EARLY_END_MARGIN:
+                why = f"shut down cleanly ({stop.reason})"
                 out.append(Gap(gateway, end, None, "ended", why, True, clock.uncertainty))
-            elif over is None and last - end > ENDS:
+            elif stop is None and last - end > EARLY_END_MARGIN:
                 out.append(
                     Gap(
                         gateway,
                         end,
                         None,
                         "ended",
-                        "no more records, and no word of an end",
+                        "no more records, and no stop record",
                         False,
                         clock.uncertainty,
                     )
@@ -78,47 +79,47 @@
     return sorted(out, key=lambda gap: (gap.begin, gap.gateway))
 
 
-def _at(run: Run, record: Record, clocks: Mapping[str, Clock]) -> float:
-    return clocks[run.name].true(run_time(run, record))
+def _common_time(run: Run, record: Record, clocks: Mapping[str, Clock]) -> float:
+    return clocks[run.name].to_common(local_time(run, record))
 
 
-def _within(gateway: str, run: Run, clocks: Mapping[str, Clock]) -> list[Gap]:
-    """Those within one run: numbers that are left out, silence, lost records, a clock that was set."""
+def _gaps_within_run(gateway: str, run: Run, clocks: Mapping[str, Clock]) -> list[Gap]:
+    """Return the gaps within one run: missing numbers, silence, lost records, and steps of the clock."""
     out: list[Gap] = []
     uncertainty = clocks[run.name].uncertainty
     numbered = [record for record in run.records if record.number]
     first = numbered[0] if numbered else None
     if first is not None and first.number > 1:
-        at = _at(run, first, clocks)
-        start = min(at, clocks[run.name].true(_born(run)))
-        why = f"the first {first.number - 1} records are not here: rotated away, or their files are missing"
+        at = _common_time(run, first, clocks)
+        start = min(at, clocks[run.name].to_common(_process_start(run)))
+        why = f"the first {first.number - 1} records are missing: removed by rotation, or files not given"
         out.append(Gap(gateway, start, at, "missing", why, False, uncertainty))
     for before, after in zip(numbered, numbered[1:], strict=False):
-        begin, end = _at(run, before, clocks), _at(run, after, clocks)
-        left = after.number - before.number - 1
-        if left > 0:
-            lost = next(
+        begin, end = _common_time(run, before, clocks), _common_time(run, after, clocks)
+        missing = after.number - before.number - 1
+        if missing > 0:
+            dropped = next(
                 (
-                    one
-                    for one in run.records
-                    if isinstance(one, DroppedRecords) and before.monotonic_time <= one.monotonic_time
+                    record
+                    for record in run.records
+                    if isinstance(record, DroppedRecords) and before.monotonic_time <= record.monotonic_time
                 ),
                 None,
             )
-            why = f"{left} records lost: {lost.reason}" if lost else f"{left} records are not here"
-            out.append(Gap(gateway, begin, end, "lost" if lost else "missing", why, False, uncertainty))
-        elif end - begin > SILENT:
-            why = "nothing was written: the process stood still"
+            why = f"{missing} records lost: {dropped.reason}" if dropped else f"{missing} records are missing"
+            out.append(Gap(gateway, begin, end, "lost" if dropped else "missing", why, False, uncertainty))
+        elif end - begin > MAX_SILENCE:
+            why = "no records written: the process was suspended or blocked"
             out.append(Gap(gateway, begin, end, "silent", why, False, uncertainty))
     for record in run.records:
         if isinstance(record, ClockStep):
-            at = _at(run, record, clocks)
-            why = f"its clock was set by {record.step / 10:+.0f} ms; order is by the steady one"
+            at = _common_time(run, record, clocks)
+            why = f"system clock set by {record.step / 10:+.0f} ms; events are ordered by the monotonic clock"
             out.append(Gap(gateway, at, at, "clock", why, True, uncertainty))
     return out
 
 
-def _born(run: Run) -> float:
-    """When the process began, by the name of its run."""
+def _process_start(run: Run) -> float:
+    """Return when the process started, from the name of its run."""
     digits = run.head.run.split("-")[0]
-    return int(digits) / 10 if digits.isdigit() else run_time(run, run.records[0])
+    return int(digits) / 10 if digits.isdigit() else local_time(run, run.records[0])
--- a/lilacloft/timeline/observations.py
+++ b/lilacloft/timeline/observations.py
@@ -1,7 +1,7 @@
-"""What one gateway observed, and its records in the common time.
+"""The observations of one gateway, and its records in the common time.
 
-An observation is what one gateway's records show of one trouble. Several are made an incident in
-lilacloft/timeline/incidents.py. No I/O; times are Unix milliseconds.
+An observation is what the records of one gateway show of one incident. Observations of several gateways are
+grouped into incidents in lilacloft/timeline/incidents.py. No I/O; times are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 
 from lilacloft.record.reader import Run
 from lilacloft.record.record_types import BackendList, SummaryRecord
-from lilacloft.timeline.clocks import Clock, run_time
-from lilacloft.timeline.summary_columns import Columns
+from lilacloft.timeline.clocks import Clock, local_time
+from lilacloft.timeline.summary_columns import SummaryColumns
 
 
 @dataclass
 class Observation:
-    """What one gateway observed of one trouble."""
+    """What one gateway observed of one incident."""
 
     gateway: str
     kind: str  # silent, slow, drained, cold, gone, purge, origin slow, crowd, lost answers, bad clients
     subject: str  # the backend, object or group; empty: the whole fleet
     begin: float
-    end: float | None  # none: not over where the records end
+    end: float | None  # None: still going on where the records end
     uncertainty: float  # of the beginning
     why: str = ""
     actions: list[str] = field(default_factory=list)
     acted_at: float | None = None  # when the gateway acted on it
-    answered: int = 0  # how often the subject answered meanwhile, for all that
+    answered: int = 0  # answers from the subject during that time
 
 
 @dataclass
@@ -37,26 +37,26 @@
 
     begin: float
     end: float
-    second: SummaryRecord
+    summary: SummaryRecord
 
 
 class GatewayHistory:
     """One gateway's records in the common time."""
 
     def __init__(self, gateway: str, runs: Iterable[Run], clocks: Mapping[str, Clock]) -> None:
-        """Lay the runs of a gateway on the common time. `clocks`: by the names of runs."""
+        """Convert the runs of a gateway to the common time. `clocks`: by the names of runs."""
         self.gateway = gateway
         self.runs = sorted((run for run in runs if run.records), key=lambda run: run.records[0].unix_time)
         self.spans: list[SummarySpan] = []
         self.kinds: dict[str, str] = {}
-        self.events: list[tuple[float, float, object]] = []  # when, spread, record
+        self.events: list[tuple[float, float, object]] = []  # time, uncertainty, record
         self.targets: dict[str, float] = {}
         for run in self.runs:
             clock = clocks[run.name]
             for vhost, (target, *_) in run.head.vhosts.items():
                 self.targets[vhost] = target / 10
             for record in run.records:
-                at = clock.true(run_time(run, record))
+                at = clock.to_common(local_time(run, record))
                 self.events.append((at, clock.uncertainty, record))
                 if isinstance(record, SummaryRecord):
                     self.spans.append(SummarySpan(at - record.duration / 10, at, record))
@@ -67,7 +67,7 @@
         self.run_names = [run.head.run for run in self.runs]
         self.offset = clocks[self.runs[-1].name].offset if self.runs else 0.0
         self.uncertainty = max((clocks[run.name].uncertainty for run in self.runs), default=0.0)
-        self.columns = Columns((span.begin, span.end, span.second) for span in self.spans)
+        self.columns = SummaryColumns((span.begin, span.end, span.summary) for span in self.spans)
         self.begin = self.events[0][0] if self.events else 0.0
         self.end = self.events[-1][0] if self.events else 0.0
 
@@ -75,19 +75,13 @@
         """Return whether its records cover at least a part of an interval."""
         return self.columns.covers(begin, end)
 
-    def slim(self) -> GatewayHistory:
-        """Return a copy without the records, for what is asked of it once its observations are made."""
+    def copy_without_records(self) -> GatewayHistory:
+        """Return a copy without the records, for use once the observations have been made."""
         out = GatewayHistory.__new__(GatewayHistory)
         out.__dict__.update(self.__dict__, runs=[], spans=[], events=[])
         return out
 
     def role(self, backend: str) -> str:
-        """Return what a backend is: cache, parent or origin."""
+        """Return the role of a backend: cache, parent or origin."""
         kind = self.kinds.get(backend, "")
         return kind if kind in ("parent", "origin") else "cache"
-
-
-# --- what it believed ---
-
-
-# --- what its seconds show ---
--- a/lilacloft/timeline/observe.py
+++ b/lilacloft/timeline/observe.py
@@ -7,7 +7,7 @@
 
 
 def observe(history: GatewayHistory) -> list[Observation]:
-    """Return all that one gateway observed."""
+    """Return all observations of one gateway."""
     return [
         *event_observations.ejections(history),
         *event_observations.endpoint_changes(history),
--- a/lilacloft/timeline/summary_columns.py
+++ b/lilacloft/timeline/summary_columns.py
@@ -1,6 +1,6 @@
-"""Owns the state of one gateway's summaries as columns: small enough to be passed on, quick to ask.
+"""The summaries of one gateway as columns: compact enough to be sent between processes, and fast to query.
 
-No I/O; Unix milliseconds. Rows are summaries in the order of their times.
+No I/O; times are Unix milliseconds. Rows are summaries in the order of their times.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from numpy.typing import NDArray
 
 Row = tuple[float, float, Any]  # begin, end, the SummaryRecord
-VHOST = ("reqs", "done", "denied", "aborted", "left", "late", "dispatches", "hits")
+VHOST_COLUMNS = ("reqs", "done", "denied", "aborted", "left", "late", "dispatches", "hits")
 ATTRIBUTES = {
     "reqs": "requests",
     "left": "abandoned",
     "late": "late_answers",
-}  # of records, where a column is named otherwise
-BE = ("dispatches", "done", "late", "fills", "waited", "waits", "flight")
+}  # by column: the attribute of `VhostCounts`, where its name differs
+BACKEND_COLUMNS = ("dispatches", "done", "late", "fills", "waited", "waits", "flight")
 
 
-class Columns:
-    """The columns of one gateway."""
+class SummaryColumns:
+    """The summaries of one gateway, a NumPy array for each column."""
 
     def __init__(self, rows: Iterable[Row]) -> None:
         rows = list(rows)
@@ -33,33 +33,37 @@
         self.refused = np.zeros(count, np.float32)
         self.vhosts: dict[str, dict[str, NDArray[Any]]] = {}
         self.backends: dict[str, dict[str, NDArray[Any]]] = {}
-        took: list[tuple[int, str, str]] = []
-        for place, (_, _, second) in enumerate(rows):
-            for name, vhost in second.vhosts.items():
-                mine = self.vhosts.get(name)
-                if mine is None:
-                    mine = self.vhosts[name] = {field: np.zeros(count, np.float32) for field in VHOST}
-                for field in VHOST:
-                    mine[field][place] = getattr(vhost, ATTRIBUTES.get(field, field))
-                self.value[place] += vhost.value
+        histograms: list[tuple[int, str, str]] = []
+        for index, (_, _, summary) in enumerate(rows):
+            for name, vhost in summary.vhosts.items():
+                columns = self.vhosts.get(name)
+                if columns is None:
+                    columns = self.vhosts[name] = {
+                        field: np.zeros(count, np.float32) for field in VHOST_COLUMNS
+                    }
+                for field in VHOST_COLUMNS:
+                    columns[field][index] = getattr(vhost, ATTRIBUTES.get(field, field))
+                self.value[index] += vhost.value
                 if vhost.durations:
-                    took.append((place, name, vhost.durations))
-            for name, backend in second.backends.items():
-                mine = self.backends.get(name)
-                if mine is None:
-                    mine = self.backends[name] = {field: np.zeros(count, np.float32) for field in BE}
-                    mine["util"] = np.full(count, np.nan, np.float32)
-                    mine["limit"] = np.full(count, np.nan, np.float32)
-                    mine["suspect"] = np.zeros(count, bool)
-                    mine["ends"] = np.zeros(count, np.float32)
+                    histograms.append((index, name, vhost.durations))
+            for name, backend in summary.backends.items():
+                columns = self.backends.get(name)
+                if columns is None:
+                    columns = self.backends[name] = {
+                        field: np.zeros(count, np.float32) for field in BACKEND_COLUMNS
+                    }
+                    columns["util"] = np.full(count, np.nan, np.float32)
+                    columns["limit"] = np.full(count, np.nan, np.float32)
+                    columns["suspect"] = np.zeros(count, bool)
+                    columns["ends"] = np.zeros(count, np.float32)
                 (
-                    mine["dispatches"][place],
-                    mine["done"][place],
-                    mine["late"][place],
-                    mine["fills"][place],
-                    mine["waited"][place],
-                    mine["waits"][place],
-                    mine["flight"][place],
+                    columns["dispatches"][index],
+                    columns["done"][index],
+                    columns["late"][index],
+                    columns["fills"][index],
+                    columns["waited"][index],
+                    columns["waits"][index],
+                    columns["flight"][index],
                 ) = (
                     backend.dispatches,
                     backend.done,
@@ -69,33 +73,34 @@
                     backend.source_waits,
                     backend.in_flight,
                 )
-                mine["suspect"][place] = backend.ejected
-                mine["ends"][place] = sum(backend.ends.values())
+                columns["suspect"][index] = backend.ejected
+                columns["ends"][index] = sum(backend.ends.values())
                 if backend.utilization >= 0:
-                    mine["util"][place] = backend.utilization
+                    columns["util"][index] = backend.utilization
                 if backend.limit:
-                    mine["limit"][place] = backend.limit
-            self.refused[place] = sum(second.refused.values())
-        self.took = took
+                    columns["limit"][index] = backend.limit
+            self.refused[index] = sum(summary.refused.values())
+        self.histograms = histograms
 
-    def thin(self, most: int) -> None:
-        """Keep so many histograms at most, evenly spread."""
-        step = -(-len(self.took) // most) if most else 1
-        self.took = self.took[::step] if step > 1 else self.took
+    def thin_histograms(self, limit: int) -> None:
+        """Keep at most `most` histograms, evenly spaced."""
+        step = -(-len(self.histograms) // limit) if limit else 1
+        self.histograms = self.histograms[::step] if step > 1 else self.histograms
 
     def covers(self, begin: float, end: float) -> bool:
-        """Does any summary tell of a part of a stretch?"""
+        """Return whether any summary covers a part of an interval."""
         return bool(np.any((self.begin < end) & (self.end > begin)))
 
-    def answers(self, backend: str, begin: float, end: float) -> int:
-        """Answers of a be in the summaries that lie within a stretch."""
-        mine = self.backends.get(backend)
-        if mine is None:
+    def count_answers(self, backend: str, begin: float, end: float) -> int:
+        """Return the number of answers of a backend in the summaries that lie within an interval."""
+        columns = self.backends.get(backend)
+        if columns is None:
             return 0
-        return int(mine["done"][(self.begin > begin) & (self.end < end)].sum())
+        return int(columns["done"][(self.begin > begin) & (self.end < end)].sum())
 
-    def worth(self, begin: float, end: float) -> tuple[float, float]:
-        """Value done in a stretch, and how many milliseconds of it the summaries tell of."""
-        part = np.clip(np.minimum(self.end, end) - np.maximum(self.begin, begin), 0.0, None)
+    def value_between(self, begin: float, end: float) -> tuple[float, float]:
+        """Return the value of the answers in an interval, and how many milliseconds of it the summaries
+        cover."""
+        overlap = np.clip(np.minimum(self.end, end) - np.maximum(self.begin, begin), 0.0, None)
         length = np.maximum(self.end - self.begin, 1.0)
-        return float((self.value * part / length).sum()), float(part.sum())
+        return float((self.value * overlap / length).sum()), float(overlap.sum())
--- a/lilacloft/timeline/summary_observations.py
+++ b/lilacloft/timeline/summary_observations.py
@@ -1,7 +1,7 @@
-"""Observations from the summaries of seconds: slow sources and caches, overload, lost answers, bad clients.
+"""Observations from summary records: slow sources and caches, overload, lost answers, bad clients.
 
-No I/O; times are Unix milliseconds. Thresholds are relative to what the same gateway saw in its better
-seconds.
+No I/O; times are Unix milliseconds. Thresholds are relative to the lower quartile of the same gateway's
+summaries.
 """
 
 from __future__ import annotations
@@ -26,39 +26,40 @@
 
 
 def find_intervals(
-    seen: GatewayHistory, matches: Callable[[SummarySpan], bool], least: int = 2
+    history: GatewayHistory, matches: Callable[[SummarySpan], bool], least: int = 2
 ) -> list[tuple[float, float | None]]:
-    """Return the intervals of at least `least` seconds that match, with short breaks; open where the records
-    end in one."""
+    """Return the intervals of at least `least` matching summaries, shorter breaks included. The last one has
+    no end if the records end within it."""
     out: list[tuple[float, float | None]] = []
-    mine: list[SummarySpan] = []
+    matching: list[SummarySpan] = []
     break_length = 0
-    for span in seen.spans:
+    for span in history.spans:
         if matches(span):
-            mine.append(span)
+            matching.append(span)
             break_length = 0
-        elif mine:
+        elif matching:
             break_length += 1
             if break_length >= MAX_BREAK:
-                if len(mine) >= least:
-                    out.append((mine[0].begin, mine[-1].end))
-                mine = []
-    if len(mine) >= least:
-        out.append((mine[0].begin, None if break_length == 0 else mine[-1].end))
+                if len(matching) >= least:
+                    out.append((matching[0].begin, matching[-1].end))
+                matching = []
+    if len(matching) >= least:
+        out.append((matching[0].begin, None if break_length == 0 else matching[-1].end))
     return out
 
 
 def typical(values: Iterable[float]) -> float:
-    """Return the lower quartile: trouble of up to three quarters of the time does not count."""
+    """Return the lower quartile, which trouble in up to three quarters of the time does not raise."""
     found = sorted(values)
     return found[len(found) // 4] if found else 0.0
 
 
-def slow_sources(seen: GatewayHistory) -> list[Observation]:
-    """Return the intervals in which fills wait longer: at all sources it is the origin, else that source."""
+def slow_sources(history: GatewayHistory) -> list[Observation]:
+    """Return the intervals in which fills wait longer: for most sources, the origin is slow; for one of them,
+    that source is."""
 
     def waited(span: SummarySpan, source: str) -> float | None:
-        backend = span.second.backends.get(source)
+        backend = span.summary.backends.get(source)
         return (
             backend.source_wait_total / backend.source_waits / 10
             if backend and backend.source_waits
@@ -68,74 +69,74 @@
     sources = sorted(
         {
             name
-            for span in seen.spans
-            for name, backend in span.second.backends.items()
+            for span in history.spans
+            for name, backend in span.summary.backends.items()
             if backend.source_waits
         }
     )
-    base = {
-        source: typical(wait for span in seen.spans if (wait := waited(span, source)) is not None)
+    baseline = {
+        source: typical(wait for span in history.spans if (wait := waited(span, source)) is not None)
         for source in sources
     }
-    target = min(seen.targets.values(), default=0.0)
+    target = min(history.targets.values(), default=0.0)
 
     def slow(span: SummarySpan, source: str) -> bool | None:
         wait = waited(span, source)
         return (
             None
             if wait is None
-            else wait > max(SLOW_FACTOR * base[source], base[source] + SLOW_TARGET_SHARE * target)
+            else wait > max(SLOW_FACTOR * baseline[source], baseline[source] + SLOW_TARGET_SHARE * target)
         )
 
     def all_slow(span: SummarySpan) -> bool:
-        found = [one for source in sources if (one := slow(span, source)) is not None]
-        return bool(found) and sum(found) > len(found) / 2
+        slow_flags = [is_slow for source in sources if (is_slow := slow(span, source)) is not None]
+        return bool(slow_flags) and sum(slow_flags) > len(slow_flags) / 2
 
     out = []
-    for begin, end in find_intervals(seen, all_slow):
-        worst = max(
+    for begin, end in find_intervals(history, all_slow):
+        longest = max(
             (
                 wait
-                for span in seen.spans
+                for span in history.spans
                 if span.begin >= begin and (end is None or span.end <= end)
                 for source in sources
                 if (wait := waited(span, source)) is not None
             ),
             default=0.0,
         )
-        mean = statistics.mean(base.values()) if base else 0.0
+        mean = statistics.mean(baseline.values()) if baseline else 0.0
         out.append(
             Observation(
-                seen.gateway,
+                history.gateway,
                 "origin slow",
                 "",
                 begin,
                 end,
-                seen.uncertainty + 500.0,
-                f"fills waited up to {worst:.0f} ms, usual are {mean:.0f} ms",
+                history.uncertainty + 500.0,
+                f"fills waited up to {longest:.0f} ms, typically {mean:.0f} ms",
                 [],
                 begin,
             )
         )
     for source in sources if len(sources) > 1 else []:
-        for begin, end in find_intervals(seen, lambda span, source=source: bool(slow(span, source)), 3):
+        for begin, end in find_intervals(history, lambda span, source=source: bool(slow(span, source)), 3):
             others = [
-                one
-                for span in seen.spans
+                is_slow
+                for span in history.spans
                 if span.begin >= begin and (end is None or span.end <= end)
                 for other in sources
-                if other != source and (one := slow(span, other)) is not None
+                if other != source and (is_slow := slow(span, other)) is not None
             ]
             if others and sum(others) <= OTHERS_LATE_SHARE * len(others):
                 out.append(
                     Observation(
-                        seen.gateway,
+                        history.gateway,
                         "slow",
                         source,
                         begin,
                         end,
-                        seen.uncertainty + 500.0,
-                        "fills from it wait, others' do not",
+                        history.uncertainty + 500.0,
+                        "fills from it wait, fills from others do not",
                         [],
                         begin,
                     )
@@ -143,15 +144,15 @@
     return out
 
 
-def slow_caches(seen: GatewayHistory) -> list[Observation]:
-    """Return the intervals in which a cache's answers come late while others' do not."""
+def slow_caches(history: GatewayHistory) -> list[Observation]:
+    """Return the intervals in which a cache answers late while others do not."""
     caches = sorted(
-        {name for span in seen.spans for name in span.second.backends if seen.role(name) == "cache"}
+        {name for span in history.spans for name in span.summary.backends if history.role(name) == "cache"}
     )
 
     def late(span: SummarySpan, backend: str) -> float | None:
-        one = span.second.backends.get(backend)
-        return one.late_answers / one.done if one and one.done >= MIN_ANSWERS else None
+        counts = span.summary.backends.get(backend)
+        return counts.late_answers / counts.done if counts and counts.done >= MIN_ANSWERS else None
 
     out = []
     for cache in caches:
@@ -160,67 +161,74 @@
             mine = late(span, cache)
             if mine is None or mine <= SLOW_LATE_SHARE:
                 return False
-            others = [one for other in caches if other != cache and (one := late(span, other)) is not None]
+            others = [
+                share for other in caches if other != cache and (share := late(span, other)) is not None
+            ]
             return bool(others) and statistics.median(others) <= OTHERS_LATE_SHARE
 
         why = "its answers come late"
         out += [
-            Observation(seen.gateway, "slow", cache, begin, end, seen.uncertainty + 500.0, why, [], begin)
-            for begin, end in find_intervals(seen, matches, 3)
+            Observation(
+                history.gateway, "slow", cache, begin, end, history.uncertainty + 500.0, why, [], begin
+            )
+            for begin, end in find_intervals(history, matches, 3)
         ]
     return out
 
 
-def fleet_troubles(seen: GatewayHistory) -> list[Observation]:
-    """Return what is no single backend's: lost answers, overload, bad clients."""
+def fleet_troubles(history: GatewayHistory) -> list[Observation]:
+    """Return the troubles that no single backend causes: lost answers, overload, bad clients."""
 
     def are_answers_lost(span: SummarySpan) -> bool:
-        asked = {
+        used = {
             name: backend
-            for name, backend in span.second.backends.items()
-            if backend.dispatches >= MIN_ANSWERS and seen.role(name) == "cache"
+            for name, backend in span.summary.backends.items()
+            if backend.dispatches >= MIN_ANSWERS and history.role(name) == "cache"
         }
-        gone = [
+        unanswered = [
             backend
-            for backend in asked.values()
+            for backend in used.values()
             if backend.ends.get("time_up", 0) + backend.ends.get("called_off", 0)
             >= LOST_SHARE * backend.dispatches
         ]
-        return len(asked) > 1 and len(gone) >= MOST_CACHES * len(asked)
+        return len(used) > 1 and len(unanswered) >= MOST_CACHES * len(used)
 
     def requests(span: SummarySpan) -> float:
         return (
-            sum(vhost.requests for vhost in span.second.vhosts.values())
-            / max(1, span.second.duration)
+            sum(vhost.requests for vhost in span.summary.vhosts.values())
+            / max(1, span.summary.duration)
             * 10_000
         )
 
     def refused(span: SummarySpan) -> float:
-        return span.second.refused.get("unusable", 0) / max(1, span.second.duration) * 10_000
+        return span.summary.refused.get("unusable", 0) / max(1, span.summary.duration) * 10_000
 
-    often, bad = typical(map(requests, seen.spans)), typical(map(refused, seen.spans))
+    typical_requests, typical_refused = (
+        typical(map(requests, history.spans)),
+        typical(map(refused, history.spans)),
+    )
 
     def is_overload(span: SummarySpan) -> bool:
-        denied = sum(vhost.denied for vhost in span.second.vhosts.values())
-        return requests(span) > OVERLOAD_FACTOR * often > 0 and denied > REJECTED_SHARE * sum(
-            vhost.requests for vhost in span.second.vhosts.values()
+        denied = sum(vhost.denied for vhost in span.summary.vhosts.values())
+        return requests(span) > OVERLOAD_FACTOR * typical_requests > 0 and denied > REJECTED_SHARE * sum(
+            vhost.requests for vhost in span.summary.vhosts.values()
         )
 
-    found = (
+    checks = (
         ("lost answers", are_answers_lost, "dispatches to most caches end without an answer"),
         (
             "crowd",
             is_overload,
-            f"over {OVERLOAD_FACTOR:g} times the usual {often:.0f} reqs a second, and denials",
+            f"over {OVERLOAD_FACTOR:g} times the typical {typical_requests:.0f} requests/s, and denials",
         ),
         (
             "bad clients",
-            lambda span: refused(span) > max(BAD_MESSAGES, BAD_MESSAGES_FACTOR * bad),
-            "messages of no use",
+            lambda span: refused(span) > max(BAD_MESSAGES, BAD_MESSAGES_FACTOR * typical_refused),
+            "invalid messages",
         ),
     )
     return [
-        Observation(seen.gateway, kind, "", begin, end, seen.uncertainty + 500.0, why, [], begin)
-        for kind, matches, why in found
-        for begin, end in find_intervals(seen, matches)
+        Observation(history.gateway, kind, "", begin, end, history.uncertainty + 500.0, why, [], begin)
+        for kind, matches, why in checks
+        for begin, end in find_intervals(history, matches)
     ]
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -18,10 +18,10 @@
 from lilacloft.record.reader import Run, read
 from lilacloft.report.facts import facts
 from lilacloft.report.load import _many, load
-from lilacloft.timeline.clocks import ClockMarks, estimate
-from lilacloft.timeline.incidents import JOIN, Incident, family, group_observations
+from lilacloft.timeline.clocks import RunAnchors, estimate_clocks
+from lilacloft.timeline.incidents import MAX_OBSERVATION_GAP, Incident, group_observations, incident_key
 from lilacloft.timeline.observations import Observation
-from lilacloft.timeline.timeline import before, build_timeline, groups
+from lilacloft.timeline.timeline import build_timeline, group_by_time, is_before
 from rigs import bulk, incident
 
 SEC = 10_000
@@ -145,7 +145,7 @@
 
 def test_a_clock_a_second_ahead_is_put_right_and_the_median_is_believed():
     found = tell(silent("n0"), silent("n1", 1000.0), silent("n2", 3.0))
-    offsets = {name: seen.offset for name, seen in found.seen.items()}
+    offsets = {name: seen.offset for name, seen in found.histories.items()}
     assert offsets["n0"] == pytest.approx(0, abs=5) and offsets["n1"] == pytest.approx(-1000, abs=5)
     assert kinds_of(found) == ["purge", "silent", "purge"]
     assert found.incidents[1].observed_by == ["n0", "n1", "n2"]
@@ -166,16 +166,16 @@
 def test_a_late_copy_of_an_event_spoils_no_clock():
     """After a break of the change log its events come late: the others say how late."""
 
-    def clock_marks(name, moments):
-        return ClockMarks(name, 0.0, 0.0, {("purge", place): moment for place, moment in enumerate(moments)})
+    def run_anchors(name, moments):
+        return RunAnchors(name, 0.0, 0.0, {("purge", place): moment for place, moment in enumerate(moments)})
 
     true = [1000.0 * place for place in range(9)]
     late = [moment + (4000.0 if 3 <= place < 6 else 0.0) for place, moment in enumerate(true)]
-    found = estimate(
+    found = estimate_clocks(
         {
-            "a": [clock_marks("a", true)],
-            "b": [clock_marks("b", [one + 700 for one in true])],
-            "c": [clock_marks("c", late)],
+            "a": [run_anchors("a", true)],
+            "b": [run_anchors("b", [one + 700 for one in true])],
+            "c": [run_anchors("c", late)],
         }
     )
     assert found["b"].offset == pytest.approx(-700, abs=1) and found["c"].offset == pytest.approx(0, abs=1)
@@ -184,19 +184,19 @@
 
 def test_drift_is_seen_over_long_spans_only():
     true = [60_000.0 * place for place in range(30)]
-    told = {name: [ClockMarks(name, 0.0, 0.0, dict(enumerate(true)))] for name in "ab"}
-    told["c"] = [ClockMarks("c", 0.0, 0.0, {place: one * (1 + 2e-4) for place, one in enumerate(true)})]
-    found = estimate(told)
+    told = {name: [RunAnchors(name, 0.0, 0.0, dict(enumerate(true)))] for name in "ab"}
+    told["c"] = [RunAnchors("c", 0.0, 0.0, {place: one * (1 + 2e-4) for place, one in enumerate(true)})]
+    found = estimate_clocks(told)
     assert found["c"].drift == pytest.approx(-2e-4, rel=0.1) and not found["a"].drift
-    assert found["c"].true(true[-1] * (1 + 2e-4)) == pytest.approx(true[-1], abs=30)
+    assert found["c"].to_common(true[-1] * (1 + 2e-4)) == pytest.approx(true[-1], abs=30)
 
 
 def test_a_run_without_anchors_takes_its_siblings_clock_and_else_is_far_from_sure():
-    found = estimate(
+    found = estimate_clocks(
         {
-            "a": [ClockMarks("a1", 0.0, 500.0, {1: 0.0, 2: 9.0}), ClockMarks("a2", 9.0, 510.0, {})],
-            "b": [ClockMarks("b1", 0.0, 0.0, {1: 80.0, 2: 89.0})],
-            "c": [ClockMarks("c1", 0.0, 0.0, {})],
+            "a": [RunAnchors("a1", 0.0, 500.0, {1: 0.0, 2: 9.0}), RunAnchors("a2", 9.0, 510.0, {})],
+            "b": [RunAnchors("b1", 0.0, 0.0, {1: 80.0, 2: 89.0})],
+            "c": [RunAnchors("c1", 0.0, 0.0, {})],
         }
     )
     assert found["a2"].offset == found["a1"].offset and found["a2"].uncertainty > found["a1"].uncertainty
@@ -225,17 +225,17 @@
     found = tell(both("n0", 0.0, "a", "b"), both("n1", 40.0, "b", "a"))
     silents = [one for one in found.incidents if one.kind == "silent"]
     assert sorted(one.subject for one in silents) == ["a", "b"]
-    assert not before(*silents) and not before(*reversed(silents))
-    assert [len(group) for group in groups(found.incidents)] == [1, 2, 1]
+    assert not is_before(*silents) and not is_before(*reversed(silents))
+    assert [len(group) for group in group_by_time(found.incidents)] == [1, 2, 1]
     assert any("At about the same time" in line for line in facts(found, [])["summary"])
 
 
 def test_order_is_claimed_where_clocks_bear_it():
     early = Incident("purge", "x", "object", 1000.0, 1000.0, 100.0, [])
     late = Incident("purge", "y", "object", 1250.0, 1250.0, 100.0, [])
-    assert before(early, late) and not before(late, early)
+    assert is_before(early, late) and not is_before(late, early)
     late.uncertainty = 200.0
-    assert not before(early, late)
+    assert not is_before(early, late)
 
 
 # --- gaps ---
@@ -252,7 +252,7 @@
         pytest.approx(14_000, abs=50),
     )
     one = next(one for one in found.incidents if one.kind == "silent")
-    assert "n0: the gateway restarted, and began without that belief" in one.actions
+    assert "n0: the gateway restarted without its ejections" in one.actions
 
 
 def test_an_upgrade_in_the_middle_is_told_and_beliefs_go_on():
@@ -366,7 +366,7 @@
         "n1",
     ]
     assert alone[0].begin == pytest.approx(UNIX / 10 + 8000, abs=20)
-    assert all("plan 2.1 of p2 holds" in observation.actions for observation in alone[0].observations)
+    assert all("plan 2.1 of p2 in effect" in observation.actions for observation in alone[0].observations)
     # a restart ends the stretch: what came after, nobody has seen
     one = Teller("n3").start().seconds(0, 30)
     one.add(2.0, record_types.PlanChange(planner="p1", epoch=1, plan_number=4)).add(
@@ -450,9 +450,9 @@
     also over others, is one."""
     groups_ = {place: {place} for place in range(len(observations))}
     for (one, mine), (two, theirs) in itertools.combinations(enumerate(observations), 2):
-        if family(mine) != family(theirs):
+        if incident_key(mine) != incident_key(theirs):
             continue
-        near = 1000.0 if mine.kind == "purge" else JOIN
+        near = 1000.0 if mine.kind == "purge" else MAX_OBSERVATION_GAP
         low, high = sorted((mine, theirs), key=lambda observation: observation.begin)
         if low.end is None or high.begin <= low.end + near:
             merged = groups_[one] | groups_[two]
@@ -499,7 +499,7 @@
     told = incident.compare(one, {"episodes": rows, "gap": None})
     assert told["missed"] == [] and not [one for one in told["invented"] if "purge" not in one]
     for number, name in enumerate(one.gateways):
-        assert one.seen[name].offset == pytest.approx(-fleet.offsets[number], abs=400)
+        assert one.histories[name].offset == pytest.approx(-fleet.offsets[number], abs=400)
 
 
 # --- a real incident, and what is shown of it ---
@@ -518,7 +518,7 @@
     assert row["missed"] == row["invented"] == row["gaps_invented"] == row["damage"] == []
     assert row["in_order"] and row["gap"]
     assert max(abs(ms) for ms in row["begin_error_ms"].values()) < 1500
-    offsets = sorted(seen.offset for seen in found.seen.values())
+    offsets = sorted(seen.offset for seen in found.histories.values())
     assert offsets[0] == pytest.approx(-1000, abs=150)
 
 
