--- a/lilacloft/config/__init__.py
+++ b/lilacloft/config/__init__.py
@@ -1,1 +1,1 @@
-"""Owns the operators' settings: their form, what may stand in them, and their errors. It decides nothing."""
+"""The operators' settings: their syntax, the allowed values, and error reports."""
--- a/lilacloft/config/addresses.py
+++ b/lilacloft/config/addresses.py
@@ -1,10 +1,10 @@
-"""Reads addresses as they are written in settings and commands. It knows no socket."""
+"""Parses addresses in settings and command lines. Opens no sockets."""
 
 from __future__ import annotations
 
 
 def address(text: str) -> tuple[str, int]:
-    """HOST:PORT; ValueError says what is wrong."""
+    """Parse HOST:PORT. Raises ValueError with a message for the operator."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r}: HOST:PORT expected")
@@ -12,11 +12,11 @@
 
 
 def named(text: str) -> dict[str, tuple[str, int]]:
-    """NAME=HOST:PORT, several with commas between."""
+    """Parse NAME=HOST:PORT,... into addresses by name. Raises ValueError with a message for the operator."""
     out = {}
-    for part in text.split(","):
-        name, _, place = part.partition("=")
+    for entry in text.split(","):
+        name, _, host_port = entry.partition("=")
         if not name or name in out:
-            raise ValueError(f"{part!r}: NAME=HOST:PORT expected, each name once")
-        out[name] = address(place)
+            raise ValueError(f"{entry!r}: NAME=HOST:PORT expected, each name once")
+        out[name] = address(host_port)
     return out
--- a/lilacloft/config/nodes.py
+++ b/lilacloft/config/nodes.py
@@ -1,7 +1,5 @@
-"""Owns what the text of settings is read into: places, nodes, and numbers with their units.
-
-It knows no grammar, no file and no setting by name.
-"""
+"""The parse tree of settings: positions, nodes, and numbers with units. Independent of the syntax and of the
+individual settings."""
 
 from __future__ import annotations
 
@@ -9,7 +7,7 @@
 from dataclasses import dataclass
 
 QUANTITY = re.compile(r"([+-]?\d+(?:\.\d+)?)([^\d\s]*)")
-UNITS = {  # of each kind: how many of its base each is
+UNITS = {  # by kind: each unit as a multiple of the base unit
     "span": {"us": 1e-6, "ms": 1e-3, "s": 1.0, "min": 60.0, "h": 3600.0},
     "size": {"B": 1, "KB": 1000, "MB": 1000**2, "GB": 1000**3, "KiB": 1 << 10, "MiB": 1 << 20},
     "rate": {"/s": 1.0, "/min": 1 / 60},
@@ -19,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Place:
-    """Where something stands."""
+    """A position in a file."""
 
     file: str
     line: int
@@ -31,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Node:
-    """A word, a string or a list, where it stands."""
+    """A word, a string or a list, with its position."""
 
     place: Place
     kind: str  # word, string, list
@@ -44,14 +42,15 @@
         return f'"{self.text}"' if self.kind == "string" else self.text
 
 
-def quantity(text: str, kind: str) -> float:
-    """A number with its unit, in the base of its kind (seconds, bytes, a second, whole); ValueError says what
-    is wrong. A bare number is none: `2` may mean anything."""
-    found = QUANTITY.fullmatch(text)
+def parse_quantity(text: str, kind: str) -> float:
+    """Parse a number with a unit; returns it in the base unit of its kind (seconds, bytes, per second,
+    fraction). A number without a unit is rejected, as `2` would be ambiguous. Raises ValueError with a
+    message for the operator."""
+    match = QUANTITY.fullmatch(text)
     units = UNITS[kind]
-    if not found:
+    if not match:
         raise ValueError(f"found {text}, expected a number with a unit ({', '.join(units)})")
-    if found[2] not in units:
-        what = f"unit {found[2]}" if found[2] else f"{text} without a unit"
-        raise ValueError(f"found {what}, expected one of {', '.join(units)}")
-    return float(found[1]) * units[found[2]]
+    if match[2] not in units:
+        problem = f"unit {match[2]}" if match[2] else f"{text} without a unit"
+        raise ValueError(f"found {problem}, expected one of {', '.join(units)}")
+    return float(match[1]) * units[match[2]]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -5,8 +5,8 @@
 import pytest
 
 from lilacloft.__main__ import main
-from lilacloft.config.forms import FORM
-from lilacloft.config.nodes import quantity
+from lilacloft.config.forms import SCHEMA
+from lilacloft.config.nodes import parse_quantity
 from lilacloft.config.reader import SettingsError, load, parse
 
 WHOLE = """; operators' settings
@@ -21,7 +21,7 @@
 def test_the_file_that_comes_with_the_project_is_usable():
     found = load(str(Path(__file__).parent.parent / "deploy" / "lilacloft.sexp"))
     assert found["upgrade"]["limits"]["taking"] == 0.3
-    assert set(found["upgrade"]["limits"]) == {name.replace("-", "_") for name in FORM["upgrade"]["limits"]}
+    assert set(found["upgrade"]["limits"]) == {name.replace("-", "_") for name in SCHEMA["upgrade"]["limits"]}
 
 
 def test_spans_become_seconds_and_paths_count_from_the_file(tmp_path):
@@ -106,10 +106,12 @@
 
 
 def test_quantities_of_each_kind_have_their_units():
-    assert quantity("250ms", "span") == 0.25 and quantity("64MB", "size") == 64e6
-    assert quantity("90%", "part") == pytest.approx(0.9) and quantity("60/min", "rate") == pytest.approx(1.0)
+    assert parse_quantity("250ms", "span") == 0.25 and parse_quantity("64MB", "size") == 64e6
+    assert parse_quantity("90%", "part") == pytest.approx(0.9) and parse_quantity(
+        "60/min", "rate"
+    ) == pytest.approx(1.0)
     with pytest.raises(ValueError, match="expected one of B"):
-        quantity("5s", "size")
+        parse_quantity("5s", "size")
 
 
 def test_strings_keep_what_is_escaped_and_comments_go():
