--- a/lilacloft/cli/__init__.py
+++ b/lilacloft/cli/__init__.py
@@ -1,4 +1,5 @@
-"""Owns the commands' words, one file a group of them. It must never do a command's work itself."""
+"""The command line, one module for each group of commands. Commands only parse arguments and print results;
+their work is done elsewhere."""
 
 from __future__ import annotations
 
@@ -11,9 +12,9 @@
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "show_default": True})
-@click.option("--log-format", type=click.Choice(["text", "json"]), default="text", help="form of log lines")
+@click.option("--log-format", type=click.Choice(["text", "json"]), default="text", help="format of log lines")
 def commands(log_format: str) -> None:
-    """Decides where objects are served from."""
+    """A gateway that decides where objects are served from."""
     serving.configure_logging(log_format)
 
 
@@ -22,22 +23,22 @@
         commands.add_command(command)
 
 
-def run(words: list[str]) -> int:
-    """Run one command; returns its code."""
+def run(arguments: list[str]) -> int:
+    """Run a command, and return its exit code."""
     try:
-        return commands.main(words, prog_name="lilacloft", standalone_mode=False) or 0
-    except click.ClickException as wrong:
-        wrong.show()
-        return wrong.exit_code
-    except click.exceptions.Exit as done:
-        return done.exit_code
+        return commands.main(arguments, prog_name="lilacloft", standalone_mode=False) or 0
+    except click.ClickException as error:
+        error.show()
+        return error.exit_code
+    except click.exceptions.Exit as exit_request:
+        return exit_request.exit_code
     except click.Abort:
         return 130
-    except errors.UnusableError as wrong:
-        print(f"lilacloft: {wrong}", file=sys.stderr)
+    except errors.UnusableError as error:
+        print(f"lilacloft: {error}", file=sys.stderr)
         return errors.UNUSABLE
-    except Exception as wrong:
-        if type(wrong).__name__ != "SettingsError":  # its module is imported only where settings are
+    except Exception as error:
+        if type(error).__name__ != "SettingsError":  # its module is only imported with settings
             raise
-        print(f"lilacloft: {wrong}", file=sys.stderr)
+        print(f"lilacloft: {error}", file=sys.stderr)
         return errors.UNUSABLE
--- a/lilacloft/cli/experiment.py
+++ b/lilacloft/cli/experiment.py
@@ -1,4 +1,4 @@
-"""Commands on the emulator's worlds: one run, and experiments of many."""
+"""Commands for the emulator's worlds: single runs, and experiments of many runs."""
 
 from __future__ import annotations
 
@@ -8,11 +8,13 @@
 import click
 
 file = click.argument("file", metavar="FILE")
-into = click.option("--results", default="experiments.sqlite", metavar="FILE", help="where results are kept")
+results_option = click.option(
+    "--results", default="experiments.sqlite", metavar="FILE", help="database of the results"
+)
 
 
-def loaded(path: str) -> Any:
-    """The experiment of a file."""
+def read_experiment(path: str) -> Any:
+    """Read the experiment in a file. Raises SettingsError."""
     from pathlib import Path
 
     from lilacloft.config.nodes import Place
@@ -21,51 +23,51 @@
 
     try:
         nodes = parse(Path(path).read_text(encoding="utf-8"), path)
-    except (OSError, UnicodeDecodeError) as wrong:
-        raise SettingsError([(Place(path, 1, 1), f"cannot be read: {wrong}")]) from wrong
+    except (OSError, UnicodeDecodeError) as error:
+        raise SettingsError([(Place(path, 1, 1), f"cannot be read: {error}")]) from error
     if len(nodes) != 1:
         raise SettingsError([(Place(path, 1, 1), "expected one list (experiment NAME ...) and nothing else")])
     return Reader().read(nodes[0])
 
 
-def opened(path: str) -> Any:
+def open_results(path: str) -> Any:
     from lilacloft.experiment.results import Results, ResultsError
 
     try:
         return Results(path)
-    except ResultsError as wrong:
-        raise click.ClickException(str(wrong)) from wrong
+    except ResultsError as error:
+        raise click.ClickException(str(error)) from error
 
 
-def sure(experiment: Any) -> None:
-    """Every policy can be had."""
+def check_policies(experiment: Any) -> None:
+    """Check that every policy of an experiment is available."""
     from lilacloft.experiment import revisions
 
     for name in experiment.policies:
         try:
             revisions.policy(name)
-        except revisions.RevisionError as wrong:
-            raise click.ClickException(str(wrong)) from wrong
+        except revisions.RevisionError as error:
+            raise click.ClickException(str(error)) from error
 
 
 @click.group()
 def experiment() -> None:
-    """Try decisions in worlds of the emulator."""
+    """Evaluate policies in worlds of the emulator."""
 
 
 @experiment.command()
 @file
-@into
-@click.option("--processes", type=int, default=None, help="cores to use; all of them else")
+@results_option
+@click.option("--processes", type=int, default=None, help="number of processes; default: one for each core")
 def run(file: str, results: str, processes: int | None) -> int:
-    """Do the runs of a file that are not there yet; stopped, it goes on where it was."""
+    """Do the runs of a file that have no results yet; an interrupted command continues where it stopped."""
     from rich.progress import BarColumn, Progress, TextColumn
 
     from lilacloft.experiment import runner
 
-    found = loaded(file)
-    sure(found)
-    base = opened(results)
+    found = read_experiment(file)
+    check_policies(found)
+    base = open_results(results)
     with Progress(
         TextColumn("{task.description}"),
         BarColumn(),
@@ -74,10 +76,10 @@
     ) as bar:
         task = bar.add_task(found.name, total=None, left="")
 
-        def seen(count: int, total: int, left: float) -> None:
+        def show_progress(count: int, total: int, left: float) -> None:
             bar.update(task, completed=count, total=total, left=f"{left:.0f} s left")
 
-        count = runner.run(found, base, seen, processes)
+        count = runner.run(found, base, show_progress, processes)
     left = len(runner.missing(found, base))
     click.echo(f"{count} runs done, {found.count() - left} of {found.count()} there")
     return 1 if left else 0
@@ -85,15 +87,15 @@
 
 @experiment.command()
 @file
-@into
-@click.option("--out", metavar="DIR", help="write Markdown and charts there")
+@results_option
+@click.option("--out", metavar="DIR", help="directory for Markdown and charts")
 def report(file: str, results: str, out: str | None) -> int:
-    """Show what the runs of a file show."""
+    """Show the results of an experiment."""
     from rich.console import Console
 
     from lilacloft.experiment import report as reports
 
-    found, base = loaded(file), opened(results)
+    found, base = read_experiment(file), open_results(results)
     if out:
         for path in reports.write(found, base, out):
             click.echo(path)
@@ -108,14 +110,14 @@
 @file
 @click.argument("one")
 @click.argument("other")
-@into
+@results_option
 @click.option("--measure", default="worth")
 def compare(file: str, one: str, other: str, results: str, measure: str) -> int:
-    """Hold two policies of a file against each other, over all its worlds and faults together."""
+    """Compare two policies of an experiment over all its worlds and faults."""
     from lilacloft.experiment import runner, stats
     from lilacloft.experiment.plan import MEASURES
 
-    found, base = loaded(file), opened(results)
+    found, base = read_experiment(file), open_results(results)
     if measure not in MEASURES:
         raise click.UsageError(f"{measure}: one of {', '.join(MEASURES)}")
     for name in (one, other):
@@ -123,41 +125,44 @@
             raise click.UsageError(f"{name}: {file} has {', '.join(found.policies)}")
     values = runner.values(found, base, measure)
     by_seed: dict[str, dict[int, list[float]]] = {one: {}, other: {}}
-    for (_, _, policy), mine in values.items():
-        for seed, value in mine.items():
+    for (_, _, policy), by_number in values.items():
+        for seed, value in by_number.items():
             if policy in by_seed:
                 by_seed[policy].setdefault(seed, []).append(value)
-    places = len(found.worlds) * len(found.troubles)
+    count = len(found.worlds) * len(found.troubles)
     means = {
-        name: {seed: sum(told) / places for seed, told in mine.items() if len(told) == places}
-        for name, mine in by_seed.items()
+        name: {seed: sum(numbers) / count for seed, numbers in by_number.items() if len(numbers) == count}
+        for name, by_number in by_seed.items()
     }
-    gap = stats.compare(means[one], means[other])
-    if not gap.count:
+    difference = stats.compare(means[one], means[other])
+    if not difference.count:
         raise click.ClickException("no seed has both in all worlds: `experiment run` first")
     click.echo(
-        f"{measure}: {one} less {other}: {gap.mean:+.5f} ({gap.low:+.5f} to {gap.high:+.5f}) on "
-        f"{gap.count} seeds of {places} worlds, more on {gap.better}, less on {gap.worse}"
+        f"{measure}: {one} less {other}: {difference.mean:+.5f} ({difference.low:+.5f} to "
+        f"{difference.high:+.5f}) on {difference.count} seeds of {count} worlds, "
+        f"more on {difference.better}, less on {difference.worse}"
     )
     click.echo(
-        f"shown (chance {gap.chance:.4f})"
-        if gap.shown
-        else f"no difference shown (chance {gap.chance:.2f})"
-        + (f"; some {gap.needs} seeds would" if gap.needs > gap.count else "")
+        f"shown (chance {difference.chance:.4f})"
+        if difference.shown
+        else f"no difference shown (chance {difference.chance:.2f})"
+        + (f"; some {difference.needs} seeds would" if difference.needs > difference.count else "")
     )
     return 0
 
 
 @experiment.command()
-@click.option("--against", default="oracle", help="the policy beside which worth is lost")
+@click.option("--against", default="oracle", help="the policy compared with which worth is lost")
 @click.option("--policy", default="module")
 @click.option("--tries", default=200)
-@click.option("--seeds", default=4, help="seeds a try; the worst are seen on four times as many")
+@click.option("--seeds", default=4, help="seeds of each try; the worst are run on four times as many")
 @click.option("--seed", default=1)
 @click.option("--worlds", default="small,sites,thin,videos,flash,writes,full,one-offs")
-@click.option("--explain", default=6, help="of so many of the worst, the faults that matter are found")
+@click.option(
+    "--explain", default=6, help="number of the worst results for which the faults that matter are found"
+)
 def search(against: str, policy: str, tries: int, seeds: int, seed: int, worlds: str, explain: int) -> int:
-    """Look for the worlds and faults in which a policy loses most beside another."""
+    """Search for the worlds and faults in which a policy loses most against another."""
     from lilacloft.emulator.chance import Chance
     from lilacloft.emulator.worlds import WORLDS
     from lilacloft.experiment import runner
@@ -167,53 +172,53 @@
     unknown = [name for name in names if name not in WORLDS]
     if unknown:
         raise click.UsageError(f"no world {unknown[0]}: {', '.join(WORLDS)}")
-    begin = [WORLDS[name].lasting(4) for name in names]
-    looking = Search(Chance(seed).stream("search"), begin)
-    block = 16
+    start_worlds = [WORLDS[name].lasting(4) for name in names]
+    search_state = Search(Chance(seed).stream("search"), start_worlds)
+    batch = 16
 
     def losses(spots: list[Spot], first: int, count: int) -> list[float]:
-        """What each spot loses beside the other policy: a mean over so many seeds from `first` on."""
-        told = [
+        """Return what each spot loses against the other policy: the mean over `count` seeds from `first`."""
+        runs = [
             (spot.world, spot.faults, name, number)
             for spot in spots
             for name in (policy, against)
             for number in range(first, first + count)
         ]
-        got = runner.worth(told)
+        worths = runner.worth(runs)
         return [
             (
-                sum(got[(2 * place + 1) * count : (2 * place + 2) * count])
-                - sum(got[2 * place * count : (2 * place + 1) * count])
+                sum(worths[(2 * index + 1) * count : (2 * index + 2) * count])
+                - sum(worths[2 * index * count : (2 * index + 1) * count])
             )
             / count
-            for place in range(len(spots))
+            for index in range(len(spots))
         ]
 
-    def seen(spots: list[Spot], first: int) -> None:
+    def record_losses(spots: list[Spot], first: int) -> None:
         for spot, lost in zip(spots, losses(spots, first, seeds), strict=True):
-            looking.found(spot, lost, seeds)
+            search_state.found(spot, lost, seeds)
 
-    first = 1000 * seed + 500  # seeds that neither the search nor its second looks have used
+    first = 1000 * seed + 500  # seeds that neither the search nor its repeated runs use
 
     def ablate(spot: Spot) -> None:
         lost = losses([spot, *ablations(spot)], first, 4 * seeds)
-        looking.explained(spot, lost[0], lost[1:])
+        search_state.explained(spot, lost[0], lost[1:])
 
-    for turn in range(0, tries, block):
-        seen([looking.next() for _ in range(min(block, tries - turn))], 1000 * seed)
-        # the worst is explained as the search goes, so that its many variants are known for one weakness
-        if explain and (doubt := looking.unexplained(1)) is not None and doubt.seeds >= seeds:
-            ablate(doubt)
+    for first_try in range(0, tries, batch):
+        record_losses([search_state.next() for _ in range(min(batch, tries - first_try))], 1000 * seed)
+        # The worst spot is explained during the search, so that its variants count as the same weakness.
+        if explain and (spot := search_state.unexplained(1)) is not None and spot.seeds >= seeds:
+            ablate(spot)
         if sys.stderr.isatty():
-            click.echo(f"{turn + block}/{tries}: worst {looking.worst[0].lost:.3f}", err=True)
-    while (doubt := looking.doubtful(4 * seeds)) is not None:
-        seen([doubt], 1000 * seed + seeds * (doubt.seeds // seeds) + 100)
-    for _ in range(4 * explain):  # each explained spot may bring up another of a family drawn anew
-        spot = looking.unexplained(explain)
+            click.echo(f"{first_try + batch}/{tries}: worst {search_state.worst[0].lost:.3f}", err=True)
+    while (spot := search_state.doubtful(4 * seeds)) is not None:
+        record_losses([spot], 1000 * seed + seeds * (spot.seeds // seeds) + 100)
+    for _ in range(4 * explain):  # explaining a spot may bring up another one, of a regrouped family
+        spot = search_state.unexplained(explain)
         if spot is None:
             break
         ablate(spot)
-    for spot in looking.worst:
+    for spot in search_state.worst:
         click.echo(f"{spot.lost:.3f} lost on {spot.seeds} seeds: {spot.world.name} {spot.told()}")
         click.echo(f"      {differences(spot.world, WORLDS[spot.world.name])}")
         if spot.kernel is not None:
@@ -222,18 +227,18 @@
 
 
 def differences(world: Any, before: Any) -> str:
-    """What of a world is other than it was named for."""
+    """Return the attributes in which a world differs from the one of its name."""
     from dataclasses import fields
 
     out = [
-        f"{one.name}={getattr(world.habits, one.name)}"
-        for one in fields(world.habits)
-        if getattr(world.habits, one.name) != getattr(before.habits, one.name)
+        f"{item.name}={getattr(world.habits, item.name)}"
+        for item in fields(world.habits)
+        if getattr(world.habits, item.name) != getattr(before.habits, item.name)
     ]
     out += [
-        f"{one.name}={getattr(world, one.name)}"
-        for one in fields(world)
-        if one.name != "habits" and getattr(world, one.name) != getattr(before, one.name)
+        f"{item.name}={getattr(world, item.name)}"
+        for item in fields(world)
+        if item.name != "habits" and getattr(world, item.name) != getattr(before, item.name)
     ]
     return " ".join(out)
 
@@ -241,12 +246,14 @@
 @click.command()
 @click.argument("world")
 @click.option("--seed", default=1)
-@click.option("--seeds", default=1, help="so many, from --seed on, on all cores")
-@click.option("--faults", default="", help="written faults, or a number of drawn ones")
+@click.option("--seeds", default=1, help="number of seeds from --seed on, run on all cores")
+@click.option("--faults", default="", help="fault expressions, or the number of random faults")
 @click.option("--policy", default="module")
-@click.option("--shrink", is_flag=True, help="cut the faults of a failing seed to the least that still fail")
+@click.option(
+    "--shrink", is_flag=True, help="reduce the faults of a failing seed to a minimal set that still fails"
+)
 def emulate(world: str, seed: int, seeds: int, faults: str, policy: str, shrink: bool) -> int:
-    """Run a world, say what came of it, and whether a rule was broken; code 1 where one was."""
+    """Run a world, and print its results and the rules that were broken. Exits with 1 if any was."""
     from lilacloft.emulator import faults as language
     from lilacloft.emulator.fleet import Fleet
     from lilacloft.emulator.policies import POLICIES
@@ -266,12 +273,12 @@
             if faults.isdigit()
             else Trouble("written", written=tuple(language.parse(faults)))
         )
-    except (language.FaultError, revisions.RevisionError) as wrong:
-        raise click.UsageError(str(wrong)) from wrong
+    except (language.FaultError, revisions.RevisionError) as error:
+        raise click.UsageError(str(error)) from error
     except KeyError:
         raise click.UsageError(f"no policy {policy}") from None
     if seeds > 1:
-        return many(Experiment(world, [WORLDS[world]], [trouble], [policy], range(seed, seed + seeds)))
+        return run_seeds(Experiment(world, [WORLDS[world]], [trouble], [policy], range(seed, seed + seeds)))
     run = Run(WORLDS[world], trouble, policy, seed)
     result = Fleet(run.world, seed, trouble.faults(run.world, seed), made).run()
     for attribute, value in vars(result).items():
@@ -292,21 +299,21 @@
     return 1 if result.breaches else 0
 
 
-def many(found: Any) -> int:
-    """Many seeds, of which only the failing ones are told."""
+def run_seeds(found: Any) -> int:
+    """Run many seeds, and print only the failing ones."""
     import time
 
     from lilacloft.experiment import runner
 
-    began, broken, total = time.monotonic(), 0, 0.0
+    started, broken, total = time.monotonic(), 0, 0.0
     with runner.pool() as pool:
-        for run, told in zip(found.runs(), pool.imap(runner.done, found.runs(), 16), strict=True):
-            total += told["worth"]
-            if told["broken"]:
+        for run, result in zip(found.runs(), pool.imap(runner.done, found.runs(), 16), strict=True):
+            total += result["worth"]
+            if result["broken"]:
                 broken += 1
-                click.echo(f"seed {run.seed}: {told['breaches'][0]}")
+                click.echo(f"seed {run.seed}: {result['breaches'][0]}")
     click.echo(
-        f"{found.count()} seeds in {time.monotonic() - began:.0f} s: mean worth "
+        f"{found.count()} seeds in {time.monotonic() - started:.0f} s: mean worth "
         f"{total / found.count():.4f}, rules broken in {broken}"
     )
     return 1 if broken else 0
--- a/lilacloft/cli/gateway.py
+++ b/lilacloft/cli/gateway.py
@@ -9,7 +9,11 @@
 from lilacloft import __version__, errors, serving
 
 config = click.option(
-    "--config", envvar="EDGE_CONFIG", metavar="FILE", show_envvar=True, help="the platform's JSON"
+    "--config",
+    envvar="EDGE_CONFIG",
+    metavar="FILE",
+    show_envvar=True,
+    help="the platform's JSON configuration",
 )
 
 
@@ -18,10 +22,10 @@
 @click.option(
     "--settings",
     metavar="FILE",
-    help="operators' settings (deploy/lilacloft.sexp); without, all new parts are off",
+    help="operators' settings, as deploy/lilacloft.sexp; without it, all optional features are off",
 )
-@click.option("--handover", metavar="PATH", help="offer a handover on this Unix socket")
-@click.option("--supervised", is_flag=True, help="run as the one foreground process over workers that change")
+@click.option("--handover", metavar="PATH", help="Unix socket on which a handover is offered")
+@click.option("--supervised", is_flag=True, help="stay in the foreground as a supervisor of worker processes")
 @click.option("--takeover", type=int, default=-1, hidden=True)
 @click.option("--status", type=int, default=-1, hidden=True)
 @click.option("--listener", type=int, default=-1, hidden=True)
@@ -37,19 +41,19 @@
     unserved_since: float,
 ) -> int:
     """Run one gateway until SIGTERM."""
-    chosen: dict[str, Any] = {}
+    upgrade: dict[str, Any] = {}
     record: dict[str, Any] = {}
     store: dict[str, Any] = {}
     plan: dict[str, Any] = {}
     if settings:
         from lilacloft.config import reader
 
-        found = reader.load(settings)
-        chosen = found.get("upgrade", {})
-        if "log" in found:
-            serving.configure_logging(found["log"].get("format", "text"))
-        record, store, plan = (found.get(part, {}) for part in ("record", "store", "plan"))
-    handover = handover or chosen.get("handover")
+        loaded = reader.load(settings)
+        upgrade = loaded.get("upgrade", {})
+        if "log" in loaded:
+            serving.configure_logging(loaded["log"].get("format", "text"))
+        record, store, plan = (loaded.get(part, {}) for part in ("record", "store", "plan"))
+    handover = handover or upgrade.get("handover")
     if supervised:
         if not handover:
             raise click.UsageError("--supervised needs --handover, or a handover in the settings")
@@ -59,30 +63,30 @@
         host, _, port = str(listen).rpartition(":")
         try:
             return Supervisor((host, int(port))).run()
-        except (OSError, ValueError) as wrong:
-            raise errors.UnusableError(f"{listen} cannot be listened on: {wrong}") from wrong
-    more = {
+        except (OSError, ValueError) as error:
+            raise errors.UnusableError(f"{listen} cannot be listened on: {error}") from error
+    options = {
         "handover": handover or "",
         "takeover": takeover,
         "status": status,
         "listener": listener,
         "unserved_since": unserved_since,
-        "limits": chosen.get("limits"),
-        "mode": chosen.get("mode", "whole"),
+        "limits": upgrade.get("limits"),
+        "mode": upgrade.get("mode", "whole"),
         "record": record,
         "store": store,
         "plan": plan,
     }
     if not handover and takeover < 0 and listener < 0 and not (record or store or plan):
-        more = {}
-    return serving.serve(config, **more)
+        options = {}
+    return serving.serve(config, **options)
 
 
 @click.command()
 @config
 @click.option("--settings", metavar="FILE", help="operators' settings to check as well")
 def check(config: str | None, settings: str | None) -> int:
-    """Read a configuration and say if it can be used."""
+    """Check whether a configuration can be used."""
     if settings:
         from lilacloft.config import reader
 
--- a/lilacloft/cli/load.py
+++ b/lilacloft/cli/load.py
@@ -1,4 +1,4 @@
-"""A command that asks gateways what the emulator's clients would."""
+"""The command that sends gateways the load of an emulated world's clients."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @click.command()
 @click.argument("world")
-@click.option("--gateways", required=True, metavar="ADDR,...", help="HOST:PORT of each, with commas between")
-@click.option("--rate", type=float, default=0.0, help="reqs a second; the world's own else")
-@click.option("--seconds", type=float, default=0.0, help="how long; the world's own span else")
+@click.option("--gateways", required=True, metavar="ADDR,...", help="HOST:PORT of each, separated by commas")
+@click.option("--rate", type=float, default=0.0, help="requests a second; default: the world's rate")
+@click.option("--seconds", type=float, default=0.0, help="duration; default: that of the world")
 @click.option("--seed", default=1)
 def load(world: str, gateways: str, rate: float, seconds: float, seed: int) -> int:
-    """Ask gateways what a world's clients ask, at times fixed ahead, and say what came of it."""
+    """Send gateways the requests of a world's clients at predetermined times, and print the results."""
     from lilacloft.config.addresses import address
     from lilacloft.emulator.worlds import WORLDS
     from lilacloft.load.driver import Load, report
@@ -22,15 +22,15 @@
 
     if world not in WORLDS:
         raise click.UsageError(f"no world {world}: {', '.join(WORLDS)}")
-    found = WORLDS[world]
-    found = found.at(rate or found.habits.rate)
+    chosen = WORLDS[world]
+    chosen = chosen.at(rate or chosen.habits.rate)
     if seconds:
-        found = found.lasting(seconds)
+        chosen = chosen.lasting(seconds)
     try:
-        places = [address(text) for text in gateways.split(",")]
-    except ValueError as wrong:
-        raise click.UsageError(str(wrong)) from wrong
-    tally = Load(found, places, seed).run(schedule(found, seed, len(places)))
+        addresses = [address(text) for text in gateways.split(",")]
+    except ValueError as error:
+        raise click.UsageError(str(error)) from error
+    tally = Load(chosen, addresses, seed).run(schedule(chosen, seed, len(addresses)))
     click.echo(json.dumps(report(tally), indent=1))
     return 0 if not tally.open() else 1
 
--- a/lilacloft/cli/plan.py
+++ b/lilacloft/cli/plan.py
@@ -1,4 +1,4 @@
-"""Commands for planners: run one, and query one as an operator."""
+"""Commands for planners: run one, or query one as an operator."""
 
 from __future__ import annotations
 
@@ -14,20 +14,25 @@
 
 @click.group()
 def plan() -> None:
-    """Planners that see what all forwarders see."""
+    """Planners, which combine the reports of all gateways into one plan."""
 
 
 @plan.command()
-@click.option("--config", envvar="EDGE_CONFIG", metavar="FILE", help="the platform's JSON, as a gateway's")
+@click.option(
+    "--config",
+    envvar="EDGE_CONFIG",
+    metavar="FILE",
+    help="the platform's JSON configuration, as for a gateway",
+)
 @click.option("--name", required=True)
-@click.option("--planners", required=True, metavar="NAME=ADDR,...", help="all planners, this one among them")
-@click.option("--store", "folder", default="", metavar="DIR", help="keeps epochs over its ends")
+@click.option("--planners", required=True, metavar="NAME=ADDR,...", help="all planners, including this one")
+@click.option("--store", "folder", default="", metavar="DIR", help="keeps epochs across restarts")
 @click.option(
     "--leave",
     type=click.Choice(["past", "across", "never"]),
     default="never",
     show_default=True,
-    help="leave whole locations that fail: past their caches, or to others' caches",
+    help="fail over whole locations: past their caches, or to the caches of others",
 )
 def serve(config: str | None, name: str, planners: str, folder: str, leave: str) -> int:
     """Run one planner until SIGTERM."""
@@ -40,16 +45,16 @@
     except ValueError as error:
         raise click.UsageError(str(error)) from error
     if name not in addresses:
-        raise click.UsageError(f"{name} is none of the planners {', '.join(addresses)}")
+        raise click.UsageError(f"{name} is not one of the planners {', '.join(addresses)}")
     try:
         server = PlannerServer(name, serving.read_config(config), addresses, folder, leave)
     except (KeyError, ValueError, TypeError, OSError, StoreError) as error:
         raise errors.UnusableError(f"the planner cannot be started: {error}") from error
 
-    def end(*_: Any) -> None:
+    def stop(*_: Any) -> None:
         server.is_closed = True
 
-    signal.signal(signal.SIGTERM, end)
+    signal.signal(signal.SIGTERM, stop)
     server.run()
     return 0
 
@@ -94,7 +99,7 @@
 @plan.command()
 @click.argument("address")
 def diff(address: str) -> int:
-    """Show what its last plan changed."""
+    """Show what a planner's last plan changed."""
     return print_answer(address, "diff")
 
 
@@ -102,7 +107,8 @@
 @click.argument("address")
 @click.argument("what")
 def explain(address: str, what: str) -> int:
-    """Say who decided what of a be, or of a whole location (`zone 3`, in quotes), and on what evidence."""
+    """Show who decided what about a backend, or about a whole location (`zone 3`, in quotes), and on what
+    evidence."""
     return print_answer(address, f"explain {what}")
 
 
--- a/lilacloft/cli/store.py
+++ b/lilacloft/cli/store.py
@@ -1,6 +1,6 @@
-"""Commands on a store: inspect it, check it, compact it and repair it.
+"""Commands for a store: check it, print it, compact it and repair it.
 
-What a command needs of the store is imported when it runs, so that other commands start without it.
+The modules of the store are imported when a command runs, so that other commands start without them.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 
 
 def open_store(path: str, lock: bool) -> OpenStore:
-    """Open a store: with the lock, to write it, or without, to read it.
+    """Open a store: with the lock for writing, or without it for reading.
 
-    Raises click.ClickException if there is none, it cannot be read, or another process writes it.
+    Raises click.ClickException if it does not exist, cannot be read, or is locked by another process.
     """
     from lilacloft.store.errors import StoreError
     from lilacloft.store.files import StoreDirectory
     from lilacloft.store.log import Store
 
     if not os.path.isdir(path):
-        raise click.ClickException(f"{path}: there is no such folder")
+        raise click.ClickException(f"{path}: no such directory")
     try:
         directory = StoreDirectory(path, lock)
     except (StoreError, OSError) as error:
@@ -83,13 +83,14 @@
 
 @click.group()
 def store() -> None:
-    """Look at a store, and mend it."""
+    """Inspect and repair a store."""
 
 
 @store.command()
 @path_argument
 def check(path: str) -> int:
-    """Say what is there. Code 1 where anything was lost; a torn end is what any crash leaves."""
+    """Report what a store holds. Exits with 1 if anything was lost; a torn end, which any crash leaves, is no
+    loss."""
     directory, found = read_store(path)
     print_report(found.report)
     click.echo(
@@ -102,7 +103,7 @@
 @store.command()
 @path_argument
 def dump(path: str) -> int:
-    """Print what is kept, one JSON object a line."""
+    """Print the records of a store, one JSON object a line."""
     from lilacloft.store.record_types import KIND_NAMES, readable_value
 
     found = read_store(path).store
@@ -121,7 +122,8 @@
 @store.command()
 @path_argument
 def compact(path: str) -> int:
-    """Write what is kept anew, and drop the rest. Refused while a gateway writes there, or with damage."""
+    """Rewrite the live records, and drop the rest. Refused while a gateway uses the store, or if it is
+    damaged."""
     with locked_store(path) as (directory, found):
         if found.report.damage:
             print_report(found.report)
@@ -135,7 +137,8 @@
 @store.command()
 @path_argument
 def repair(path: str) -> int:
-    """Keep all that is whole, and say what is not. The old files stay beside, in a folder that is named."""
+    """Keep all intact records, and report the damage. The old files are kept in a new subdirectory, whose
+    name is printed."""
     with locked_store(path) as (directory, found):
         print_report(found.report)
         if not found.report.damage:
@@ -153,7 +156,7 @@
 
 
 def back_up(path: str, directory: StoreDirectory) -> str:
-    """Copy a store's files into a new folder beside them; returns its path."""
+    """Copy a store's files into a new subdirectory of the store, and return its path."""
     candidates = (os.path.join(path, f"before-repair-{number}") for number in range(1, MAX_BACKUPS))
     backup = next(candidate for candidate in candidates if not os.path.exists(candidate))
     os.mkdir(backup)
