--- a/lilacloft/cli/records.py
+++ b/lilacloft/cli/records.py
@@ -125,14 +125,14 @@
     """Show the current state of a fleet, from record files or from gateways' sockets."""
     from lilacloft.record.reader import read
     from lilacloft.report.console import Console
-    from lilacloft.report.follow import Follow
+    from lilacloft.report.follow import RecordFollower
 
     if bool(paths) == bool(connect):
         raise click.UsageError("name either directories of records, or sockets with --connect")
-    follow = Follow(connect) if connect else None
-    if follow and once:
-        follow.settle()
-    return Console(follow.read if follow else lambda: read(paths), every, sort, only).run(once)
+    follower = RecordFollower(connect) if connect else None
+    if follower and once:
+        follower.wait_for_records()
+    return Console(follower.read if follower else lambda: read(paths), every, sort, only).run(once)
 
 
 @click.group()
--- a/lilacloft/report/__init__.py
+++ b/lilacloft/report/__init__.py
@@ -1,2 +1,2 @@
-"""Makes a report of a course: a page, a text, or facts for programs. It shows what the timeline decided, no
-more."""
+"""Renders a timeline as an HTML page, as text, or as JSON for programs. It only shows what the timeline
+holds."""
--- a/lilacloft/report/charts.py
+++ b/lilacloft/report/charts.py
@@ -1,7 +1,7 @@
-"""Draws a course: charts of the fleet and its vhosts (matplotlib), of each be, and lanes of beliefs, all as
-SVG text.
+"""Draws a timeline as SVG text: charts of virtual hosts (matplotlib) and of each backend, and lanes of the
+observations over time.
 
-Colours are chosen to be read on light and dark; text takes the page's colour. It decides nothing.
+Colours are legible on light and dark backgrounds; text takes the colour of the page.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 
 from lilacloft.timeline.timeline import Timeline
 
-BINS = 240  # of a chart's width
-INK = "#010203"  # becomes the page's text colour
+BINS = 240  # maximum number of bins of a chart
+INK = "#010203"  # placeholder that is replaced by the text colour of the page
 GOOD, BAD, WORSE, LATE, BLUE = "#3a9d5d", "#d9822b", "#c23b3b", "#b58fd6", "#3d7fc4"
 LANE, LABEL, WIDTH = 16, 150, 900  # pixels
 
 
-def edges(found: Timeline) -> NDArray[Any]:
-    """Bounds of the bins: seconds at least."""
-    span = max(found.end - found.begin, 1000.0)
+def bin_edges(timeline: Timeline) -> NDArray[Any]:
+    """Return the bounds of the bins, each at least a second wide."""
+    span = max(timeline.end - timeline.begin, 1000.0)
     count = int(max(1, min(BINS, span // 1000)))
-    return np.linspace(found.begin, found.begin + span, count + 1)
+    return np.linspace(timeline.begin, timeline.begin + span, count + 1)
 
 
-def binned(begin: NDArray[Any], values: NDArray[Any], bounds: NDArray[Any]) -> NDArray[Any]:
-    """Sums by bin, by where each row begins."""
+def sum_by_bin(begin: NDArray[Any], values: NDArray[Any], bounds: NDArray[Any]) -> NDArray[Any]:
+    """Return the sums of values by bin. `begin`: the time that assigns each value to its bin."""
     return np.histogram(begin, bounds, weights=np.nan_to_num(values))[0]
 
 
-def svg(figure: Any) -> str:
-    """A figure as SVG to be put into a page."""
+def figure_svg(figure: Any) -> str:
+    """Return a figure as inline SVG for a page."""
     import matplotlib.pyplot as plt
 
     out = io.StringIO()
@@ -47,8 +47,8 @@
     return re.sub(r'width="[\d.]+pt" height="[\d.]+pt"', 'width="100%"', text, count=1)
 
 
-def prepare() -> None:
-    """Matplotlib without a display, with text as text and marks that are the same every time."""
+def configure_matplotlib() -> None:
+    """Configure matplotlib: no display, text as text, and reproducible element ids."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -70,30 +70,30 @@
     )
 
 
-def shades(axes: Any, found: Timeline, least: float = 0.0) -> None:
-    """Episodes as stripes behind a chart."""
-    for one in found.incidents:
-        begin = (one.begin - found.begin) / 1000
-        end = ((one.end if one.end is not None else found.end) - found.begin) / 1000
+def shade_incidents(axes: Any, timeline: Timeline, least: float = 0.0) -> None:
+    """Draw the incidents as stripes behind a chart."""
+    for incident in timeline.incidents:
+        begin = (incident.begin - timeline.begin) / 1000
+        end = ((incident.end if incident.end is not None else timeline.end) - timeline.begin) / 1000
         if end - begin < 1:
             axes.axvline(begin, color=LATE, linewidth=1, linestyle=":")
         else:
             axes.axvspan(begin, end, color=LATE, alpha=0.2, linewidth=0)
 
 
-def vhost_chart(found: Timeline, vhost: str) -> str:
-    """A vhost's answers a second by kind, and its latency."""
+def vhost_chart(timeline: Timeline, vhost: str) -> str:
+    """Return a chart of a virtual host's answers per second by kind, and of its latency."""
     import matplotlib.pyplot as plt
 
-    bounds = edges(found)
-    x = (bounds[:-1] - found.begin) / 1000
+    bounds = bin_edges(timeline)
+    x = (bounds[:-1] - timeline.begin) / 1000
     width = (bounds[1] - bounds[0]) / 1000
     sums = {name: np.zeros(len(x)) for name in ("done", "late", "denied", "aborted")}
-    for history in found.histories.values():
-        mine = history.columns.vhosts.get(vhost)
-        if mine is not None:
+    for history in timeline.histories.values():
+        columns = history.columns.vhosts.get(vhost)
+        if columns is not None:
             for name in sums:
-                sums[name] += binned(history.columns.begin, mine[name], bounds) / width
+                sums[name] += sum_by_bin(history.columns.begin, columns[name], bounds) / width
     figure, (upper, lower) = plt.subplots(2, 1, figsize=(9, 3.2), sharex=True, height_ratios=(2, 1))
     good = np.maximum(sums["done"] - sums["late"], 0)
     upper.stackplot(
@@ -108,64 +108,75 @@
     )
     upper.set_ylabel("a second")
     upper.legend(loc="upper left", ncols=4, fontsize=8)
-    shades(upper, found)
-    places, p50, p99 = latency(found, vhost, bounds)
-    lower.plot(x[places], p50, color=BLUE, linewidth=1, label="median")
-    lower.plot(x[places], p99, color=WORSE, linewidth=1, label="p99")
+    shade_incidents(upper, timeline)
+    bins, p50, p99 = latency_by_bin(timeline, vhost, bounds)
+    lower.plot(x[bins], p50, color=BLUE, linewidth=1, label="median")
+    lower.plot(x[bins], p99, color=WORSE, linewidth=1, label="p99")
     lower.set_ylabel("ms")
     lower.set_xlabel("seconds from the beginning")
     lower.legend(loc="upper left", ncols=2, fontsize=8)
-    shades(lower, found)
-    return svg(figure)
+    shade_incidents(lower, timeline)
+    return figure_svg(figure)
 
 
-def latency(found: Timeline, vhost: str, bounds: NDArray[Any]) -> tuple[list[int], list[float], list[float]]:
-    """Median and p99 in milliseconds by bin, of the histograms that were kept."""
-    held: dict[int, HdrHistogram] = {}
-    for history in found.histories.values():
-        for place, name, encoded in history.columns.histograms:
+def latency_by_bin(
+    timeline: Timeline, vhost: str, bounds: NDArray[Any]
+) -> tuple[list[int], list[float], list[float]]:
+    """Return the bins that have histograms, with their median and p99 in milliseconds."""
+    histograms: dict[int, HdrHistogram] = {}
+    for history in timeline.histories.values():
+        for row, name, encoded in history.columns.histograms:
             if name != vhost:
                 continue
-            spot = int(np.searchsorted(bounds, history.columns.begin[place], "right")) - 1
-            if not 0 <= spot < len(bounds) - 1:
+            bin_index = int(np.searchsorted(bounds, history.columns.begin[row], "right")) - 1
+            if not 0 <= bin_index < len(bounds) - 1:
                 continue
-            if spot not in held:
-                held[spot] = HdrHistogram(1, 1_000_000, 2)
-            held[spot].decode_and_add(encoded)
-    places = sorted(held)
+            if bin_index not in histograms:
+                histograms[bin_index] = HdrHistogram(1, 1_000_000, 2)
+            histograms[bin_index].decode_and_add(encoded)
+    bins = sorted(histograms)
     return (
-        places,
-        [held[place].get_value_at_percentile(50) / 10 for place in places],
-        [held[place].get_value_at_percentile(99) / 10 for place in places],
+        bins,
+        [histograms[bin_index].get_value_at_percentile(50) / 10 for bin_index in bins],
+        [histograms[bin_index].get_value_at_percentile(99) / 10 for bin_index in bins],
     )
 
 
-def be_chart(found: Timeline, backend: str) -> str:
-    """A be's dispatches and what came back, small: drawn by hand, as there may be hundreds."""
-    bounds = edges(found)
+def be_chart(timeline: Timeline, backend: str) -> str:
+    """Return a small chart of a backend's dispatches and answers. Written as SVG directly, without
+    matplotlib, as there may be hundreds of backends."""
+    bounds = bin_edges(timeline)
     width = (bounds[1] - bounds[0]) / 1000
     sums = {name: np.zeros(len(bounds) - 1) for name in ("dispatches", "done", "ends")}
     util = np.zeros(len(bounds) - 1)
-    for history in found.histories.values():
-        mine = history.columns.backends.get(backend)
-        if mine is None:
+    for history in timeline.histories.values():
+        columns = history.columns.backends.get(backend)
+        if columns is None:
             continue
         for name in sums:
-            sums[name] += binned(history.columns.begin, mine[name], bounds) / width
-        told = binned(history.columns.begin, mine["util"], bounds)
-        count = binned(history.columns.begin, ~np.isnan(mine["util"]) * 1.0, bounds)
-        util = np.maximum(util, np.divide(told, count, out=np.zeros_like(told), where=count > 0))
+            sums[name] += sum_by_bin(history.columns.begin, columns[name], bounds) / width
+        utilization_sums = sum_by_bin(history.columns.begin, columns["util"], bounds)
+        utilization_counts = sum_by_bin(history.columns.begin, ~np.isnan(columns["util"]) * 1.0, bounds)
+        util = np.maximum(
+            util,
+            np.divide(
+                utilization_sums,
+                utilization_counts,
+                out=np.zeros_like(utilization_sums),
+                where=utilization_counts > 0,
+            ),
+        )
     top = max(1.0, float(sums["dispatches"].max()), float(sums["done"].max()))
-    high = 60
+    height = 60
 
     def line(values: NDArray[Any], scale: float, colour: str, what: str) -> str:
         step = WIDTH / len(values)
-        dots = " ".join(
-            f"{place * step:.1f},{high - value / scale * (high - 6):.1f}"
+        points = " ".join(
+            f"{place * step:.1f},{height - value / scale * (height - 6):.1f}"
             for place, value in enumerate(values)
         )
         return (
-            f'<polyline points="{dots}" fill="none" stroke="{colour}" stroke-width="1.5">'
+            f'<polyline points="{points}" fill="none" stroke="{colour}" stroke-width="1.5">'
             f"<title>{html.escape(what)}</title></polyline>"
         )
 
@@ -175,48 +186,50 @@
         line(sums["ends"], top, WORSE, "other ends a second"),
     ]
     if util.any():
-        parts.append(line(util, 1.0, LATE, "util as told"))
+        parts.append(line(util, 1.0, LATE, "reported utilization"))
     label = f"{backend}: up to {top:.0f} dispatches a second"
     return (
-        f'<svg viewBox="0 0 {WIDTH} {high}" width="100%" role="img" preserveAspectRatio="none" '
+        f'<svg viewBox="0 0 {WIDTH} {height}" width="100%" role="img" preserveAspectRatio="none" '
         f'aria-label="{html.escape(label)}"><title>{html.escape(label)}</title>{"".join(parts)}</svg>'
     )
 
 
-def lanes(found: Timeline, most: int = 60) -> str:
-    """Who believed what of whom over time: a lane for each be that anything was believed of, and each
-    gateway in it; gaps in a gateway's records are hatched."""
-    span = max(found.end - found.begin, 1.0)
+def observation_lanes(timeline: Timeline, max_rows: int = 60) -> str:
+    """Return the observations over time: a lane for each backend and each gateway that observed something of
+    it. Gaps in a gateway's records are hatched."""
+    span = max(timeline.end - timeline.begin, 1.0)
 
     def at(moment: float) -> float:
-        return LABEL + (min(max(moment, found.begin), found.end) - found.begin) / span * (WIDTH - LABEL)
+        return LABEL + (min(max(moment, timeline.begin), timeline.end) - timeline.begin) / span * (
+            WIDTH - LABEL
+        )
 
     rows: list[tuple[str, str, list[tuple[float, float, str, str]]]] = []
-    every = [one for outer in found.incidents for one in (outer, *outer.parts)]
+    incidents = [one for outer in timeline.incidents for one in (outer, *outer.parts)]
     shown = ("silent", "slow", "drained")
-    subjects = sorted({one.subject for one in every if one.kind in shown and one.subject})
+    subjects = sorted({one.subject for one in incidents if one.kind in shown and one.subject})
     for subject in subjects:
-        for name in found.gateways:
-            # a gap is never bridged by a line: the hatched lane of the same gateway covers it below
+        for name in timeline.gateways:
+            # Bars may extend over gaps in the records; the hatched lane of the gateway below shows the gaps.
             bars = [
                 (
                     observation.begin,
-                    observation.end if observation.end is not None else found.end,
+                    observation.end if observation.end is not None else timeline.end,
                     {"silent": WORSE, "slow": BAD}.get(observation.kind, BLUE),
                     f"{observation.kind}: {observation.why}",
                 )
-                for one in every
+                for one in incidents
                 if one.subject == subject
                 for observation in one.observations
                 if observation.gateway == name
             ]
             if bars:
                 rows.append((subject, name, bars))
-    left_out = max(0, len(rows) - most)
-    rows = rows[:most]
-    high = (len(rows) + len(found.gateways[:most]) + 2) * LANE + 10
+    left_out = max(0, len(rows) - max_rows)
+    rows = rows[:max_rows]
+    height = (len(rows) + len(timeline.gateways[:max_rows]) + 2) * LANE + 10
     out = [
-        f'<svg viewBox="0 0 {WIDTH} {high}" width="100%" role="img" aria-label="beliefs over time">'
+        f'<svg viewBox="0 0 {WIDTH} {height}" width="100%" role="img" aria-label="observations over time">'
         '<defs><pattern id="gap" width="6" height="6" patternUnits="userSpaceOnUse" '
         'patternTransform="rotate(45)"><rect width="3" height="6" fill="currentColor" opacity="0.5"/>'
         "</pattern></defs>"
@@ -234,22 +247,22 @@
             )
         y += LANE
     y += LANE / 2
-    for name in found.gateways[:most]:
+    for name in timeline.gateways[:max_rows]:
         out.append(
             f'<text x="0" y="{y + 11}" font-size="10" fill="currentColor">'
             f"{html.escape(f'records of {name}')}</text>"
         )
-        history = found.histories[name]
-        long = max(1.0, at(history.end) - at(history.begin))
+        history = timeline.histories[name]
+        width = max(1.0, at(history.end) - at(history.begin))
         x = at(history.begin)
-        out.append(f'<rect x="{x:.1f}" y="{y + 6}" width="{long:.1f}" height="3" fill="{GOOD}"/>')
-        for gap in found.gaps:
+        out.append(f'<rect x="{x:.1f}" y="{y + 6}" width="{width:.1f}" height="3" fill="{GOOD}"/>')
+        for gap in timeline.gaps:
             if gap.gateway == name:
-                end = gap.end if gap.end is not None else found.end
-                long = max(3.0, at(end) - at(gap.begin))
+                end = gap.end if gap.end is not None else timeline.end
+                width = max(3.0, at(end) - at(gap.begin))
                 x = at(gap.begin)
                 out.append(
-                    f'<rect x="{x:.1f}" y="{y + 1}" width="{long:.1f}" height="{LANE - 3}" '
+                    f'<rect x="{x:.1f}" y="{y + 1}" width="{width:.1f}" height="{LANE - 3}" '
                     'fill="url(#gap)" stroke="currentColor" stroke-width="0.5">'
                     f"<title>{html.escape(f'{gap.kind}: {gap.why}')}</title></rect>"
                 )
--- a/lilacloft/report/export.py
+++ b/lilacloft/report/export.py
@@ -1,7 +1,7 @@
-"""Records in other programs' forms: CSV of the summaries, SQLite of everything.
+"""Export of records: the summaries as CSV, or all records as SQLite.
 
 SQLite rather than Parquet: it is in the standard library, holds several tables in one file, and can be
-asked at once; a library of 40 MB for columns that the report reads by itself was not worth its weight.
+queried directly. A Parquet library of 40 MB is not justified, as the report itself does not need it.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from typing import Any
 
 Rows = list[tuple[str, str, dict[str, Any]]]
-VHOST = ("reqs", "done", "denied", "aborted", "left", "late", "dispatches", "hits", "at_once", "value")
-BE = (
+VHOST_FIELDS = ("reqs", "done", "denied", "aborted", "left", "late", "dispatches", "hits", "at_once", "value")
+BACKEND_FIELDS = (
     "dispatches",
     "done",
     "late",
@@ -30,21 +30,37 @@
 
 
 def summaries(rows: Rows) -> list[list[Any]]:
-    """One line a summary and vhost or be."""
+    """Return a row for each summary and virtual host or backend."""
     out = []
-    for gateway, run, plain in rows:
-        if plain["kind"] != "second":
+    for gateway, run, record in rows:
+        if record["kind"] != "second":
             continue
-        head = [gateway, run, plain.get("wall", 0) / 10, plain["span"] / 10]
-        for name, vhost in (plain.get("vhosts") or {}).items():
-            out.append([*head, "vhost", name, *(vhost.get(field, 0) for field in VHOST), *[""] * len(BE)])
-        for name, backend in (plain.get("bes") or {}).items():
-            out.append([*head, "be", name, *[""] * len(VHOST), *(backend.get(field, "") for field in BE)])
+        head = [gateway, run, record.get("wall", 0) / 10, record["span"] / 10]
+        for name, vhost in (record.get("vhosts") or {}).items():
+            out.append(
+                [
+                    *head,
+                    "vhost",
+                    name,
+                    *(vhost.get(field, 0) for field in VHOST_FIELDS),
+                    *[""] * len(BACKEND_FIELDS),
+                ]
+            )
+        for name, backend in (record.get("bes") or {}).items():
+            out.append(
+                [
+                    *head,
+                    "be",
+                    name,
+                    *[""] * len(VHOST_FIELDS),
+                    *(backend.get(field, "") for field in BACKEND_FIELDS),
+                ]
+            )
     return out
 
 
 def to_csv(rows: Rows, out: str) -> None:
-    """Summaries; times and spans in milliseconds."""
+    """Write the summaries to a CSV file; times and durations are in milliseconds."""
     with open(out, "w", newline="", encoding="utf-8") as file:
         writer = csv.writer(file)
         writer.writerow(
@@ -55,47 +71,48 @@
                 "span_ms",
                 "of",
                 "name",
-                *(f"vhost_{field}" for field in VHOST),
-                *(f"be_{field}" for field in BE),
+                *(f"vhost_{field}" for field in VHOST_FIELDS),
+                *(f"be_{field}" for field in BACKEND_FIELDS),
             ]
         )
         writer.writerows(summaries(rows))
 
 
 def to_sqlite(rows: Rows, out: str) -> None:
-    """Table `records` has every record with its JSON; `vhosts` and `bes` have the summaries."""
-    beside = f"{out}.part"
-    if os.path.exists(beside):
-        os.unlink(beside)
-    with sqlite3.connect(beside) as base:
-        base.execute(
+    """Write all records as JSON to the table `records` of a SQLite file, and the summaries to `vhosts` and
+    `bes`. The file is written under a temporary name and renamed when complete."""
+    temporary_path = f"{out}.part"
+    if os.path.exists(temporary_path):
+        os.unlink(temporary_path)
+    with sqlite3.connect(temporary_path) as database:
+        database.execute(
             "create table records (gateway text, run text, number integer, wall_ms real, "
             "steady_ms real, kind text, record text)"
         )
-        base.executemany(
+        database.executemany(
             "insert into records values (?, ?, ?, ?, ?, ?, ?)",
             (
                 (
                     gateway,
                     run,
-                    plain.get("number", 0),
-                    plain.get("wall", 0) / 10,
-                    plain.get("steady", 0) / 10,
-                    plain["kind"],
-                    json.dumps(plain),
+                    record.get("number", 0),
+                    record.get("wall", 0) / 10,
+                    record.get("steady", 0) / 10,
+                    record["kind"],
+                    json.dumps(record),
                 )
-                for gateway, run, plain in rows
+                for gateway, run, record in rows
             ),
         )
         head = "gateway text, run text, wall_ms real, span_ms real, name text"
-        for table, fields in (("vhosts", VHOST), ("bes", BE)):
-            columns = ", ".join(f'"{field}" real' for field in fields)  # limit is a word of the language's
-            base.execute(f"create table {table} ({head}, {columns})")
+        for table, fields in (("vhosts", VHOST_FIELDS), ("bes", BACKEND_FIELDS)):
+            columns = ", ".join(f'"{field}" real' for field in fields)  # quoted, as `limit` is an SQL keyword
+            database.execute(f"create table {table} ({head}, {columns})")
         for line in summaries(rows):
             table, name = f"{line[4]}s", line[5]
-            values = line[6 : 6 + len(VHOST)] if line[4] == "vhost" else line[6 + len(VHOST) :]
+            values = line[6 : 6 + len(VHOST_FIELDS)] if line[4] == "vhost" else line[6 + len(VHOST_FIELDS) :]
             placeholders = ", ".join("?" * (5 + len(values)))
-            base.execute(f"insert into {table} values ({placeholders})", [*line[:4], name, *values])
-        base.execute("create index by_time on records (wall_ms)")
-    base.close()
-    os.replace(beside, out)
+            database.execute(f"insert into {table} values ({placeholders})", [*line[:4], name, *values])
+        database.execute("create index by_time on records (wall_ms)")
+    database.close()
+    os.replace(temporary_path, out)
--- a/lilacloft/report/facts.py
+++ b/lilacloft/report/facts.py
@@ -1,4 +1,4 @@
-"""A course as plain facts, with words for people: what the page, the text and programs are all made of."""
+"""A timeline as plain values and sentences: the common source of the HTML, text and JSON reports."""
 
 from __future__ import annotations
 
@@ -13,47 +13,47 @@
 VERSION = 1
 
 
-def clock(at: float, zone: tzinfo = UTC, day: bool = False) -> str:
-    """A moment in Unix milliseconds, for people."""
-    moment = datetime.fromtimestamp(at / 1000, zone)
+def format_time(unix_ms: float, zone: tzinfo = UTC, day: bool = False) -> str:
+    """Format a time in Unix milliseconds."""
+    moment = datetime.fromtimestamp(unix_ms / 1000, zone)
     if day:
         return moment.strftime("%Y-%m-%d %H:%M:%S")
     return moment.strftime("%H:%M:%S.") + f"{moment.microsecond // 1000:03}"
 
 
-def span(ms: float) -> str:
-    """A span, for people."""
+def format_duration(ms: float) -> str:
+    """Format a duration in milliseconds."""
     if ms < 1000:
         return f"{ms:.0f} ms"
     return f"{ms / 1000:.1f} s" if ms < 120_000 else f"{ms / 60_000:.1f} min"
 
 
-def facts(found: Timeline, damage: list[Damage], zone: tzinfo = UTC) -> dict[str, Any]:
-    """All that the records tell, as plain values."""
-    ordered = group_by_time(found.incidents)
-    place = {id(one): number for number, group in enumerate(ordered) for one in group}
+def facts(timeline: Timeline, damage: list[Damage], zone: tzinfo = UTC) -> dict[str, Any]:
+    """Return the whole timeline as plain values."""
+    ordered = group_by_time(timeline.incidents)
+    group_index = {id(incident): number for number, group in enumerate(ordered) for incident in group}
     return {
         "version": VERSION,
-        "begin": found.begin,
-        "end": found.end,
-        "gateways": [_gateway(found, name) for name in found.gateways],
-        "expected": found.expected,
-        "missing": found.missing(),
+        "begin": timeline.begin,
+        "end": timeline.end,
+        "gateways": [_gateway(timeline, name) for name in timeline.gateways],
+        "expected": timeline.expected,
+        "missing": timeline.missing(),
         "episodes": [
-            _episode(one, found, zone)
-            | {"group": place[id(one)], "together": len(ordered[place[id(one)]]) > 1}
-            for one in found.incidents
+            _episode(incident, timeline, zone)
+            | {"group": group_index[id(incident)], "together": len(ordered[group_index[id(incident)]]) > 1}
+            for incident in timeline.incidents
         ],
-        "gaps": [_gap(one, zone) for one in found.gaps],
-        "bes": _bes(found),
-        "vhosts": _vhosts(found),
-        "damage": [str(one) for one in damage],
-        "summary": summary(found, damage, zone),
+        "gaps": [_gap(incident, zone) for incident in timeline.gaps],
+        "bes": _bes(timeline),
+        "vhosts": _vhosts(timeline),
+        "damage": [str(incident) for incident in damage],
+        "summary": summary(timeline, damage, zone),
     }
 
 
-def _gateway(found: Timeline, name: str) -> dict[str, Any]:
-    history = found.histories[name]
+def _gateway(timeline: Timeline, name: str) -> dict[str, Any]:
+    history = timeline.histories[name]
     return {
         "name": name,
         "begin": history.begin,
@@ -65,50 +65,50 @@
     }
 
 
-def _episode(one: Incident, found: Timeline, zone: tzinfo) -> dict[str, Any]:
-    end = one.end
+def _episode(incident: Incident, timeline: Timeline, zone: tzinfo) -> dict[str, Any]:
+    end = incident.end
     return {
-        "title": one.title(),
-        "kind": one.kind,
-        "subject": one.subject,
-        "role": one.role,
-        "subjects": one.subjects,
-        "begin": one.begin,
+        "title": incident.title(),
+        "kind": incident.kind,
+        "subject": incident.subject,
+        "role": incident.role,
+        "subjects": incident.subjects,
+        "begin": incident.begin,
         "end": end,
-        "spread_ms": round(one.uncertainty, 1),
-        "at": clock(one.begin, zone),
-        "lasted": span(end - one.begin) if end is not None else "not over at the end",
-        "first_sign": min(one.observations, key=lambda observation: observation.begin).why,
-        "saw": one.observed_by,
-        "not_seen_by": one.not_observed_by,
-        "no_records_of": one.without_records,
-        "contradicts": one.contradictions,
-        "acts": one.actions,
-        "cost": round(one.cost, 1),
-        "usual": round(one.typical, 1),
-        "cost_part": round(one.cost / one.typical, 3) if one.typical else 0.0,
-        "sure": round(one.confidence, 2),
-        "parts": [_episode(part, found, zone) for part in one.parts],
+        "spread_ms": round(incident.uncertainty, 1),
+        "at": format_time(incident.begin, zone),
+        "lasted": format_duration(end - incident.begin) if end is not None else "not over at the end",
+        "first_sign": min(incident.observations, key=lambda observation: observation.begin).why,
+        "saw": incident.observed_by,
+        "not_seen_by": incident.not_observed_by,
+        "no_records_of": incident.without_records,
+        "contradicts": incident.contradictions,
+        "acts": incident.actions,
+        "cost": round(incident.cost, 1),
+        "usual": round(incident.typical, 1),
+        "cost_part": round(incident.cost / incident.typical, 3) if incident.typical else 0.0,
+        "sure": round(incident.confidence, 2),
+        "parts": [_episode(part, timeline, zone) for part in incident.parts],
     }
 
 
-def _gap(one: Gap, zone: tzinfo) -> dict[str, Any]:
+def _gap(gap: Gap, zone: tzinfo) -> dict[str, Any]:
     return {
-        "gateway": one.gateway,
-        "begin": one.begin,
-        "end": one.end,
-        "kind": one.kind,
-        "why": one.why,
-        "planned": one.planned,
-        "spread_ms": round(one.uncertainty, 1),
-        "at": clock(one.begin, zone),
-        "lasted": span(one.end - one.begin) if one.end is not None else "to the end",
+        "gateway": gap.gateway,
+        "begin": gap.begin,
+        "end": gap.end,
+        "kind": gap.kind,
+        "why": gap.why,
+        "planned": gap.planned,
+        "spread_ms": round(gap.uncertainty, 1),
+        "at": format_time(gap.begin, zone),
+        "lasted": format_duration(gap.end - gap.begin) if gap.end is not None else "to the end",
     }
 
 
-def _bes(found: Timeline) -> list[dict[str, Any]]:
+def _bes(timeline: Timeline) -> list[dict[str, Any]]:
     out: dict[str, dict[str, Any]] = {}
-    for name, history in found.histories.items():
+    for name, history in timeline.histories.items():
         for backend, columns in history.columns.backends.items():
             row = out.setdefault(
                 backend,
@@ -126,15 +126,15 @@
                 row[field] += int(columns[field].sum())
             if columns["suspect"].any():
                 row["left_alone_by"].append(name)
-            told = columns["util"][columns["util"] == columns["util"]]
-            if len(told):
-                row["util"] = max(row.get("util", 0.0), round(float(told.max()), 2))
+            reported = columns["util"][columns["util"] == columns["util"]]
+            if len(reported):
+                row["util"] = max(row.get("util", 0.0), round(float(reported.max()), 2))
     return sorted(out.values(), key=lambda row: (row["role"], row["name"]))
 
 
-def _vhosts(found: Timeline) -> list[dict[str, Any]]:
+def _vhosts(timeline: Timeline) -> list[dict[str, Any]]:
     out: dict[str, dict[str, Any]] = {}
-    for history in found.histories.values():
+    for history in timeline.histories.values():
         for vhost, columns in history.columns.vhosts.items():
             row = out.setdefault(vhost, {"name": vhost, **dict.fromkeys(columns, 0)})
             for field, values in columns.items():
@@ -144,54 +144,61 @@
     return sorted(out.values(), key=lambda row: row["name"])
 
 
-def summary(found: Timeline, damage: list[Damage], zone: tzinfo) -> list[str]:
-    """The course in sentences."""
-    count = len(found.gateways)
+def summary(timeline: Timeline, damage: list[Damage], zone: tzinfo) -> list[str]:
+    """Return the timeline in sentences."""
+    count = len(timeline.gateways)
     out = [
-        f"Records of {count} gateway{'s' * (count != 1)}, {clock(found.begin, zone, True)} to "
-        f"{clock(found.end, zone, True)} ({span(found.end - found.begin)})."
+        f"Records of {count} gateway{'s' * (count != 1)}, {format_time(timeline.begin, zone, True)} to "
+        f"{format_time(timeline.end, zone, True)} ({format_duration(timeline.end - timeline.begin)})."
     ]
-    if found.missing():
+    if timeline.missing():
         out.append(
-            f"{found.missing()} of {found.expected} gateways have no records here: what only they saw "
-            "is not told."
+            f"{timeline.missing()} of {timeline.expected} gateways have no records here: what "
+            "only they observed is missing."
         )
-    if not found.incidents:
-        out.append("Nothing happened that the records show.")
-    for group in group_by_time(found.incidents):
-        said = [_sentence(one, zone) for one in group]
-        out.append(("At about the same time: " if len(said) > 1 else "") + " ".join(said))
-    holes = [gap for gap in found.gaps if gap.kind not in ("upgrade", "clock")]
-    if holes:
-        told = "; ".join(
-            f"{gap.gateway} {clock(gap.begin, zone)} for "
-            f"{span(gap.end - gap.begin) if gap.end else 'the rest'} ({gap.why})"
-            for gap in holes[:6]
+    if not timeline.incidents:
+        out.append("The records show no incidents.")
+    for group in group_by_time(timeline.incidents):
+        sentences = [_sentence(incident, zone) for incident in group]
+        out.append(("At about the same time: " if len(sentences) > 1 else "") + " ".join(sentences))
+    gaps = [gap for gap in timeline.gaps if gap.kind not in ("upgrade", "clock")]
+    if gaps:
+        listed = "; ".join(
+            f"{gap.gateway} {format_time(gap.begin, zone)} for "
+            f"{format_duration(gap.end - gap.begin) if gap.end else 'the rest'} ({gap.why})"
+            for gap in gaps[:6]
         )
-        more = "; ..." if len(holes) > 6 else ""
-        out.append(f"{len(holes)} gap{'s' * (len(holes) != 1)} in the records: {told}{more}.")
+        more = "; ..." if len(gaps) > 6 else ""
+        out.append(f"{len(gaps)} gap{'s' * (len(gaps) != 1)} in the records: {listed}{more}.")
     if damage:
         out.append(f"{len(damage)} places in the files could not be read.")
     return out
 
 
-def _sentence(one: Incident, zone: tzinfo) -> str:
-    text = one.title()
+def _sentence(incident: Incident, zone: tzinfo) -> str:
+    text = incident.title()
     text = text[0].upper() + text[1:]
-    if one.kind in ("purge", "cold", "gone"):
-        body = f"{text} at {clock(one.begin, zone)}"
+    if incident.kind in ("purge", "cold", "gone"):
+        body = f"{text} at {format_time(incident.begin, zone)}"
     else:
-        lasted = f"for {span(one.end - one.begin)}" if one.end is not None else "until the records end"
-        body = f"{text} from {clock(one.begin, zone)} {lasted}"
-    body += f", seen by {', '.join(one.observed_by[:4])}{' and others' * (len(one.observed_by) > 4)}"
-    if one.not_observed_by and one.kind not in ("purge", "cold", "gone", "drained"):
+        lasted = (
+            f"for {format_duration(incident.end - incident.begin)}"
+            if incident.end is not None
+            else "until the records end"
+        )
+        body = f"{text} from {format_time(incident.begin, zone)} {lasted}"
+    body += (
+        f", seen by {', '.join(incident.observed_by[:4])}{' and others' * (len(incident.observed_by) > 4)}"
+    )
+    if incident.not_observed_by and incident.kind not in ("purge", "cold", "gone", "drained"):
         body += (
-            f", not by {', '.join(one.not_observed_by[:4])}{' and others' * (len(one.not_observed_by) > 4)}"
+            f", not by {', '.join(incident.not_observed_by[:4])}"
+            f"{' and others' * (len(incident.not_observed_by) > 4)}"
         )
-    if one.typical and one.cost > 0.02 * one.typical:
-        body += f"; it cost {one.cost / one.typical:.0%} of the usual value"
-    if one.contradictions:
-        body += "; but " + "; ".join(one.contradictions[:3])
-    if one.parts:
-        body += "; with it: " + ", ".join(part.title() for part in one.parts[:4])
+    if incident.typical and incident.cost > 0.02 * incident.typical:
+        body += f"; it cost {incident.cost / incident.typical:.0%} of the usual value"
+    if incident.contradictions:
+        body += "; but " + "; ".join(incident.contradictions[:3])
+    if incident.parts:
+        body += "; with it: " + ", ".join(part.title() for part in incident.parts[:4])
     return body + "."
--- a/lilacloft/report/load.py
+++ b/lilacloft/report/load.py
@@ -1,7 +1,8 @@
-"""Reads many gateways' records and makes their course, on several cores where there is much to read.
+"""Reads the records of many gateways and builds their timeline, in several processes if there is much to
+read.
 
-Each worker process keeps the records of its gateways; what passes is marks of clocks one way, then sights,
-gaps and columns. It decides nothing: the same functions run as in one process.
+Each worker process keeps the records of its gateways. It first sends the anchors of their clocks, and, once
+the clocks are estimated, observations, gaps and columns. The same functions run as in a single process.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 from lilacloft.timeline.observe import observe
 from lilacloft.timeline.timeline import Timeline, assemble_timeline, build_timeline
 
-MUCH = 32 << 20  # bytes from which several processes are worth their start
-LATENCIES = 400  # histograms a gateway that charts are made of, where there is much to read
-NAME = re.compile(r"(.+)\.\d+-\d+\.\d+\.jsonl")
+MIN_PARALLEL_BYTES = 32 << 20  # bytes from which starting several processes pays off
+MAX_HISTOGRAMS_PER_GATEWAY = 400  # for the charts, when several processes read
+FILE_NAME = re.compile(r"(.+)\.\d+-\d+\.\d+\.jsonl")
 
-_held: dict[str, list[Run]] = {}  # of a worker process
+_worker_runs: dict[str, list[Run]] = {}  # by gateway; in a worker process
 
 
 def load(
@@ -33,92 +34,97 @@
     end: float | None = None,
     progress: Callable[[str, float], None] = lambda text, part: None,
 ) -> tuple[Timeline, list[Damage]]:
-    """The course of all records in some folders or files."""
+    """Return the timeline of all records in directories or files, and the damage. `progress` is called with
+    the name of a step and its completed fraction."""
     files, damage = find(paths)
-    if sum(path.stat().st_size for path in files) < MUCH:
-        runs, wrong = read(map(str, files))
+    if sum(path.stat().st_size for path in files) < MIN_PARALLEL_BYTES:
+        runs, read_damage = read(map(str, files))
         progress("read", 1.0)
-        return build_timeline(runs, begin, end), damage + wrong
-    found, wrong = _many(files, begin, end, progress)
-    return found, damage + wrong
+        return build_timeline(runs, begin, end), damage + read_damage
+    timeline, read_damage = _load_parallel(files, begin, end, progress)
+    return timeline, damage + read_damage
 
 
-def _many(
+def _load_parallel(
     files: list[Path], begin: float | None, end: float | None, progress: Callable[[str, float], None]
 ) -> tuple[Timeline, list[Damage]]:
-    by_name: dict[str, list[str]] = defaultdict(list)
+    files_by_gateway: dict[str, list[str]] = defaultdict(list)
     for path in files:
-        match = NAME.fullmatch(path.name)
-        by_name[match[1] if match else path.name].append(str(path))
-    count = min(len(by_name), os.cpu_count() or 1)
+        match = FILE_NAME.fullmatch(path.name)
+        files_by_gateway[match[1] if match else path.name].append(str(path))
+    count = min(len(files_by_gateway), os.cpu_count() or 1)
     shares: list[list[str]] = [[] for _ in range(count)]
     sizes = [0] * count
-    for mine in sorted(by_name.values(), key=lambda mine: -sum(os.path.getsize(name) for name in mine)):
-        place = sizes.index(min(sizes))
-        shares[place] += mine
-        sizes[place] += sum(os.path.getsize(name) for name in mine)
+    for mine in sorted(
+        files_by_gateway.values(), key=lambda mine: -sum(os.path.getsize(name) for name in mine)
+    ):
+        index = sizes.index(min(sizes))
+        shares[index] += mine
+        sizes[index] += sum(os.path.getsize(name) for name in mine)
     workers = [ProcessPoolExecutor(1) for _ in shares]
     try:
-        first = [worker.submit(_read, share) for worker, share in zip(workers, shares, strict=True)]
-        every: dict[str, list[RunAnchors]] = defaultdict(list)
+        readers = [worker.submit(_read_runs, share) for worker, share in zip(workers, shares, strict=True)]
+        anchors: dict[str, list[RunAnchors]] = defaultdict(list)
         damage: list[Damage] = []
-        expected, ends = 0, {}
-        for place, future in enumerate(first):
-            found, wrong, counted, last = future.result()
-            for name, mine in found.items():
-                every[name] += mine
-            damage += wrong
-            expected = max(expected, counted)
-            ends.update(last)
-            progress("reading", (place + 1) / count / 2)
-        clocks = estimate_clocks(every)
-        last_ = max((clocks[run].to_common(at) for run, at in ends.items()), default=0.0)
-        second = [worker.submit(_see, clocks, last_) for worker in workers]
+        expected, last_by_run = 0, {}
+        for index, future in enumerate(readers):
+            worker_anchors, read_damage, gateway_count, last_times = future.result()
+            for name, mine in worker_anchors.items():
+                anchors[name] += mine
+            damage += read_damage
+            expected = max(expected, gateway_count)
+            last_by_run.update(last_times)
+            progress("reading", (index + 1) / count / 2)
+        clocks = estimate_clocks(anchors)
+        last_record_at = max((clocks[run].to_common(at) for run, at in last_by_run.items()), default=0.0)
+        observers = [worker.submit(_observe_runs, clocks, last_record_at) for worker in workers]
         histories: dict[str, GatewayHistory] = {}
-        every_observation: list[Observation] = []
-        holes: list[Gap] = []
-        for place, other in enumerate(second):
-            mine_, observed, gone = other.result()
-            histories.update(mine_)
-            every_observation += observed
-            holes += gone
-            progress("looking", 0.5 + (place + 1) / count / 2)
+        observations: list[Observation] = []
+        found_gaps: list[Gap] = []
+        for index, other in enumerate(observers):
+            worker_histories, worker_observations, worker_gaps = other.result()
+            histories.update(worker_histories)
+            observations += worker_observations
+            found_gaps += worker_gaps
+            progress("looking", 0.5 + (index + 1) / count / 2)
     finally:
         for worker in workers:
             worker.shutdown(cancel_futures=True)
-    holes.sort(key=lambda gap: (gap.begin, gap.gateway))
+    found_gaps.sort(key=lambda gap: (gap.begin, gap.gateway))
     return assemble_timeline(
-        dict(sorted(histories.items())), every_observation, holes, clocks, expected, begin, end
+        dict(sorted(histories.items())), observations, found_gaps, clocks, expected, begin, end
     ), damage
 
 
 # --- in the worker processes ---
 
 
-def _read(files: list[str]) -> tuple[dict[str, list[RunAnchors]], list[Damage], int, dict[str, float]]:
+def _read_runs(files: list[str]) -> tuple[dict[str, list[RunAnchors]], list[Damage], int, dict[str, float]]:
     runs, damage = read(files)
-    _held.clear()
+    _worker_runs.clear()
     for name, mine in runs.items():
         if kept := [run for run in mine if run.records]:
-            _held[name] = kept
-    every = [run for mine in _held.values() for run in mine]
+            _worker_runs[name] = kept
+    runs_read = [run for mine in _worker_runs.values() for run in mine]
     return (
-        {name: [run_anchors(run) for run in mine] for name, mine in _held.items()},
+        {name: [run_anchors(run) for run in mine] for name, mine in _worker_runs.items()},
         damage,
-        max((run.head.gateways for run in every), default=0),
-        {run.name: local_time(run, run.records[-1]) for run in every},
+        max((run.head.gateways for run in runs_read), default=0),
+        {run.name: local_time(run, run.records[-1]) for run in runs_read},
     )
 
 
-def _see(
+def _observe_runs(
     clocks: dict[str, Clock], last: float
 ) -> tuple[dict[str, GatewayHistory], list[Observation], list[Gap]]:
-    histories = {name: GatewayHistory(name, mine, clocks) for name, mine in _held.items()}
+    histories = {
+        name: GatewayHistory(name, gateway_runs, clocks) for name, gateway_runs in _worker_runs.items()
+    }
     observations = [observation for history in histories.values() for observation in observe(history)]
     for history in histories.values():
-        history.columns.thin_histograms(LATENCIES)
+        history.columns.thin_histograms(MAX_HISTOGRAMS_PER_GATEWAY)
     return (
         {name: history.copy_without_records() for name, history in histories.items()},
         observations,
-        find_gaps(_held, clocks, last),
+        find_gaps(_worker_runs, clocks, last),
     )
--- a/lilacloft/report/page.py
+++ b/lilacloft/report/page.py
@@ -1,4 +1,4 @@
-"""A course as one page that can be sent round: everything inside it, nothing from elsewhere."""
+"""A timeline as one self-contained HTML page without external resources, or as text."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from lilacloft.record.reader import Damage
 from lilacloft.report import charts
-from lilacloft.report.facts import clock, facts
+from lilacloft.report.facts import facts, format_time
 from lilacloft.timeline.timeline import Timeline
 
 VHOSTS = (
@@ -33,44 +33,46 @@
     ("answers", "done"),
     ("late", "late"),
     ("other ends", "ends"),
-    ("most util", "util"),
-    ("left alone by", "left_alone_by"),
+    ("max util", "util"),
+    ("ejected by", "left_alone_by"),
 )
 GATEWAYS = (
     ("gateway", "name"),
-    ("put right by, ms", "offset_ms"),
-    ("sure to, ms", "spread_ms"),
+    ("clock offset, ms", "offset_ms"),
+    ("uncertainty, ms", "spread_ms"),
     ("summaries", "seconds"),
-    ("lives", "runs"),
+    ("runs", "runs"),
 )
 
 
 def page(
-    found: Timeline,
+    timeline: Timeline,
     damage: list[Damage],
     zone: tzinfo = UTC,
     title: str = "Incident report",
     progress: Callable[[str, float], None] = lambda text, part: None,
 ) -> str:
-    """The whole page."""
-    told = facts(found, damage, zone)
-    charts.prepare()
+    """Return the HTML page. `progress` is called with the name of a step and its completed fraction."""
+    report = facts(timeline, damage, zone)
+    charts.configure_matplotlib()
     vhosts = []
-    for place, vhost in enumerate(told["vhosts"]):
-        vhosts.append((vhost["name"], charts.vhost_chart(found, vhost["name"])))
-        progress("charts", (place + 1) / len(told["vhosts"]))
-    backends = [(backend["name"], charts.be_chart(found, backend["name"])) for backend in told["bes"]]
-    course: list[tuple[str, Any]] = [("episode", one) for one in told["episodes"]]
-    course += [("gap", one) for one in told["gaps"] if one["kind"] != "upgrade" or len(told["gaps"]) < 50]
-    course.sort(key=lambda item: item[1]["begin"])
-    safe = Environment(autoescape=True, trim_blocks=True)
-    template = safe.from_string((files("lilacloft.report") / "page.html").read_text("utf-8"))
+    for index, vhost in enumerate(report["vhosts"]):
+        vhosts.append((vhost["name"], charts.vhost_chart(timeline, vhost["name"])))
+        progress("charts", (index + 1) / len(report["vhosts"]))
+    backends = [(backend["name"], charts.be_chart(timeline, backend["name"])) for backend in report["bes"]]
+    entries: list[tuple[str, Any]] = [("episode", one) for one in report["episodes"]]
+    entries += [
+        ("gap", one) for one in report["gaps"] if one["kind"] != "upgrade" or len(report["gaps"]) < 50
+    ]
+    entries.sort(key=lambda item: item[1]["begin"])
+    environment = Environment(autoescape=True, trim_blocks=True)
+    template = environment.from_string((files("lilacloft.report") / "page.html").read_text("utf-8"))
     return template.render(
-        title=f"{title}, {clock(found.begin, zone, True)}",
-        facts=told,
-        course=course,
+        title=f"{title}, {format_time(timeline.begin, zone, True)}",
+        facts=report,
+        course=entries,
         zone=str(zone),
-        lanes=Markup(charts.lanes(found)),
+        lanes=Markup(charts.observation_lanes(timeline)),
         vhost_charts=[(name, Markup(text)) for name, text in vhosts],
         be_charts=[(name, Markup(text)) for name, text in backends],
         vhost_columns=VHOSTS,
@@ -84,15 +86,15 @@
     )
 
 
-def text(told: dict[str, Any]) -> str:
-    """The same for a terminal."""
-    out = list(told["summary"]) + [""]
+def text(report: dict[str, Any]) -> str:
+    """Return the facts as text for a terminal."""
+    out = list(report["summary"]) + [""]
     rows = [
-        (one["begin"], f"{one['at']}  {one['title']} ({one['lasted']}; seen by {', '.join(one['saw'])})")
-        for one in told["episodes"]
+        (item["begin"], f"{item['at']}  {item['title']} ({item['lasted']}; seen by {', '.join(item['saw'])})")
+        for item in report["episodes"]
     ]
     rows += [
-        (one["begin"], f"{one['at']}  -- {one['gateway']}: {one['why']} ({one['lasted']})")
-        for one in told["gaps"]
+        (item["begin"], f"{item['at']}  -- {item['gateway']}: {item['why']} ({item['lasted']})")
+        for item in report["gaps"]
     ]
     return "\n".join(out + [line for _, line in sorted(rows)]) + "\n"
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -17,7 +17,7 @@
 from lilacloft.record import record_types
 from lilacloft.record.reader import Run, read
 from lilacloft.report.facts import facts
-from lilacloft.report.load import _many, load
+from lilacloft.report.load import _load_parallel, load
 from lilacloft.timeline.clocks import RunAnchors, estimate_clocks
 from lilacloft.timeline.incidents import MAX_OBSERVATION_GAP, Incident, group_observations, incident_key
 from lilacloft.timeline.observations import Observation
@@ -490,7 +490,7 @@
 def test_a_made_up_fleet_is_told_as_it_was_made_in_one_process_and_in_many(tmp_path):
     fleet, _ = bulk.make(tmp_path, 3, 8, 24, 300)
     one, damage = load([str(tmp_path)])
-    many, _ = _many(sorted(tmp_path.rglob("*.jsonl")), None, None, lambda text, part: None)
+    many, _ = _load_parallel(sorted(tmp_path.rglob("*.jsonl")), None, None, lambda text, part: None)
     assert not damage
     assert [(a.title(), round(a.begin), a.observed_by) for a in one.incidents] == [
         (a.title(), round(a.begin), a.observed_by) for a in many.incidents
