--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,4 +1,4 @@
-"""Records: what is written whatever the disk does, and what is read whatever a file holds."""
+"""Records: writing with a failing disk, and reading files with any content."""
 
 import errno
 import json
@@ -30,36 +30,36 @@
 
 
 class Disk:
-    """A directory in memory, which may fail, and may take only a part."""
+    """A directory in memory that may raise errors and may write only a part of the data."""
 
-    def __init__(self, room=1e9):
-        self.time, self.room, self.held, self.open, self.fails = 0.0, room, {}, None, False
+    def __init__(self, capacity=1e9):
+        self.time, self.capacity, self.files, self.open, self.is_failing = 0.0, capacity, {}, None, False
 
     def now(self):
         return self.time
 
     def open_file(self, number):
-        self._may()
+        self._raise_if_failing()
         self.open = f"{number:05}"
-        self.held[self.open] = b""
+        self.files[self.open] = b""
 
     def write(self, data):
-        left = int(self.room - sum(map(len, self.held.values())))
-        self.held[self.open] += data[: max(0, left)]
-        if self.fails or len(data) > left:
+        left = int(self.capacity - sum(map(len, self.files.values())))
+        self.files[self.open] += data[: max(0, left)]
+        if self.is_failing or len(data) > left:
             raise OSError(errno.ENOSPC, "No space left on device")
 
     def close_file(self):
         self.open = None
 
     def list_files(self):
-        return [(name, len(data)) for name, data in sorted(self.held.items())]
+        return [(name, len(data)) for name, data in sorted(self.files.items())]
 
     def remove_file(self, name):
-        del self.held[name]
+        del self.files[name]
 
-    def _may(self):
-        if self.fails:
+    def _raise_if_failing(self):
+        if self.is_failing:
             raise OSError(errno.EIO, "Input/output error")
 
 
@@ -67,59 +67,60 @@
     return b"%08d" % number + b"x" * (size - 9) + b"\n"
 
 
-def test_files_turn_by_size_and_age_and_the_oldest_go_first():
+def test_files_rotate_by_size_and_age_and_the_oldest_are_removed_first():
     disk = Disk()
     files = RotatingFiles(disk, {"file": 1000, "age": 60.0, "total": 3000})
     for number in range(100):
         assert files.write([line(number)], HEAD) == 0
-        assert sum(map(len, disk.held.values())) <= 3000
-        assert all(len(data) <= 1000 and data.startswith(HEAD) for data in disk.held.values())
-    assert sorted(disk.held)[-1] == "00012" and "00001" not in disk.held
-    before = len(disk.held)
+        assert sum(map(len, disk.files.values())) <= 3000
+        assert all(len(data) <= 1000 and data.startswith(HEAD) for data in disk.files.values())
+    assert sorted(disk.files)[-1] == "00012" and "00001" not in disk.files
+    before = len(disk.files)
     disk.time += 60.0
     files.write([line(100)], HEAD)
-    assert len(disk.held) == before + 1 or files.file_number == 13
-    assert list(disk.held.values())[-1] == HEAD + line(100)
+    assert len(disk.files) == before + 1 or files.file_number == 13
+    assert list(disk.files.values())[-1] == HEAD + line(100)
 
 
-def test_a_full_disk_costs_records_that_are_counted_and_nothing_else():
-    disk = Disk(room=1050)
+def test_records_lost_to_a_full_disk_are_counted():
+    disk = Disk(capacity=1050)
     files = RotatingFiles(disk, {"file": 10_000, "total": 20_000})
     lost = sum(files.write([line(number)], HEAD) for number in range(30))
-    kept = sum(data.count(b"\n") - 1 for data in disk.held.values())
+    kept = sum(data.count(b"\n") - 1 for data in disk.files.values())
     assert kept == 10 and lost == 20 and "space" in files.error.lower()
-    assert files.take_losses() == (0, "")  # not while it may still fail
-    disk.room, disk.time = 1e9, disk.time + RETRY_DELAY
+    assert files.take_losses() == (0, "")  # not before a retry is due
+    disk.capacity, disk.time = 1e9, disk.time + RETRY_DELAY
     assert files.take_losses() == (20, files.error)
     assert files.take_losses() == (0, "")
     assert files.write([line(31)], HEAD) == 0
-    assert list(disk.held.values())[-1] == HEAD + line(31)  # in a file of its own: the last one was cut
+    # In a new file, as the last one may end with a partial line.
+    assert list(disk.files.values())[-1] == HEAD + line(31)
 
 
-def test_on_generated_failures_every_line_is_whole_and_in_order_or_counted():
+def test_with_random_disk_errors_lines_are_complete_and_in_order_or_counted_as_lost():
     for seed in range(200):
         chance, disk = random.Random(seed), Disk()
         files = RotatingFiles(disk, {"file": 800, "total": 1e6})
         lost = number = 0
         for _ in range(60):
             disk.time += chance.choice([0.1, 2.0])
-            disk.fails = chance.random() < 0.3
+            disk.is_failing = chance.random() < 0.3
             lines = [line(number + place) for place in range(chance.randrange(4))]
             number += len(lines)
             lost += files.write(lines, HEAD)
-        whole = [one for data in disk.held.values() for one in data.split(b"\n")[1:] if len(one) == 99]
-        assert whole == sorted(whole)
-        assert number - lost <= len(whole) <= number  # what failed may have got down in part
+        complete = [one for data in disk.files.values() for one in data.split(b"\n")[1:] if len(one) == 99]
+        assert complete == sorted(complete)
+        assert number - lost <= len(complete) <= number  # failed writes may have written a part
 
 
-def test_a_queue_that_is_full_drops_and_says_since_when():
+def test_a_full_queue_drops_records_and_reports_since_when():
     queue = RecordQueue(3)
     assert [queue.put(b"%d" % number, number) for number in range(6)] == [True] * 3 + [False] * 3
     assert queue.drain() == ([b"0", b"1", b"2"], 3, 3)
     assert queue.put(b"7", 7) and queue.drain() == ([b"7"], 0, 3)
 
 
-def test_a_summary_counts_by_vhost_and_be_and_is_due_each_second_that_has_anything():
+def test_a_summary_counts_by_vhost_and_backend_and_is_due_each_second_with_events():
     summary = Summary({"clip": VhostTargets(4000, 30_000, 2.0)}, 0)
     assert not summary.is_due(IDLE_SUMMARY_INTERVAL - 1) and summary.is_due(IDLE_SUMMARY_INTERVAL)
     summary.request_arrived("clip")
@@ -171,7 +172,7 @@
     assert not summary.finish_period(2 * SUMMARY_INTERVAL, {}, 7.0).vhosts
 
 
-def test_each_cut_is_worth_a_record_and_growth_only_when_it_is_made_good():
+def test_each_limit_cut_is_recorded_and_growth_only_on_full_recovery():
     summary = Summary({}, 0)
     assert summary.limit_changed("a", 10.0, 10.1, 0.0) is None
     cut = summary.limit_changed("a", 10.0, 7.0, 0.3)
@@ -185,7 +186,7 @@
 # --- reading ---
 
 
-def written(folder, count=20):
+def write_records(folder, count=20):
     folder.mkdir(exist_ok=True)
     path = folder / "n0.000000000000001-1.00001.jsonl"
     records = [record_types.Head(schema=1, gateway="n0", run="000000000000001-1")]
@@ -199,20 +200,20 @@
     return path
 
 
-def test_a_file_cut_at_any_byte_reads_up_to_there_and_says_so(tmp_path):
-    whole = written(tmp_path).read_bytes()
-    ends = [place + 1 for place, byte in enumerate(whole) if byte == 10]
+def test_a_file_truncated_at_any_byte_is_read_up_to_there_and_reported(tmp_path):
+    content = write_records(tmp_path).read_bytes()
+    ends = [place + 1 for place, byte in enumerate(content) if byte == 10]
     path = tmp_path / "n0.000000000000001-1.00001.jsonl"
-    for cut in range(0, len(whole), 13):
-        path.write_bytes(whole[:cut])
+    for cut in range(0, len(content), 13):
+        path.write_bytes(content[:cut])
         runs, damage = read([str(tmp_path)])
         records = sum(len(run.records) for mine in runs.values() for run in mine)
         assert records == max(0, sum(end <= cut for end in ends) - 1)
         assert bool(damage) == (cut not in ends)
 
 
-def test_bad_lines_are_told_and_what_is_newer_is_skipped(tmp_path):
-    path = written(tmp_path)
+def test_malformed_lines_are_reported_and_unknown_kinds_skipped(tmp_path):
+    path = write_records(tmp_path)
     lines = path.read_bytes().splitlines(keepends=True)
     lines[3] = b"\xff\x00 nonsense\n"
     lines[5] = b'{"kind":"weather","number":5,"rain":true}\n'
@@ -220,18 +221,18 @@
     lines[9] = lines[9].replace(b'"be":"a"', b'"be":"a","mood":[1,2]')
     path.write_bytes(b"".join(lines))
     runs, damage = read([str(tmp_path)])
-    assert [one.line for one in damage] == [4, 8] and len(runs["n0"][0].records) == 16
+    assert [item.line for item in damage] == [4, 8] and len(runs["n0"][0].records) == 16
     assert str(damage[0]).startswith(f"{path}:4: a line that cannot be read")
 
 
-def test_a_file_without_head_no_file_and_a_newer_schema_are_told(tmp_path):
-    path = written(tmp_path)
+def test_missing_heads_missing_files_and_newer_schemas_are_reported(tmp_path):
+    path = write_records(tmp_path)
     lines = path.read_bytes().splitlines(keepends=True)
     (tmp_path / "n1.000000000000002-1.00001.jsonl").write_bytes(lines[2])
     path.write_bytes(lines[0].replace(b'"schema":1', b'"schema":9') + b"".join(lines[1:]))
     runs, damage = read([str(tmp_path), str(tmp_path / "none")])
-    told = " ".join(map(str, damage))
-    assert "no head" in told and "schema 9 is newer" in told and "no such file" in told
+    reported = " ".join(map(str, damage))
+    assert "no head" in reported and "schema 9 is newer" in reported and "no such file" in reported
     assert len(runs["n0"][0].records) == 19
 
 
@@ -252,13 +253,13 @@
         one.close()
 
 
-def until(what, wait=10):
+def until(condition, wait=10):
     end = time.monotonic() + wait
     while time.monotonic() < end:
-        if found := what():
+        if found := condition():
             return found
         time.sleep(0.02)
-    raise AssertionError("it never came")
+    raise AssertionError("condition not met in time")
 
 
 def records(folder):
@@ -309,7 +310,7 @@
     assert 'lilacloft_reqs_total{gateway="n0",outcome="done",vhost="clip"}' in told
 
 
-def test_a_gateway_can_be_followed_and_a_reader_that_stalls_holds_up_nothing(world, tmp_path, capsys):
+def test_a_gateway_can_be_followed_and_a_stalled_reader_does_not_delay_it(world, tmp_path, capsys):
     world = world('(folder "rec") (connect "tap.sock")')
     path = str(tmp_path / "tap.sock")
     until(lambda: os.path.exists(path))
@@ -330,7 +331,7 @@
     stalled.close()
 
 
-def test_a_reader_that_does_not_keep_up_is_let_go(tmp_path):
+def test_a_reader_that_does_not_keep_up_is_disconnected(tmp_path):
     stream = LiveStream(str(tmp_path / "tap"), b"head\n")
     reader = socket.socket(socket.AF_UNIX)
     reader.connect(stream.path)
@@ -345,7 +346,7 @@
     assert got.startswith(b"head\n") and len(got) > 9999
 
 
-def test_a_folder_that_cannot_be_written_costs_records_and_no_req(world, tmp_path):
+def test_with_an_unwritable_directory_records_are_lost_but_no_requests(world, tmp_path):
     (tmp_path / "rec").write_text("a file where a folder should be")
     world = world('(folder "rec")')
     asker = world.asker()
@@ -386,8 +387,9 @@
     assert b"\n" not in data and json.loads(data)["be"] == 'a"\n' and record_types.decode(data) == record
 
 
-def test_a_forwarder_writes_down_each_plan_that_holds_and_when_none_does():
-    """Once when another plan holds and once when none does: not each quarter of a second."""
+def test_a_gateway_records_each_plan_that_takes_effect_and_the_loss_of_it():
+    """One record when another plan takes effect and one when none does, rather than one each quarter of a
+    second."""
     from types import SimpleNamespace
 
     from lilacloft.control.follower import PlanEffect
@@ -395,8 +397,8 @@
     from lilacloft.control.leader_lease import PlanId
     from lilacloft.record.recorder import Recorder
 
-    written = []
-    recorder = SimpleNamespace(note=written.append)
+    recorded = []
+    recorder = SimpleNamespace(note=recorded.append)
     recorder.plan_changed = lambda effect: Recorder.plan_changed(recorder, effect)
     first = PlanEffect(
         PlanId(1, 4, "p1"), ejections={"b": 0, "a": 9}, concurrency_limits={"a": 2.0}, fill_limit=3.25
@@ -409,19 +411,19 @@
     agent.follower = SimpleNamespace(keeper=None)
     for _ in range(5):
         agent._apply()
-    held = [(one.planner, one.epoch, one.plan_number) for one in written]
-    assert held == [("p1", 1, 4), ("p1", 1, 5), ("", 0, 0)]
+    plans = [(one.planner, one.epoch, one.plan_number) for one in recorded]
+    assert plans == [("p1", 1, 4), ("p1", 1, 5), ("", 0, 0)]
     assert (
-        written[0].ejected_backends == ["a", "b"]
-        and written[0].limit_count == 1
-        and written[0].link_limit == 3.25
+        recorded[0].ejected_backends == ["a", "b"]
+        and recorded[0].limit_count == 1
+        and recorded[0].link_limit == 3.25
     )
-    assert all(isinstance(one, record_types.PlanChange) for one in written)
-    again = record_types.decode(record_types.encode(written[0]))
-    assert again == written[0]
+    assert all(isinstance(one, record_types.PlanChange) for one in recorded)
+    again = record_types.decode(record_types.encode(recorded[0]))
+    assert again == recorded[0]
 
 
-def test_what_becomes_of_locations_is_written_once_each_time_it_changes():
+def test_each_change_of_a_locations_failover_is_recorded_once():
     from types import SimpleNamespace
 
     from lilacloft.control.gateway_agent import GatewayAgent
@@ -429,14 +431,14 @@
     from lilacloft.failover.failover_state import FailoverDirective
     from lilacloft.record.recorder import Recorder
 
-    written = []
-    recorder = SimpleNamespace(note=written.append)
+    recorded = []
+    recorder = SimpleNamespace(note=recorded.append)
     recorder.location_changed = lambda *told: Recorder.location_changed(recorder, *told)
-    holds = iter([{1: (0, 0)}, {1: (0, 0)}, {1: (4, 1)}, {}, {}])
+    statuses = iter([{1: (0, 0)}, {1: (0, 0)}, {1: (4, 1)}, {}, {}])
     agent = GatewayAgent.__new__(GatewayAgent)
     agent.gateway = SimpleNamespace(recorder=recorder, settings={"zones": ["here", "there"]})
     agent.follower = SimpleNamespace(
-        keeper=SimpleNamespace(statuses=lambda: next(holds)),
+        keeper=SimpleNamespace(statuses=lambda: next(statuses)),
         plan=SimpleNamespace(locations={1: FailoverDirective(0, reason="its caches fail")}),
     )
     agent.slices_in_use = {}
@@ -444,10 +446,10 @@
         agent.plan_id = PlanId(1, 1, planner)
         agent._note_locations()
     assert [
-        (one.zone, one.returned_slices, one.failed_returns, one.reason, one.without_plan) for one in written
+        (one.zone, one.returned_slices, one.failed_returns, one.reason, one.without_plan) for one in recorded
     ] == [
         ("there", 0, 0, "its caches fail", False),
         ("there", 4, 1, "", True),
         ("there", 64, 0, "its caches fail", False),
     ]
-    assert record_types.decode(record_types.encode(written[1])) == written[1]
+    assert record_types.decode(record_types.encode(recorded[1])) == recorded[1]
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""One course from many gateways' records: clocks, gaps, joining, and how far order may be claimed."""
+"""The timeline of many gateways' records: clocks, gaps, grouping into incidents, and the order of events."""
 
 import itertools
 import json
@@ -31,8 +31,8 @@
 BES = (("a", "small"), ("b", "small"), ("p", "parent"), ("q", "parent"))
 
 
-class Teller:
-    """Makes one gateway's records: times are true seconds, its clock is off by some milliseconds."""
+class RecordBuilder:
+    """Builds the records of one gateway. Times are true seconds; its clock is off by `off` milliseconds."""
 
     def __init__(self, name, off=0.0, gateways=2, run=1, steady=1_000_000):
         self.off, self.steady, self.jump = off, steady, 0.0
@@ -65,33 +65,34 @@
             ),
         )
 
-    def purge(self, at, key="k", true=None):
-        true = at if true is None else true
-        return self.add(at, record_types.Purge(event=1, key=key, purged_at=UNIX + int(true * SEC)))
+    def purge(self, at, key="k", purged_at=None):
+        purged_at = at if purged_at is None else purged_at
+        return self.add(at, record_types.Purge(event=1, key=key, purged_at=UNIX + int(purged_at * SEC)))
 
-    def seconds(self, begin, end, wait=400, asked=10, **backends):
-        """Well, but for what is said of a be: `silent`, or answers late."""
+    def seconds(self, begin, end, wait=400, dispatches=10, **backends):
+        """Add a summary for each second. `backends`: which are `silent`, answer `late`, or are `slow`
+        sources."""
         for second in range(begin + 1, end + 1):
-            said = {
+            counts = {
                 backend: record_types.BackendCounts(
-                    dispatches=asked,
-                    done=0 if backends.get(backend) == "silent" else asked,
-                    ends={"time_up": asked} if backends.get(backend) == "silent" else {},
-                    late_answers=asked if backends.get(backend) == "late" else 0,
+                    dispatches=dispatches,
+                    done=0 if backends.get(backend) == "silent" else dispatches,
+                    ends={"time_up": dispatches} if backends.get(backend) == "silent" else {},
+                    late_answers=dispatches if backends.get(backend) == "late" else 0,
                 )
                 for backend in ("a", "b")
             }
             for parent in ("p", "q"):
                 slow = backends.get(parent) == "slow"
-                said[parent] = record_types.BackendCounts(
+                counts[parent] = record_types.BackendCounts(
                     fills=5, source_waits=5, source_wait_total=5 * (9000 if slow else wait)
                 )
-            done = sum(backend.done for backend in said.values())
+            done = sum(backend.done for backend in counts.values())
             self.add(
                 second,
                 record_types.SummaryRecord(
                     duration=SEC,
-                    backends=said,
+                    backends=counts,
                     vhosts={
                         "clip": record_types.VhostCounts(
                             requests=20, done=done, value=2.0 * done, dispatches=20
@@ -101,13 +102,13 @@
             )
         return self
 
-    def belief(self, at, backend, what="left alone", why="3 symptoms in a row"):
-        return self.add(at, record_types.HealthChange(backend=backend, change=what, reason=why))
+    def health_change(self, at, backend, change="left alone", reason="3 symptoms in a row"):
+        return self.add(at, record_types.HealthChange(backend=backend, change=change, reason=reason))
 
 
-def tell(*tellers):
+def timeline_of(*builders):
     runs = {}
-    for one in tellers:
+    for one in builders:
         one.run.records.sort(key=lambda record: record.monotonic_time)
         number = 0
         for record in one.run.records:
@@ -118,53 +119,57 @@
     return build_timeline(runs)
 
 
-def at(one):
+def begin_seconds(one):
     return (one.begin - UNIX / 10) / 1000
 
 
 def silent(name, off=0.0, left=10.4, back=15.0, **more):
     return (
-        Teller(name, off, **more)
+        RecordBuilder(name, off, **more)
         .start()
         .seconds(0, 10)
         .purge(3.0, "x")
         .purge(25.0, "y")
-        .belief(left, "a")
+        .health_change(left, "a")
         .seconds(10, 14, a="silent")
-        .belief(back, "a", "back", "answers again")
+        .health_change(back, "a", "back", "answers again")
         .seconds(14, 30)
     )
 
 
-def kinds_of(found):
+def incident_kinds(found):
     return [one.kind for one in found.incidents]
 
 
 # --- clocks ---
 
 
-def test_a_clock_a_second_ahead_is_put_right_and_the_median_is_believed():
-    found = tell(silent("n0"), silent("n1", 1000.0), silent("n2", 3.0))
+def test_a_clock_a_second_ahead_is_corrected_to_the_median():
+    found = timeline_of(silent("n0"), silent("n1", 1000.0), silent("n2", 3.0))
     offsets = {name: seen.offset for name, seen in found.histories.items()}
     assert offsets["n0"] == pytest.approx(0, abs=5) and offsets["n1"] == pytest.approx(-1000, abs=5)
-    assert kinds_of(found) == ["purge", "silent", "purge"]
+    assert incident_kinds(found) == ["purge", "silent", "purge"]
     assert found.incidents[1].observed_by == ["n0", "n1", "n2"]
-    assert at(found.incidents[1]) == pytest.approx(10.2, abs=0.5)
+    assert begin_seconds(found.incidents[1]) == pytest.approx(10.2, abs=0.5)
 
 
-def test_a_clock_that_jumps_back_moves_nothing_and_is_told():
-    teller = Teller("n0").start().seconds(0, 12).purge(3.0)
-    teller.jump = -5000.0
-    teller.add(12.5, record_types.ClockStep(step=-50_000))
-    teller.belief(12.6, "a").seconds(12, 16, a="silent").belief(17.0, "a", "back", "answers again")
-    teller.seconds(16, 30)
-    found = tell(teller, Teller("n1").start().seconds(0, 30).purge(3.0))
-    assert kinds_of(found) == ["purge", "silent"] and at(found.incidents[1]) == pytest.approx(12.3, abs=0.6)
+def test_a_clock_that_jumps_back_has_no_effect_and_is_reported():
+    builder = RecordBuilder("n0").start().seconds(0, 12).purge(3.0)
+    builder.jump = -5000.0
+    builder.add(12.5, record_types.ClockStep(step=-50_000))
+    builder.health_change(12.6, "a").seconds(12, 16, a="silent").health_change(
+        17.0, "a", "back", "answers again"
+    )
+    builder.seconds(16, 30)
+    found = timeline_of(builder, RecordBuilder("n1").start().seconds(0, 30).purge(3.0))
+    assert incident_kinds(found) == ["purge", "silent"] and begin_seconds(
+        found.incidents[1]
+    ) == pytest.approx(12.3, abs=0.6)
     assert [gap.kind for gap in found.gaps] == ["clock"] and "-5000 ms" in found.gaps[0].why
 
 
-def test_a_late_copy_of_an_event_spoils_no_clock():
-    """After a break of the change log its events come late: the others say how late."""
+def test_events_that_arrive_late_do_not_shift_a_clock():
+    """After an outage of the change log its events arrive late at one gateway; the others show how late."""
 
     def run_anchors(name, moments):
         return RunAnchors(name, 0.0, 0.0, {("purge", place): moment for place, moment in enumerate(moments)})
@@ -179,10 +184,10 @@
         }
     )
     assert found["b"].offset == pytest.approx(-700, abs=1) and found["c"].offset == pytest.approx(0, abs=1)
-    assert found["c"].uncertainty >= 4000 > found["a"].uncertainty  # but how sure is another matter
+    assert found["c"].uncertainty >= 4000 > found["a"].uncertainty  # but it is less certain
 
 
-def test_drift_is_seen_over_long_spans_only():
+def test_drift_is_estimated_over_long_spans_only():
     true = [60_000.0 * place for place in range(30)]
     told = {name: [RunAnchors(name, 0.0, 0.0, dict(enumerate(true)))] for name in "ab"}
     told["c"] = [RunAnchors("c", 0.0, 0.0, {place: one * (1 + 2e-4) for place, one in enumerate(true)})]
@@ -191,7 +196,7 @@
     assert found["c"].to_common(true[-1] * (1 + 2e-4)) == pytest.approx(true[-1], abs=30)
 
 
-def test_a_run_without_anchors_takes_its_siblings_clock_and_else_is_far_from_sure():
+def test_a_run_without_anchors_uses_the_clock_of_another_run_or_is_very_uncertain():
     found = estimate_clocks(
         {
             "a": [RunAnchors("a1", 0.0, 500.0, {1: 0.0, 2: 9.0}), RunAnchors("a2", 9.0, 510.0, {})],
@@ -206,23 +211,23 @@
 # --- order ---
 
 
-def test_two_caches_within_a_hundred_milliseconds_seen_in_opposite_orders_are_told_as_about_the_same_time():
+def test_incidents_observed_in_opposite_orders_are_reported_as_concurrent():
     def both(name, off, first, second):
         return (
-            Teller(name, off)
+            RecordBuilder(name, off)
             .start()
             .purge(3.0)
             .purge(25.0, "y")
             .seconds(0, 10)
-            .belief(10.40, first)
-            .belief(10.48, second)
+            .health_change(10.40, first)
+            .health_change(10.48, second)
             .seconds(10, 14, a="silent", b="silent")
-            .belief(15.0, "a", "back", "answers again")
-            .belief(15.1, "b", "back", "answers again")
+            .health_change(15.0, "a", "back", "answers again")
+            .health_change(15.1, "b", "back", "answers again")
             .seconds(14, 30)
         )
 
-    found = tell(both("n0", 0.0, "a", "b"), both("n1", 40.0, "b", "a"))
+    found = timeline_of(both("n0", 0.0, "a", "b"), both("n1", 40.0, "b", "a"))
     silents = [one for one in found.incidents if one.kind == "silent"]
     assert sorted(one.subject for one in silents) == ["a", "b"]
     assert not is_before(*silents) and not is_before(*reversed(silents))
@@ -230,7 +235,7 @@
     assert any("At about the same time" in line for line in facts(found, [])["summary"])
 
 
-def test_order_is_claimed_where_clocks_bear_it():
+def test_order_is_claimed_only_beyond_the_uncertainty_of_the_clocks():
     early = Incident("purge", "x", "object", 1000.0, 1000.0, 100.0, [])
     late = Incident("purge", "y", "object", 1250.0, 1250.0, 100.0, [])
     assert is_before(early, late) and not is_before(late, early)
@@ -241,10 +246,17 @@
 # --- gaps ---
 
 
-def test_a_gateway_killed_in_the_middle_leaves_a_gap_and_no_line_over_it():
-    first = Teller("n0").start().seconds(0, 10).purge(3.0).belief(10.4, "a").seconds(10, 12, a="silent")
-    second = Teller("n0", run=2).start(14.0).seconds(14, 30).purge(25.0, "y")
-    found = tell(first, second, silent("n1"))
+def test_a_killed_gateway_leaves_a_gap_that_ends_its_observations():
+    first = (
+        RecordBuilder("n0")
+        .start()
+        .seconds(0, 10)
+        .purge(3.0)
+        .health_change(10.4, "a")
+        .seconds(10, 12, a="silent")
+    )
+    second = RecordBuilder("n0", run=2).start(14.0).seconds(14, 30).purge(25.0, "y")
+    found = timeline_of(first, second, silent("n1"))
     assert [(gap.kind, gap.gateway, gap.planned) for gap in found.gaps] == [("restart", "n0", False)]
     gap = found.gaps[0]
     assert (gap.begin - UNIX / 10, gap.end - UNIX / 10) == (
@@ -255,23 +267,30 @@
     assert "n0: the gateway restarted without its ejections" in one.actions
 
 
-def test_an_upgrade_in_the_middle_is_told_and_beliefs_go_on():
-    first = Teller("n0").start().seconds(0, 10).purge(3.0).belief(10.4, "a").seconds(10, 12, a="silent")
+def test_an_upgrade_is_a_planned_gap_and_ejections_continue():
+    first = (
+        RecordBuilder("n0")
+        .start()
+        .seconds(0, 10)
+        .purge(3.0)
+        .health_change(10.4, "a")
+        .seconds(10, 12, a="silent")
+    )
     first.add(12.01, record_types.Stop(reason="upgrade"))
-    second = Teller("n0", run=2).start(12.02, "upgrade").seconds(12, 14, a="silent")
-    second.belief(15.0, "a", "back", "answers again").seconds(14, 30).purge(25.0, "y")
-    found = tell(first, second)
+    second = RecordBuilder("n0", run=2).start(12.02, "upgrade").seconds(12, 14, a="silent")
+    second.health_change(15.0, "a", "back", "answers again").seconds(14, 30).purge(25.0, "y")
+    found = timeline_of(first, second)
     assert [gap.kind for gap in found.gaps] == ["upgrade"] and found.gaps[0].planned
     one = next(one for one in found.incidents if one.kind == "silent")
     assert one.end == pytest.approx(UNIX / 10 + 15_000, abs=50)
 
 
-def test_lost_rotated_away_and_silent_records_are_gaps_with_bounds():
-    teller = Teller("n0")
-    teller.add(0.0, record_types.ChangeLogConnection(connected=True), 40)
-    teller.start().seconds(0, 5).add(6.5, record_types.DroppedRecords(count=7, reason="the queue was full"))
-    teller.add(6.6, record_types.ChangeLogConnection(connected=True), 7).seconds(6, 10).seconds(29, 40)
-    found = tell(teller, Teller("n1").start().seconds(0, 60))
+def test_lost_and_rotated_records_and_silence_are_gaps_with_bounds():
+    builder = RecordBuilder("n0")
+    builder.add(0.0, record_types.ChangeLogConnection(connected=True), 40)
+    builder.start().seconds(0, 5).add(6.5, record_types.DroppedRecords(count=7, reason="the queue was full"))
+    builder.add(6.6, record_types.ChangeLogConnection(connected=True), 7).seconds(6, 10).seconds(29, 40)
+    found = timeline_of(builder, RecordBuilder("n1").start().seconds(0, 60))
     kinds_ = [gap.kind for gap in found.gaps]
     assert kinds_ == ["missing", "lost", "silent", "ended"]
     assert "first 40 records" in found.gaps[0].why
@@ -279,61 +298,61 @@
     assert found.gaps[3].end is None and not found.gaps[3].planned
 
 
-def test_a_gateway_whose_records_are_missing_whole_is_told():
-    found = tell(silent("n0", gateways=3), silent("n1", gateways=3))
+def test_a_gateway_without_any_records_is_reported():
+    found = timeline_of(silent("n0", gateways=3), silent("n1", gateways=3))
     assert found.missing() == 1
     assert any("1 of 3 gateways have no records here" in line for line in facts(found, [])["summary"])
 
 
-# --- episodes ---
+# --- incidents ---
 
 
-def test_nothing_wrong_yields_nothing():
-    found = tell(*(Teller(f"n{number}").start().seconds(0, 60) for number in range(3)))
+def test_without_trouble_there_are_no_incidents_and_gaps():
+    found = timeline_of(*(RecordBuilder(f"n{number}").start().seconds(0, 60) for number in range(3)))
     assert found.incidents == [] and found.gaps == []
 
 
-def test_who_saw_it_who_did_not_and_who_was_answered_all_the_while():
-    well = Teller("n2", gateways=3).start().seconds(0, 30).purge(3.0, "x").purge(25.0, "y")
-    found = tell(silent("n0", gateways=3), silent("n1", gateways=3), well)
+def test_an_incident_names_observers_others_and_contradictions():
+    well = RecordBuilder("n2", gateways=3).start().seconds(0, 30).purge(3.0, "x").purge(25.0, "y")
+    found = timeline_of(silent("n0", gateways=3), silent("n1", gateways=3), well)
     one = next(one for one in found.incidents if one.kind == "silent")
     assert one.observed_by == ["n0", "n1"] and one.not_observed_by == ["n2"]
     assert "n2 had" in one.contradictions[0] and one.confidence < 0.5
     assert one.cost > 0 and one.typical > one.cost
 
 
-def test_a_slow_origin_takes_its_consequences_with_it():
+def test_consequences_of_a_slow_origin_are_parts_of_it():
     def slow(name):
         return (
-            Teller(name)
+            RecordBuilder(name)
             .start()
             .seconds(0, 15)
             .purge(3.0)
             .purge(40.0, "y")
-            .belief(18.5, "p", "left alone", "0.6 of its fills late")
+            .health_change(18.5, "p", "left alone", "0.6 of its fills late")
             .seconds(15, 22, p="slow", q="slow")
-            .belief(22.5, "p", "back", "answers again")
+            .health_change(22.5, "p", "back", "answers again")
             .seconds(22, 50)
         )
 
-    found = tell(slow("n0"), slow("n1"))
-    assert kinds_of(found) == ["purge", "origin slow", "purge"]
+    found = timeline_of(slow("n0"), slow("n1"))
+    assert incident_kinds(found) == ["purge", "origin slow", "purge"]
     assert [part.title() for part in found.incidents[1].parts] == ["parent p slow"]
 
 
-def test_one_slow_parent_is_the_parents_doing():
-    found = tell(Teller("n0").start().seconds(0, 15).seconds(15, 22, p="slow").seconds(22, 50))
+def test_a_single_slow_parent_is_not_a_slow_origin():
+    found = timeline_of(RecordBuilder("n0").start().seconds(0, 15).seconds(15, 22, p="slow").seconds(22, 50))
     assert [one.title() for one in found.incidents] == ["parent p slow"]
 
 
-def test_a_cache_whose_answers_come_late_is_slow():
-    found = tell(Teller("n0").start().seconds(0, 15).seconds(15, 22, a="late").seconds(22, 50))
+def test_a_cache_that_answers_late_is_slow():
+    found = timeline_of(RecordBuilder("n0").start().seconds(0, 15).seconds(15, 22, a="late").seconds(22, 50))
     assert [one.title() for one in found.incidents] == ["cache a slow"]
 
 
-def test_drains_and_cold_returns_are_told_as_the_list_has_them():
+def test_drains_and_cold_returns_follow_the_endpoint_list():
     def told(name):
-        one = Teller(name).start().seconds(0, 30)
+        one = RecordBuilder(name).start().seconds(0, 30)
         one.add(5.0, record_types.BackendList(event=2, backends=[("a", "small", "here", 2, 0, 5.0)]))
         one.add(9.0, record_types.BackendList(event=3, backends=[("a", "small", "here", 0, 0, 5.0)]))
         return one.add(
@@ -341,25 +360,25 @@
             record_types.BackendList(event=4, backends=[("a", "small", "here", 1, UNIX + 14 * SEC, 5.0)]),
         )
 
-    found = tell(told("n0"), told("n1"))
+    found = timeline_of(told("n0"), told("n1"))
     assert [one.title() for one in found.incidents] == ["cache a drained", "cache a returned cold"]
     assert found.incidents[0].end == pytest.approx(UNIX / 10 + 9000, abs=20)
 
 
-def test_forwarders_whose_plans_ran_out_are_one_episode_until_a_plan_holds_again():
+def test_expired_plans_are_one_incident_until_a_plan_is_in_effect_again():
     def told(name, back):
-        one = Teller(name).start().seconds(0, 30)
+        one = RecordBuilder(name).start().seconds(0, 30)
         one.add(
             2.0,
             record_types.PlanChange(
                 planner="p1", epoch=1, plan_number=4, ejected_backends=["b"], limit_count=2, link_limit=3.0
             ),
         )
-        one.add(8.0, record_types.PlanChange())  # its planners are gone: it is a gateway alone
+        one.add(8.0, record_types.PlanChange())  # its planners are gone
         return one.add(back, record_types.PlanChange(planner="p2", epoch=2, plan_number=1))
 
-    never = Teller("n2").start().seconds(0, 30).add(9.0, record_types.PlanChange())  # it never held one
-    found = tell(told("n0", 12.0), told("n1", 12.5), never)
+    never = RecordBuilder("n2").start().seconds(0, 30).add(9.0, record_types.PlanChange())  # had no plan
+    found = timeline_of(told("n0", 12.0), told("n1", 12.5), never)
     alone = [one for one in found.incidents if one.kind == "without a plan"]
     assert len(alone) == 1 and sorted({observation.gateway for observation in alone[0].observations}) == [
         "n0",
@@ -367,13 +386,13 @@
     ]
     assert alone[0].begin == pytest.approx(UNIX / 10 + 8000, abs=20)
     assert all("plan 2.1 of p2 in effect" in observation.actions for observation in alone[0].observations)
-    # a restart ends the stretch: what came after, nobody has seen
-    one = Teller("n3").start().seconds(0, 30)
+    # a restart ends the interval, as nothing was observed afterwards
+    one = RecordBuilder("n3").start().seconds(0, 30)
     one.add(2.0, record_types.PlanChange(planner="p1", epoch=1, plan_number=4)).add(
         5.0, record_types.PlanChange()
     )
     one.add(7.0, record_types.Start(reason="start"))
-    found = tell(one)
+    found = timeline_of(one)
     observations = [
         observation
         for episode in found.incidents
@@ -383,9 +402,9 @@
     assert len(observations) == 1 and observations[0].actions == ["the gateway restarted"]
 
 
-def test_a_location_that_is_left_is_one_episode_until_all_have_it_back():
+def test_a_failover_of_a_location_is_one_incident_until_all_gateways_have_returned():
     def told(name, late):
-        one = Teller(name).start().seconds(0, 30)
+        one = RecordBuilder(name).start().seconds(0, 30)
         for at, back in ((5.0, 0), (11.0, 1), (11.5, 5), (12.0, 64)):
             why = "" if back else "its caches fail"
             one.add(
@@ -395,7 +414,7 @@
         return one
 
     lone = (
-        Teller("n2")
+        RecordBuilder("n2")
         .start()
         .seconds(0, 30)
         .add(
@@ -403,9 +422,11 @@
             record_types.LocationFailover(zone="z1", returned_slices=0, total_slices=64, without_plan=True),
         )
     )
-    lone.add(9.0, record_types.Start(reason="start"))  # another process: it has all at home until it is told
+    lone.add(9.0, record_types.Start(reason="start"))  # a new process has failed over nothing yet
     found = [
-        one for one in tell(told("n0", 0.0), told("n1", 0.4), lone).incidents if one.kind == "location left"
+        one
+        for one in timeline_of(told("n0", 0.0), told("n1", 0.4), lone).incidents
+        if one.kind == "location left"
     ]
     assert [one.title() for one in found] == ["location z1 left"] and found[0].role == "location"
     assert found[0].begin == pytest.approx(UNIX / 10 + 5000, abs=20)
@@ -416,12 +437,12 @@
     ]
 
 
-def test_bad_clients_a_crowd_and_lost_answers_are_the_fleets():
-    bad = Teller("n0").start().seconds(0, 20)
+def test_bad_clients_overload_and_lost_answers_concern_the_fleet():
+    bad = RecordBuilder("n0").start().seconds(0, 20)
     for second in range(21, 26):
         bad.add(second, record_types.SummaryRecord(duration=SEC, refused={"unusable": 90}))
-    assert kinds_of(tell(bad.seconds(25, 40))) == ["bad clients"]
-    lost = Teller("n0").start().seconds(0, 20)
+    assert incident_kinds(timeline_of(bad.seconds(25, 40))) == ["bad clients"]
+    lost = RecordBuilder("n0").start().seconds(0, 20)
     for second in range(21, 26):
         lost.add(
             second,
@@ -433,8 +454,8 @@
                 },
             ),
         )
-    assert kinds_of(tell(lost.seconds(25, 40))) == ["lost answers"]
-    crowd = Teller("n0").start().seconds(0, 20)
+    assert incident_kinds(timeline_of(lost.seconds(25, 40))) == ["lost answers"]
+    crowd = RecordBuilder("n0").start().seconds(0, 20)
     for second in range(21, 26):
         crowd.add(
             second,
@@ -442,27 +463,27 @@
                 duration=SEC, vhosts={"clip": record_types.VhostCounts(requests=90, done=40, denied=50)}
             ),
         )
-    assert kinds_of(tell(crowd.seconds(25, 40))) == ["crowd"]
+    assert incident_kinds(timeline_of(crowd.seconds(25, 40))) == ["crowd"]
 
 
-def plain_join(observations):
-    """The same in a slow way: sights of one family are linked where they meet in time, and what is linked,
-    also over others, is one."""
-    groups_ = {place: {place} for place in range(len(observations))}
-    for (one, mine), (two, theirs) in itertools.combinations(enumerate(observations), 2):
-        if incident_key(mine) != incident_key(theirs):
+def reference_groups(observations):
+    """A simple reference model: observations with the same key are linked if they overlap in time, and
+    transitively linked ones are one group."""
+    groups_ = {index: {index} for index in range(len(observations))}
+    for (first_index, first), (second_index, second) in itertools.combinations(enumerate(observations), 2):
+        if incident_key(first) != incident_key(second):
             continue
-        near = 1000.0 if mine.kind == "purge" else MAX_OBSERVATION_GAP
-        low, high = sorted((mine, theirs), key=lambda observation: observation.begin)
-        if low.end is None or high.begin <= low.end + near:
-            merged = groups_[one] | groups_[two]
-            for place in merged:
-                groups_[place] = merged
-    return {frozenset(id(observations[place]) for place in group) for group in groups_.values()}
+        max_gap = 1000.0 if first.kind == "purge" else MAX_OBSERVATION_GAP
+        earlier, later = sorted((first, second), key=lambda observation: observation.begin)
+        if earlier.end is None or later.begin <= earlier.end + max_gap:
+            merged = groups_[first_index] | groups_[second_index]
+            for index in merged:
+                groups_[index] = merged
+    return {frozenset(id(observations[index]) for index in group) for group in groups_.values()}
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_joining_agrees_with_a_plain_model_on_generated_sights(seed):
+def test_grouping_agrees_with_a_reference_model_on_random_observations(seed):
     import random
 
     chance = random.Random(seed)
@@ -474,20 +495,20 @@
         subject = "" if kind == "origin slow" else chance.choice("ab")
         observations.append(Observation(f"n{number % 3}", kind, subject, begin, end, 0.0))
     found = {frozenset(map(id, group)) for group in group_observations(observations)}
-    assert found == plain_join(observations)
+    assert found == reference_groups(observations)
 
 
-# --- much, and on several cores ---
+# --- many records, and several processes ---
 
 
-def test_the_command_that_makes_up_a_fleet_writes_records_of_the_size_asked(tmp_path, capsys):
+def test_the_generator_of_a_fleets_records_writes_the_requested_size(tmp_path, capsys):
     words = ["--gateways", "2", "--bes", "6", "--seconds", "30", "--out", str(tmp_path)]
     assert bulk.main(words) == 0
     assert "2 gateways, 6 bes, 30 s" in capsys.readouterr().out
     assert len({path.parent for path in tmp_path.rglob("*.jsonl")}) >= 2
 
 
-def test_a_made_up_fleet_is_told_as_it_was_made_in_one_process_and_in_many(tmp_path):
+def test_a_generated_fleet_is_reported_the_same_by_one_process_and_by_many(tmp_path):
     fleet, _ = bulk.make(tmp_path, 3, 8, 24, 300)
     one, damage = load([str(tmp_path)])
     many, _ = _load_parallel(sorted(tmp_path.rglob("*.jsonl")), None, None, lambda text, part: None)
@@ -502,7 +523,7 @@
         assert one.histories[name].offset == pytest.approx(-fleet.offsets[number], abs=400)
 
 
-# --- a real incident, and what is shown of it ---
+# --- a scripted incident with real gateways, and its reports ---
 
 
 @pytest.fixture(scope="module")
@@ -512,8 +533,8 @@
     return folder, found, row
 
 
-@pytest.mark.xdist_group("played")  # by one process: it takes long
-def test_a_scripted_incident_is_told_as_it_was_scripted(played):
+@pytest.mark.xdist_group("played")  # one process only, as the fixture takes long
+def test_a_scripted_incident_is_reported_as_scripted(played):
     _, found, row = played
     assert row["missed"] == row["invented"] == row["gaps_invented"] == row["damage"] == []
     assert row["in_order"] and row["gap"]
@@ -522,8 +543,8 @@
     assert offsets[0] == pytest.approx(-1000, abs=150)
 
 
-@pytest.mark.xdist_group("played")  # by one process: it takes long
-def test_the_page_stands_alone_and_the_facts_are_the_same_in_all_forms(played, tmp_path, capsys):
+@pytest.mark.xdist_group("played")  # one process only, as the fixture takes long
+def test_the_page_is_self_contained_and_all_formats_have_the_same_facts(played, tmp_path, capsys):
     folder, _, _ = played
     out = tmp_path / "page.html"
     assert main(["report", str(folder), "--out", str(out)]) == 0
@@ -544,17 +565,17 @@
     assert "silent" not in [one["kind"] for one in json.loads(capsys.readouterr().out)["episodes"]]
 
 
-def test_names_that_look_like_markup_do_no_harm(tmp_path):
-    teller = Teller("<script>alert(1)</script>").start(backends=(("<b>&", "small"), ("b", "small")))
-    teller.seconds(0, 10).belief(10.4, "<b>&").seconds(10, 14)
+def test_names_that_look_like_markup_are_escaped(tmp_path):
+    builder = RecordBuilder("<script>alert(1)</script>").start(backends=(("<b>&", "small"), ("b", "small")))
+    builder.seconds(0, 10).health_change(10.4, "<b>&").seconds(10, 14)
     from lilacloft.report.page import page
 
-    text = page(tell(teller), [])
+    text = page(timeline_of(builder), [])
     assert "<script>alert" not in text and "<b>&" not in text and "&lt;b&gt;&amp;" in text
 
 
-@pytest.mark.xdist_group("played")  # by one process: it takes long
-def test_records_are_checked_shown_and_exported(played, tmp_path, capsys):
+@pytest.mark.xdist_group("played")  # one process only, as the fixture takes long
+def test_records_are_checked_printed_and_exported(played, tmp_path, capsys):
     folder, _, _ = played
     assert main(["records", "check", str(folder)]) == 0
     assert "4 files" not in capsys.readouterr().out
@@ -583,8 +604,8 @@
     assert main(["report", str(folder), "--tz", "Moon/Sea"]) == 2
 
 
-@pytest.mark.xdist_group("played")  # by one process: it takes long
-def test_the_console_shows_the_fleet_at_eighty_columns_and_leaves_the_terminal_whole(played):
+@pytest.mark.xdist_group("played")  # one process only, as the fixture takes long
+def test_the_console_fits_eighty_columns_and_restores_the_terminal(played):
     folder, _, _ = played
     pid, fd = pty.fork()
     if pid == 0:
@@ -604,7 +625,7 @@
             os.kill(pid, signal.SIGTERM)
     code = os.waitstatus_to_exitcode(os.waitpid(pid, 0)[1])
     assert code == 0 and b"n2" in seen and b"s-00000001" in seen
-    assert seen.count(b"\x1b[?1049h") == seen.count(b"\x1b[?1049l") == 1  # the other screen, and back
+    assert seen.count(b"\x1b[?1049h") == seen.count(b"\x1b[?1049l") == 1  # to the alternate screen, and back
     assert seen.rstrip().endswith((b"\x1b[?25h", b"\x1b[?1049l")) or b"\x1b[?25h" in seen[-40:]
     once = subprocess.run(
         [sys.executable, "-m", "lilacloft", "watch", str(folder), "--once"],
