--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Operators' settings: what is read; for what is not, an error with file, line and what was expected."""
+"""Operators' settings: valid files, and errors with file, line and what was expected."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 from lilacloft.config.nodes import parse_quantity
 from lilacloft.config.reader import SettingsError, load, parse
 
-WHOLE = """; operators' settings
+VALID = """; operators' settings
 (lilacloft
   (log (format json))
   (upgrade (handover "run/a.sock") ; a comment ( with a bracket
@@ -18,15 +18,15 @@
 """
 
 
-def test_the_file_that_comes_with_the_project_is_usable():
+def test_the_shipped_settings_file_is_valid():
     found = load(str(Path(__file__).parent.parent / "deploy" / "lilacloft.sexp"))
     assert found["upgrade"]["limits"]["taking"] == 0.3
     assert set(found["upgrade"]["limits"]) == {name.replace("-", "_") for name in SCHEMA["upgrade"]["limits"]}
 
 
-def test_spans_become_seconds_and_paths_count_from_the_file(tmp_path):
+def test_durations_become_seconds_and_paths_are_relative_to_the_file(tmp_path):
     file = tmp_path / "a.sexp"
-    file.write_text(WHOLE)
+    file.write_text(VALID)
     assert load(str(file)) == {
         "log": {"format": "json"},
         "upgrade": {
@@ -75,7 +75,7 @@
         ("(" * 40 + ")" * 40, 1, 1, "lists 40 deep"),
     ],
 )
-def test_what_cannot_be_used_is_told_with_its_place(tmp_path, text, line, column, told, capsys):
+def test_errors_are_reported_with_their_position(tmp_path, text, line, column, told, capsys):
     file = tmp_path / "bad.sexp"
     file.write_text(text)
     with pytest.raises(SettingsError) as found:
@@ -87,7 +87,7 @@
     assert f"{file}:{line}:{column}: " in capsys.readouterr().err
 
 
-def test_all_faults_of_a_file_are_told_at_once(tmp_path):
+def test_all_errors_of_a_file_are_reported_at_once(tmp_path):
     file = tmp_path / "bad.sexp"
     file.write_text("(lilacloft (log (format x))\n (upgrade (mode y) (limits (ready 0s) (what 1s))))")
     with pytest.raises(SettingsError) as found:
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("data", [b"(lilacloft\n \xff)", b"x" * (2 << 20)])
-def test_a_file_that_is_no_text_or_too_large_is_told(tmp_path, data):
+def test_a_file_that_is_not_text_or_too_large_is_rejected(tmp_path, data):
     file = tmp_path / "bad.sexp"
     file.write_bytes(data)
     with pytest.raises(SettingsError, match="UTF-8|bytes"):
@@ -105,7 +105,7 @@
         load(str(tmp_path / "none"))
 
 
-def test_quantities_of_each_kind_have_their_units():
+def test_quantities_of_each_kind_have_units():
     assert parse_quantity("250ms", "span") == 0.25 and parse_quantity("64MB", "size") == 64e6
     assert parse_quantity("90%", "part") == pytest.approx(0.9) and parse_quantity(
         "60/min", "rate"
@@ -114,12 +114,12 @@
         parse_quantity("5s", "size")
 
 
-def test_strings_keep_what_is_escaped_and_comments_go():
+def test_escapes_in_strings_are_kept_and_comments_removed():
     node = parse(r'(a "b\"c;(" ; d' + "\n)", "f")[0]
     assert [item.text for item in node.items] == ["a", 'b"c;(']
 
 
-def test_the_platforms_words_need_no_library_and_the_new_ones_are_told(capsys):
+def test_the_platforms_commands_run_and_unknown_ones_are_rejected(capsys):
     assert main(["serve", "--config", "/nowhere"]) == 2
     assert "cannot be read" in capsys.readouterr().err
     assert main(["serve", "--config", "/nowhere", "--supervised"]) == 2
@@ -130,7 +130,7 @@
     assert "upgrade" in capsys.readouterr().out
 
 
-def test_how_locations_are_left_is_one_of_three_words(tmp_path):
+def test_the_failover_mode_of_locations_is_one_of_three_words(tmp_path):
     file = tmp_path / "a.sexp"
     file.write_text("(lilacloft\n  (plan (zones (leave across))))")
     assert load(str(file))["plan"] == {"zones": {"leave": "across"}}
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Names in the pages about the code exist in the code."""
+"""Names in the documentation exist in the code."""
 
 import re
 from pathlib import Path
@@ -15,12 +15,12 @@
     "docs/on-call.md",
 ]
 NAME = re.compile(r"[A-Za-z_]\w*(?:\.[A-Za-z_]\w*)*(?:\(\))?")
-OURS = re.compile(r"\w*_\w*|[A-Z][A-Z]+|[A-Z][a-z]\w*")  # with an underscore, a constant, a class
+PROJECT_NAME = re.compile(r"\w*_\w*|[A-Z][A-Z]+|[A-Z][a-z]\w*")  # with an underscore, a constant, a class
 PATH = re.compile(r"[\w./-]+/[\w./-]*|[\w-]+\.(?:py|toml|sexp|md|txt)")
 
 
 def words():
-    """All words in the sources, also those in strings."""
+    """Return all words in the sources, including those in strings."""
     found = set()
     for folder in ("lilacloft", "rigs"):
         for path in (ROOT / folder).rglob("*.py"):
@@ -31,14 +31,14 @@
 
 
 def exists(path):
-    """Is it a file or folder, of the project, of the program, or in one of its packages?"""
+    """Return whether a path exists in the project, the program, the documentation, or one of the packages."""
     folders = [ROOT, ROOT / "lilacloft", ROOT / "docs", *(ROOT / "lilacloft").iterdir()]
     return any((folder / path).exists() for folder in folders)
 
 
 def missing(text, known, first_column=True):
-    """The names in backticks of a page that look like ours and are nowhere. Names of counters are printed in
-    lower case. Without `first_column` that of its tables is passed over."""
+    """Return the names in backticks that look like names of the project and do not exist. Names of counters
+    are printed in lower case. Without `first_column`, the first column of tables is ignored."""
     out = []
     for line in text.splitlines():
         if line.startswith("|") and not first_column:
@@ -49,17 +49,21 @@
                     out.append(quoted)
             elif NAME.fullmatch(quoted):
                 parts = quoted.removesuffix("()").split(".")
-                out += [part for part in parts if OURS.fullmatch(part) and not {part, part.upper()} & known]
+                out += [
+                    part
+                    for part in parts
+                    if PROJECT_NAME.fullmatch(part) and not {part, part.upper()} & known
+                ]
     return out
 
 
 @pytest.mark.parametrize("page", PAGES)
 def test_names_in_a_page_exist_in_the_code(page):
-    # the glossary's first column has what things were called before
+    # the first column of the glossary has the former names
     assert missing((ROOT / page).read_text(), words(), page != "docs/glossary.md") == []
 
 
-def test_a_name_that_is_nowhere_is_found():
+def test_a_missing_name_is_found():
     text = (
         "`Router.no_such_method`, `routing/no_such_module.py`, `NO_SUCH_CONSTANT`, `Router`, `mayDuplicate`"
     )
--- a/tests/test_lint.py
+++ b/tests/test_lint.py
@@ -1,4 +1,4 @@
-"""The linter's exceptions for packages that are not finished yet may only become fewer."""
+"""The linter's exceptions for unfinished packages may be removed, but none may be added."""
 
 import json
 import subprocess
@@ -9,7 +9,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-EXCEPTIONS_AT_FIRST = {
+INITIAL_EXCEPTIONS = {
     "lilacloft/cli/*": {"D", "ARG", "C901"},
     "lilacloft/config/*": {"D", "ARG"},
     "lilacloft/emulator/*": {"D", "ARG", "C901"},
@@ -22,7 +22,7 @@
     "rigs/*": {"D", "ARG", "C901"},
     "tests/*": {"D", "ARG", "C901"},
 }
-SELECTED_AT_FIRST = {
+INITIAL_RULES = {
     "E",
     "F",
     "W",
@@ -46,8 +46,8 @@
 
 
 def findings_without_exceptions(pattern, rules):
-    """Return the codes that the linter finds in the files of a pattern where none is excepted."""
-    selected = ",".join(sorted(rule for rule in SELECTED_AT_FIRST if rule.startswith(tuple(rules))))
+    """Return the codes that the linter finds in the files of a pattern without exceptions."""
+    selected = ",".join(sorted(rule for rule in INITIAL_RULES if rule.startswith(tuple(rules))))
     folder = str(ROOT / pattern.removesuffix("/*"))
     command = [sys.executable, "-m", "ruff", "check", "--isolated", "--no-cache", "--select", selected]
     run = subprocess.run([*command, "--output-format", "json", folder], capture_output=True, text=True)
@@ -56,17 +56,17 @@
 
 
 def test_no_rule_is_dropped(lint):
-    assert set(lint["select"]) >= SELECTED_AT_FIRST
+    assert set(lint["select"]) >= INITIAL_RULES
     assert not lint.get("ignore")
 
 
 def test_no_exception_is_added(lint):
     for pattern, rules in lint["per-file-ignores"].items():
-        assert set(rules) <= EXCEPTIONS_AT_FIRST.get(pattern, set()), pattern
+        assert set(rules) <= INITIAL_EXCEPTIONS.get(pattern, set()), pattern
 
 
 def test_each_exception_is_still_needed(lint):
     for pattern, rules in lint["per-file-ignores"].items():
         found = findings_without_exceptions(pattern, rules)
         for rule in rules:
-            assert any(code.startswith(rule) for code in found), f"{pattern}: {rule} is needed no more"
+            assert any(code.startswith(rule) for code in found), f"{pattern}: {rule} is no longer needed"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,5 @@
-"""Other operators' settings: many legal ones beside the plain model of the rules, and what cannot be used."""
+"""Settings of other operators: random valid ones, checked against the reference model of the rules, and
+invalid ones."""
 
 import copy
 import json
@@ -28,14 +29,14 @@
 ]
 
 
-def legal(seed):
-    """Legal settings, some of them at their ends, by the operators' names."""
+def valid_settings(seed):
+    """Return random valid settings, some at the ends of their ranges, under the operators' names."""
     chance = random.Random(seed)
     pick, env = chance.choice, copy.deepcopy(ENV)
-    many = chance.randrange(1, 6)
+    count = chance.randrange(1, 6)
     env["classes"] = []
-    for number in range(many):
-        one = {
+    for number in range(count):
+        class_settings = {
             "name": f"class {number}",
             "promiseNs": pick([1, 50, 400, 20_000]) * MS,
             "deadlineNs": pick([20, 300, 3000, 60_000]) * MS,
@@ -48,8 +49,8 @@
             ("repeatWindowNs", [None, 0, 1, 200 * MS, 60_000 * MS]),
         ):
             if chance.random() < 0.8:
-                one[name] = pick(values)
-        env["classes"].append(one)
+                class_settings[name] = pick(values)
+        env["classes"].append(class_settings)
     env.update(
         balancers=pick([1, 2, 300]),
         discovery=pick(["automatic", "subscribe"]),
@@ -69,9 +70,9 @@
         parentWarmsInNs=pick([0, 20_000 * MS]),
         parentBreaksAt=pick([1.0, 2.0, 9.0]),
         parentKind=pick([-1, 2, 2]),
-        freshForNs=[pick([0, 1, 8000 * MS]) for _ in range(many)],
-        staleForNs=[pick([0, 2000 * MS]) for _ in range(many)],
-        passOn=[pick([True, False]) for _ in range(many)],
+        freshForNs=[pick([0, 1, 8000 * MS]) for _ in range(count)],
+        staleForNs=[pick([0, 2000 * MS]) for _ in range(count)],
+        passOn=[pick([True, False]) for _ in range(count)],
     )
     for name in ("feedKbPerS", "freshForNs", "staleForNs", "passOn"):
         if chance.random() < 0.2:
@@ -97,7 +98,10 @@
 
 
 def play(seed, steps=150):
-    chance, config = random.Random(seed), from_protocol(settings_validation.with_defaults(legal(seed)))
+    chance, config = (
+        random.Random(seed),
+        from_protocol(settings_validation.with_defaults(valid_settings(seed))),
+    )
     config["family"].update(parent_kind=1 if config["family"]["parent_kind"] >= 0 else -1, source_kind=2)
     model = Model(config, parents=2 if config["family"]["parent_kind"] >= 0 else 0)
     asked, open_reqs, vhosts = [], [], config["vhosts"]
@@ -122,11 +126,11 @@
                 elif model.time <= request.deadline:
                     model.end(request, outcome, took=chance.randrange(5, 6000))
         elif doing < 0.9 and open_reqs:
-            request = chance.choice(open_reqs)  # its client may have left, and nobody can tell
+            request = chance.choice(open_reqs)  # its client may have left undetected
             if not request.finished and chance.random() < 0.5:
                 model.router.client_half_closed(request, model.time)
             else:
-                model.gone[request] = model.time  # known outside only, until it is asked for
+                model.gone[request] = model.time  # not known to the router until it asks
         elif doing < 0.95:
             backend = chance.choice(model.caches + model.parents)
             model.list(
@@ -145,7 +149,7 @@
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_rules_hold_with_any_legal_settings_and_nothing_is_left_behind(seed):
+def test_rules_hold_with_any_valid_settings_and_nothing_is_left_open(seed):
     model, asked = play(seed)
     assert model.wrong == []
     assert [request for request, _ in model.finals if request not in asked] == [] and len(
@@ -162,8 +166,8 @@
     assert router.link_limit.in_flight == 0
 
 
-def test_the_generated_settings_send_and_reach_their_ends():
-    """Else the test above would say little."""
+def test_the_random_settings_send_and_reach_all_outcomes():
+    """Guards the test above: its random settings send requests and reach all outcomes."""
     models = [play(seed)[0] for seed in range(150)]
     assert sum(len(model.sends) > 20 for model in models) > 75
     outcomes = {entry[4] for model in models for past in model.history.values() for entry in past}
@@ -172,8 +176,8 @@
 
 
 @pytest.mark.parametrize("seed", range(1000, 1012))
-def test_a_gateway_of_any_legal_settings_answers_on_sockets(seed, tmp_path):
-    env = legal(seed)
+def test_a_gateway_with_any_valid_settings_answers_on_sockets(seed, tmp_path):
+    env = valid_settings(seed)
     world = World(tmp_path, (serves(b"ok"),), changes=lambda told: (told.clear(), told.update(env)))
     try:
         asker = world.asker()
@@ -189,35 +193,35 @@
 
 
 def paths():
-    """Each setting known, as (where it stands, name, its form, what stands in)."""
+    """Yield each known setting as (path, name, form, default)."""
     yield from (((), name, *told) for name, told in settings_validation.TOP.items())
     yield from ((("classes", 1), name, *told) for name, told in settings_validation.CLASS.items())
     for part, table in settings_validation.INNER.items():
         yield from (((part,), name, *told) for name, told in table.items())
 
 
-def inside(env, way):
-    for step in way:
+def settings_at(env, path):
+    for step in path:
         env = env[step]
     return env
 
 
 @pytest.mark.parametrize("way, name, form, instead", paths())
-def test_a_setting_that_cannot_be_used_is_named(way, name, form, instead):
+def test_an_invalid_setting_is_named(way, name, form, instead):
     path = "".join(f"[{step}]" if isinstance(step, int) else f".{step}" for step in way)
     for bad in (object(), [object()], "", -2, float("nan")):
         env = copy.deepcopy(ENV)
-        inside(env, way)[name] = bad
+        settings_at(env, way)[name] = bad
         with pytest.raises(ValueError, match=f"settings{path}.{name}: ".replace("[", r"\[")):
             settings_validation.with_defaults(env)
     env = copy.deepcopy(ENV)
     for nothing in (lambda part: part.pop(name, None), lambda part: part.update({name: None})):
-        nothing(inside(env, way))
+        nothing(settings_at(env, way))
         if instead in (settings_validation.REQUIRED, settings_validation.REQUIRED_ON_SOCKETS):
             with pytest.raises(ValueError, match=f"settings{path} lacks {name}".replace("[", r"\[")):
                 settings_validation.with_defaults(env)
         else:
-            assert inside(settings_validation.with_defaults(env), way)[name] == instead
+            assert settings_at(settings_validation.with_defaults(env), way)[name] == instead
 
 
 @pytest.mark.parametrize(
@@ -233,21 +237,21 @@
         (lambda env: env["classes"][1].update(name="clip"), r"classes\[1\].name: clip is another class's"),
     ],
 )
-def test_settings_that_do_not_fit_together_are_named(change, told):
+def test_inconsistent_settings_are_named(change, told):
     env = copy.deepcopy(ENV)
     change(env)
     with pytest.raises(ValueError, match=told):
         settings_validation.with_defaults(env)
 
 
-def test_what_is_unknown_or_null_is_passed_over_and_what_is_told_stays():
+def test_unknown_and_null_settings_are_ignored_and_others_kept():
     env = copy.deepcopy(ENV)
     env["classes"][0].update(aimStretch=None, mood="blue")
     env["novel"] = {"x": 1}
     before = copy.deepcopy(env)
-    told = settings_validation.with_defaults(env)
-    assert env == before and told["novel"] == {"x": 1} and told["classes"][0]["mood"] == "blue"
-    assert told["classes"][0]["aimStretch"] == 0.0 and told["classes"][1] == env["classes"][1]
+    completed = settings_validation.with_defaults(env)
+    assert env == before and completed["novel"] == {"x": 1} and completed["classes"][0]["mood"] == "blue"
+    assert completed["classes"][0]["aimStretch"] == 0.0 and completed["classes"][1] == env["classes"][1]
 
 
 @pytest.mark.parametrize(
@@ -271,7 +275,7 @@
         ),
     ],
 )
-def test_a_bad_configuration_is_told_and_leaves_the_old_one_at_sighup(change, told, tmp_path, capsys):
+def test_a_bad_configuration_at_sighup_is_reported_and_the_old_one_kept(change, told, tmp_path, capsys):
     world = World(tmp_path, (serves(b"ok"),))
     try:
         good = world.path.read_text()
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,4 +1,4 @@
-"""Imports go one way: no module reaches itself, and no package."""
+"""Modules and packages have no import cycles."""
 
 import ast
 from pathlib import Path
@@ -9,7 +9,8 @@
 
 
 def modules():
-    """Each module with those of ours that it imports anywhere, for types and within functions as well."""
+    """Return each module with the project's modules that it imports anywhere, also for types and within
+    functions."""
     found = {}
     for path in ROOT.rglob("*.py"):
         name = ".".join(path.relative_to(ROOT.parent).with_suffix("").parts).removesuffix(".__init__")
@@ -22,59 +23,59 @@
                 names = [alias.name for alias in node.names]
             elif isinstance(node, ast.ImportFrom) and node.module:
                 names = [f"{node.module}.{alias.name}" for alias in node.names] + [node.module]
-                if any(one in found for one in names[:-1]):
-                    names = names[:-1]  # `from package import module` is of the module
+                if any(module in found for module in names[:-1]):
+                    names = names[:-1]  # `from package import module` imports the module
             else:
                 continue
-            out[name] |= {one for one in names if one in found and one != name}
+            out[name] |= {module for module in names if module in found and module != name}
     return out
 
 
-def circles(arrows):
-    """Each circle found, as its places in turn."""
+def find_cycles(imports):
+    """Return the cycles of a graph, each as the sequence of its nodes."""
     done, out = set(), []
 
-    def walk(place, way):
-        if place in way:
-            out.append([*way[way.index(place) :], place])
-        elif place not in done:
-            for other in sorted(arrows[place]):
-                walk(other, [*way, place])
-            done.add(place)
+    def walk(node, path):
+        if node in path:
+            out.append([*path[path.index(node) :], node])
+        elif node not in done:
+            for other in sorted(imports[node]):
+                walk(other, [*path, node])
+            done.add(node)
 
-    for place in sorted(arrows):
-        walk(place, [])
+    for node in sorted(imports):
+        walk(node, [])
     return out
 
 
 def package(name):
-    """The folder of a module; those beside the folders stand for themselves."""
+    """Return the package of a module; a top-level module is its own package."""
     return ".".join(name.split(".")[:2])
 
 
-def test_no_module_reaches_itself_by_its_imports():
-    assert circles(modules()) == []
+def test_modules_have_no_import_cycles():
+    assert find_cycles(modules()) == []
 
 
-def test_no_package_reaches_itself_by_its_imports():
-    arrows = {}
+def test_packages_have_no_import_cycles():
+    imports = {}
     for name, others in modules().items():
         if name != "lilacloft":
-            arrows.setdefault(package(name), set()).update(
+            imports.setdefault(package(name), set()).update(
                 package(other) for other in others if package(other) not in (package(name), "lilacloft")
             )
-    assert circles(arrows) == []
+    assert find_cycles(imports) == []
 
 
-def test_a_circle_is_found():
-    assert circles({"a": {"b"}, "b": {"c"}, "c": {"b"}}) == [["b", "c", "b"]]
+def test_a_cycle_is_found():
+    assert find_cycles({"a": {"b"}, "b": {"c"}, "c": {"b"}}) == [["b", "c", "b"]]
 
 
 @pytest.mark.parametrize(
     "name", ["lilacloft.routing.router", "lilacloft.gateway.gateway", "lilacloft.serving"]
 )
-def test_what_serves_on_the_platform_imports_none_of_the_rest_at_its_start(name):
-    """Only what is at the top of modules counts: the rest is imported where it is used."""
+def test_modules_that_serve_import_no_optional_packages_at_start(name):
+    """Only imports at module level count; others run when they are needed."""
     top, seen = [name], set()
     while top:
         seen.add(one := top.pop())
@@ -83,7 +84,7 @@
         for node in ast.parse(path.read_text()).body:
             if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("lilacloft"):
                 top += {node.module} - seen
-    assert "lilacloft.routing.snapshot" not in seen, "only what hands over or stores needs it"
+    assert "lilacloft.routing.snapshot" not in seen, "only handovers and stores need it"
     assert {package(one) for one in seen} <= {
         "lilacloft",
         "lilacloft.errors",
