--- a/lilacloft/cli/experiment.py
+++ b/lilacloft/cli/experiment.py
@@ -65,23 +65,23 @@
 
     from lilacloft.experiment import runner
 
-    found = read_experiment(file)
-    check_policies(found)
-    base = open_results(results)
+    spec = read_experiment(file)
+    check_policies(spec)
+    database = open_results(results)
     with Progress(
         TextColumn("{task.description}"),
         BarColumn(),
         TextColumn("{task.completed}/{task.total}"),
         TextColumn("{task.fields[left]}"),
     ) as bar:
-        task = bar.add_task(found.name, total=None, left="")
+        task = bar.add_task(spec.name, total=None, left="")
 
         def show_progress(count: int, total: int, left: float) -> None:
             bar.update(task, completed=count, total=total, left=f"{left:.0f} s left")
 
-        count = runner.run(found, base, show_progress, processes)
-    left = len(runner.missing(found, base))
-    click.echo(f"{count} runs done, {found.count() - left} of {found.count()} there")
+        count = runner.run(spec, database, show_progress, processes)
+    left = len(runner.missing(spec, database))
+    click.echo(f"{count} runs done, {spec.count() - left} of {spec.count()} there")
     return 1 if left else 0
 
 
@@ -95,14 +95,14 @@
 
     from lilacloft.experiment import report as reports
 
-    found, base = read_experiment(file), open_results(results)
+    spec, database = read_experiment(file), open_results(results)
     if out:
-        for path in reports.write(found, base, out):
+        for path in reports.write(spec, database, out):
             click.echo(path)
         return 0
     screen = Console()
-    for measure in found.measures:
-        screen.print(reports.console(found, base, measure))
+    for measure in spec.measures:
+        screen.print(reports.console(spec, database, measure))
     return 0
 
 
@@ -117,19 +117,19 @@
     from lilacloft.experiment import runner, stats
     from lilacloft.experiment.plan import MEASURES
 
-    found, base = read_experiment(file), open_results(results)
+    spec, database = read_experiment(file), open_results(results)
     if measure not in MEASURES:
         raise click.UsageError(f"{measure}: one of {', '.join(MEASURES)}")
     for name in (one, other):
-        if name not in found.policies:
-            raise click.UsageError(f"{name}: {file} has {', '.join(found.policies)}")
-    values = runner.values(found, base, measure)
+        if name not in spec.policies:
+            raise click.UsageError(f"{name}: {file} has {', '.join(spec.policies)}")
+    values = runner.values(spec, database, measure)
     by_seed: dict[str, dict[int, list[float]]] = {one: {}, other: {}}
     for (_, _, policy), by_number in values.items():
         for seed, value in by_number.items():
             if policy in by_seed:
                 by_seed[policy].setdefault(seed, []).append(value)
-    count = len(found.worlds) * len(found.troubles)
+    count = len(spec.worlds) * len(spec.troubles)
     means = {
         name: {seed: sum(numbers) / count for seed, numbers in by_number.items() if len(numbers) == count}
         for name, by_number in by_seed.items()
@@ -299,7 +299,7 @@
     return 1 if result.breaches else 0
 
 
-def run_seeds(found: Any) -> int:
+def run_seeds(spec: Any) -> int:
     """Run many seeds, and print only the failing ones."""
     import time
 
@@ -307,14 +307,14 @@
 
     started, broken, total = time.monotonic(), 0, 0.0
     with runner.pool() as pool:
-        for run, result in zip(found.runs(), pool.imap(runner.done, found.runs(), 16), strict=True):
+        for run, result in zip(spec.runs(), pool.imap(runner.done, spec.runs(), 16), strict=True):
             total += result["worth"]
             if result["broken"]:
                 broken += 1
                 click.echo(f"seed {run.seed}: {result['breaches'][0]}")
     click.echo(
-        f"{found.count()} seeds in {time.monotonic() - started:.0f} s: mean worth "
-        f"{total / found.count():.4f}, rules broken in {broken}"
+        f"{spec.count()} seeds in {time.monotonic() - started:.0f} s: mean worth "
+        f"{total / spec.count():.4f}, rules broken in {broken}"
     )
     return 1 if broken else 0
 
--- a/lilacloft/report/load.py
+++ b/lilacloft/report/load.py
@@ -55,12 +55,13 @@
     count = min(len(files_by_gateway), os.cpu_count() or 1)
     shares: list[list[str]] = [[] for _ in range(count)]
     sizes = [0] * count
-    for mine in sorted(
-        files_by_gateway.values(), key=lambda mine: -sum(os.path.getsize(name) for name in mine)
+    for gateway_files in sorted(
+        files_by_gateway.values(),
+        key=lambda gateway_files: -sum(os.path.getsize(name) for name in gateway_files),
     ):
         index = sizes.index(min(sizes))
-        shares[index] += mine
-        sizes[index] += sum(os.path.getsize(name) for name in mine)
+        shares[index] += gateway_files
+        sizes[index] += sum(os.path.getsize(name) for name in gateway_files)
     workers = [ProcessPoolExecutor(1) for _ in shares]
     try:
         readers = [worker.submit(_read_runs, share) for worker, share in zip(workers, shares, strict=True)]
@@ -69,8 +70,8 @@
         expected, last_by_run = 0, {}
         for index, future in enumerate(readers):
             worker_anchors, read_damage, gateway_count, last_times = future.result()
-            for name, mine in worker_anchors.items():
-                anchors[name] += mine
+            for name, gateway_anchors in worker_anchors.items():
+                anchors[name] += gateway_anchors
             damage += read_damage
             expected = max(expected, gateway_count)
             last_by_run.update(last_times)
@@ -102,12 +103,12 @@
 def _read_runs(files: list[str]) -> tuple[dict[str, list[RunAnchors]], list[Damage], int, dict[str, float]]:
     runs, damage = read(files)
     _worker_runs.clear()
-    for name, mine in runs.items():
-        if kept := [run for run in mine if run.records]:
+    for name, gateway_runs in runs.items():
+        if kept := [run for run in gateway_runs if run.records]:
             _worker_runs[name] = kept
-    runs_read = [run for mine in _worker_runs.values() for run in mine]
+    runs_read = [run for gateway_runs in _worker_runs.values() for run in gateway_runs]
     return (
-        {name: [run_anchors(run) for run in mine] for name, mine in _worker_runs.items()},
+        {name: [run_anchors(run) for run in gateway_runs] for name, gateway_runs in _worker_runs.items()},
         damage,
         max((run.head.gateways for run in runs_read), default=0),
         {run.name: local_time(run, run.records[-1]) for run in runs_read},
--- a/lilacloft/timeline/summary_observations.py
+++ b/lilacloft/timeline/summary_observations.py
@@ -158,8 +158,8 @@
     for cache in caches:
 
         def matches(span: SummarySpan, cache: str = cache) -> bool:
-            mine = late(span, cache)
-            if mine is None or mine <= SLOW_LATE_SHARE:
+            late_share = late(span, cache)
+            if late_share is None or late_share <= SLOW_LATE_SHARE:
                 return False
             others = [
                 share for other in caches if other != cache and (share := late(span, other)) is not None
