--- a/lilacloft/emulator/__init__.py
+++ b/lilacloft/emulator/__init__.py
@@ -1,6 +1,6 @@
-"""The project's own world in virtual time: clients, links, caches, parents, origin, change log and faults,
-around the same decision module as in service.
+"""Discrete-event emulator of a deployment: clients, links, caches, parents, origin, change log and faults,
+around the same decision module that production gateways run.
 
-It must never decide for a gateway: whatever a gateway does comes from its `Router` through a Host. Nothing in
-it does I/O, asks a clock, or draws chance but from a stream named by its purpose.
+The emulator never decides for a gateway: everything a gateway does comes from its `Router` through a Host.
+Nothing here does I/O or reads a clock, and random numbers come only from streams named by their purpose.
 """
--- a/lilacloft/emulator/around.py
+++ b/lilacloft/emulator/around.py
@@ -1,5 +1,5 @@
-"""What boxes and gateways of the emulator find around them: time, ways, and who is told. It names these for
-the parts below the fleet, which provides them; it holds nothing and decides nothing."""
+"""Interfaces of the fleet towards its servers and gateways: virtual time, network and notifications.
+Protocols only; `fleet.py` implements them."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class Around(Protocol):
-    """Times and spans in tenths of a millisecond, sizes in KB."""
+    """Common interface. Times are in tenths of a millisecond, sizes in KB."""
 
     events: Events
     checker: Checker
-    pace: float  # KB in a tenth of a millisecond
+    pace: float  # maximum rate of one transfer, KB per tenth of a millisecond
     world: Any
 
-    def at(self, when: int, rank: int, what: Callable[..., None], *told: Any) -> None:
-        """Call at a time; what has the lower rank comes first."""
+    def at(self, when: int, rank: int, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule a call; at the same time lower ranks run first."""
 
 
 class AroundBox(Around, Protocol):
-    """What a box has."""
+    """Interface for caches, parents and origins."""
 
     origin: Any
     ways_in: list[Link]
@@ -36,30 +36,32 @@
     hands: int
     step: int
 
-    def transfer(self, links: tuple[Link, ...], kbytes: float, done: Callable[..., None], told: Any) -> Flow:
-        """Send over some links; `done` is called with `told` once it has come."""
+    def transfer(
+        self, links: tuple[Link, ...], kbytes: float, done: Callable[..., None], context: Any
+    ) -> Flow:
+        """Start a transfer over some links; `done` is called with `context` on completion."""
 
     def stop(self, flow: Flow) -> None:
-        """End a transfer where it is."""
+        """Abort a transfer."""
 
     def resize(self, link: Link, capacity: float) -> None:
-        """A link's capacity is another."""
+        """Change the capacity of a link."""
 
-    def message(self, one: Any, other: Any, what: Callable[..., None], *told: Any) -> None:
-        """Say something to another box, which may not hear it."""
+    def message(self, one: Any, other: Any, callback: Callable[..., None], *args: Any) -> None:
+        """Send a message to another server; it may be lost."""
 
     def answer(self, dispatch: Any, word: str, note: int) -> None:
-        """Answer a gateway; `reset` ends its connection."""
+        """Answer a gateway; `reset` closes the connection."""
 
     def service(self) -> int:
-        """What the origin takes for one part or effect."""
+        """Draw the origin's processing time for one part or write."""
 
     def effect(self, dispatch: Any, origin: Any) -> None:
-        """A write has run."""
+        """Record that a write took effect."""
 
 
 class AroundGateway(Around, Protocol):
-    """What a gateway has."""
+    """Interface for gateways."""
 
     asked_at: dict[int, int]
     sends: int
@@ -67,22 +69,22 @@
     believes: int
 
     def rows(self, zone: int) -> list[Any]:
-        """The list as a gateway of a location gets it."""
+        """Return the endpoint list for the gateways of a location."""
 
     def sending(self, dispatch: Any, number: int, source: Any) -> None:
-        """Send a req to a box."""
+        """Send a dispatch to its server."""
 
     def undo(self, dispatch: Any) -> int:
-        """Take a dispatch back; tells when that is sure."""
+        """Cancel a dispatch; return when the cancellation reaches the server."""
 
     def check(self, gateway: Any, backend: Any, box: Any, life: int) -> None:
-        """Ask a box for its load."""
+        """Send a health check."""
 
     def final(self, gateway: Any, number: int, ask: Any, word: str, after: int, dispatch: Any) -> None:
-        """Give a client its final answer."""
+        """Deliver the final answer to a client."""
 
     def gone(self, number: int) -> None:
-        """A client has gone, or lost its gateway."""
+        """Record that a client disconnected, or that its gateway stopped."""
 
     def excuse(self, number: int, until: int) -> None:
-        """Nobody can answer a req before then: its gateway is stopped."""
+        """Extend the deadline of a request whose gateway is paused."""
--- a/lilacloft/emulator/boxes.py
+++ b/lilacloft/emulator/boxes.py
@@ -1,10 +1,10 @@
-"""Owns the state of caches, parents and origins, and decides what each does with a dispatch.
+"""Model of the emulated servers: caches, parents and origins, and how they handle dispatches.
 
-A box answers from a copy, joins a fill that is under way, fills from the source it is told, or passes on what
-must not be kept. What it sends is a transfer over its way out and the links behind it, shared max-min
-(lilacloft/emulator/links.py). One that started lately can do little and falls over where it is sent too much;
-one that is silent takes all and answers nothing. What a gateway may send it is not its business. No I/O;
-times in tenths of a millisecond, sizes in KB.
+A server answers from a copy, joins a fill in progress, fills from the source named in the dispatch, or
+forwards what must not be cached. Each response is a transfer over its egress and the links behind it, shared
+max-min (lilacloft/emulator/links.py). A server that started recently (cold) has reduced capacity and crashes
+when it is sent too much; a silent one accepts everything and answers nothing. It does not check what gateways
+may send it. No I/O; times in tenths of a millisecond, sizes in KB.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from lilacloft.emulator.links import Flow, Link
 
 CACHE, PARENT, ORIGIN = 0, 1, 2
-# notes of an answer, by their places in the module's interface
+# notes of an answer: their numbers in the decision module's interface
 HIT, MISS, MISS_ROOT, JOIN, STALE, SOURCE_DENIES, SOURCE_DEAD, NO_COPY, FILL_FULL, ROOT_FAILS = range(1, 11)
 ACTIVE, LEAVING, LEFT = 1, 2, 0
-AGED = 0.8  # part of its fresh time after which a copy may be renewed
-SLOWS = 300  # that a box begins later for each time that it is slower
+AGED = 0.8  # fraction of its freshness lifetime after which a copy may be revalidated
+SLOWS = 300  # added processing delay per unit of slowdown
 
 
 @dataclass(eq=False, slots=True)
 class Dispatch:
-    """One sending of a req, as the box sees it."""
+    """One attempt of a request, as its server sees it."""
 
     number: int
     gateway: Any
@@ -41,15 +41,15 @@
     kbytes: float
     source: Box | None = None
     rank: int = 0
-    oldest: int = 0  # the oldest copy that will do was born then
-    fresh: int = 0  # one born before is stale
+    oldest: int = 0  # copies born before are not acceptable
+    fresh: int = 0  # copies born before are stale
     join: bool = False
     held_only: bool = False
     renew: bool = False
-    passes: bool = False  # must not be kept
-    write: str = ""  # its effect, if it has one
+    passes: bool = False  # must not be cached
+    write: str = ""  # idempotency key of its effect, if it has one
     sent: int = 0
-    open: bool = False  # at the box
+    open: bool = False  # at the server
     over: bool = False  # at the gateway
     flow: Flow | None = None
     born: int = 0
@@ -59,7 +59,7 @@
 
 @dataclass(eq=False, slots=True)
 class Fill:
-    """A box gets a part from its source."""
+    """A transfer of a part from a source into a server's cache."""
 
     box: Box
     place: Place
@@ -69,13 +69,13 @@
     rank: int
     oldest: int
     held_only: bool
-    first: Dispatch | None  # whose transfer goes on to its client as it comes; none: nobody waits
+    first: Dispatch | None  # streamed to its client as the fill arrives; None: no request waits
     waits: list[Dispatch] = field(default_factory=list)
-    below: list[Fill] = field(default_factory=list)  # fills of caches that wait for this one, at a parent
+    below: list[Fill] = field(default_factory=list)  # at a parent: fills of caches that wait for this one
     flow: Flow | None = None
     born: int = 0
     over: bool = False
-    rooted: bool = False  # it came from the origin
+    rooted: bool = False  # fetched from the origin
 
 
 class Box:
@@ -93,29 +93,31 @@
         slots: int,
     ) -> None:
         self.fleet, self.name, self.kind, self.zone, self.cell = fleet, name, kind, zone, cell
-        self.size = size  # transfers at full pace that it can send at once
-        self.slots = slots  # dispatches that it holds at once; beyond it answers that it is full
+        self.size = size  # concurrent full-rate transfers that its egress carries
+        self.slots = slots  # concurrent dispatches; beyond these it answers `full`
         self.out = Link(f"out {name}", size * fleet.pace)
         self.copies = Copies(room)
         self.fills: dict[Place, Fill] = {}
         self.open: dict[Dispatch, None] = {}
         self.status, self.started = ACTIVE, 0
         self.silent = self.dead = False
-        self.slow = self.thin = 1.0  # so many times slower to begin, and to send
-        self.loss = 0.0  # part of its answers that are late by a repeat on the way
-        self.work: deque[tuple[int, float]] = deque()  # sent here lately, in time at full pace
+        self.slow = self.thin = 1.0  # factors: processing delay, loss of egress capacity
+        self.loss = 0.0  # fraction of messages that are lost and arrive after a retransmission
+        self.work: deque[tuple[int, float]] = (
+            deque()
+        )  # recently received work: (time, full-rate transfer time)
         self.fell = 0
-        self.queue: deque[tuple[Any, ...]] = deque()  # an origin's
+        self.queue: deque[tuple[Any, ...]] = deque()  # waiting at the origin
         self.busy = 0
         self.counts = dict.fromkeys(("do", "hit", "stale", "fill", "join", "miss", "full", "reset"), 0)
 
-    # --- what it can do ---
+    # --- capacity ---
 
     def warm(self) -> tuple[float, int, float]:
         return self.fleet.cold_parent if self.kind == PARENT else self.fleet.cold_cache
 
     def power(self) -> float:
-        """The part of its size that it can do now."""
+        """Return the fraction of its full capacity that it has now."""
         floor, warm, _ = self.warm()
         age = self.fleet.events.now - self.started
         if self.kind == ORIGIN or not self.started or age >= warm:
@@ -123,18 +125,18 @@
         return floor + (1 - floor) * max(0, age) / warm
 
     def resize(self) -> None:
-        """What it can send has changed."""
+        """Apply its present capacity to its egress link."""
         self.fleet.resize(self.out, self.size * self.fleet.pace * self.power() / self.thin)
 
     def warming(self, since: int) -> None:
-        """It grows warm, step by step."""
+        """Raise the capacity in steps until warm-up ends."""
         if self.started == since and not self.dead:
             self.resize()
             if self.power() < 1.0:
                 self.fleet.at(self.fleet.events.now + self.fleet.step, TIMER, self.warming, since)
 
     def bears(self, work: float) -> bool:
-        """It is sent work; False where that is more than it bears, as it is cold."""
+        """Record received work; return False if it exceeds what a cold server withstands."""
         now, fall = self.fleet.events.now, self.fleet.fall
         self.work.append((now, work))
         while self.work and self.work[0][0] <= now - fall:
@@ -145,10 +147,10 @@
         load = sum(work for _, work in self.work)
         return load <= self.warm()[2] * power * self.size * fall
 
-    # --- its life ---
+    # --- lifecycle ---
 
     def start(self) -> None:
-        """It starts anew, cold."""
+        """Restart with an empty cache and cold capacity."""
         self.dead, self.started = False, self.fleet.events.now
         self.copies.clear()
         self.work.clear()
@@ -157,7 +159,7 @@
         self.warming(self.started)
 
     def die(self) -> None:
-        """It ends: all that is open there is reset."""
+        """Crash: reset all open dispatches and fail all fills."""
         self.dead = True
         for dispatch in list(self.open):
             self._end(dispatch)
@@ -170,10 +172,10 @@
     # --- dispatches ---
 
     def take(self, dispatch: Dispatch) -> None:
-        """One has come."""
+        """Accept a dispatch."""
         fleet = self.fleet
         if dispatch.over:
-            return None  # taken back on its way
+            return None  # cancelled in transit
         if self.dead:
             dispatch.open = True
             self.open[dispatch] = None
@@ -192,7 +194,7 @@
         return fleet.at(fleet.events.now + wait, TIMER, self._begin, dispatch)
 
     def undo(self, dispatch: Dispatch) -> None:
-        """The gateway waits for it no more."""
+        """Cancel a dispatch at the gateway's request."""
         if dispatch.open:
             self._end(dispatch)
             self.fleet.checker.ended(dispatch.number, "undo", self.fleet.events.now)
@@ -207,12 +209,12 @@
         if fill is not None:
             dispatch.fill = None
             if fill.first is dispatch:
-                fill.first = None  # what has begun to come is kept all the same
+                fill.first = None  # the fill in progress goes on and is cached
             elif dispatch in fill.waits:
                 fill.waits.remove(dispatch)
 
     def _say(self, dispatch: Dispatch, word: str, note: int) -> None:
-        """Its answer goes out."""
+        """End a dispatch with an answer."""
         self._end(dispatch)
         self.fleet.checker.ended(dispatch.number, word, self.fleet.events.now)
         self.fleet.answer(dispatch, word, note)
@@ -243,17 +245,17 @@
             self.counts["miss"] += 1
             self._say(dispatch, "miss", NO_COPY)
             return
-        under = self.fills.get(dispatch.place)
-        if under is not None and dispatch.join and under.held_only <= dispatch.held_only:
+        in_progress = self.fills.get(dispatch.place)
+        if in_progress is not None and dispatch.join and in_progress.held_only <= dispatch.held_only:
             self.counts["join"] += 1
-            dispatch.fill, dispatch.note = under, JOIN
-            under.waits.append(dispatch)
-            under.oldest = max(under.oldest, dispatch.oldest)
+            dispatch.fill, dispatch.note = in_progress, JOIN
+            in_progress.waits.append(dispatch)
+            in_progress.oldest = max(in_progress.oldest, dispatch.oldest)
             return
         self._fill(dispatch, source)
 
     def _fill(self, dispatch: Dispatch, source: Box, renews: bool = False) -> None:
-        """Ask a source for a part."""
+        """Start a fill, or a revalidation in the background."""
         self.counts["fill"] += 1
         oldest = max(dispatch.oldest, dispatch.fresh + 1) if renews else dispatch.oldest
         fill = Fill(
@@ -275,7 +277,7 @@
         self.fleet.at(self.fleet.events.now + self.fleet.fill_patience, TIMER, self._spoil, fill, SOURCE_DEAD)
 
     def _send(self, dispatch: Dispatch, note: int) -> None:
-        """Send a copy to the client, through the gateway."""
+        """Send a copy to the client through the gateway."""
         dispatch.note = note
         dispatch.flow = self.fleet.transfer((self.out,), dispatch.kbytes, self._sent, dispatch)
 
@@ -285,7 +287,7 @@
             self._say(dispatch, "done", dispatch.note)
 
     def _pass(self, dispatch: Dispatch) -> None:
-        """Pass on what must not be kept."""
+        """Forward what must not be cached to the origin."""
         if self.kind == ORIGIN:
             self.serve(dispatch)
         else:
@@ -294,7 +296,7 @@
     # --- as a source ---
 
     def asked(self, fill: Fill) -> None:
-        """Another box asks for a part."""
+        """Handle a fill request from another server."""
         fleet = self.fleet
         if fill.over or self.silent:
             return None
@@ -307,11 +309,11 @@
             return self.supply(fill, copy.born, False)
         if fill.held_only:
             return fleet.message(self, fill.box, fill.box.spoilt, fill, NO_COPY)
-        under = self.fills.get(fill.place)
-        if under is not None and under.oldest >= fill.oldest:
-            under.below.append(fill)
+        in_progress = self.fills.get(fill.place)
+        if in_progress is not None and in_progress.oldest >= fill.oldest:
+            in_progress.below.append(fill)
             return None
-        mine = Fill(
+        own_fill = Fill(
             self,
             fill.place,
             fleet.origin,
@@ -323,14 +325,14 @@
             None,
             below=[fill],
         )
-        self.fills[fill.place] = mine
+        self.fills[fill.place] = own_fill
         self.counts["fill"] += 1
-        fleet.at(fleet.events.now + fleet.fill_patience, TIMER, self._spoil, mine, ROOT_FAILS)
-        return fleet.message(self, fleet.origin, fleet.origin.asked, mine)
+        fleet.at(fleet.events.now + fleet.fill_patience, TIMER, self._spoil, own_fill, ROOT_FAILS)
+        return fleet.message(self, fleet.origin, fleet.origin.asked, own_fill)
 
     def supply(self, fill: Fill, born: int, rooted: bool) -> None:
-        """Send a part to the box that asked: over the way out here, the link of its location where it comes
-        from another, and on to the client that waits, as it comes."""
+        """Send a part to the requesting server: over this server's egress, the ingress link of the other's
+        location if it differs, and the other's egress if a client waits for the streamed response."""
         if fill.over:
             return
         links = [self.out]
@@ -342,7 +344,7 @@
         fill.flow = self.fleet.transfer(tuple(links), fill.kbytes, fill.box.filled, fill)
 
     def filled(self, fill: Fill) -> None:
-        """A part has come."""
+        """Complete a fill: store the copy and answer the dispatches that wait for it."""
         fill.flow = None
         if fill.over or self.dead:
             return
@@ -370,7 +372,7 @@
         fill.waits = []
 
     def spoilt(self, fill: Fill, note: int) -> None:
-        """The source says that nothing comes."""
+        """Handle the source's message that a fill failed."""
         self._spoil(fill, note)
 
     def _spoil(self, fill: Fill, note: int) -> None:
@@ -392,43 +394,43 @@
 
     # --- as the origin ---
 
-    def serve(self, what: Fill | Dispatch) -> None:
-        """A part, or an effect, is asked of the origin: one after the other at so many hands."""
+    def serve(self, job: Fill | Dispatch) -> None:
+        """Queue a part or a write at the origin, which processes a fixed number concurrently."""
         if self.silent or self.dead:
             return
-        self.queue.append((what,))
+        self.queue.append((job,))
         self._hands()
 
     def _hands(self) -> None:
         while self.queue and self.busy < self.fleet.hands:
-            (what,) = self.queue.popleft()
-            if isinstance(what, Fill) and what.over:
+            (job,) = self.queue.popleft()
+            if isinstance(job, Fill) and job.over:
                 continue
-            if isinstance(what, Dispatch) and not what.open:
+            if isinstance(job, Dispatch) and not job.open:
                 continue
             self.busy += 1
             took = int(self.fleet.service() * self.slow)
-            self.fleet.at(self.fleet.events.now + took, TIMER, self._served, what, self.started)
+            self.fleet.at(self.fleet.events.now + took, TIMER, self._served, job, self.started)
 
-    def _served(self, what: Fill | Dispatch, life: int) -> None:
+    def _served(self, job: Fill | Dispatch, life: int) -> None:
         if life != self.started or self.dead:
             return
         self.busy -= 1
         now = self.fleet.events.now
         if not self.silent:
-            if isinstance(what, Fill):
-                self.supply(what, now, True)
-            elif what.open:
-                if what.write:
-                    self.fleet.effect(what, self)
-                what.born = now
-                if what.box is self:
-                    self._send(what, MISS_ROOT)
+            if isinstance(job, Fill):
+                self.supply(job, now, True)
+            elif job.open:
+                if job.write:
+                    self.fleet.effect(job, self)
+                job.born = now
+                if job.box is self:
+                    self._send(job, MISS_ROOT)
                 else:
-                    self.fleet.message(self, what.box, what.box.passed, what)
+                    self.fleet.message(self, job.box, job.box.passed, job)
         self._hands()
 
     def passed(self, dispatch: Dispatch) -> None:
-        """What was passed on has come back."""
+        """Send the origin's answer to a forwarded dispatch."""
         if dispatch.open and not (self.silent or self.dead):
             self._send(dispatch, MISS_ROOT)
--- a/lilacloft/emulator/clients.py
+++ b/lilacloft/emulator/clients.py
@@ -1,10 +1,10 @@
-"""Decides what clients ask, when, and what they do with an answer that is none; owns their state.
+"""Workload model: when clients send requests, for which objects, and how they react to failures.
 
-Arrivals come at a rate that follows the day and flashes, by thinning. What is asked follows Zipf's law over
-ranks; which object holds a rank changes as time goes (drift), so that what is popular today is not tomorrow.
-A session asks the parts of one object in turn. A client that was denied asks again after a pause that
-doubles, or the one that it was told; one that is impatient leaves. All chance from streams of its own. No
-I/O; times in tenths of a millisecond, rates in a second, sizes in KB.
+Arrivals are a Poisson process, thinned to a rate that follows a daily cycle and flash crowds. Popularity
+follows Zipf's law over ranks; the object that holds a rank changes over time (drift), so popularity shifts. A
+session requests the parts of one object in sequence. A client that was denied retries with exponential
+backoff, or after the delay it was given; an impatient client disconnects. All random numbers come from the
+model's own streams. No I/O; times in tenths of a millisecond, rates per second, sizes in KB.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass
 class Flash:
-    """For a while there are so many times as many, of whom a share asks for one object."""
+    """Flash crowd: the request rate is multiplied for a while, and a share of requests is for one object."""
 
     at: int
     span: int
@@ -33,43 +33,43 @@
 
 @dataclass
 class Habits:
-    """How clients behave."""
+    """Parameters of client behaviour."""
 
     rate: float = 100.0
     objects: int = 1000
     zipf: float = 0.9
-    drift: float = 0.0  # ranks in a second that get another object
-    day: int = 0  # its length; 0: it is always the same
-    swing: float = 0.0  # 0 to 1: the rate goes so far up and down within a day
+    drift: float = 0.0  # ranks per second that are given to another object
+    day: int = 0  # length of the daily cycle; 0: constant rate
+    swing: float = 0.0  # amplitude of the daily cycle, 0 to 1 of the rate
     flashes: list[Flash] = field(default_factory=list)
-    parts: int = 1  # of an object that is asked in a session
-    gap: float = 0.5  # seconds between two parts of a session
+    parts: int = 1  # of an object that a session requests
+    gap: float = 0.5  # mean seconds between two parts of a session
     size: float = 200.0  # median KB of a part
     spread: float = 0.6  # sigma of its logarithm
-    mix: tuple[float, ...] = (1.0,)  # shares of the vhosts
+    mix: tuple[float, ...] = (1.0,)  # shares of the virtual hosts
     groups: int = 8
     retries: int = 2
-    pause: float = 0.2  # seconds before the first repeat; doubled for each
-    leaves: float = 0.0  # part of the clients that go before their time is up
+    pause: float = 0.2  # seconds before the first retry; doubled for each further one
+    leaves: float = 0.0  # fraction of clients that disconnect before their timeout
 
 
 @dataclass(slots=True)
 class Ask:
-    """What a client wants."""
+    """One client request."""
 
     key: str
     part: int
     group: int
     kbytes: float
     vhost: int
-    nth: int = 0  # repeat
-    leave: int = 0  # goes after so long; 0: waits
-    effect: str = ""  # its idempotency key, the same for all repeats
-    first: int = 0  # when it was asked for the first time
+    nth: int = 0  # number of the client retry
+    leave: int = 0  # disconnects after this time; 0: waits
+    effect: str = ""  # idempotency key, the same for all retries
+    first: int = 0  # when it was first sent
 
 
 class Clients:
-    """All clients of one world."""
+    """All clients of one run."""
 
     def __init__(self, chance: Chance, habits: Habits, effects: list[str]) -> None:
         self.habits, self.effects = habits, effects
@@ -87,10 +87,10 @@
             shares.append(total)
         self.shares = [share / total for share in shares]
 
-    # --- when ---
+    # --- arrivals ---
 
     def rate(self, now: int) -> float:
-        """Reqs a second at a time."""
+        """Return the request rate per second at a time."""
         habits = self.habits
         out = habits.rate
         if habits.day:
@@ -101,14 +101,14 @@
         return out
 
     def most(self) -> float:
-        """No rate is ever above."""
+        """Return an upper bound on the rate, for thinning."""
         out = self.habits.rate * (1 + abs(self.habits.swing))
         for flash in self.habits.flashes:
             out *= max(1.0, flash.times)
         return out
 
     def after(self, now: int) -> int:
-        """When the next client comes after a time."""
+        """Return the next arrival after a time."""
         most = self.most()
         when = float(now)
         while True:
@@ -116,10 +116,10 @@
             if self.when.random() * most <= self.rate(int(when)):
                 return max(now, math.ceil(when))
 
-    # --- what ---
+    # --- requests ---
 
     def ask(self, now: int) -> Ask:
-        """What one that comes now wants."""
+        """Draw the request of a client that arrives now."""
         self._drift(now)
         key = ""
         for flash in self.habits.flashes:
@@ -149,21 +149,21 @@
         return 1 + zlib.crc32(key.encode()) % self.habits.groups
 
     def size(self, key: str, part: int) -> float:
-        """KB of a part: always the same, whoever asks."""
+        """Return the size of a part in KB: a function of the key and part only."""
         name = f"{key} {part}"
         found = self.quantiles.get(name)
         if found is None:
-            # a sum of uniform draws is near enough to normal, and the same on every machine
+            # the sum of 12 uniform numbers approximates a normal, and is the same on every machine
             draws = [zlib.crc32(f"{name} {nth}".encode()) / 2**32 for nth in range(12)]
             found = self.habits.size * math.exp(self.habits.spread * (sum(draws) - 6.0))
             self.quantiles[name] = found
         return found
 
-    # --- what then ---
+    # --- reactions ---
 
     def next(self, ask: Ask, word: str, after: int) -> tuple[int, Ask] | None:
-        """What a client does with its final answer: the span until it asks something more, and what; none
-        where it is content, or gives up. `after`: when it was told to come back, 0 for nothing told."""
+        """Return a client's delay and next request after its final answer; None if it is done or gives up.
+        `after` is the retry delay that it was given, 0 for none."""
         habits = self.habits
         if word == "done":
             if ask.part + 1 >= habits.parts or self.effects[ask.vhost] != "replayable":
@@ -172,7 +172,7 @@
             gap = 1 + int(self.how.expo(habits.gap * SECOND))
             return gap, Ask(ask.key, part, ask.group, self.size(ask.key, part), ask.vhost)
         if word != "denied" or ask.nth >= habits.retries:
-            return None  # what was aborted may have been done: nobody asks for it again blindly
+            return None  # an aborted request may have taken effect, so it is not retried
         pause = max(after, int(habits.pause * SECOND * 2**ask.nth))
         return int(pause * (1 + 0.5 * self.how.random())), Ask(
             ask.key, ask.part, ask.group, ask.kbytes, ask.vhost, ask.nth + 1, ask.leave, ask.effect, ask.first
--- a/lilacloft/emulator/copies.py
+++ b/lilacloft/emulator/copies.py
@@ -1,20 +1,20 @@
-"""Decides what a box keeps and lets go, and owns the state of its copies.
+"""Cache storage of an emulated server, with eviction by rank and recency.
 
-A copy has a rank, 0 to 2, as the one who asked for it told: where there is no more room the lowest rank goes
-first, and of one rank what was used least lately. A copy is of the moment at which the origin gave it out
-(`born`), wherever it lay since. No I/O; times in tenths of a millisecond, sizes in KB.
+A copy has a rank, 0 to 2, given by the request that filled it. When space runs out the lowest rank is evicted
+first, and within a rank the least recently used copy. The age of a copy counts from when the origin served
+it (`born`), whichever caches it passed through since. No I/O; times in tenths of a millisecond, sizes in KB.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-Place = tuple[str, int]  # an object and its part
+Place = tuple[str, int]  # object key and part number
 
 
 @dataclass(slots=True)
 class Copy:
-    """One part that is kept."""
+    """A cached object part."""
 
     born: int
     rank: int
@@ -23,15 +23,15 @@
 
 
 class Copies:
-    """One box's."""
+    """All copies of one server."""
 
     def __init__(self, room: float) -> None:
         self.room, self.used = room, 0.0
-        self.ranks: tuple[dict[Place, Copy], ...] = ({}, {}, {})  # least lately used first
+        self.ranks: tuple[dict[Place, Copy], ...] = ({}, {}, {})  # least recently used first
         self.evicted = 0
 
     def get(self, place: Place, oldest: int) -> Copy | None:
-        """A copy born at a time or after it; it counts as used."""
+        """Return a copy served by the origin at `oldest` or later, and mark it as used."""
         for rank in self.ranks:
             copy = rank.get(place)
             if copy is not None:
@@ -43,11 +43,11 @@
         return None
 
     def peek(self, place: Place) -> Copy | None:
-        """The copy, used or not."""
+        """Return a copy without marking it as used."""
         return next((rank[place] for rank in self.ranks if place in rank), None)
 
     def put(self, place: Place, born: int, rank: int, kbytes: float, group: int) -> bool:
-        """Keep one in place of an older one; False where it is larger than all room, or older itself."""
+        """Store a copy, replacing an older one; return False if it exceeds the capacity or is older."""
         rank = min(max(rank, 0), 2)
         held = self.peek(place)
         if kbytes > self.room or (held is not None and held.born > born):
@@ -63,22 +63,22 @@
             self.evicted += 1
         return True
 
-    def _victim(self, spared: Place) -> Place:
+    def _victim(self, exempt: Place) -> Place:
         for rank in self.ranks:
             for place in rank:
-                if place != spared:
+                if place != exempt:
                     return place
-        return spared
+        return exempt
 
     def drop(self, place: Place) -> None:
-        """Keep it no more."""
+        """Remove a copy, if there is one."""
         for rank in self.ranks:
             copy = rank.pop(place, None)
             if copy is not None:
                 self.used = max(0.0, self.used - copy.kbytes)
 
     def purge(self, key: str, group: int, at: int) -> int:
-        """Let go of what is older than a purge of an object, or without a key of a group."""
+        """Remove copies older than a purge of an object or, without a key, of a purge group."""
         gone = [
             place
             for rank in self.ranks
@@ -90,7 +90,7 @@
         return len(gone)
 
     def clear(self) -> None:
-        """A box that starts anew holds nothing."""
+        """Remove all copies, as when the server restarts."""
         for rank in self.ranks:
             rank.clear()
         self.used = 0.0
--- a/lilacloft/emulator/events.py
+++ b/lilacloft/emulator/events.py
@@ -1,9 +1,9 @@
-"""Decides the order of what happens in a world, and owns the state of its time.
+"""Event queue and virtual clock of the emulator.
 
-Time is whole tenths of a millisecond. Of two events at the same instant the one of the lower rank comes
-first, then the one that was asked for first: so the order never hangs on addresses, hashes or chance. Ranks
-say what a world needs: a fault is there before what it touches, what comes over the network is heard before
-what was only waited for, and a client's patience ends last, so that an answer in its last instant counts. No
+Time is counted in whole tenths of a millisecond. Events at the same instant run in order of rank, then in
+the order in which they were scheduled, so the order never depends on addresses, hashes or random numbers.
+The ranks make a fault take effect before the events it affects, network messages arrive before timers fire,
+and client timeouts run last, so that an answer at the very instant of a client's deadline still counts. No
 I/O.
 """
 
@@ -17,31 +17,31 @@
 
 
 class Events:
-    """What is due."""
+    """Priority queue of scheduled events."""
 
     def __init__(self, now: int = 0) -> None:
         self.now, self.number, self.done = now, 0, 0
         self.heap: list[tuple[int, int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.after: Callable[[], None] | None = None  # called after each event
 
-    def at(self, when: int, rank: int, what: Callable[..., None], *told: Any) -> None:
-        """Something is due at a time, now at the earliest."""
+    def at(self, when: int, rank: int, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule a call; a time in the past means now."""
         self.number += 1
-        heapq.heappush(self.heap, (max(when, self.now), rank, self.number, what, told))
+        heapq.heappush(self.heap, (max(when, self.now), rank, self.number, callback, args))
 
     def step(self) -> bool:
-        """The next event; False where there is none."""
+        """Run the next event; return False if the queue is empty."""
         if not self.heap:
             return False
-        self.now, _, _, what, told = heapq.heappop(self.heap)
+        self.now, _, _, callback, args = heapq.heappop(self.heap)
         self.done += 1
-        what(*told)
+        callback(*args)
         if self.after:
             self.after()
         return True
 
     def run(self, until: int) -> None:
-        """All events up to a time, which it is then."""
+        """Run all events up to a time, and advance the clock to it."""
         heap = self.heap
         while heap and heap[0][0] <= until:
             self.step()
--- a/lilacloft/emulator/faults.py
+++ b/lilacloft/emulator/faults.py
@@ -1,18 +1,17 @@
-"""Decides which faults there are: a language of events over time, drawn from a seed or written down, and cut
-to the least that still fails.
+"""Fault injection: a language for timed faults, random generation from a seed, and shrinking to a minimal set
+that still fails.
 
-A fault has a kind, whom it strikes, when, for how long, and how hard:
+A fault has a type, a target, a start time, a duration and a severity:
 
     (at 2s (silent (cache 3)) (for 5s))
     (at 0s (slow origin 4) (for 10s))
     (at 3s (drain (shelf 1)) (for 8s))
     (at 1s (purge (object o3) 4))
 
-Whom: `(cache N)`, `(parent N)`, `(gateway N)`, `(zone N)` (its caches), `(hub N)` (its parents),
-`(shelf N)` (the caches of a cell), `(version N)` (every so many-th box, as if they ran one program),
-`origin`, `log`, `all`. A world that has no such one is
-left alone by it: so a fault that is drawn for a large world stays readable for a small one. No I/O; times in
-tenths of a millisecond.
+Targets: `(cache N)`, `(parent N)`, `(gateway N)`, `(zone N)` (its caches), `(hub N)` (its parents),
+`(shelf N)` (the caches of a cell), `(version N)` (every (N+1)th server, as if these ran one software
+version), `origin`, `log`, `all`. A fault whose target does not exist in a world has no effect, so faults
+drawn for a large world can be read for a small one. No I/O; times in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -28,12 +27,12 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """What can go wrong: whom it may strike, whether it lasts, and the unit of how hard."""
+    """A fault type: possible targets, whether it has a duration, and the range of its severity."""
 
     whom: tuple[str, ...]
     lasts: bool = True
-    hard: tuple[float, float] | None = None  # the range it is drawn from
-    whole: bool = False  # a whole number
+    hard: tuple[float, float] | None = None  # range of random severities
+    whole: bool = False  # the severity is an integer
 
 
 BOXES = ("cache", "parent", "shelf", "zone", "version")
@@ -41,35 +40,37 @@
 KINDS = {
     "silent": Kind((*SITES, "origin")),
     "slow": Kind((*SITES, "origin"), hard=(2.0, 12.0)),
-    "thin": Kind((*SITES, "origin"), hard=(2.0, 10.0)),  # its way out has so many times less
-    "lossy": Kind((*SITES, "gateway"), hard=(0.02, 0.4)),  # part of the messages that come late by a repeat
-    "deaf": Kind((*SITES, "gateway")),  # what is sent to it does not come
-    "mute": Kind((*SITES, "gateway")),  # what it sends does not come
-    "apart": Kind(("zone",)),  # a location is cut off from parents and origin, both ways
-    "cold": Kind(SITES, lasts=False),  # dies and starts anew
-    "down": Kind(SITES),  # dies, and starts anew at the end
-    "drain": Kind(SITES),  # told to leave, and back as cold
-    "lag": Kind(("log", "gateway"), hard=(0.5, 4.0)),  # seconds by which its events come later
-    "break": Kind(("log", "gateway")),  # nothing comes from the change log
-    "unlogged": Kind(("zone",)),  # the same for a location's gateways, which hear and are heard otherwise
-    "lone": Kind(("zone", "gateway")),  # cut off from planners only
-    "clock": Kind(("gateway",), hard=(-2.0, 2.0)),  # seconds by which it differs
+    "thin": Kind((*SITES, "origin"), hard=(2.0, 10.0)),  # its egress capacity is divided by this
+    "lossy": Kind(
+        (*SITES, "gateway"), hard=(0.02, 0.4)
+    ),  # fraction of messages that arrive late, after a retransmission
+    "deaf": Kind((*SITES, "gateway")),  # messages to it are lost
+    "mute": Kind((*SITES, "gateway")),  # messages from it are lost
+    "apart": Kind(("zone",)),  # location partitioned from parents and origin, both directions
+    "cold": Kind(SITES, lasts=False),  # crashes and restarts
+    "down": Kind(SITES),  # crashes, and restarts at the end
+    "drain": Kind(SITES),  # listed as draining, then returns cold
+    "lag": Kind(("log", "gateway"), hard=(0.5, 4.0)),  # added delay of its events, seconds
+    "break": Kind(("log", "gateway")),  # no change log events arrive
+    "unlogged": Kind(("zone",)),  # `break` for the gateways of a location; their other traffic passes
+    "lone": Kind(("zone", "gateway")),  # partitioned from planners only
+    "clock": Kind(("gateway",), hard=(-2.0, 2.0)),  # offset of the wall clock, seconds
     "restart": Kind(("gateway",), lasts=False),
-    "stop": Kind(("gateway",)),  # does nothing at all for a while, then goes on
-    "purge": Kind(("object", "group"), lasts=False, hard=(1, 8), whole=True),  # so many, 0.1 s apart
-    "hot": Kind(("object",), hard=(0.2, 0.8)),  # part of all reqs ask for it
-    "rush": Kind(("all",), hard=(1.5, 5.0)),  # so many times as many reqs
+    "stop": Kind(("gateway",)),  # paused, then resumed
+    "purge": Kind(("object", "group"), lasts=False, hard=(1, 8), whole=True),  # number of purges, 0.1 s apart
+    "hot": Kind(("object",), hard=(0.2, 0.8)),  # fraction of all requests that are for it
+    "rush": Kind(("all",), hard=(1.5, 5.0)),  # factor on the request rate
 }
 SINGLE = ("origin", "log", "all")
 
 
 class FaultError(Exception):
-    """What is no fault; the text says why."""
+    """An invalid fault; the text says why."""
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault."""
+    """One timed fault."""
 
     kind: str
     whom: str
@@ -83,17 +84,17 @@
         if kind is None:
             raise FaultError(f"unknown fault {self.kind!r}: {', '.join(sorted(KINDS))} are known")
         if self.whom not in kind.whom:
-            raise FaultError(f"{self.kind} strikes {', '.join(kind.whom)}, not {self.whom!r}")
+            raise FaultError(f"{self.kind} applies to {', '.join(kind.whom)}, not {self.whom!r}")
         if (self.which == "") != (self.whom in SINGLE):
-            raise FaultError(f"{self.whom} " + ("is but one" if self.which else "of which number?"))
+            raise FaultError(f"{self.whom} " + ("takes no number" if self.which else "needs a number"))
         if self.whom not in (*SINGLE, "object") and not self.which.isdigit():
             raise FaultError(f"{self.whom} {self.which!r}: a number expected")
         if kind.lasts != bool(self.span):
-            raise FaultError(f"{self.kind} " + ("lasts for how long?" if kind.lasts else "does not last"))
+            raise FaultError(f"{self.kind} " + ("needs a duration" if kind.lasts else "takes no duration"))
         if self.at < 0 or self.span < 0:
-            raise FaultError(f"{self.kind} at {self.at} for {self.span}: no times")
+            raise FaultError(f"{self.kind} at {self.at} for {self.span}: negative time")
         if (kind.hard is None) != (self.hard == 0.0) and self.kind != "clock":
-            raise FaultError(f"{self.kind} " + ("takes no number" if self.hard else "how hard?"))
+            raise FaultError(f"{self.kind} " + ("takes no severity" if self.hard else "needs a severity"))
 
     def __str__(self) -> str:
         whom = self.whom if self.whom in SINGLE else f"({self.whom} {self.which})"
@@ -107,15 +108,15 @@
 
 
 def overlap(one: Fault, two: Fault) -> bool:
-    """Are both there at some time?"""
+    """Return whether two faults overlap in time."""
     return one.at <= two.end and two.at <= one.end
 
 
-# --- written down ---
+# --- parsing ---
 
 
 def read(form: Sequence[Any]) -> Fault:
-    """One fault of a form `(at TIME (KIND WHOM [NUMBER]) [(for TIME)])`, whose words are texts."""
+    """Read a fault from a form `(at TIME (KIND WHOM [NUMBER]) [(for TIME)])` of nested lists of strings."""
     if len(form) not in (3, 4) or form[0] != "at" or not isinstance(form[2], list | tuple):
         raise FaultError(f"{shown(form)}: (at TIME (KIND WHOM [NUMBER]) [(for TIME)]) expected")
     what, span = form[2], 0
@@ -138,7 +139,7 @@
 
 
 def time(text: Any) -> int:
-    """A span like `2s` or `250ms`, in tenths of a millisecond."""
+    """Parse a duration like `2s` or `250ms`; return tenths of a millisecond."""
     word = str(text)
     for unit, size in (("ms", 10), ("s", SECOND), ("m", 60 * SECOND)):
         if word.endswith(unit):
@@ -154,12 +155,12 @@
 
 
 def parse(text: str) -> list[Fault]:
-    """All faults of a text, one form after the other."""
+    """Parse all faults in a text."""
     return [read(form) for form in forms(text)]
 
 
 def forms(text: str) -> list[Any]:
-    """Nested lists of words; comments go from `;` to the end of a line."""
+    """Parse a text into nested lists of words; comments run from `;` to the end of the line."""
     lines = [line.partition(";")[0] for line in text.splitlines()]
     words = " ".join(lines).replace("(", " ( ").replace(")", " ) ").split()
     stack: list[list[Any]] = [[]]
@@ -168,17 +169,17 @@
             stack.append([])
         elif word == ")":
             if len(stack) == 1:
-                raise FaultError("a ) too many")
+                raise FaultError("unmatched )")
             done = stack.pop()
             stack[-1].append(done)
         else:
             stack[-1].append(word)
     if len(stack) > 1:
-        raise FaultError("a ) is missing")
+        raise FaultError("missing )")
     return stack[0]
 
 
-# --- drawn ---
+# --- random faults ---
 
 WEIGHTS = {
     "silent": 3,
@@ -205,9 +206,9 @@
 def draw(
     stream: Stream, sizes: dict[str, int], horizon: int, count: int, weights: dict[str, float] | None = None
 ) -> list[Fault]:
-    """So many faults for a world: `sizes` says how many there are of whom (`cache`, `parent`, `gateway`,
-    `zone`, `shelf`, `object`, `group`). Every second one begins while another lasts: it is what happens
-    together that is hard."""
+    """Draw `count` random faults. `sizes` is the number of targets of each type (`cache`, `parent`,
+    `gateway`, `zone`, `shelf`, `object`, `group`). About half of the faults overlap an earlier one, as
+    simultaneous faults find more bugs."""
     weights = weights or WEIGHTS
     names = sorted(name for name in weights if weights[name] > 0)
     total = sum(weights[name] for name in names)
@@ -236,7 +237,7 @@
             other = out[stream.below(len(out))]
             at = min(horizon, other.at + stream.below(max(1, other.span + SECOND)))
         if name == "clock" and stream.random() < 0.5:
-            at = 0  # its process begins with it
+            at = 0  # the process starts with this clock
         span = 1 + int(stream.between(0.02, 0.5) * horizon) if kind.lasts else 0
         hard = 0.0
         if kind.hard is not None:
@@ -246,19 +247,19 @@
     return sorted(out, key=lambda fault: (fault.at, str(fault)))
 
 
-# --- cut to the least ---
+# --- shrinking ---
 
 
 def shrink(faults: Iterable[Fault], fails: Callable[[list[Fault]], bool], most: int = 400) -> list[Fault]:
-    """The least faults that still fail: first fewer of them (halves, then one by one), then shorter ones,
-    then weaker ones. `fails` runs a world with faults; it is asked so many times at most."""
-    best, asked = list(faults), 0
+    """Return a minimal list of faults that still fails: first fewer faults (halves, then one at a time), then
+    shorter ones, then weaker ones. `fails` runs a world with given faults, at most `most` times."""
+    best, calls = list(faults), 0
 
-    def still(some: list[Fault]) -> bool:
-        nonlocal asked
-        if asked >= most:
+    def still_fails(some: list[Fault]) -> bool:
+        nonlocal calls
+        if calls >= most:
             return False
-        asked += 1
+        calls += 1
         return fails(some)
 
     size = max(1, len(best) // 2)
@@ -266,14 +267,14 @@
         place = 0
         while place < len(best):
             fewer = best[:place] + best[place + size :]
-            if still(fewer):
+            if still_fails(fewer):
                 best = fewer
             else:
                 place += size
         size //= 2
     for place in range(len(best)):
         for change in (_shorter, _weaker):
-            while (less := change(best[place])) is not None and still(
+            while (less := change(best[place])) is not None and still_fails(
                 [*best[:place], less, *best[place + 1 :]]
             ):
                 best[place] = less
--- a/lilacloft/emulator/fleet.py
+++ b/lilacloft/emulator/fleet.py
@@ -1,9 +1,8 @@
-"""Puts a world together and runs it: gateways, boxes, clients, change log, faults; owns its state.
+"""Assembles and runs an emulation: gateways, servers, clients, change log and faults.
 
-Everything that one part says to another passes here, so that a fault on the way strikes it here: messages
-that come late by a repeat, a side that does not hear or is not heard, a location that is cut off. The checker
-is told of everything from the outside. The same world, faults and seed give the same run to the last event,
-in any process. No I/O.
+All messages between components pass through the fleet, which applies network faults to them: retransmission
+delays, one-way loss, partitioned locations. It also reports every event to the invariant checker. The same
+world, faults and seed reproduce a run event by event, in any process. No I/O.
 """
 
 from __future__ import annotations
@@ -27,42 +26,42 @@
 from lilacloft.routing.model import Idempotency
 from lilacloft.routing.rendezvous import hash_order
 
-START = 1_000 * SECOND  # no world begins at 0, which means "never" in places
-SLACK = 200  # by which an answer may be late on its way to the client
-BEARS = 1.25  # what a cold box really bears, over what the rule allows: sendings bunch up on the way
-DOWN = 3000  # span from a box's end to its new start
-REPEAT = (2000, 6000)  # after which what was lost on the way comes by its repeat
+START = 1_000 * SECOND  # runs do not start at time 0, which means "never" in some fields
+SLACK = 200  # delivery delay to the client that is allowed after a deadline
+COLD_TOLERANCE = 1.25  # actual over permitted load limit of a cold server, as dispatches bunch up in transit
+RESTART_TIME = 3000  # time from a crash to the restart
+RETRANSMISSION = (2000, 6000)  # range of the delay until a lost message arrives by retransmission
 
 
 @dataclass
 class Result:
-    """What came of a run."""
+    """Result of a run."""
 
     world: str
     seed: int
-    asked: int = 0  # intents: repeats of one count with it
+    asked: int = 0  # client requests, with the retries of one counted as one
     done: int = 0
-    denied: int = 0  # answers; of an intent several may be
+    denied: int = 0  # answers; a request that is retried may have several
     aborted: int = 0
     left: int = 0
-    worth: float = 0.0  # earned, of what all intents together could have been worth
-    hits: float = 0.0  # part of reads answered from a copy
-    dispatches: float = 0.0  # per req
-    fetched: float = 0.0  # KB from the origin for each KB served
+    worth: float = 0.0  # value of the answers as a fraction of the value of all requests
+    hits: float = 0.0  # fraction of reads answered from a copy
+    dispatches: float = 0.0  # per request
+    fetched: float = 0.0  # KB from the origin per KB served
     stale: float = 0.0
-    p50: float = 0.0  # ms, of what was done, from the first asking on
+    p50: float = 0.0  # ms from the first attempt of the client, of successful answers
     p99: float = 0.0
     fell: int = 0
-    wasted: int = 0  # answers that nobody waited for
+    wasted: int = 0  # answers for which no client waited
     believes: int = 0
     events: int = 0
     requests: int = 0
     breaches: list[Breach] = field(default_factory=list)
-    mark: str = ""  # of all that was answered, in order: the same for the same run
+    mark: str = ""  # digest of all answers in order; equal for equal runs
 
 
 class Fleet:
-    """One world, running."""
+    """A running emulation."""
 
     def __init__(
         self, world: World, seed: int, faults: Iterable[Fault] = (), policy: Policy | None = None
@@ -81,7 +80,7 @@
         self.armed: tuple[int, ...] = ()
         self.asked_at: dict[int, int] = {}
         self.due: dict[int, int] = {}
-        self.apart: set[int] = set()  # locations that are cut off
+        self.apart: set[int] = set()  # partitioned locations
         self.rule_work: dict[str, deque[tuple[int, float]]] = {}
         self.hash = hashlib.blake2b(digest_size=12)
         self.took: list[int] = []
@@ -96,9 +95,9 @@
         self.gateways = [
             self._gateway(number, policy or Router) for number in range(world.zones * world.gateways)
         ]
-        # of each gateway: how much was told, not before when, how late, is it broken off?
+        # by gateway: events delivered, earliest next delivery, added delay, whether the watch is broken
         self.log_at = {gateway.name: [0, 0, 0, 0] for gateway in self.gateways}
-        self._first()
+        self._warm_caches()
         for fault in faults:
             self.events.at(START + fault.at, FAULT, self.strike, fault)
         self._arrive(self.clients.after(0))
@@ -141,8 +140,8 @@
         self.origin = Box(self, "origin", ORIGIN, -1, 0, world.origin_size, 1e12, 1 << 30)
         self.boxes += [*self.parents, self.origin]
 
-    def _first(self) -> None:
-        """Boxes begin with what is asked most, at the homes that hash order gives; as after a long time."""
+    def _warm_caches(self) -> None:
+        """Fill caches with the most popular objects at their homes by hash order, as after a long run."""
         if not self.world.warm:
             return
         by_name = {box.name: box for box in self.boxes}
@@ -154,7 +153,7 @@
                     homes = self._homes(router, router.pools.caches, f"{key} {part}")
                     parents = self._homes(router, router.pools.parents, f"{key} {part}")
                     for name in homes[:1] + parents[:1]:
-                        # of some age, else all would grow old together
+                        # with different ages, or all would become stale together
                         born = START - 1 - zlib.crc32(key.encode()) % (8 * SECOND)
                         by_name[name].copies.put((key, part), born, 1, size, group)
 
@@ -165,79 +164,81 @@
 
     # --- time ---
 
-    def at(self, when: int, rank: int, what: Callable[..., None], *told: Any) -> None:
-        self.events.at(when, rank, what, *told)
+    def at(self, when: int, rank: int, callback: Callable[..., None], *args: Any) -> None:
+        self.events.at(when, rank, callback, *args)
 
     def run(self) -> Result:
-        """To the end: clients come for the world's span, and all is answered."""
+        """Run to the end: clients arrive during the world's span, then open requests complete."""
         longest = max(one.timeout for one in self.world.vhosts)
         self.events.run(START + self.world.span)
         self.closed = True
         self.events.run(START + self.world.span + longest + SLACK + SECOND)
-        return self._sum()
+        return self._summarize()
 
     closed = False
 
     # --- links ---
 
-    def transfer(self, links: tuple[Link, ...], kbytes: float, done: Callable[..., None], told: Any) -> Flow:
-        """Something is sent; `done` is called with `told` once it has come."""
+    def transfer(
+        self, links: tuple[Link, ...], kbytes: float, done: Callable[..., None], context: Any
+    ) -> Flow:
+        """Start a transfer; `done` is called with `context` on completion."""
         if links and links[0] is self.origin.out:
             self.origin_kb += kbytes
-        flow = self.net.start(self.events.now, links, self.pace, kbytes, (done, told))
-        self._arm()
+        flow = self.net.start(self.events.now, links, self.pace, kbytes, (done, context))
+        self._schedule_completion()
         return flow
 
     def stop(self, flow: Flow) -> None:
         self.net.end(self.events.now, flow)
-        self._arm()
+        self._schedule_completion()
 
     def resize(self, link: Link, capacity: float) -> None:
         self.net.resize(self.events.now, link, capacity)
-        self._arm()
+        self._schedule_completion()
 
-    def _arm(self) -> None:
+    def _schedule_completion(self) -> None:
         when = self.net.next()
         if when is not None and (not self.armed or when < self.armed[0]):
             self.armed = (when,)
-            self.events.at(when, NET, self._moved, when)
+            self.events.at(when, NET, self._transfers_done, when)
 
-    def _moved(self, when: int) -> None:
+    def _transfers_done(self, when: int) -> None:
         if self.armed != (when,):
-            return  # an earlier one was armed since
+            return  # superseded by an earlier completion
         self.armed = ()
         while (flow := self.net.take(self.events.now)) is not None:
-            done, told = flow.told
-            done(told)
-        self._arm()
+            done, context = flow.told
+            done(context)
+        self._schedule_completion()
 
     # --- messages ---
 
-    def hop(self, one: Any, other: Any) -> int:
-        """How long a message takes from a gateway or a box to another."""
-        near = one.zone == other.zone
+    def hop(self, sender: Any, receiver: Any) -> int:
+        """Draw the one-way delay of a message between gateways and servers."""
+        is_local = sender.zone == receiver.zone
         stream = self.chance.stream("hops")
-        out = stream.expo(0.2 * (self.world.hop if near else self.world.far)) + (
-            self.world.hop if near else self.world.far
+        delay = stream.expo(0.2 * (self.world.hop if is_local else self.world.far)) + (
+            self.world.hop if is_local else self.world.far
         )
-        loss = max(one.loss, other.loss)
+        loss = max(sender.loss, receiver.loss)
         if loss and stream.random() < loss:
-            out += stream.between(*REPEAT)
-        return max(1, int(out))
+            delay += stream.between(*RETRANSMISSION)
+        return max(1, int(delay))
 
-    def cut(self, one: Any, other: Any) -> bool:
-        """Does what one sends not come to the other?"""
-        if getattr(one, "mute", False) or getattr(other, "deaf", False):
+    def cut(self, sender: Any, receiver: Any) -> bool:
+        """Return whether messages in this direction are lost."""
+        if getattr(sender, "mute", False) or getattr(receiver, "deaf", False):
             return True
-        return one.zone != other.zone and bool(self.apart & {one.zone, other.zone})
+        return sender.zone != receiver.zone and bool(self.apart & {sender.zone, receiver.zone})
 
-    def message(self, one: Box, other: Box, what: Callable[..., None], *told: Any) -> None:
-        """A box says something to another."""
-        if not self.cut(one, other):
-            self.events.at(self.events.now + self.hop(one, other), NET, what, *told)
+    def message(self, sender: Box, receiver: Box, callback: Callable[..., None], *args: Any) -> None:
+        """Send a message from one server to another."""
+        if not self.cut(sender, receiver):
+            self.events.at(self.events.now + self.hop(sender, receiver), NET, callback, *args)
 
     def sending(self, dispatch: Dispatch, number: int, source: Any) -> None:
-        """A gateway sends a req to a box."""
+        """Send a dispatch from a gateway to its server."""
         gateway, box, now = dispatch.gateway, dispatch.box, self.events.now
         self.checker.sent(
             dispatch.number,
@@ -252,12 +253,12 @@
         work = dispatch.kbytes / self.pace
         for one in dict.fromkeys((box, dispatch.source or box)):
             if one.kind != ORIGIN and one.started and gateway.knows.get(one.name) == one.started:
-                self._told_work(one, work, now)
+                self._check_cold_load(one, work, now)
         if not self.cut(gateway, box):
             self.events.at(now + self.hop(gateway, box), NET, self._comes, dispatch, work)
 
-    def _told_work(self, box: Box, work: float, now: int) -> None:
-        """Rule 4, as the settings have it: what all that know that a box is cold send it in each span."""
+    def _check_cold_load(self, box: Box, work: float, now: int) -> None:
+        """Check rule 4: the recent work sent to a cold server by all gateways that know it is cold."""
         power = box.power()
         if power >= 1.0:
             return
@@ -271,20 +272,20 @@
 
     def _comes(self, dispatch: Dispatch, work: float) -> None:
         for one in dict.fromkeys((dispatch.box, dispatch.source or dispatch.box)):
-            if not (one.dead or one.bears(work / BEARS)):
+            if not (one.dead or one.bears(work / COLD_TOLERANCE)):
                 self.result.fell += 1
-                self._cold(one)
+                self._crash(one)
         dispatch.box.take(dispatch)
 
     def undo(self, dispatch: Dispatch) -> int:
-        """A gateway takes a dispatch back; returns when that is sure. It ends the connection where nothing
-        comes through, which a box learns of in the end whatever is cut."""
+        """Cancel a dispatch; return when the cancellation reaches the server. It arrives even in a partition:
+        the gateway then closes the connection, which the server always detects in the end."""
         sure = self.events.now + self.hop(dispatch.gateway, dispatch.box)
         self.events.at(sure, NET, dispatch.box.undo, dispatch)
         return sure
 
     def answer(self, dispatch: Dispatch, word: str, note: int) -> None:
-        """A box answers a gateway, or its connection ends."""
+        """Send a server's answer to a gateway, or close the connection."""
         box, gateway = dispatch.box, dispatch.gateway
         if word == "reset":
             self.checker.ended(dispatch.number, word, self.events.now)
@@ -302,7 +303,7 @@
         )
 
     def check(self, gateway: Gateway, backend: Any, box: Box, life: int) -> None:
-        """A health check, answered by the box's load; or not at all."""
+        """Run a health check, answered with the server's load or not at all."""
         now = self.events.now
         there = now + self.hop(gateway, box)
         back = there + self.hop(box, gateway)
@@ -316,11 +317,11 @@
             self.events.at(back, NET, gateway.checked, backend, back - now, "done", load, life)
 
     def service(self) -> int:
-        """What the origin takes for one part or effect."""
+        """Draw the origin's processing time for one part or write."""
         return max(1, int(self.chance.stream("origin").heavy(self.world.service, self.world.tail)))
 
     def effect(self, dispatch: Dispatch, origin: Box) -> None:
-        """A write has come to the origin. A keyed one has its effect once, however often it comes."""
+        """Apply a write at the origin. A write with an idempotency key takes effect only once."""
         if (
             dispatch.gateway.router.virtual_hosts[dispatch.request.vhost].idempotency is Idempotency.KEYED
             and dispatch.write in self.checker.effects
@@ -350,7 +351,7 @@
         self._arrive(now + max(1, int(gap / self.rush)) if self.rush != 1.0 else now + gap)
 
     def ask(self, ask: Ask, gateway: Gateway | None = None) -> None:
-        """A client asks some gateway; a session stays with one."""
+        """Send a client request to a random gateway; a session stays with one gateway."""
         if self.closed:
             return
         stream = self.chance.stream("doors")
@@ -363,35 +364,35 @@
         self.checker.asked(number, asked(number, ask, vhost, until))
         self.result.requests += 1
         self.due[number] = until + SLACK
-        self.events.at(until + SLACK + 1, CHECK, self._due, number)
+        self.events.at(until + SLACK + 1, CHECK, self._deadline, number)
         gateway.arrived(number, ask)
 
-    def _due(self, number: int) -> None:
+    def _deadline(self, number: int) -> None:
         if self.due.get(number, 0) > self.events.now - 1:
-            self.events.at(self.due[number] + 1, CHECK, self._due, number)
+            self.events.at(self.due[number] + 1, CHECK, self._deadline, number)
             return
         self.checker.due(number, self.events.now)
-        self._done_with(number)
+        self._forget_request(number)
 
-    def _done_with(self, number: int) -> None:
+    def _forget_request(self, number: int) -> None:
         self.due.pop(number, None)
         self.asked_at.pop(number, None)
 
     def excuse(self, number: int, until: int) -> None:
-        """Its gateway does nothing until then: nobody can answer it before."""
+        """Extend the deadline of a request whose gateway is paused until a time."""
         told = self.checker.requests[number]
         told.until = max(told.until, until + SLACK)
         self.due[number] = max(self.due.get(number, 0), told.until + SLACK)
 
     def gone(self, number: int) -> None:
-        """A client has gone, or lost its gateway."""
+        """Record that a client disconnected, or that its gateway stopped."""
         self.checker.leaves(number)
         self.result.left += 1
 
     def final(
         self, gateway: Gateway, number: int, ask: Ask, word: str, after: int, dispatch: Dispatch | None
     ) -> None:
-        """A final answer is on its way to its client."""
+        """Deliver a final answer to its client."""
         now = self.events.now
         self.checker.answered(number, word, now)
         vhost = self.world.vhosts[ask.vhost]
@@ -426,15 +427,15 @@
     # --- the change log ---
 
     def rows(self, zone: int) -> list[Box]:
-        """The list as a gateway of a location gets it."""
+        """Return the endpoint list for the gateways of a location."""
         return [box for box in self.boxes if self.tells(box, zone) and box.status]
 
     def tells(self, box: Box, zone: int) -> bool:
-        """Do a location's gateways hear of a box?"""
+        """Return whether a server is listed to the gateways of a location."""
         return box.zone == zone or box.zone < 0
 
     def tell(self, *event: Any) -> None:
-        """The change log has an event: of boxes, or a purge."""
+        """Append an event to the change log: server states or a purge."""
         self.log.append(event)
         for gateway in self.gateways:
             self._deliver(gateway)
@@ -449,28 +450,28 @@
             place[0] += 1
             delay = int(self.chance.stream(f"log {gateway.name}").between(low, high)) + place[2]
             place[1] = max(place[1], self.events.now + delay)
-            self.events.at(place[1], LOG, self._told, gateway, event)
+            self.events.at(place[1], LOG, self._deliver_event, gateway, event)
 
-    def _told(self, gateway: Gateway, event: tuple[Any, ...]) -> None:
-        if gateway.held(LOG, self._told, gateway, event):
+    def _deliver_event(self, gateway: Gateway, event: tuple[Any, ...]) -> None:
+        if gateway.held(LOG, self._deliver_event, gateway, event):
             return
         if event[0] == "boxes":
             rows = []
             for box, status, started in event[1]:
                 if self.tells(box, gateway.zone):
-                    rows.append(_Row(box, status, started))
+                    rows.append(_ListedServer(box, status, started))
             if rows:
                 gateway.told(rows)
         else:
             gateway.purged(*event[1:])
 
-    def _state(self, box: Box) -> None:
+    def _announce(self, box: Box) -> None:
         self.tell("boxes", [(box, box.status, box.started)])
 
     # --- faults ---
 
     def struck(self, fault: Fault) -> list[Any]:
-        """Whom a fault strikes; nobody where this world has no such one."""
+        """Return the targets of a fault; none if this world does not have them."""
         number = int(fault.which) if fault.which.isdigit() else 0
         if fault.kind in ("unlogged", "lone") and fault.whom == "zone":
             return [one for one in self.gateways if one.zone == number]
@@ -497,7 +498,7 @@
         return []
 
     def strike(self, fault: Fault) -> None:
-        """A fault begins."""
+        """Apply a fault."""
         now, end = self.events.now, self.events.now + fault.span
         whom = self.struck(fault)
         kind = fault.kind
@@ -511,24 +512,24 @@
                 self.events.at(end, FAULT, setattr, one, "loss", 0.0)
         elif kind in ("slow", "thin"):
             for box in whom:
-                self._weigh(box, kind, fault.hard)
-                self.events.at(end, FAULT, self._weigh, box, kind, 1.0)
+                self._set_factor(box, kind, fault.hard)
+                self.events.at(end, FAULT, self._set_factor, box, kind, 1.0)
         elif kind == "apart":
             self.apart.add(int(fault.which))
             self.events.at(end, FAULT, self.apart.discard, int(fault.which))
         elif kind in ("cold", "down"):
             for box in whom:
-                self._cold(box, max(DOWN, fault.span))
+                self._crash(box, max(RESTART_TIME, fault.span))
         elif kind == "drain":
             for box in whom:
                 if box.status == ACTIVE:
                     box.status = LEAVING
-                    self._state(box)
-                    self.events.at(end, FAULT, self._back, box)
+                    self._announce(box)
+                    self.events.at(end, FAULT, self._undrain, box)
         elif kind in ("lag", "break", "unlogged"):
             for gateway in whom or self.gateways:
-                self._log_way(gateway, kind, int(fault.hard * SECOND) or 1)
-                self.events.at(end, FAULT, self._log_way, gateway, kind, 0)
+                self._set_log_fault(gateway, kind, int(fault.hard * SECOND) or 1)
+                self.events.at(end, FAULT, self._set_log_fault, gateway, kind, 0)
         elif kind == "clock":
             for gateway in whom:
                 gateway.clock(int(fault.hard * SECOND), fault.at == 0)
@@ -536,7 +537,7 @@
         elif kind == "restart":
             for gateway in whom:
                 gateway.restart()
-                for what in self._held_purges():
+                for what in self._recent_purges():
                     gateway.purged(*what)
         elif kind == "stop":
             for gateway in whom:
@@ -551,31 +552,31 @@
             self.rush = fault.hard
             self.events.at(end, FAULT, setattr, self, "rush", 1.0)
 
-    def _weigh(self, box: Box, kind: str, hard: float) -> None:
+    def _set_factor(self, box: Box, kind: str, hard: float) -> None:
         setattr(box, kind, hard)
         box.resize()
 
-    def _cold(self, box: Box, after: int = DOWN) -> None:
-        """A box dies, and starts anew a while later."""
+    def _crash(self, box: Box, after: int = RESTART_TIME) -> None:
+        """Crash a server; it restarts a while later."""
         if not box.dead:
             box.die()
-            self.events.at(self.events.now + after, FAULT, self._born, box)
+            self.events.at(self.events.now + after, FAULT, self._restart, box)
 
-    def _born(self, box: Box) -> None:
+    def _restart(self, box: Box) -> None:
         if box.dead:
             box.start()
-            self._state(box)
+            self._announce(box)
 
-    def _back(self, box: Box) -> None:
-        """A box that left is back, and cold."""
+    def _undrain(self, box: Box) -> None:
+        """Return a drained server to service, cold."""
         if box.status == LEAVING:
             box.status = ACTIVE
             if not box.dead:
                 box.die()
                 box.start()
-            self._state(box)
+            self._announce(box)
 
-    def _log_way(self, gateway: Gateway, kind: str, hard: int) -> None:
+    def _set_log_fault(self, gateway: Gateway, kind: str, hard: int) -> None:
         place = self.log_at[gateway.name]
         if kind == "lag":
             place[2] = hard
@@ -584,24 +585,24 @@
             self._deliver(gateway)
 
     def purge(self, whom: str, which: str) -> None:
-        """An object, or a group, is purged."""
+        """Purge an object or a purge group."""
         now = self.events.now
         key, group = (which, 0) if whom == "object" else ("", int(which))
         self.purges.append((key, group, now))
         self.tell("purge", key, group, now)
-        self.events.at(now + self.world.drops, FAULT, self._drop, key, group, now)
+        self.events.at(now + self.world.drops, FAULT, self._drop_copies, key, group, now)
 
-    def _held_purges(self) -> list[tuple[str, int, int]]:
-        """What a gateway that starts anew is told by its configuration."""
+    def _recent_purges(self) -> list[tuple[str, int, int]]:
+        """Return the recent purges that a restarted gateway gets from its configuration."""
         return [what for what in self.purges if self.events.now - what[2] <= self.world.drops + SECOND]
 
-    def _drop(self, key: str, group: int, at: int) -> None:
+    def _drop_copies(self, key: str, group: int, at: int) -> None:
         for box in self.boxes:
             box.copies.purge(key, group, at)
 
-    # --- the end ---
+    # --- results ---
 
-    def _sum(self) -> Result:
+    def _summarize(self) -> Result:
         out = self.result
         out.worth = self.earned / self.could if self.could else 1.0
         out.hits = self.from_copy / self.read if self.read else 0.0
@@ -617,8 +618,8 @@
         return out
 
 
-class _Row:
-    """A box as the change log told of it."""
+class _ListedServer:
+    """Server state in a change log event."""
 
     __slots__ = ("name", "zone", "kind", "cell", "status", "size", "started", "box")
 
@@ -629,5 +630,5 @@
 
 
 def run(world: World, seed: int, faults: Iterable[Fault] = (), policy: Policy | None = None) -> Result:
-    """One run."""
+    """Run one emulation."""
     return Fleet(world, seed, faults, policy).run()
--- a/lilacloft/emulator/gateway.py
+++ b/lilacloft/emulator/gateway.py
@@ -1,8 +1,9 @@
-"""Joins one gateway's decision module to a world: its Host. It decides nothing.
+"""Host of one emulated gateway: connects its decision module to the emulator. It makes no decisions itself.
 
-What the module asks for is done at once; what happens is told as in service: once a req is answered nothing
-more is, a dispatch that is called back is over once its box surely knows. A gateway that is stopped does
-nothing until it goes on; one that starts anew knows nothing. Its clock may differ from the world's.
+Calls from the module take effect at once. Events are reported as in production: nothing more for a request
+once it is answered, and a cancelled dispatch ends when its server is certain to know of the cancellation. A
+paused gateway does nothing until it resumes; a restarted one has lost its state. Its clock may differ from
+virtual time.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 
 
 class Gateway:
-    """One gateway, and the clients that ask it."""
+    """One emulated gateway and its open requests."""
 
     def __init__(self, fleet: AroundGateway, number: int, zone: int, policy: Policy) -> None:
         self.fleet, self.number, self.zone, self.policy = fleet, number, zone, policy
         self.name = f"g{number}"
         self.settings = fleet.world.settings(zone, number % max(1, fleet.world.gateways))
-        self.offset = self.set_to = 0  # of its time from the world's, and of its clock
-        self.frozen = 0  # it does nothing until then
+        self.offset = self.set_to = 0  # offset from virtual time: of the running process, of the wall clock
+        self.frozen = 0  # paused until then
         self.life = 0
         self.deaf = self.mute = False
         self.loss = 0.0
@@ -39,40 +40,40 @@
         self.begin()
 
     def begin(self) -> None:
-        """A new process, which knows what its configuration says: the list as it is."""
+        """Start a new process, which knows only its configuration: the present endpoint list."""
         self.backends: dict[str, Backend] = {}
         self.boxes: dict[Backend, Box] = {}
-        self.knows: dict[str, int] = {}  # when boxes started, as it was told
+        self.knows: dict[str, int] = {}  # start times of servers, as received
         self.asks: dict[Request, tuple[int, Ask]] = {}
         self.out: dict[tuple[Request, int], Dispatch] = {}
         self.open: dict[Request, None] = {}
         self.life += 1
         self.clock_offset = ClockOffset()
-        self.log_heard = -1  # when the log was last heard from; -1: only the first list was told
+        self.log_heard = -1  # when the last change log event came; -1: only the first list so far
         self.router = self.policy(self, self.settings)
         self.told(self.fleet.rows(self.zone), "full")
 
-    # --- its time ---
+    # --- time ---
 
     def now(self) -> int:
         return self.fleet.events.now + self.offset
 
     def clock(self, offset: int, at_start: bool = False) -> None:
-        """Its clock was set: as in service, only a new process begins with what the clock says."""
+        """Set its wall clock. As in production, only a new process adopts the time that the clock shows."""
         self.set_to = offset
         if at_start:
             self.offset = offset
             self.begin()
 
-    def held(self, rank: int, what: Callable[..., None], *told: Any) -> bool:
-        """Is it stopped? Then this comes once it goes on."""
+    def held(self, rank: int, callback: Callable[..., None], *args: Any) -> bool:
+        """Return whether it is paused; if so, defer a call until it resumes."""
         if self.fleet.events.now >= self.frozen:
             return False
-        self.fleet.events.at(self.frozen, rank, what, *told)
+        self.fleet.events.at(self.frozen, rank, callback, *args)
         return True
 
     def freeze(self, until: int) -> None:
-        """It does nothing until then, and is late by so much after."""
+        """Pause it until a time; it then reports the pause as event loop lag."""
         since = self.fleet.events.now
         self.frozen = max(self.frozen, until)
         for request in self.open:
@@ -84,7 +85,7 @@
             self.router.loop_lagged(self.fleet.events.now - since)
 
     def restart(self) -> None:
-        """The process ends with all that is open, and another begins."""
+        """End the process with all open requests, and start another."""
         for dispatch in list(self.out.values()):
             dispatch.over = True
             self.fleet.undo(dispatch)
@@ -97,7 +98,7 @@
     # --- clients ---
 
     def arrived(self, number: int, ask: Ask) -> None:
-        """A client asks."""
+        """Handle a client request."""
         if self.held(NET, self.arrived, number, ask):
             return self.fleet.excuse(number, self.frozen)
         fleet, vhost = self.fleet, self.fleet.world.vhosts[ask.vhost]
@@ -137,10 +138,10 @@
         if request.finished and not any(place[0] is request for place in self.out):
             self.asks.pop(request, None)
 
-    # --- what comes back ---
+    # --- results ---
 
     def ended(self, dispatch: Dispatch, outcome: str, note: int, load: list[float]) -> None:
-        """A dispatch is over, by its answer or otherwise."""
+        """Handle the end of a dispatch, by an answer or otherwise."""
         if dispatch.over or self.held(NET, self.ended, dispatch, outcome, note, load):
             return
         dispatch.over = True
@@ -156,7 +157,7 @@
         self._forget(request)
 
     def time_up(self, dispatch: Dispatch) -> None:
-        """A dispatch has had its time."""
+        """Handle the timeout of a dispatch."""
         if not (dispatch.over or self.held(TIMER, self.time_up, dispatch)):
             self.fleet.undo(dispatch)
             self.ended(dispatch, "timeout", 0, [])
@@ -164,7 +165,7 @@
     # --- the change log ---
 
     def told(self, rows: list[Box], mode: str = "delta") -> None:
-        """Rows of the list."""
+        """Handle an endpoint list, whole or changes."""
         context, entries = self._watch_context(), []
         if context is None:
             self.clock_offset.record_configured_starts(self.now(), (box.started for box in rows))
@@ -196,11 +197,11 @@
             self.backends[name].started = started
 
     def _watch_context(self) -> WatchContext | None:
-        """How the log was heard of before what it tells now; none for the list that it begins with."""
+        """Return the state of the change log watch before this event; None for the initial list."""
         before, self.log_heard = self.log_heard, self.now()
         return WatchContext(before, is_current=True) if before >= 0 else None
 
-    # --- Host: what the module calls ---
+    # --- Host interface ---
 
     def dispatch(self, order: Order) -> None:
         request, backend, now = order.request, order.backend, self.fleet.events.now
@@ -238,7 +239,7 @@
         fleet.events.at(now + order.timeout, TIMER, self.time_up, dispatch)
 
     def client_left_at(self, request: Request) -> int | None:
-        """Who leaves is told of at once."""
+        """Always None: disconnects are reported at once."""
 
     def cancel(self, request: Request, seq: int) -> None:
         dispatch = self.out.get((request, seq))
@@ -251,7 +252,7 @@
                 fleet.events.at(sure, NET, self.ended, dispatch, "cancelled", 0, [])
 
     def withdraw(self, request: Request, seq: int) -> None:
-        """What is sent is out at once."""
+        """Do nothing: dispatches are sent at once, so none can be withdrawn."""
 
     def reject(self, request: Request, after: int) -> None:
         self._final(request, "denied", after)
@@ -273,22 +274,22 @@
         self.fleet.check(self, backend, self.boxes[backend], self.life)
 
     def checked(self, backend: Backend, took: int, outcome: str, load: list[float], life: int) -> None:
-        """A health check is answered."""
+        """Handle the result of a health check."""
         if life == self.life and not self.held(NET, self.checked, backend, took, outcome, load, life):
             self.router.health_checked(backend, outcome, load)
 
     def subscribe(self, on: bool) -> None:
-        """The change log is always followed."""
+        """Do nothing: the change log is always watched."""
 
     def health_changed(self, backend: Backend, change: HealthChange, reason: str) -> None:
         self.fleet.believes += change is HealthChange.EJECTED
 
     def limit_recorded(self, backend: Backend, before: float, after: float, late_share: float) -> None:
-        """Nobody looks."""
+        """Do nothing: the emulator keeps no record of limits."""
 
 
 def asked(number: int, ask: Ask, vhost: Any, until: int) -> Told:
-    """What the checker is told of a req."""
+    """Return the checker's record of a request."""
     return Told(
         f"r{number} ({vhost.name} {ask.key}/{ask.part})",
         vhost.effect,
--- a/lilacloft/emulator/links.py
+++ b/lilacloft/emulator/links.py
@@ -1,10 +1,11 @@
-"""Decides how transfers share links, by max-min fairness, and owns the state of what is under way on them.
-
-Each transfer crosses some links and has a pace of its own that it never exceeds. Max-min: nobody's rate can
-be raised without lowering that of one who has no more; found by filling all rates alike and fixing those on
-the link that is full first. Rates only change where something begins, ends or changes its capacity, and only
-among those that share a full link with it: a link whose transfers together ask for less than it has binds
-nobody, and nothing is passed on over it. No I/O. Rates in KB in a tenth of a millisecond, sizes in KB.
+"""Flow-level model of the network: transfers share links by max-min fairness.
+
+Each transfer crosses a set of links and has a maximum rate of its own. Under max-min fairness no rate can be
+raised without lowering that of a transfer with an equal or lower rate. The rates come from progressive
+filling: all rates rise together, and those on the first link to saturate are fixed. Rates change only where
+a transfer starts or ends or a link changes capacity, and only among transfers connected through saturated
+links: a link whose transfers together ask for less than its capacity constrains none of them, and changes do
+not propagate over it. No I/O. Rates are in KB per tenth of a millisecond, sizes in KB.
 """
 
 from __future__ import annotations
@@ -17,21 +18,21 @@
 
 
 class Link:
-    """Something that has only so much to give: a box's way out, a location's way in, an origin's."""
+    """A shared capacity: the egress of a server or the ingress of a location."""
 
     __slots__ = ("name", "capacity", "flows", "wanted")
 
     def __init__(self, name: str, capacity: float) -> None:
         self.name, self.capacity = name, capacity
         self.flows: dict[Flow, None] = {}
-        self.wanted = 0.0  # the sum of its transfers' own paces
+        self.wanted = 0.0  # sum of the maximum rates of its transfers
 
     def binds(self) -> bool:
-        """May it hold anybody back?"""
+        """Return whether it can constrain a transfer."""
         return self.wanted > self.capacity + TINY
 
     def used(self) -> float:
-        """What it carries now."""
+        """Return its current throughput."""
         return sum(flow.rate for flow in self.flows)
 
 
@@ -42,14 +43,14 @@
 
     def __init__(self, links: tuple[Link, ...], pace: float, size: float, now: int) -> None:
         self.links, self.pace, self.left, self.rate, self.since = links, pace, size, 0.0, now
-        self.turn = 0  # rises with each change of its rate: what was reckoned before is void
-        self.told: object = None  # whose it is
+        self.turn = 0  # rises with each change of rate; completion times computed before are void
+        self.told: object = None  # the caller's context
         self.over = False
 
 
 def shares(flows: Iterable[Flow]) -> dict[Flow, float]:
-    """Max-min fair rates of transfers, by progressive filling. Those on links that are not among the given
-    ones' count as they are: the caller gives all that share a link that binds."""
+    """Return the max-min fair rates of transfers, by progressive filling. The caller passes all transfers
+    that share a constraining link; the rates of others do not change."""
     free = dict.fromkeys(flows)
     room: dict[Link, float] = {}
     count: dict[Link, int] = {}
@@ -60,16 +61,16 @@
                 count[link] = count.get(link, 0) + 1
     out: dict[Flow, float] = {}
     by_pace = sorted(free, key=lambda flow: flow.pace)
-    place = 0
+    position = 0
     while len(out) < len(by_pace):
         level, full = math.inf, None
         for link, many in count.items():
             if many and room[link] / many < level:
                 level, full = room[link] / many, link
-        while place < len(by_pace) and by_pace[place] in out:
-            place += 1
-        if place < len(by_pace) and by_pace[place].pace <= level + TINY:
-            fixed = [by_pace[place]]
+        while position < len(by_pace) and by_pace[position] in out:
+            position += 1
+        if position < len(by_pace) and by_pace[position].pace <= level + TINY:
+            fixed = [by_pace[position]]
             level = fixed[0].pace
         else:
             fixed = [flow for flow in full.flows if flow in free and flow not in out]
@@ -83,15 +84,15 @@
 
 
 class Net:
-    """All transfers of a world."""
+    """All transfers in progress."""
 
     def __init__(self) -> None:
         self.due: list[tuple[int, int, int, Flow]] = []  # (when, number, turn, flow)
         self.number = 0
-        self.changes = 0  # rates set so far: what this model costs
+        self.changes = 0  # rate updates so far: the cost of this model
 
     def start(self, now: int, links: Iterable[Link], pace: float, size: float, told: object) -> Flow:
-        """A transfer begins."""
+        """Start a transfer."""
         flow = Flow(tuple(dict.fromkeys(links)), pace, size, now)
         flow.told = told
         for link in flow.links:
@@ -101,7 +102,7 @@
         return flow
 
     def end(self, now: int, flow: Flow) -> None:
-        """One is over, or is given up."""
+        """End a transfer, complete or aborted."""
         if flow.over:
             return
         flow.over = True
@@ -113,21 +114,21 @@
         self._share(now, self._reach(touched, None))
 
     def resize(self, now: int, link: Link, capacity: float) -> None:
-        """A link has more to give, or less."""
+        """Change the capacity of a link."""
         bound = link.binds()
         link.capacity = capacity
         if bound or link.binds():
             self._share(now, self._reach((link,), None))
 
     def next(self) -> int | None:
-        """When the next transfer will be over, as things stand."""
+        """Return when the next transfer completes at current rates."""
         due = self.due
         while due and due[0][2] != due[0][3].turn:
             heapq.heappop(due)
         return due[0][0] if due else None
 
     def take(self, now: int) -> Flow | None:
-        """One that is over by now, taken out; none where there is none."""
+        """Remove and return a transfer that has completed by now, if any."""
         when = self.next()
         if when is None or when > now:
             return None
@@ -137,21 +138,21 @@
         return flow
 
     def _reach(self, links: Iterable[Link], flow: Flow | None) -> list[Flow]:
-        """All transfers whose rates may change with those of some links: over links that bind."""
+        """Return the transfers connected to some links through constraining links."""
         found = {flow: None} if flow else {}
         seen = dict.fromkeys(links)
-        todo = list(seen)
-        while todo:
-            link = todo.pop()
+        pending = list(seen)
+        while pending:
+            link = pending.pop()
             if flow is not None and not link.binds():
-                continue  # where one has ended, links that bound before still have rates to give back
+                continue  # after an end, links that were constraining before still redistribute their rate
             for other in link.flows:
                 if other not in found:
                     found[other] = None
                     for further in other.links:
                         if further not in seen and further.binds():
                             seen[further] = None
-                            todo.append(further)
+                            pending.append(further)
         return list(found)
 
     def _share(self, now: int, flows: list[Flow]) -> None:
--- a/lilacloft/emulator/planes.py
+++ b/lilacloft/emulator/planes.py
@@ -1,9 +1,9 @@
-"""Joins a world to planners: two levels in virtual time. It decides nothing: forwarders' and planners' sides
-are `lilacloft.control`, what becomes of their messages is decided by the faults on their ways.
+"""Emulates a fleet with planners: data plane and control plane in virtual time. It makes no decisions:
+gateways and planners run `lilacloft.control`, and faults decide which of their messages arrive.
 
-Each forwarder tells each planner four times a second what it sees, and takes the answer; planners tell each
-other what they have heard. A planner can be killed, started anew, cut off from forwarders or from other
-planners, late, or hold an old list. Steady clocks of all differ.
+Each gateway sends a load report to each planner four times a second and receives a plan in reply; planners
+gossip the reports that they have received. A planner can be killed, restarted, partitioned from gateways or
+from other planners, slow, or stuck with an old endpoint list. All monotonic clocks differ.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 from lilacloft.failover.recovery_ramp import SlowStartProfile
 
 KINDS = {CACHE: "cache", PARENT: "parent", ORIGIN: "origin"}
-TICK = 2_500
-WAY = 20  # tenths that a message between the levels takes, at least
-TWICE = 0.02  # part of the replies that come twice, or late
-LATE = 8_000
+PLANNER_INTERVAL = 2_500
+MIN_DELAY = 20  # minimum delay of messages between gateways and planners, tenths of a millisecond
+DUPLICATE_RATE = 0.02  # fraction of replies that are delivered a second time, late
+DUPLICATE_DELAY = 8_000
 
 
 @dataclass(frozen=True)
 class Trouble:
-    """What becomes of a planner: `kill` (dead for a span, then anew), `cut` (from forwarders), `split` (from
-    other planners), `old` (hears nothing of the change log)."""
+    """A fault of a planner: `kill` (down for a while, then restarted), `cut` (partitioned from gateways),
+    `split` (from other planners), `old` (receives no change log events)."""
 
     kind: str
     planner: int
@@ -45,7 +45,7 @@
 
 
 class Forwarder(Gateway):
-    """A gateway with planners."""
+    """A gateway that follows planners."""
 
     def begin(self) -> None:
         world, now = self.fleet.world, self.fleet.events.now
@@ -54,19 +54,21 @@
         restarted = self.life > 1
         names = [f"p{number}" for number in range(self.fleet.planners_count)]
         leaves = self.fleet.leave != "never"
-        keeper = LocalFailover(self.name, world.gateways, world.cold_cache[1]) if leaves else None
+        failover = LocalFailover(self.name, world.gateways, world.cold_cache[1]) if leaves else None
         self.follower = Follower(
             FollowerSettings(self.name, self.life, self.zone, names, world.fall, 1 / world.gateways),
             self.steady(now),
             restarted,
-            keeper,
+            failover,
         )
         self.observer = GatewayObserver(self.router, [vhost.name for vhost in world.vhosts], self.follower)
         self.requests = 0
-        self.fleet.events.at(now + 1 + self.number * 37 % REPORT_INTERVAL, TIMER, self._speak, self.life)
+        self.fleet.events.at(
+            now + 1 + self.number * 37 % REPORT_INTERVAL, TIMER, self._send_reports, self.life
+        )
 
     def steady(self, now: int) -> int:
-        """Its steady clock: another beginning than everybody's."""
+        """Return its monotonic clock, which starts at a value of its own."""
         return now + 777_000 * (self.number + 1)
 
     def told(self, rows: list[Any], mode: str = "delta") -> None:
@@ -98,9 +100,9 @@
             )
         super().ended(dispatch, outcome, note, load)
 
-    def _speak(self, life: int) -> None:
-        """Tell the planners what is seen, and act by what holds."""
-        if life != self.life or self.held(TIMER, self._speak, life):
+    def _send_reports(self, life: int) -> None:
+        """Send load reports to the planners, and apply the plan in force."""
+        if life != self.life or self.held(TIMER, self._send_reports, life):
             return
         now = self.fleet.events.now
         self.observer.observe(self.requests, len(self.fleet.log), self.now(), self.steady(now))
@@ -108,14 +110,14 @@
         for planner in self.fleet.planners:
             self.fleet.up(self, planner, self.follower.make_report(planner.name, self.steady(now)))
         self.act()
-        self.fleet.events.at(now + REPORT_INTERVAL, TIMER, self._speak, life)
+        self.fleet.events.at(now + REPORT_INTERVAL, TIMER, self._send_reports, life)
 
     def act(self) -> None:
-        """What holds now goes to the module."""
+        """Apply the plan in force to the decision module."""
         self.observer.apply(self.now(), self.steady(self.fleet.events.now))
 
     def answered(self, reply: PlanReply, life: int) -> None:
-        """A planner answers."""
+        """Handle a planner's reply."""
         if life != self.life or self.held(NET, self.answered, reply, life):
             return
         if self.follower.receive_reply(reply, self.steady(self.fleet.events.now)):
@@ -123,17 +125,17 @@
 
 
 class Plane:
-    """One planner, and the ways to it."""
+    """One planner and its connectivity."""
 
     def __init__(self, fleet: Planes, number: int) -> None:
         self.fleet, self.number, self.name = fleet, number, f"p{number}"
         self.life, self.dead, self.old = 0, False, False
-        self.cut: set[str] = set()  # whom it does not hear, nor reach
-        self.epoch = 0  # kept over its ends, as the durable store does
+        self.cut: set[str] = set()  # partitioned peers
+        self.epoch = 0  # survives restarts, as in the durable store
         self.started()
 
     def started(self) -> None:
-        """Another process; it knows the list, and its last epoch."""
+        """Start a new process, which knows the endpoint list and its last epoch."""
         self.life += 1
         self.dead = False
         self.planner = Planner(self.name, self.life, self.fleet.site, self.epoch)
@@ -176,10 +178,10 @@
         for other in self.fleet.planners:
             if other is not self:
                 self.fleet.across(self, other, gossip)
-        self.fleet.events.at(self.fleet.events.now + TICK, TIMER, self._tick, life)
+        self.fleet.events.at(self.fleet.events.now + PLANNER_INTERVAL, TIMER, self._tick, life)
 
     def asked(self, gateway: Forwarder, report: LoadReport, life: int) -> None:
-        """A forwarder's summary."""
+        """Handle a gateway's load report."""
         if not self.dead:
             self.fleet.down(self, gateway, self.planner.receive_report(report, self.now()), life)
 
@@ -189,7 +191,7 @@
 
 
 class Planes(Fleet):
-    """A world of two levels."""
+    """A fleet with planners."""
 
     def __init__(
         self,
@@ -201,7 +203,7 @@
         troubles: Iterable[Trouble] = (),
         leave: str = "never",
     ) -> None:
-        """`leave`: whole locations may be left, `past` their caches or `across`, to others'."""
+        """`leave`: how traffic may fail over from a location: `past` its caches, or `across` to others."""
         self.leave = leave
         self.planners_count = planners
         self.planners: list[Plane] = []
@@ -237,31 +239,33 @@
             return super().strike(fault)
         names = {one.name for one in self.struck(fault)}
         for plane in self.planners:
-            mine = names - plane.cut
-            plane.cut |= mine
-            self.events.at(self.events.now + fault.span, FAULT, self._heal, plane, mine)
+            newly_cut = names - plane.cut
+            plane.cut |= newly_cut
+            self.events.at(self.events.now + fault.span, FAULT, self._heal, plane, newly_cut)
         return None
 
-    # --- ways ---
+    # --- messages ---
 
-    def _way(self) -> int:
-        return WAY + int(self.chance.stream("planes").expo(WAY))
+    def _message_delay(self) -> int:
+        return MIN_DELAY + int(self.chance.stream("planes").expo(MIN_DELAY))
 
     def up(self, gateway: Forwarder, plane: Plane, report: LoadReport) -> None:
         if gateway.name not in plane.cut:
-            self.events.at(self.events.now + self._way(), NET, plane.asked, gateway, report, gateway.life)
+            self.events.at(
+                self.events.now + self._message_delay(), NET, plane.asked, gateway, report, gateway.life
+            )
 
     def down(self, plane: Plane, gateway: Forwarder, reply: PlanReply, life: int) -> None:
         if gateway.name in plane.cut:
             return
-        way = self._way()
-        self.events.at(self.events.now + way, NET, gateway.answered, reply, life)
-        if self.chance.stream("planes").random() < TWICE:  # twice, and out of order
-            self.events.at(self.events.now + way + LATE, NET, gateway.answered, reply, life)
+        delay = self._message_delay()
+        self.events.at(self.events.now + delay, NET, gateway.answered, reply, life)
+        if self.chance.stream("planes").random() < DUPLICATE_RATE:  # duplicated and out of order
+            self.events.at(self.events.now + delay + DUPLICATE_DELAY, NET, gateway.answered, reply, life)
 
-    def across(self, one: Plane, other: Plane, gossip: GossipMessage) -> None:
-        if other.name not in one.cut and one.name not in other.cut:
-            self.events.at(self.events.now + self._way(), NET, other.heard, gossip)
+    def across(self, sender: Plane, receiver: Plane, gossip: GossipMessage) -> None:
+        if receiver.name not in sender.cut and sender.name not in receiver.cut:
+            self.events.at(self.events.now + self._message_delay(), NET, receiver.heard, gossip)
 
     def tell(self, *event: Any) -> None:
         super().tell(*event)
@@ -269,7 +273,7 @@
             delay = int(self.chance.stream("log planners").between(*self.world.told))
             self.events.at(self.events.now + delay, LOG, plane.list)
 
-    # --- troubles ---
+    # --- planner faults ---
 
     def _trouble(self, trouble: Trouble) -> None:
         if trouble.planner >= len(self.planners):
@@ -295,7 +299,7 @@
 
 
 def troubles(stream: Any, planners: int, horizon: int, count: int) -> list[Trouble]:
-    """So many, drawn."""
+    """Draw random planner faults."""
     kinds = ("kill", "kill", "cut", "split", "old")
     return [
         Trouble(
--- a/lilacloft/emulator/policies.py
+++ b/lilacloft/emulator/policies.py
@@ -1,10 +1,10 @@
-"""Baselines for comparison only: routers that decide one thing otherwise than the gateway's own.
+"""Baseline policies for comparison: routers that differ from the gateway's own in one decision.
 
 Each is the `Router` with one or two of its rules replaced, so that they all pass the same checks of the
-five rules and differ in what they are named for: the order in which caches are tried, the load bound,
+five rules and differ only in what they are named for: the order in which caches are tried, the load bound,
 request collapsing, revalidation, outlier detection and concurrency limits. The oracle reads the emulated
-world itself, which no gateway can, and so shows about how much there was to be had; it is no proof of an
-optimum. No I/O.
+state itself, which no gateway can, and so estimates how much could be gained; it does not prove an optimum.
+No I/O.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from lilacloft.routing.units import Ticks
 
 NO_LIMIT = 1e9
-SMALL_KB = 4  # requests so small fit anywhere
+SMALL_KB = 4  # requests up to this size are always accepted
 
 
 class Unlimited(AdaptiveLimit):
@@ -39,24 +39,24 @@
 
 
 class NoOutliers(OutlierDetector):
-    """Ejects nobody."""
+    """Ejects no backend."""
 
     def record_failure(self, backend: Backend, weight: int = 1) -> None:
-        """Failures do not count."""
+        """Ignore failures."""
 
     def record_missing_fill(self, source: Backend) -> None:
-        """Fills that do not come do not count."""
+        """Ignore missing fills."""
 
 
 class Unbounded(Rendezvous):
-    """Hash order without a load bound: the home takes whatever comes."""
+    """Hash order without a load bound: the home takes all requests for its parts."""
 
     def within_bound(self, backend: Backend, pool: PoolLoad, request: Request, mean_load: float) -> bool:
         return True
 
 
 class RandomOrder(Unbounded):
-    """Caches in a random order, another for each attempt."""
+    """Caches in a random order, drawn anew for each attempt."""
 
     def __init__(self, seed: str) -> None:
         self.seed = seed
@@ -69,12 +69,12 @@
 
 
 def own_load(backend: Backend) -> float:
-    """Return this gateway's own load at a backend, by its capacity."""
+    """Return this gateway's own load on a backend, relative to its capacity."""
     return backend.in_flight_load / backend.capacity
 
 
 class TwoChoices(RandomOrder):
-    """Of two random caches the one with less of this gateway's own load, then the others."""
+    """Power of two choices: of two random caches the one with less of this gateway's own load first."""
 
     def order(self, pool: Sequence[Backend], key: str) -> list[Backend]:
         shuffled = super().order(pool, key)
@@ -82,14 +82,14 @@
 
 
 class LeastLoaded(RandomOrder):
-    """The cache with the least of this gateway's own load."""
+    """Caches by increasing load from this gateway."""
 
     def order(self, pool: Sequence[Backend], key: str) -> list[Backend]:
         return sorted(super().order(pool, key), key=own_load)
 
 
 class BareRouter(Router):
-    """Without outlier detection and concurrency limits: listed backends are asked, however they answer."""
+    """Without outlier detection and concurrency limits: uses all listed backends, however they answer."""
 
     @staticmethod
     def make_rules(host: Any, settings: Mapping[str, Any]) -> Rules:
@@ -108,7 +108,7 @@
 
 
 def with_placement(base: type[Router], make: Callable[[Any], Rendezvous]) -> type[Router]:
-    """Return a router class with another placement. `make` gets the host."""
+    """Return a router class with another placement, made by `make` from the host."""
 
     class Placed(base):
         """A baseline with another placement."""
@@ -143,7 +143,7 @@
 
 
 class NoRevalidation(Router):
-    """Nothing is revalidated behind an answer: whoever finds a copy too old waits for a new one."""
+    """No background revalidation: a request that finds its copy too old waits for a new one."""
 
     @staticmethod
     def make_rules(host: Any, settings: Mapping[str, Any]) -> Rules:
@@ -153,7 +153,7 @@
 
 
 class OraclePlacement(Rendezvous):
-    """Orders caches by what they really have and can send."""
+    """Orders caches by their actual copies and available bandwidth."""
 
     def __init__(self, host: Any) -> None:
         self.host = host
@@ -198,7 +198,7 @@
 
 
 class OracleDispatcher(Dispatcher):
-    """Sends nothing where it could only be late: what all gateways have under way there is known."""
+    """Skips backends whose links are saturated, counting the transfers of all gateways."""
 
     def source_accepts(
         self, request: Request, backend: Backend, source: Backend, cache_only: bool, weight: float
@@ -218,7 +218,7 @@
 
 
 class Oracle(BareRouter):
-    """Knows who answers, who has which copy, and how full all links are."""
+    """Router with perfect knowledge of server health, cached copies and link utilisation."""
 
     def __init__(self, host: Any, settings: Mapping[str, Any]) -> None:
         super().__init__(host, settings)
--- a/lilacloft/emulator/worlds.py
+++ b/lilacloft/emulator/worlds.py
@@ -1,7 +1,7 @@
-"""Owns what a world is made of: its sizes, spans and vhosts, by name; and the settings that its gateways get.
+"""Named scenarios (`World`): topology, capacities, virtual hosts and workload, and the gateway settings.
 
-All figures are our own: from what the stand-ins measure, or round. No I/O; spans in tenths of a millisecond,
-sizes in KB, paces in KB a second, rates a second.
+The figures are this project's own: measured on its stand-in servers, or rounded. No I/O; spans are in tenths
+of a millisecond, sizes in KB, transfer rates in KB per second, request rates per second.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 @dataclass(frozen=True)
 class Vhost:
-    """What one kind of reqs is worth, and how it may be treated."""
+    """A virtual host: the value of its requests and how they may be handled."""
 
     name: str
     target: int = 4000
     timeout: int = 3 * SECOND
     value: float = 1.0
     effect: str = "replayable"
-    fresh: int = 0  # 0: its copies never grow old
+    fresh: int = 0  # freshness lifetime; 0: copies never become stale
     grace: int = 0
-    passes: bool = False  # must not be kept
-    where: str = "all"  # in which a uniqued one may be sent again
+    passes: bool = False  # must not be cached
+    where: str = "all"  # group within which a request with an idempotency key may be sent again
     window: int = 2 * SECOND
 
     def worth(self, took: int, work: float) -> float:
-        """What one that was done is worth, so long after it was first asked for (`work`: its time at full
-        pace): all of its value within its aim, then less, to nothing after two timeouts."""
+        """Return the value of an answer that took so long (`work`: its transfer time at full rate): the full
+        value within the target, then less, down to nothing after two timeouts."""
         aim = self.target + 2.0 * work
         if took <= aim:
             return self.value
@@ -46,52 +46,52 @@
 
 @dataclass(frozen=True)
 class World:
-    """What a world is made of."""
+    """A scenario for the emulator."""
 
     name: str = "small"
     zones: int = 1
-    caches: int = 6  # a zone
-    gateways: int = 2  # a zone
+    caches: int = 6  # per zone
+    gateways: int = 2  # per zone
     parents: int = 2
-    hubs: int = 1  # that the parents stand in, by turns: -1 and below
-    cells: int = 2  # shelves of a zone
-    span: int = 10 * SECOND  # that clients come for
+    hubs: int = 1  # locations over which the parents are spread; numbered -1 and below
+    cells: int = 2  # failure domains within a zone (`shelf` in faults)
+    span: int = 10 * SECOND  # during which clients arrive
     habits: Habits = field(default_factory=Habits)
     vhosts: tuple[Vhost, ...] = (CLIP, MAP, PAY, BOOK)
-    pace: float = 4000.0  # of one transfer
-    cache_size: float = 8.0  # transfers at full pace
+    pace: float = 4000.0  # maximum rate of one transfer
+    cache_size: float = 8.0  # concurrent transfers at full rate
     parent_size: float = 16.0
     origin_size: float = 24.0
-    way_in: float = 40_000.0  # of a location's link
+    way_in: float = 40_000.0  # capacity of a location's ingress link
     cache_room: float = 60_000.0  # KB
     parent_room: float = 400_000.0
-    slots: int = 64  # dispatches that a box holds at once
-    hop: float = 5.0  # tenths of a millisecond one way, within a location
-    far: float = 60.0  # and to parents and origin
-    begin: int = 5  # before a box begins to answer
-    service: float = 250.0  # median of what the origin takes for a part
-    hands: int = 32  # that it has
-    tail: float = 0.4  # sigma of its logarithm
+    slots: int = 64  # concurrent dispatches of a server
+    hop: float = 5.0  # one-way delay within a location, tenths of a millisecond
+    far: float = 60.0  # one-way delay to parents and origin
+    begin: int = 5  # processing delay of a server
+    service: float = 250.0  # median processing time of the origin per part
+    hands: int = 32  # parts and writes that the origin processes at once
+    tail: float = 0.4  # sigma of the logarithm of its processing time
     fill_patience: int = 2 * SECOND
-    told: tuple[int, int] = (200, 1200)  # in which the change log reaches a gateway
+    told: tuple[int, int] = (200, 1200)  # range of the change log's delay to a gateway
     cold_cache: tuple[float, int, float] = (0.2, 15 * SECOND, 2.0)
     cold_parent: tuple[float, int, float] = (0.1, 20 * SECOND, 2.0)
     fall: int = SECOND
     drain_grace: int = SECOND
-    drops: int = 5 * SECOND  # after a purge no box has an older copy
+    drops: int = 5 * SECOND  # time after a purge by which no server has an older copy
     joins: bool = True
-    warm: bool = True  # boxes begin with what is asked most
+    warm: bool = True  # caches start with the most popular objects
 
     def lasting(self, seconds: float) -> World:
-        """The same, for so long."""
+        """Return a copy with another duration."""
         return replace(self, span=int(seconds * SECOND))
 
     def at(self, rate: float) -> World:
-        """The same, with so many reqs a second."""
+        """Return a copy with another request rate per second."""
         return replace(self, habits=replace(self.habits, rate=rate))
 
     def sizes(self) -> dict[str, int]:
-        """How many there are of whom a fault may strike."""
+        """Return the number of fault targets of each type."""
         return {
             "cache": self.zones * self.caches,
             "parent": self.parents,
@@ -105,7 +105,7 @@
         }
 
     def settings(self, zone: int, slot: int) -> dict[str, Any]:
-        """What a gateway of it is configured with, by the module's names."""
+        """Return the settings of a gateway, under the decision module's names."""
         vhosts = [
             {
                 "name": one.name,
@@ -187,7 +187,7 @@
         World("writes", habits=replace(READS, mix=(0.3, 0.2, 0.25, 0.25))),
         World("day", span=20 * SECOND, habits=replace(READS, rate=140.0, day=20 * SECOND, swing=0.7)),
         World("full", caches=6, habits=replace(READS, rate=330.0)),
-        # 200 gateways at a req a second each; parents that bear all, none of them a hot object in many parts
+        # 200 gateways at 1 request/s each; the parents carry all of it, but none a hot object in many parts
         World(
             "hub",
             zones=10,
@@ -217,7 +217,7 @@
 
 
 def scaled(caches: int, gateways: int, rate: float, per_zone: int = 50) -> World:
-    """A world of so many caches and gateways, in locations of one size."""
+    """Return a world with so many caches and gateways, in locations of equal size."""
     zones = max(1, caches // per_zone)
     return World(
         f"{caches}-caches",
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -212,7 +212,7 @@
     checker.asked(2, Told("r2", "replayable", "k", 3, 500, 0, "all"))
     checker.due(2, 700)
     assert [breach.rule for breach in checker.breaches] == [3, 3, 2, 2, 5, 1, 1, 2, 4, 1]
-    assert "told to fill from b" in str(checker.breaches[1]) and "at 0.0700" in str(checker.breaches[-1])
+    assert "was to fill from b" in str(checker.breaches[1]) and "at 0.0700" in str(checker.breaches[-1])
 
 
 # --- faults ---
@@ -233,19 +233,19 @@
     "text, told",
     [
         ("(at 2s (storm (cache 1)))", "unknown fault 'storm'"),
-        ("(at 2s (silent log) (for 1s))", "silent strikes cache"),
-        ("(at 2s (silent (cache 1)))", "for how long"),
-        ("(at 2s (cold (cache 1)) (for 2s))", "does not last"),
+        ("(at 2s (silent log) (for 1s))", "silent applies to cache"),
+        ("(at 2s (silent (cache 1)))", "needs a duration"),
+        ("(at 2s (cold (cache 1)) (for 2s))", "takes no duration"),
         ("(at 2 (cold (cache 1)))", "a time like 2s"),
         ("(at 2s (cold (cache x)))", "a number expected"),
-        ("(at 2s (slow origin) (for 1s))", "how hard"),
-        ("(at 2s (silent origin 3) (for 1s))", "takes no number"),
-        ("(at 2s (cold cache))", "of which number"),
-        ("(at 2s (slow (origin 1) 2) (for 1s))", "is but one"),
+        ("(at 2s (slow origin) (for 1s))", "needs a severity"),
+        ("(at 2s (silent origin 3) (for 1s))", "takes no severity"),
+        ("(at 2s (cold cache))", "needs a number"),
+        ("(at 2s (slow (origin 1) 2) (for 1s))", "origin takes no number"),
         ("(at 2s cold)", "expected"),
         ("(in 2s (cold (cache 1)))", "expected"),
-        ("(at 2s (cold (cache 1))", "a ) is missing"),
-        ("(at 2s (cold (cache 1))))", "a ) too many"),
+        ("(at 2s (cold (cache 1))", "missing )"),
+        ("(at 2s (cold (cache 1))))", "unmatched )"),
         ("(at 2s (slow origin much) (for 1s))", "a number expected"),
         ("(at 2s (cold (cache 1)) (till 1s))", "(for TIME) expected"),
     ],
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -88,7 +88,7 @@
         ("(experiment s (worlds (city brief)))", "(world NAME"),
         ("(experiment s (worlds brief brief))", "two worlds are named brief"),
         ("(experiment s (worlds brief) (faults some))", "expected none, (drawn COUNT)"),
-        ("(experiment s (worlds brief) (faults (written x (at 1s (cold log)))))", "cold strikes"),
+        ("(experiment s (worlds brief) (faults (written x (at 1s (cold log)))))", "cold applies to"),
         ("(experiment s (worlds brief) (policies hash two))", "module, against which all are held"),
         ("(experiment s (worlds brief) (seeds 1 2) (seeds 1 3))", "told twice"),
         ("(experiment s (worlds brief) (measures beauty))", "no measure beauty"),
