--- a/lilacloft/emulator/boxes.py
+++ b/lilacloft/emulator/boxes.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lilacloft.emulator.around import AroundBox
 from lilacloft.emulator.copies import Copies, Place
+from lilacloft.emulator.environment import ServerEnvironment
 from lilacloft.emulator.events import TIMER
 from lilacloft.emulator.links import Flow, Link
 
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        fleet: AroundBox,
+        fleet: ServerEnvironment,
         name: str,
         kind: int,
         zone: int,
--- a/lilacloft/emulator/chance.py
+++ b/lilacloft/emulator/chance.py
@@ -14,7 +14,7 @@
 BLOCK = 512  # numbers drawn at once; drawing one by one would cost more than the rest of an event
 
 
-class Stream:
+class RandomStream:
     """Random numbers for one purpose."""
 
     def __init__(self, seed: int, purpose: str) -> None:
@@ -60,11 +60,11 @@
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
-        self.streams: dict[str, Stream] = {}
+        self.streams: dict[str, RandomStream] = {}
 
-    def stream(self, purpose: str) -> Stream:
+    def stream(self, purpose: str) -> RandomStream:
         """Return the stream of a purpose; it continues where it was."""
         found = self.streams.get(purpose)
         if found is None:
-            found = self.streams[purpose] = Stream(self.seed, purpose)
+            found = self.streams[purpose] = RandomStream(self.seed, purpose)
         return found
--- a/lilacloft/emulator/around.py
+++ b/lilacloft/emulator/environment.py
@@ -11,7 +11,7 @@
 from lilacloft.emulator.rules import Checker
 
 
-class Around(Protocol):
+class Environment(Protocol):
     """Common interface. Times are in tenths of a millisecond, sizes in KB."""
 
     events: Events
@@ -23,7 +23,7 @@
         """Schedule a call; at the same time lower ranks run first."""
 
 
-class AroundBox(Around, Protocol):
+class ServerEnvironment(Environment, Protocol):
     """Interface for caches, parents and origins."""
 
     origin: Any
@@ -60,7 +60,7 @@
         """Record that a write took effect."""
 
 
-class AroundGateway(Around, Protocol):
+class GatewayEnvironment(Environment, Protocol):
     """Interface for gateways."""
 
     asked_at: dict[int, int]
--- a/lilacloft/emulator/faults.py
+++ b/lilacloft/emulator/faults.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from lilacloft.emulator.chance import Stream
+from lilacloft.emulator.chance import RandomStream
 
 SECOND = 10_000
 
@@ -204,7 +204,11 @@
 
 
 def draw(
-    stream: Stream, sizes: dict[str, int], horizon: int, count: int, weights: dict[str, float] | None = None
+    stream: RandomStream,
+    sizes: dict[str, int],
+    horizon: int,
+    count: int,
+    weights: dict[str, float] | None = None,
 ) -> list[Fault]:
     """Draw `count` random faults. `sizes` is the number of targets of each type (`cache`, `parent`,
     `gateway`, `zone`, `shelf`, `object`, `group`). About half of the faults overlap an earlier one, as
--- a/lilacloft/emulator/fleet.py
+++ b/lilacloft/emulator/fleet.py
@@ -20,7 +20,7 @@
 from lilacloft.emulator.events import CHECK, CLIENT, FAULT, LOG, NET, TIMER, Events
 from lilacloft.emulator.faults import Fault
 from lilacloft.emulator.gateway import Gateway, Policy, asked
-from lilacloft.emulator.links import Flow, Link, Net
+from lilacloft.emulator.links import Flow, Link, Network
 from lilacloft.emulator.rules import Breach, Checker
 from lilacloft.emulator.worlds import SECOND, World
 from lilacloft.routing.model import Idempotency
@@ -69,7 +69,7 @@
         from lilacloft.routing.router import Router
 
         self.world, self.seed = world, seed
-        self.events, self.net, self.chance = Events(START), Net(), Chance(seed)
+        self.events, self.net, self.chance = Events(START), Network(), Chance(seed)
         self.pace = world.pace / SECOND
         self.cold_cache, self.cold_parent, self.fall = world.cold_cache, world.cold_parent, world.fall
         self.begin, self.fill_patience, self.hands = world.begin, world.fill_patience, world.hands
--- a/lilacloft/emulator/gateway.py
+++ b/lilacloft/emulator/gateway.py
@@ -12,11 +12,11 @@
 from typing import Any
 
 from lilacloft.clock_offset import ClockOffset, WatchContext
-from lilacloft.emulator.around import AroundGateway
 from lilacloft.emulator.boxes import ORIGIN, Box, Dispatch
 from lilacloft.emulator.clients import Ask
+from lilacloft.emulator.environment import GatewayEnvironment
 from lilacloft.emulator.events import CHECK, CLIENT, NET, TIMER
-from lilacloft.emulator.rules import Told
+from lilacloft.emulator.rules import RequestRecord
 from lilacloft.routing.host import AttemptResult, Endpoint, HealthChange, Timer
 from lilacloft.routing.host import Dispatch as Order
 from lilacloft.routing.model import Backend, Request
@@ -27,7 +27,7 @@
 class Gateway:
     """One emulated gateway and its open requests."""
 
-    def __init__(self, fleet: AroundGateway, number: int, zone: int, policy: Policy) -> None:
+    def __init__(self, fleet: GatewayEnvironment, number: int, zone: int, policy: Policy) -> None:
         self.fleet, self.number, self.zone, self.policy = fleet, number, zone, policy
         self.name = f"g{number}"
         self.settings = fleet.world.settings(zone, number % max(1, fleet.world.gateways))
@@ -288,9 +288,9 @@
         """Do nothing: the emulator keeps no record of limits."""
 
 
-def asked(number: int, ask: Ask, vhost: Any, until: int) -> Told:
+def asked(number: int, ask: Ask, vhost: Any, until: int) -> RequestRecord:
     """Return the checker's record of a request."""
-    return Told(
+    return RequestRecord(
         f"r{number} ({vhost.name} {ask.key}/{ask.part})",
         vhost.effect,
         ask.key,
--- a/lilacloft/emulator/links.py
+++ b/lilacloft/emulator/links.py
@@ -83,7 +83,7 @@
     return out
 
 
-class Net:
+class Network:
     """All transfers in progress."""
 
     def __init__(self) -> None:
--- a/lilacloft/emulator/planes.py
+++ b/lilacloft/emulator/planes.py
@@ -44,7 +44,7 @@
     span: int
 
 
-class Forwarder(Gateway):
+class PlannedGateway(Gateway):
     """A gateway that follows planners."""
 
     def begin(self) -> None:
@@ -124,7 +124,7 @@
             self.act()
 
 
-class Plane:
+class EmulatedPlanner:
     """One planner and its connectivity."""
 
     def __init__(self, fleet: Planes, number: int) -> None:
@@ -180,7 +180,7 @@
                 self.fleet.across(self, other, gossip)
         self.fleet.events.at(self.fleet.events.now + PLANNER_INTERVAL, TIMER, self._tick, life)
 
-    def asked(self, gateway: Forwarder, report: LoadReport, life: int) -> None:
+    def asked(self, gateway: PlannedGateway, report: LoadReport, life: int) -> None:
         """Handle a gateway's load report."""
         if not self.dead:
             self.fleet.down(self, gateway, self.planner.receive_report(report, self.now()), life)
@@ -206,7 +206,7 @@
         """`leave`: how traffic may fail over from a location: `past` its caches, or `across` to others."""
         self.leave = leave
         self.planners_count = planners
-        self.planners: list[Plane] = []
+        self.planners: list[EmulatedPlanner] = []
         self.issued: list[tuple[int, Any, int]] = []
         super().__init__(world, seed, faults, policy)
         names = tuple(f"p{number}" for number in range(planners))
@@ -224,12 +224,12 @@
             SlowStartProfile(*world.cold_cache),
             SlowStartProfile(*world.cold_parent),
         )
-        self.planners = [Plane(self, number) for number in range(planners)]
+        self.planners = [EmulatedPlanner(self, number) for number in range(planners)]
         for trouble in troubles:
             self.events.at(START + trouble.at, FAULT, self._trouble, trouble)
 
-    def _gateway(self, number: int, policy: Policy) -> Forwarder:
-        return Forwarder(self, number, number // self.world.gateways, policy)
+    def _gateway(self, number: int, policy: Policy) -> PlannedGateway:
+        return PlannedGateway(self, number, number // self.world.gateways, policy)
 
     def tells(self, box: Box, zone: int) -> bool:
         return self.leave == "across" or super().tells(box, zone)
@@ -249,13 +249,13 @@
     def _message_delay(self) -> int:
         return MIN_DELAY + int(self.chance.stream("planes").expo(MIN_DELAY))
 
-    def up(self, gateway: Forwarder, plane: Plane, report: LoadReport) -> None:
+    def up(self, gateway: PlannedGateway, plane: EmulatedPlanner, report: LoadReport) -> None:
         if gateway.name not in plane.cut:
             self.events.at(
                 self.events.now + self._message_delay(), NET, plane.asked, gateway, report, gateway.life
             )
 
-    def down(self, plane: Plane, gateway: Forwarder, reply: PlanReply, life: int) -> None:
+    def down(self, plane: EmulatedPlanner, gateway: PlannedGateway, reply: PlanReply, life: int) -> None:
         if gateway.name in plane.cut:
             return
         delay = self._message_delay()
@@ -263,7 +263,7 @@
         if self.chance.stream("planes").random() < DUPLICATE_RATE:  # duplicated and out of order
             self.events.at(self.events.now + delay + DUPLICATE_DELAY, NET, gateway.answered, reply, life)
 
-    def across(self, sender: Plane, receiver: Plane, gossip: GossipMessage) -> None:
+    def across(self, sender: EmulatedPlanner, receiver: EmulatedPlanner, gossip: GossipMessage) -> None:
         if receiver.name not in sender.cut and sender.name not in receiver.cut:
             self.events.at(self.events.now + self._message_delay(), NET, receiver.heard, gossip)
 
@@ -294,7 +294,7 @@
             self.events.at(end, FAULT, self._heal, plane, names)
 
     @staticmethod
-    def _heal(plane: Plane, names: set[str]) -> None:
+    def _heal(plane: EmulatedPlanner, names: set[str]) -> None:
         plane.cut -= names
 
 
--- a/lilacloft/emulator/rules.py
+++ b/lilacloft/emulator/rules.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class RequestRecord:
     """What the checker knows of one request."""
 
     name: str
@@ -56,7 +56,7 @@
     def __init__(self, grace: int, slack: int) -> None:
         self.grace, self.slack = grace, slack  # drain grace period; delivery delay allowed after a deadline
         self.breaches: list[Breach] = []
-        self.requests: dict[int, Told] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.of: dict[int, tuple[int, str, int, int]] = {}  # by dispatch: request, server, zone, cell
         self.began: dict[int, int] = {}
         self.effects: dict[str, str] = {}
@@ -69,7 +69,7 @@
 
     # --- clients ---
 
-    def asked(self, request: int, told: Told) -> None:
+    def asked(self, request: int, told: RequestRecord) -> None:
         """Record a client request."""
         self.requests[request] = told
 
--- a/lilacloft/experiment/search.py
+++ b/lilacloft/experiment/search.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 
 from lilacloft.emulator import faults as language
-from lilacloft.emulator.chance import Stream
+from lilacloft.emulator.chance import RandomStream
 from lilacloft.emulator.faults import Fault
 from lilacloft.emulator.worlds import World
 
@@ -97,7 +97,7 @@
 class Search:
     """Keeps the worst spots and proposes the next one to try."""
 
-    stream: Stream
+    stream: RandomStream
     begin: list[World]
     keep: int = 12
     worst: list[Spot] = field(default_factory=list)
--- a/lilacloft/experiment/stats.py
+++ b/lilacloft/experiment/stats.py
@@ -52,7 +52,7 @@
         return self.chance <= 1 - LEVEL
 
 
-def resampled(values: np.ndarray, seed: int, times: int = RESAMPLES) -> np.ndarray:
+def bootstrap_means(values: np.ndarray, seed: int, times: int = RESAMPLES) -> np.ndarray:
     """Return bootstrap means."""
     generator = np.random.Generator(np.random.PCG64(seed))
     if len(values) == 0:
@@ -72,7 +72,7 @@
         return Estimate(
             mean, -math.inf if len(array) else math.nan, math.inf if len(array) else math.nan, len(array)
         )
-    low, high = np.quantile(resampled(array, seed), [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
+    low, high = np.quantile(bootstrap_means(array, seed), [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
     return Estimate(float(array.mean()), float(low), float(high), len(array))
 
 
@@ -85,8 +85,8 @@
     better, worse = int((gaps > 0).sum()), int((gaps < 0).sum())
     if count < 2 or not gaps.any():
         return Difference(mean, mean, mean, 1.0, count, better, worse, 0 if count >= 2 else 2, False)
-    low, high = np.quantile(resampled(gaps, seed), [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
-    chance = flipped(gaps, seed)
+    low, high = np.quantile(bootstrap_means(gaps, seed), [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
+    chance = sign_flip_p_value(gaps, seed)
     spread = float(gaps.std(ddof=1))
     needs = 0 if chance <= 1 - LEVEL or not mean else min(10**6, math.ceil((2.8 * spread / abs(mean)) ** 2))
     size = np.sort(np.abs(gaps))[::-1]
@@ -95,7 +95,7 @@
     return Difference(mean, float(low), float(high), chance, count, better, worse, needs, rare)
 
 
-def flipped(gaps: np.ndarray, seed: int, times: int = RESAMPLES) -> float:
+def sign_flip_p_value(gaps: np.ndarray, seed: int, times: int = RESAMPLES) -> float:
     """Return the p-value of a sign-flip permutation test on paired differences; it assumes no distribution.
     Exact for up to 12 pairs."""
     count, observed = len(gaps), abs(float(gaps.sum())) - 1e-12
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""Worlds of the emulator: the same run for the same seed, faults that show, each rule broken on purpose."""
+"""Emulator: reproducible runs, effects of faults, and detection of deliberate rule violations."""
 
 import dataclasses
 import hashlib
@@ -13,7 +13,7 @@
 from lilacloft.emulator.copies import Copies
 from lilacloft.emulator.faults import KINDS, Fault, FaultError, draw, parse, shrink
 from lilacloft.emulator.fleet import START, Fleet, run
-from lilacloft.emulator.rules import Checker, Told
+from lilacloft.emulator.rules import Checker, RequestRecord
 from lilacloft.emulator.worlds import SECOND, WORLDS, scaled
 from lilacloft.routing.dispatching import Dispatcher
 from lilacloft.routing.rendezvous import Rendezvous
@@ -27,17 +27,17 @@
     return draw(Chance(seed).stream("faults"), world.sizes(), world.span, count)
 
 
-# --- the same run ---
+# --- reproducibility ---
 
 
-def test_the_same_seed_gives_the_same_run_in_every_process_and_another_seed_another():
+def test_runs_are_reproducible_across_processes_and_differ_by_seed():
     script = (
         "from lilacloft.emulator.fleet import run; from lilacloft.emulator.worlds import WORLDS;"
         "from lilacloft.emulator.chance import Chance; from lilacloft.emulator.faults import draw;"
         "w = WORLDS['brief']; r = run(w, 5, draw(Chance(5).stream('faults'), w.sizes(), w.span, 4));"
         "print(r.mark, r.events, r.worth)"
     )
-    told = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", script],
             env={"PYTHONHASHSEED": seed},
@@ -47,23 +47,23 @@
         ).stdout
         for seed in ("0", "9")
     }
-    assert len(told) == 1 and run(BRIEF, 5, drawn(5)).mark in told.pop()
+    assert len(outputs) == 1 and run(BRIEF, 5, drawn(5)).mark in outputs.pop()
     assert run(BRIEF, 6).mark != run(BRIEF, 5).mark
 
 
-def test_a_fault_changes_no_draw_of_what_it_does_not_touch():
-    """Clients ask the same at the same times, whatever goes wrong around them."""
+def test_faults_do_not_change_unrelated_random_draws():
+    """The workload is the same with and without faults."""
 
     def asked(faulty):
         fleet = Fleet(BRIEF, 3, faulty)
         fleet.run()
-        return [(told.name, told.until) for told in fleet.checker.requests.values()]
+        return [(record.name, record.until) for record in fleet.checker.requests.values()]
 
     calm, rough = asked([]), asked([Fault("slow", "origin", at=0, span=SECOND, hard=5.0)])
     assert [one.split()[1:] for one, _ in calm[:100]] == [one.split()[1:] for one, _ in rough[:100]]
 
 
-def test_every_world_runs_and_serves_most_of_what_is_asked():
+def test_every_world_runs_and_serves_most_requests():
     for world in WORLDS.values():
         small = dataclasses.replace(world, span=2 * SECOND)
         result = run(small, 2)
@@ -71,8 +71,8 @@
     assert run(scaled(40, 8, 100.0, 20), 1).worth > 0.9
 
 
-def test_what_comes_at_one_instant_comes_in_the_same_order():
-    """An answer in the last instant of a client's time, and a leave at the instant of the answer."""
+def test_simultaneous_events_have_a_fixed_order():
+    """An answer at the instant of a client's deadline, and a disconnect at the instant of the answer."""
     world = dataclasses.replace(BRIEF, habits=dataclasses.replace(BRIEF.habits, leaves=0.5))
     one, two = run(world, 9, drawn(9)), run(world, 9, drawn(9))
     assert one == two and one.left > 10 and not one.breaches
@@ -81,8 +81,8 @@
 # --- rules ---
 
 
-class Twice(Router):
-    """Sends what is out once more."""
+class SendsTwice(Router):
+    """Dispatches a request again while an attempt is open."""
 
     def _attempt_overdue(self, request):
         request.in_flight = False
@@ -95,23 +95,23 @@
         return super().send_first(request, routes, cache_only)
 
 
-class Forgets(Router):
-    """Sends again what may have run."""
+class RetriesExecuted(Router):
+    """Retries requests that may have executed."""
 
     def __init__(self, host, settings):
         super().__init__(host, settings)
         self.dispatcher = ForgetsExecution(self.rules)
 
 
-class Silent(Router):
-    """Gives no final answer to some."""
+class NeverAnswers(Router):
+    """Gives no final answer to rejected requests."""
 
     def reject(self, request, why):
         request.finished = True
 
 
-class Late(Router):
-    """Gives its answers after the client's time."""
+class AnswersLate(Router):
+    """Answers rejected requests after the client's deadline."""
 
     def reject(self, request, why):
         if self.host.now() < request.deadline + 3000:
@@ -120,8 +120,8 @@
             super().reject(request, why)
 
 
-class Deaf(Router):
-    """Does not hear of drains."""
+class IgnoresDrains(Router):
+    """Ignores drains."""
 
     def endpoints_changed(self, mode, entries):
         super().endpoints_changed(
@@ -129,41 +129,41 @@
         )
 
 
-class Hot(Router):
-    """Takes cold boxes for warm ones."""
+class IgnoresSlowStart(Router):
+    """Treats cold servers as warm."""
 
     def __init__(self, host, settings):
         super().__init__(host, settings)
         self.slow_start.allows = lambda backend, work, now: True
 
 
-class Unpurged(Router):
-    """Forgets purges."""
+class IgnoresPurges(Router):
+    """Ignores purges."""
 
     def object_purged(self, key, group, age):
         pass
 
 
 BROKEN = [
-    (Silent, 1, "(at 0s (silent (zone 0)) (for 3s))"),
-    (Late, 1, "(at 0s (silent (zone 0)) (for 3s))"),
-    (Twice, 2, "(at 0s (slow (zone 0) 9) (for 3s)) (at 0s (slow origin 9) (for 3s))"),
+    (NeverAnswers, 1, "(at 0s (silent (zone 0)) (for 3s))"),
+    (AnswersLate, 1, "(at 0s (silent (zone 0)) (for 3s))"),
+    (SendsTwice, 2, "(at 0s (slow (zone 0) 9) (for 3s)) (at 0s (slow origin 9) (for 3s))"),
     (
-        Forgets,
+        RetriesExecuted,
         2,
         "(at 0s (slow origin 9) (for 4s)) (at 500ms (cold (cache 1)))"
         " (at 1500ms (cold (cache 2))) (at 2500ms (cold (cache 3)))",
     ),
-    (Deaf, 3, "(at 0s (drain (cache 1)) (for 4s))"),
-    (Hot, 4, "(at 0s (cold (zone 0)))"),
-    (Unpurged, 5, "(at 1s (purge (group 1) 3)) (at 1s (purge (group 2) 3)) (at 1s (purge (group 3) 3))"),
+    (IgnoresDrains, 3, "(at 0s (drain (cache 1)) (for 4s))"),
+    (IgnoresSlowStart, 4, "(at 0s (cold (zone 0)))"),
+    (IgnoresPurges, 5, "(at 1s (purge (group 1) 3)) (at 1s (purge (group 2) 3)) (at 1s (purge (group 3) 3))"),
 ]
 
 
 @pytest.mark.parametrize("policy, rule, text", BROKEN)
-def test_a_rule_broken_on_purpose_is_found_and_with_the_module_as_it_is_none_is(policy, rule, text):
+def test_deliberate_rule_violations_are_detected_and_the_module_has_none(policy, rule, text):
     world = dataclasses.replace(WORLDS["writes"], span=4 * SECOND)
-    if rule == 4:  # by many gateways: the limits of few keep a cold location from too much by themselves
+    if rule == 4:  # needs many gateways: with few, their own limits already protect a cold location
         world = dataclasses.replace(
             world,
             gateways=24,
@@ -175,15 +175,15 @@
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_seeds_with_faults_break_no_rule(block):
-    """Some in CI; ten thousand by hand (docs/results/emulator.md)."""
+def test_random_faults_cause_no_violation(block):
+    """A few seeds in CI; ten thousand were run by hand (docs/results/emulator.md)."""
     for seed in range(block * 30, block * 30 + 30):
         result = run(BRIEF, seed, drawn(seed))
         assert not result.breaches, (seed, [str(fault) for fault in drawn(seed)], result.breaches[:3])
 
 
-def test_a_clock_set_ahead_lets_no_copy_from_before_a_purge_through():
-    """Found by drawn seeds: ages of purges were reckoned with a clock that had been set since."""
+def test_no_copy_from_before_a_purge_is_served_after_a_clock_was_set_ahead():
+    """Found by random seeds: purge ages were computed with a clock that had been set since the purge."""
     for seed, text in (
         (412, "(at 112ms (purge (group 7) 8)) (at 311ms (clock (gateway 0) 1.754) (for 2s))"),
         (1534, "(at 0s (clock (gateway 0) 0.883) (for 1.9s)) (at 1579ms (purge (group 8) 5))"),
@@ -192,9 +192,9 @@
         assert not run(BRIEF, seed, parse(text)).breaches
 
 
-def test_the_checker_names_what_it_saw():
+def test_the_checker_reports_each_violation():
     checker = Checker(100, 10)
-    checker.asked(1, Told("r1", "non-replayable", "k", 3, 500, 0, "all"))
+    checker.asked(1, RequestRecord("r1", "non-replayable", "k", 3, 500, 0, "all"))
     checker.listed("g", "b", True, 0)
     checker.sent(1, 1, "g", "b", 0, 0, "", 150)
     checker.taken(1, "b", 160)
@@ -209,7 +209,7 @@
     checker.effect("e", "c", 620)
     checker.effect("e", "c", 630)
     checker.fell("c", 9.0, 4.0, 640)
-    checker.asked(2, Told("r2", "replayable", "k", 3, 500, 0, "all"))
+    checker.asked(2, RequestRecord("r2", "replayable", "k", 3, 500, 0, "all"))
     checker.due(2, 700)
     assert [breach.rule for breach in checker.breaches] == [3, 3, 2, 2, 5, 1, 1, 2, 4, 1]
     assert "was to fill from b" in str(checker.breaches[1]) and "at 0.0700" in str(checker.breaches[-1])
@@ -218,7 +218,7 @@
 # --- faults ---
 
 
-def test_faults_are_written_and_read_the_same_and_any_seed_draws_what_a_world_has():
+def test_faults_round_trip_as_text_and_draws_fit_the_world():
     for seed in range(200):
         for fault in drawn(seed, 6):
             assert parse(str(fault)) == [fault]
@@ -230,7 +230,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, message",
     [
         ("(at 2s (storm (cache 1)))", "unknown fault 'storm'"),
         ("(at 2s (silent log) (for 1s))", "silent applies to cache"),
@@ -250,13 +250,13 @@
         ("(at 2s (cold (cache 1)) (till 1s))", "(for TIME) expected"),
     ],
 )
-def test_what_is_no_fault_is_told_in_words(text, told):
+def test_invalid_faults_are_rejected_with_a_reason(text, message):
     with pytest.raises(FaultError) as wrong:
         parse(text)
-    assert told in str(wrong.value)
+    assert message in str(wrong.value)
 
 
-def test_a_failing_run_is_cut_to_the_least_faults_that_still_fail():
+def test_shrinking_finds_a_minimal_failing_fault_list():
     text = (
         "(at 100ms (slow origin 3) (for 2s)) (at 1s (drain (cache 2)) (for 3s)) "
         "(at 1s (purge (object o1) 2)) (at 2s (lossy (cache 0) 0.2) (for 1s)) (at 2s (cold (cache 3)))"
@@ -266,7 +266,7 @@
 
     def fails(some):
         asked.append(some)
-        return any(breach.rule == 3 for breach in run(world, 4, some, Deaf).breaches)
+        return any(breach.rule == 3 for breach in run(world, 4, some, IgnoresDrains).breaches)
 
     assert fails(parse(text))
     least = shrink(parse(text), fails)
@@ -275,13 +275,13 @@
     assert shrink(parse(text), lambda some: False) == parse(text)
 
 
-def test_a_fault_that_is_over_before_it_is_seen_changes_little():
+def test_very_short_faults_have_little_effect():
     calm = run(BRIEF, 3)
     brief = run(BRIEF, 3, parse("(at 1s (silent (cache 1)) (for 1ms)) (at 1s (apart (zone 0)) (for 1ms))"))
     assert not brief.breaches and abs(brief.worth - calm.worth) < 0.02
 
 
-def test_what_strikes_nobody_here_leaves_the_run_as_it_is():
+def test_faults_without_a_target_have_no_effect():
     assert run(BRIEF, 3, parse("(at 1s (silent (cache 99)) (for 1s))")).mark == run(BRIEF, 3).mark
 
 
@@ -300,7 +300,7 @@
         "(at 1s (stop (gateway 0)) (for 1s)) (at 1s (stop (gateway 1)) (for 1s))",
     ],
 )
-def test_faults_that_strike_all_of_a_location_are_felt(text):
+def test_faults_of_a_whole_location_reduce_worth_or_raise_latency(text):
     world = WORLDS["small"]
     world = dataclasses.replace(world, span=4 * SECOND, habits=dataclasses.replace(world.habits, rate=250.0))
     calm, rough = run(world, 3), run(world, 3, parse(text))
@@ -315,7 +315,7 @@
     return Clients(Chance(1), Habits(**{"mix": (0.5, 0.5), **more}), ["replayable", "uniqued"])
 
 
-def test_clients_come_at_the_rate_of_the_hour_and_of_the_flash():
+def test_arrivals_follow_the_daily_cycle_and_flash_crowds():
     made = clients(
         rate=200.0, day=40 * SECOND, swing=0.8, flashes=[Flash(60 * SECOND, 10 * SECOND, 4.0, 0.9, "hit")]
     )
@@ -334,7 +334,7 @@
     assert max(between(at, at + 1) for at in range(79)) <= 1.3 * made.most()
 
 
-def test_what_is_popular_drifts_and_sizes_are_always_the_same():
+def test_popularity_drifts_and_sizes_are_fixed():
     made = clients(objects=50, drift=5.0, zipf=1.0)
     early = {made.ask(0).key for _ in range(200)}
     late = [made.ask(60 * SECOND).key for _ in range(200)]
@@ -344,7 +344,7 @@
     assert sizes[1000] == pytest.approx(200.0, rel=0.1)
 
 
-def test_a_session_goes_on_a_denied_client_waits_longer_each_time_and_one_aborted_does_not_ask():
+def test_sessions_continue_denied_clients_back_off_and_aborted_requests_are_not_retried():
     made = clients(parts=3, retries=2, pause=0.2)
     first = Ask("a", 0, 1, 10.0, 0)
     _, second = made.next(first, "done", 0)
@@ -361,14 +361,14 @@
 # --- copies ---
 
 
-def test_copies_go_by_rank_and_use_and_old_ones_will_not_do():
+def test_copies_are_evicted_by_rank_and_recency_and_old_ones_are_refused():
     copies = Copies(300.0)
     for name, rank in (("a", 2), ("b", 0), ("c", 1)):
         assert copies.put((name, 0), 10, rank, 100.0, 1)
     assert copies.get(("b", 0), 0).born == 10 and copies.get(("b", 0), 11) is None
     assert copies.put(("d", 0), 20, 1, 100.0, 2) and copies.peek(("b", 0)) is None  # the lowest rank
     assert copies.get(("c", 0), 0)
-    assert copies.put(("e", 0), 20, 1, 100.0, 2) and copies.peek(("d", 0)) is None  # used least lately
+    assert copies.put(("e", 0), 20, 1, 100.0, 2) and copies.peek(("d", 0)) is None  # least recently used
     assert not copies.put(("f", 0), 1, 2, 301.0, 1) and not copies.put(("a", 0), 9, 2, 100.0, 1)
     assert copies.put(("a", 0), 30, 0, 50.0, 1) and copies.peek(("a", 0)).rank == 2 and copies.used == 250.0
     assert copies.purge("", 2, 21) == 1 and copies.purge("a", 0, 30) == 0 and len(copies) == 2
@@ -376,7 +376,7 @@
     assert copies.used == 0.0 and not len(copies)
 
 
-def test_hash_order_begins_with_copies_at_their_homes():
+def test_runs_start_with_popular_copies_at_their_homes():
     fleet = Fleet(WORLDS["small"], 1)
     held = sum(len(box.copies) for box in fleet.caches)
     assert held == 40 * WORLDS["small"].caches
@@ -393,7 +393,7 @@
 
 
 class OneParent(Router):
-    """All parts of an object have one parent, as before the parent by part."""
+    """Assigns all parts of an object to one parent, as before parents were chosen per part."""
 
     @staticmethod
     def make_rules(host, settings):
@@ -402,10 +402,10 @@
         return rules
 
 
-def test_a_hot_object_of_many_parts_weighs_on_all_parents():
-    """Half of all reqs ask for the parts of one object that is purged again and again: in each of ten places
-    all parts are filled anew, and no parent alone can send them (one-parent-for-a-hot-object.md).
-    Served is counted in worth, not as a part: who is served asks for the next part."""
+def test_the_load_of_a_hot_object_is_spread_over_all_parents():
+    """Half of all requests are for the parts of one object that is purged repeatedly: each of ten locations
+    fills all parts again, more than one parent can send (one-parent-for-a-hot-object.md). The comparison uses
+    earned worth, not the fraction served: a client that is served requests the next part."""
     faults = parse(
         "(at 1s (hot (object o7) 0.5) (for 6s)) "
         + " ".join(f"(at {1 + 0.9 * nth:.1f}s (purge (object o7) 1))" for nth in range(6))
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: what a file asks for, what figures show, what is run and kept, and the search."""
+"""Experiments: file parsing, statistics, running and storing runs, and the adversarial search."""
 
 import dataclasses
 import math
@@ -35,7 +35,7 @@
 # --- files ---
 
 
-def test_a_file_says_which_runs_there_are():
+def test_a_file_defines_the_runs():
     found = read(FILE)
     assert found.count() == 3 * 3 * 2 * 3 == len({run.key("c") for run in found.runs()})
     small = found.worlds[1]
@@ -52,7 +52,7 @@
     assert {run.seed for run in first} == {3} and found.against == "hash"
 
 
-def test_a_sweep_makes_a_world_of_each_value():
+def test_a_sweep_creates_a_world_for_each_value():
     found = read("(experiment s (worlds brief) (sweep (rate 10 20) (caches 3 4 5)))")
     assert [(one.habits.rate, one.caches) for one in found.worlds] == [
         (rate, caches) for rate in (10.0, 20.0) for caches in (3, 4, 5)
@@ -60,7 +60,7 @@
     assert found.worlds[0].name == "brief rate=10 caches=3"
 
 
-def test_what_a_run_depends_on_is_in_its_key():
+def test_the_key_of_a_run_covers_everything_it_depends_on():
     one = next(read("(experiment s (worlds brief))").runs())
     others = [
         dataclasses.replace(one, seed=2),
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, message",
     [
         ("(experiment)", "expected (experiment NAME ...)"),
         ("(experiment s)", "no worlds are given"),
@@ -100,16 +100,16 @@
         ("(experiment s (worlds brief) (against))", "(against POLICY)"),
     ],
 )
-def test_what_a_file_has_wrong_is_told_with_its_place(text, told):
+def test_errors_in_a_file_are_reported_with_their_position(text, message):
     with pytest.raises(SettingsError) as wrong:
         read(text)
-    assert told in str(wrong.value) and "x.sexp:1:" in str(wrong.value)
+    assert message in str(wrong.value) and "x.sexp:1:" in str(wrong.value)
 
 
 # --- figures ---
 
 
-def test_intervals_hold_the_truth_about_as_often_as_they_say():
+def test_confidence_intervals_have_their_nominal_coverage():
     chance, inside = random.Random(1), 0
     for turn in range(300):
         one = stats.estimate([chance.gauss(5.0, 2.0) for _ in range(30)], turn)
@@ -117,7 +117,7 @@
     assert 0.89 <= inside / 300 <= 0.99
 
 
-def test_differences_that_are_none_are_rarely_shown_and_real_ones_mostly():
+def test_differences_have_few_false_positives_and_high_power():
     chance, false, true = random.Random(2), 0, 0
     for turn in range(200):
         shared = {seed: chance.gauss(0, 5) for seed in range(20)}
@@ -129,7 +129,7 @@
     assert false / 200 < 0.09 and true / 200 > 0.9
 
 
-def test_few_pairs_are_tested_exactly_and_say_what_they_cannot_show():
+def test_few_pairs_are_tested_exactly_and_report_the_seeds_needed():
     ones, zeros = dict.fromkeys(range(5), 1.0), dict.fromkeys(range(5), 0.0)
     gap = stats.compare(ones, zeros)
     assert gap.chance == 2 / 32 and not gap.shown and gap.mean == 1.0 and (gap.better, gap.worse) == (5, 0)
@@ -143,20 +143,20 @@
     assert not noisy.shown and noisy.needs > 200
 
 
-def test_what_comes_of_rare_seeds_is_said():
+def test_differences_from_rare_seeds_are_marked():
     values = dict.fromkeys(range(40), 0.0) | {7: 5.0, 9: 4.0}
     assert stats.compare(values, dict.fromkeys(range(40), 0.0)).rare
     even = {seed: 1.0 + seed / 40 for seed in range(40)}
     assert not stats.compare(even, dict.fromkeys(range(40), 0.0)).rare
 
 
-def test_of_many_differences_few_are_shown_by_chance():
+def test_multiple_comparisons_are_corrected():
     assert stats.holm({"a": 0.001, "b": 0.02, "c": 0.04}) == {"a", "b", "c"}
     assert stats.holm({"a": 0.02, "b": 0.02, "c": 0.02}) == set()
     assert stats.holm({"a": 0.001, "b": 0.03, "c": 0.04}) == {"a"} and stats.holm({}) == set()
 
 
-def test_growth_is_named():
+def test_growth_is_described():
     sizes = [10, 100, 1000]
     assert stats.growth(sizes, [5, 50, 500]) == (pytest.approx(1.0), "grows linearly")
     assert stats.growth(sizes, [5, 500, 50_000])[1] == "grows quadratically"
@@ -168,7 +168,7 @@
 # --- runs ---
 
 
-def test_a_stopped_experiment_goes_on_and_a_changed_one_does_only_what_is_new(tmp_path, capsys):
+def test_interrupted_experiments_resume_and_changed_ones_run_only_what_is_missing(tmp_path, capsys):
     path, base = tmp_path / "e.sexp", str(tmp_path / "r.sqlite")
     path.write_text("(experiment e (worlds (world brief (span 1s))) (policies module hash) (seeds 1 3))")
     assert main(["experiment", "run", str(path), "--results", base, "--processes", "2"]) == 0
@@ -200,7 +200,7 @@
     assert len(written) == 1 + len(found.measures) and all(name.startswith(str(tmp_path)) for name in written)
 
 
-def test_what_is_no_file_of_results_is_told(tmp_path):
+def test_invalid_results_files_are_rejected(tmp_path):
     (tmp_path / "x").write_bytes(b"nonsense" * 200)
     with pytest.raises(ResultsError):
         Results(str(tmp_path / "x"))
@@ -214,7 +214,7 @@
         Results(str(tmp_path / "y"))
 
 
-def test_the_module_of_a_revision_is_run_and_one_that_is_not_there_is_told(tmp_path, monkeypatch):
+def test_a_revision_runs_as_a_policy_and_a_missing_one_is_an_error(tmp_path, monkeypatch):
     texts = dict(revisions.current_sources())
     assert "MAX_ATTEMPTS = 3" in texts["retries"]
     texts["retries"] = texts["retries"].replace("MAX_ATTEMPTS = 3", "MAX_ATTEMPTS = 1")
@@ -231,7 +231,7 @@
         revisions.sources("no-such-revision")
 
 
-def test_two_levels_are_run_as_a_policy_beside_one():
+def test_planners_are_run_as_a_policy():
     found = read("(experiment s (worlds (world brief (span 2s))) (policies module planes planes-troubled))")
     runs = list(found.runs())[:3]
     one, two, rough = (runner.done(run) for run in runs)
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(POLICIES))
-def test_every_policy_serves_a_calm_world_and_breaks_no_rule(name):
+def test_every_policy_serves_a_calm_world_without_violations(name):
     for world in (WORLDS["small"].lasting(2.0), WORLDS["writes"].lasting(2.0)):
         result = emulated(
             world,
@@ -251,10 +251,10 @@
         assert result.worth > 0.85 and not result.breaches
 
 
-def test_baselines_differ_in_what_they_are_named_for():
+def test_baselines_differ_as_their_names_say():
     world = WORLDS["small"].lasting(4.0)
     runs = {name: emulated(world, 1, (), POLICIES[name]) for name in POLICIES}
-    assert runs["random"].hits < runs["hash"].hits - 0.2  # copies lie at their homes
+    assert runs["random"].hits < runs["hash"].hits - 0.2  # copies are stored at their homes
     assert runs["least"].hits < runs["hash"].hits
     assert runs["oracle"].worth >= max(one.worth for one in runs.values()) - 0.01
     silent = [Fault("silent", "cache", "1", 0, 4 * SECOND)]
@@ -266,7 +266,7 @@
 # --- the command and the search ---
 
 
-def test_the_command_runs_a_world_and_cuts_a_failing_one(capsys, monkeypatch):
+def test_the_command_runs_a_world_and_shrinks_a_failing_one(capsys, monkeypatch):
     assert main(["emulate", "brief", "--seed", "3", "--faults", "2"]) == 0
     assert "worth: 0." in capsys.readouterr().out
     assert main(["emulate", "brief", "--seeds", "6", "--faults", "2"]) == 0
@@ -274,12 +274,12 @@
     assert main(["emulate", "village"]) == 2 and main(["emulate", "brief", "--faults", "(at 1s (x y))"]) == 2
     assert main(["emulate", "brief", "--policy", "best"]) == 2
 
-    class Deaf(POLICIES["module"]):
+    class IgnoresDrains(POLICIES["module"]):
         def endpoints_changed(self, mode, entries):
             ready = [dataclasses.replace(entry, status=entry.status and 1) for entry in entries]
             super().endpoints_changed(mode, ready)
 
-    monkeypatch.setitem(POLICIES, "deaf", Deaf)
+    monkeypatch.setitem(POLICIES, "deaf", IgnoresDrains)
     text = (
         "(at 500ms (drain (cache 1)) (for 3s)) (at 1s (purge (object o1) 2)) (at 1s (slow origin 3) (for 1s))"
     )
@@ -290,36 +290,36 @@
     assert "slow" not in told.splitlines()[-1]
 
 
-def test_the_search_finds_where_worth_is_lost_and_looks_again_at_what_luck_made():
-    """Worth here is a plain function of the world: most is lost with a high rate and a slow origin."""
+def test_the_search_finds_the_largest_loss_and_rechecks_doubtful_spots():
+    """The loss is a simple function here: greatest with a high rate and a slow origin."""
     chance = random.Random(4)
 
     def lost(spot):
         slow = sum(one.kind == "slow" for one in spot.faults)
         return min(1.0, spot.world.habits.rate / 600) * 0.5 + 0.2 * min(slow, 2) + chance.gauss(0, 0.05)
 
-    looking = Search(Chance(3).stream("search"), [WORLDS["small"], WORLDS["thin"]])
+    search = Search(Chance(3).stream("search"), [WORLDS["small"], WORLDS["thin"]])
     for _ in range(1500):
-        spot = looking.next()
+        spot = search.next()
         for name, (low, high) in FIELDS.items():
             holder = spot.world.habits if hasattr(spot.world.habits, name) else spot.world
             before = WORLDS[spot.world.name]
             before = before if holder is spot.world else before.habits
             same = getattr(holder, name) == getattr(before, name)
             assert same or low <= getattr(holder, name) <= high
-        looking.found(spot, lost(spot), 4)
-    while (doubt := looking.doubtful(16)) is not None:
+        search.found(spot, lost(spot), 4)
+    while (doubt := search.doubtful(16)) is not None:
         assert doubt.seeds < 16
-        looking.found(doubt, lost(doubt), 4)
-    worst = looking.worst[0]
+        search.found(doubt, lost(doubt), 4)
+    worst = search.worst[0]
     assert worst.seeds >= 16 and worst.world.habits.rate > 300
-    assert sum(one.kind == "slow" for one in worst.faults) >= 1 and len(looking.worst) <= looking.keep
-    assert len({family(spot) for spot in looking.worst}) == len(looking.worst)  # kept apart
-    assert worst.lost >= looking.worst[-1].lost and isinstance(worst, Spot) and worst.told() != ""
+    assert sum(one.kind == "slow" for one in worst.faults) >= 1 and len(search.worst) <= search.keep
+    assert len({family(spot) for spot in search.worst}) == len(search.worst)  # kept apart
+    assert worst.lost >= search.worst[-1].lost and isinstance(worst, Spot) and worst.told() != ""
 
 
-def test_the_search_command_names_what_matters_in_its_worst_spots(capsys):
-    """It failed once where an option and a function had one name: no run of the command had been tested."""
+def test_the_search_command_explains_its_worst_spots(capsys):
+    """Guards against a crash of the command: an option and a function had the same name."""
     assert (
         main(["experiment", "search", "--tries", "16", "--seeds", "1", "--explain", "2", "--worlds", "brief"])
         == 0
@@ -328,9 +328,9 @@
     assert "lost on" in told and "matters:" in told
 
 
-def test_the_kernel_of_a_spot_is_the_faults_without_which_less_is_lost_and_families_follow_it():
-    """One weakness (a slow origin) came along with other faults each time; by all faults the search kept
-    them as three families, which kept others out. By their kernels they are one."""
+def test_kernels_are_the_faults_that_matter_and_define_the_families():
+    """One weakness (a slow origin) appeared with different further faults. Grouped by all faults it filled
+    three families and crowded out other weaknesses; grouped by kernel it is one."""
     slow = Fault("slow", "origin", at=SECOND, span=2 * SECOND, hard=3.0)
     others = [
         Fault("silent", "cache", "1", at=SECOND, span=SECOND),
@@ -338,23 +338,23 @@
         Fault("purge", "object", "o3", at=SECOND, hard=2.0),
     ]
 
-    def lost(faults):  # the slow origin is what costs; the others are noise beside it
+    def lost(faults):  # the slow origin causes the loss; the others are noise
         return 0.3 * any(one.kind == "slow" for one in faults) + 0.01 * len(faults)
 
-    looking = Search(Chance(1).stream("search"), [WORLDS["small"]], keep=4)
+    search = Search(Chance(1).stream("search"), [WORLDS["small"]], keep=4)
     for other in others:
         spot = Spot(WORLDS["small"], (slow, other))
-        looking.found(spot, lost(spot.faults), 16)
-    assert len(looking.worst) == 3  # three families by all their faults
-    spot = looking.unexplained(4)
+        search.found(spot, lost(spot.faults), 16)
+    assert len(search.worst) == 3  # three families by all their faults
+    spot = search.unexplained(4)
     without = [lost(one.faults) for one in ablations(spot)]
     assert [one.faults for one in ablations(spot)] == [(spot.faults[1],), (slow,)]
-    found = looking.explained(spot, lost(spot.faults), without)
+    found = search.explained(spot, lost(spot.faults), without)
     assert found.kernel == (slow,) and found.told_kernel() == str(slow)
-    # the two others hold that kernel: they are taken for the same weakness without runs of their own
-    assert len(looking.worst) == 1 and looking.unexplained(4) is None
-    assert family(looking.worst[0]) == ("small", (("slow", "origin"),))
-    # two faults that stand in for each other: neither matters alone, and the spot says so
+    # the two others contain that kernel: they count as the same weakness without further runs
+    assert len(search.worst) == 1 and search.unexplained(4) is None
+    assert family(search.worst[0]) == ("small", (("slow", "origin"),))
+    # two faults of which either one suffices: neither matters alone, and the spot says so
     both = Spot(WORLDS["small"], (slow, dataclasses.replace(slow, at=2 * SECOND)))
     found = kernel(both, 0.3, [0.3, 0.3])
     assert found.kernel == () and "no fault alone" in found.told_kernel()
@@ -362,12 +362,12 @@
     assert calm.told_kernel() == "not analysed" and ablations(calm) == []
     with pytest.raises(ValueError, match="1 losses for 2 faults"):
         kernel(both, 0.3, [0.1])
-    # one more fault along with a known kernel is taken for the same weakness: the worse of the two is kept
+    # a known kernel with a further fault counts as the same weakness: the worse of the two is kept
     lossy = Fault("lossy", "cache", "4", at=SECOND, span=SECOND, hard=0.2)
-    looking.found(Spot(WORLDS["small"], (slow, lossy)), 0.5, 16)
-    assert len(looking.worst) == 1 and looking.worst[0].lost == 0.5 and looking.worst[0].kernel == (slow,)
-    looking.found(Spot(WORLDS["thin"], (slow, lossy)), 0.1, 16)  # another world is another weakness
-    assert len(looking.worst) == 2 and looking.unexplained(4).world.name == "thin"
-    # a spot changed by the search is a new one: its kernel is not taken along
-    looking.worst = [found]
-    assert all(looking.next().kernel is None for _ in range(40))
+    search.found(Spot(WORLDS["small"], (slow, lossy)), 0.5, 16)
+    assert len(search.worst) == 1 and search.worst[0].lost == 0.5 and search.worst[0].kernel == (slow,)
+    search.found(Spot(WORLDS["thin"], (slow, lossy)), 0.1, 16)  # another world is another weakness
+    assert len(search.worst) == 2 and search.unexplained(4).world.name == "thin"
+    # a mutated spot does not inherit the kernel
+    search.worst = [found]
+    assert all(search.next().kernel is None for _ in range(40))
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,17 +1,17 @@
-"""Transfers that share links: max-min fairness, beside a slow model that pours out rates drop by drop."""
+"""Max-min fair link sharing, compared with a slow reference model that raises rates in small steps."""
 
 import random
 
 import pytest
 
-from lilacloft.emulator.links import Link, Net, shares
+from lilacloft.emulator.links import Link, Network, shares
 
 
-def poured(flows, links, drops=4000):
-    """Rates raised together in small steps; who meets its pace or a full link stays."""
+def reference_rates(flows, links, steps=4000):
+    """Raise all rates together in small steps until each meets its maximum rate or a full link."""
     rates = dict.fromkeys(flows, 0.0)
     free = set(flows)
-    step = max(link.capacity for link in links) / drops
+    step = max(link.capacity for link in links) / steps
     while free:
         for flow in list(free):
             full = any(sum(rates[one] for one in link.flows) + step > link.capacity for link in flow.links)
@@ -24,7 +24,7 @@
 
 def world(chance, flows=12):
     links = [Link(f"l{number}", chance.uniform(1, 20)) for number in range(chance.randrange(1, 6))]
-    net = Net()
+    net = Network()
     made = [
         net.start(
             0,
@@ -39,13 +39,13 @@
 
 
 @pytest.mark.parametrize("seed", range(120))
-def test_rates_are_max_min_fair_and_as_a_slow_pouring_finds_them(seed):
+def test_rates_are_max_min_fair_and_match_the_reference(seed):
     chance = random.Random(seed)
     _, links, flows = world(chance)
-    want, step = poured(flows, links)
+    want, step = reference_rates(flows, links)
     for flow in flows:
         assert flow.rate == pytest.approx(want[flow], abs=len(flows) * step * 2)
-        # nobody can have more without taking from one who has no more
+        # no rate can rise without lowering that of a flow with an equal or lower rate
         if flow.rate < flow.pace - 1e-6:
             assert any(
                 link.used() > link.capacity - 1e-6
@@ -57,8 +57,8 @@
 
 
 @pytest.mark.parametrize("seed", range(120))
-def test_only_what_shares_a_full_link_is_reckoned_anew_and_that_is_enough(seed):
-    """After any beginnings, ends and changes all rates are those of reckoning everything anew."""
+def test_incremental_updates_match_a_full_recomputation(seed):
+    """After any starts, ends and capacity changes all rates equal those of a full recomputation."""
     chance = random.Random(1000 + seed)
     net, links, flows = world(chance, 6)
     now = 0
@@ -67,8 +67,8 @@
         while net.take(now):
             pass
         flows = [flow for flow in flows if not flow.over]
-        doing = chance.random()
-        if doing < 0.5 or not flows:
+        action = chance.random()
+        if action < 0.5 or not flows:
             flows.append(
                 net.start(
                     now,
@@ -78,7 +78,7 @@
                     None,
                 )
             )
-        elif doing < 0.75:
+        elif action < 0.75:
             net.end(now, flows.pop(chance.randrange(len(flows))))
         else:
             net.resize(now, chance.choice(links), chance.choice([0.0, chance.uniform(0.5, 30)]))
@@ -89,11 +89,11 @@
             assert link.wanted == pytest.approx(sum(flow.pace for flow in link.flows), abs=1e-6)
 
 
-def test_a_transfer_is_over_when_its_bytes_have_come_at_the_rates_it_had():
-    net, link = Net(), Link("out", 4.0)
+def test_transfers_complete_after_their_bytes_at_changing_rates():
+    net, link = Network(), Link("out", 4.0)
     one = net.start(0, [link], 4.0, 400.0, "one")
     assert net.next() == 100
-    net.start(50, [link], 4.0, 400.0, "two")  # 200 KB are left for one, at half the rate from here
+    net.start(50, [link], 4.0, 400.0, "two")  # `one` has 200 KB left, at half the rate from now on
     assert net.next() == 150 and net.take(149) is None
     assert net.take(150) is one and net.next() == 200
     net.resize(150, link, 1.0)
@@ -105,11 +105,11 @@
     assert link.wanted == 0.0 and not link.flows
 
 
-def test_a_link_that_binds_nobody_passes_no_change_on():
-    net, wide = Net(), Link("wide", 100.0)
+def test_changes_do_not_propagate_over_unsaturated_links():
+    net, wide = Network(), Link("wide", 100.0)
     thin = [Link(f"t{number}", 1.0) for number in range(5)]
     for link in thin:
         net.start(0, [wide, link], 2.0, 50.0, None)
     before = net.changes
     net.start(5, [wide, thin[0]], 2.0, 50.0, None)
-    assert net.changes - before == 2  # itself, and the one on its thin link
+    assert net.changes - before == 2  # itself and the other flow on its thin link
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Load on real gateways, at times fixed ahead; and the emulator's world on sockets beside the emulator."""
+"""Load generator, and a comparison of the emulator with the same world on real sockets."""
 
 import dataclasses
 import itertools
@@ -18,7 +18,7 @@
 SMALL = WORLDS["small"].lasting(3.0)
 
 
-def test_a_schedule_is_fixed_by_world_and_seed_and_is_what_the_emulators_clients_ask():
+def test_a_schedule_depends_on_world_and_seed_and_matches_the_emulator():
     first, again = list(schedule(SMALL, 4, 2)), list(schedule(SMALL, 4, 2))
     assert first == again != list(schedule(SMALL, 5, 2))
     assert [due.at for due in first] == sorted(due.at for due in first) and first[-1].at < SMALL.span
@@ -29,7 +29,7 @@
     assert asked == [f"({SMALL.vhosts[due.ask.vhost].name} {due.ask.key}/{due.ask.part})" for due in first]
 
 
-def test_sessions_are_laid_out_ahead_and_stay_with_one_gateway():
+def test_sessions_are_scheduled_ahead_and_stay_with_one_gateway():
     world = WORLDS["videos"].lasting(6.0)
     gateways = {}
     parts = 0
@@ -41,11 +41,11 @@
     assert parts > 300 and len(set(itertools.chain(*gateways.values()))) == 3
 
 
-def test_names_on_the_wire_are_sixteen_digits_and_the_same_everywhere():
+def test_wire_names_are_sixteen_digits_and_stable():
     assert name("o1") == name("o1") != name("o2") and len(name("o1")) == 16 and int(name("o1"), 16)
 
 
-def test_a_tally_counts_from_when_a_req_was_due_and_knows_what_it_is_worth():
+def test_a_tally_counts_latency_from_the_scheduled_time_and_computes_worth():
     tally = Tally(SMALL)
     due = Due(0, 1, Ask("a", 0, 1, 400.0, 0), 0)
     for took in (CLIP.target, CLIP.target + 2000, CLIP.target + 2001, 6 * SECOND):
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize(
     "faults", ["", "(at 500ms (silent (cache 1)) (for 1s)) (at 1s (purge (object o1) 2))"]
 )
-def test_the_same_world_on_sockets_and_in_the_emulator_come_to_the_same(tmp_path, faults):
+def test_sockets_and_emulator_give_similar_results_for_the_same_world(tmp_path, faults):
     world = SMALL.at(60.0)
     real, model = sockets(world, 2, parse(faults), tmp_path), emulated(world, 2, parse(faults))
     assert real["unanswered"] == real["lost"] == real["unsent"] == 0
@@ -77,9 +77,9 @@
     assert real["all_ms"]["p50"] > 0.5 * model["all_ms"]["p50"]
 
 
-def test_what_is_no_load_is_told(capsys):
+def test_invalid_load_arguments_are_rejected(capsys):
     assert main(["load", "village", "--gateways", "127.0.0.1:1"]) == 2
     assert main(["load", "small", "--gateways", "here"]) == 2
     assert main(["load", "small", "--gateways", "127.0.0.1:1", "--seconds", "0.2"]) == 0
-    told = json.loads(capsys.readouterr().out)
-    assert told["unsent"] == told["asked"] > 5 and told["worth"] == 0.0
+    printed = json.loads(capsys.readouterr().out)
+    assert printed["unsent"] == printed["asked"] > 5 and printed["worth"] == 0.0
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,4 @@
-"""The emulator's time and chance."""
+"""Event queue and random number streams of the emulator."""
 
 import subprocess
 import sys
@@ -9,7 +9,7 @@
 from lilacloft.emulator.events import CLIENT, FAULT, NET, Events
 
 
-def test_a_purpose_draws_the_same_whatever_else_is_drawn():
+def test_streams_are_independent_of_each_other():
     one, two = Chance(7), Chance(7)
     two.stream("other").random()
     first = [one.stream("clients").random() for _ in range(2000)]
@@ -22,12 +22,12 @@
     assert first != [one.stream("client").random() for _ in range(2000)]
 
 
-def test_chance_is_the_same_in_every_process_and_under_every_hash_seed():
+def test_random_numbers_are_the_same_in_every_process_and_under_every_hash_seed():
     script = (
         "from lilacloft.emulator.chance import Chance; s = Chance(3).stream('x');"
         "print([s.random(), s.expo(2.0), s.below(9), s.heavy(5.0, 1.0), s.sample(list('abc'), 2)])"
     )
-    told = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", script],
             env={"PYTHONHASHSEED": seed},
@@ -37,10 +37,10 @@
         ).stdout
         for seed in ("0", "1", "77")
     }
-    assert len(told) == 1
+    assert len(outputs) == 1
 
 
-def test_draws_are_of_the_shape_that_they_say():
+def test_draws_have_the_stated_distributions():
     stream = Chance(1).stream("shape")
     waits = [stream.expo(4.0) for _ in range(20_000)]
     assert sum(waits) / len(waits) == pytest.approx(4.0, rel=0.05)
@@ -50,13 +50,13 @@
     assert heavy[2000] == pytest.approx(10.0, rel=0.1) and heavy[-1] > 100
 
 
-def test_events_of_one_instant_come_by_rank_and_then_as_they_were_asked_for():
+def test_simultaneous_events_run_by_rank_then_in_scheduling_order():
     events, seen = Events(), []
     events.at(5, CLIENT, seen.append, "patience")
     events.at(5, NET, seen.append, "answer 1")
     events.at(5, NET, seen.append, "answer 2")
     events.at(5, FAULT, seen.append, "fault")
-    events.at(4, CLIENT, events.at, 3, NET, seen.append, "late")  # nothing comes before now
+    events.at(4, CLIENT, events.at, 3, NET, seen.append, "late")  # times in the past mean now
     events.run(4)
     assert seen == ["late"] and events.now == 4
     events.run(9)
