--- a/lilacloft/emulator/boxes.py
+++ b/lilacloft/emulator/boxes.py
@@ -44,7 +44,7 @@
     oldest: int = 0  # copies born before are not acceptable
     fresh: int = 0  # copies born before are stale
     join: bool = False
-    held_only: bool = False
+    cache_only: bool = False
     renew: bool = False
     passes: bool = False  # must not be cached
     write: str = ""  # idempotency key of its effect, if it has one
@@ -68,14 +68,16 @@
     kbytes: float
     rank: int
     oldest: int
-    held_only: bool
+    cache_only: bool
     first: Dispatch | None  # streamed to its client as the fill arrives; None: no request waits
-    waits: list[Dispatch] = field(default_factory=list)
-    below: list[Fill] = field(default_factory=list)  # at a parent: fills of caches that wait for this one
+    waiting: list[Dispatch] = field(default_factory=list)
+    waiting_fills: list[Fill] = field(
+        default_factory=list
+    )  # at a parent: fills of caches that wait for this one
     flow: Flow | None = None
     born: int = 0
     over: bool = False
-    rooted: bool = False  # fetched from the origin
+    from_origin: bool = False  # fetched from the origin
 
 
 class Box:
@@ -116,7 +118,7 @@
     def warm(self) -> tuple[float, int, float]:
         return self.fleet.cold_parent if self.kind == PARENT else self.fleet.cold_cache
 
-    def power(self) -> float:
+    def capacity_fraction(self) -> float:
         """Return the fraction of its full capacity that it has now."""
         floor, warm, _ = self.warm()
         age = self.fleet.events.now - self.started
@@ -126,26 +128,26 @@
 
     def resize(self) -> None:
         """Apply its present capacity to its egress link."""
-        self.fleet.resize(self.out, self.size * self.fleet.pace * self.power() / self.thin)
+        self.fleet.resize(self.out, self.size * self.fleet.pace * self.capacity_fraction() / self.thin)
 
-    def warming(self, since: int) -> None:
+    def continue_warm_up(self, since: int) -> None:
         """Raise the capacity in steps until warm-up ends."""
         if self.started == since and not self.dead:
             self.resize()
-            if self.power() < 1.0:
-                self.fleet.at(self.fleet.events.now + self.fleet.step, TIMER, self.warming, since)
+            if self.capacity_fraction() < 1.0:
+                self.fleet.at(self.fleet.events.now + self.fleet.step, TIMER, self.continue_warm_up, since)
 
-    def bears(self, work: float) -> bool:
+    def withstands(self, work: float) -> bool:
         """Record received work; return False if it exceeds what a cold server withstands."""
         now, fall = self.fleet.events.now, self.fleet.fall
         self.work.append((now, work))
         while self.work and self.work[0][0] <= now - fall:
             self.work.popleft()
-        power = self.power()
-        if power >= 1.0:
+        capacity_fraction = self.capacity_fraction()
+        if capacity_fraction >= 1.0:
             return True
         load = sum(work for _, work in self.work)
-        return load <= self.warm()[2] * power * self.size * fall
+        return load <= self.warm()[2] * capacity_fraction * self.size * fall
 
     # --- lifecycle ---
 
@@ -156,7 +158,7 @@
         self.work.clear()
         self.busy = 0
         self.queue.clear()
-        self.warming(self.started)
+        self.continue_warm_up(self.started)
 
     def die(self) -> None:
         """Crash: reset all open dispatches and fail all fills."""
@@ -166,7 +168,7 @@
             self.counts["reset"] += 1
             self.fleet.answer(dispatch, "reset", 0)
         for fill in list(self.fills.values()):
-            self._spoil(fill, SOURCE_DEAD)
+            self._fail_fill(fill, SOURCE_DEAD)
         self.fills.clear()
 
     # --- dispatches ---
@@ -210,8 +212,8 @@
             dispatch.fill = None
             if fill.first is dispatch:
                 fill.first = None  # the fill in progress goes on and is cached
-            elif dispatch in fill.waits:
-                fill.waits.remove(dispatch)
+            elif dispatch in fill.waiting:
+                fill.waiting.remove(dispatch)
 
     def _say(self, dispatch: Dispatch, word: str, note: int) -> None:
         """End a dispatch with an answer."""
@@ -241,15 +243,15 @@
             self.serve(dispatch)
             return
         source = dispatch.source or (fleet.origin if self.kind == PARENT else None)
-        if source is None or (dispatch.held_only and self.kind == PARENT):
+        if source is None or (dispatch.cache_only and self.kind == PARENT):
             self.counts["miss"] += 1
             self._say(dispatch, "miss", NO_COPY)
             return
         in_progress = self.fills.get(dispatch.place)
-        if in_progress is not None and dispatch.join and in_progress.held_only <= dispatch.held_only:
+        if in_progress is not None and dispatch.join and in_progress.cache_only <= dispatch.cache_only:
             self.counts["join"] += 1
             dispatch.fill, dispatch.note = in_progress, JOIN
-            in_progress.waits.append(dispatch)
+            in_progress.waiting.append(dispatch)
             in_progress.oldest = max(in_progress.oldest, dispatch.oldest)
             return
         self._fill(dispatch, source)
@@ -266,7 +268,7 @@
             dispatch.kbytes,
             dispatch.rank,
             oldest,
-            dispatch.held_only,
+            dispatch.cache_only,
             None if renews else dispatch,
         )
         if not renews:
@@ -274,7 +276,9 @@
         if dispatch.join or renews:
             self.fills.setdefault(dispatch.place, fill)
         self.fleet.message(self, source, source.asked, fill)
-        self.fleet.at(self.fleet.events.now + self.fleet.fill_patience, TIMER, self._spoil, fill, SOURCE_DEAD)
+        self.fleet.at(
+            self.fleet.events.now + self.fleet.fill_patience, TIMER, self._fail_fill, fill, SOURCE_DEAD
+        )
 
     def _send(self, dispatch: Dispatch, note: int) -> None:
         """Send a copy to the client through the gateway."""
@@ -301,17 +305,17 @@
         if fill.over or self.silent:
             return None
         if self.dead:
-            return fleet.message(self, fill.box, fill.box.spoilt, fill, SOURCE_DEAD)
+            return fleet.message(self, fill.box, fill.box.fill_failed, fill, SOURCE_DEAD)
         if self.kind == ORIGIN:
             return self.serve(fill)
         copy = self.copies.get(fill.place, fill.oldest)
         if copy is not None:
-            return self.supply(fill, copy.born, False)
-        if fill.held_only:
-            return fleet.message(self, fill.box, fill.box.spoilt, fill, NO_COPY)
+            return self.send_part(fill, copy.born, False)
+        if fill.cache_only:
+            return fleet.message(self, fill.box, fill.box.fill_failed, fill, NO_COPY)
         in_progress = self.fills.get(fill.place)
         if in_progress is not None and in_progress.oldest >= fill.oldest:
-            in_progress.below.append(fill)
+            in_progress.waiting_fills.append(fill)
             return None
         own_fill = Fill(
             self,
@@ -323,24 +327,24 @@
             fill.oldest,
             False,
             None,
-            below=[fill],
+            waiting_fills=[fill],
         )
         self.fills[fill.place] = own_fill
         self.counts["fill"] += 1
-        fleet.at(fleet.events.now + fleet.fill_patience, TIMER, self._spoil, own_fill, ROOT_FAILS)
+        fleet.at(fleet.events.now + fleet.fill_patience, TIMER, self._fail_fill, own_fill, ROOT_FAILS)
         return fleet.message(self, fleet.origin, fleet.origin.asked, own_fill)
 
-    def supply(self, fill: Fill, born: int, rooted: bool) -> None:
+    def send_part(self, fill: Fill, born: int, from_origin: bool) -> None:
         """Send a part to the requesting server: over this server's egress, the ingress link of the other's
         location if it differs, and the other's egress if a client waits for the streamed response."""
         if fill.over:
             return
         links = [self.out]
         if fill.box.zone != self.zone:
-            links.append(self.fleet.ways_in[fill.box.zone])
+            links.append(self.fleet.ingress_links[fill.box.zone])
         if fill.first is not None and fill.first.open:
             links.append(fill.box.out)
-        fill.born, fill.rooted = born, rooted
+        fill.born, fill.from_origin = born, from_origin
         fill.flow = self.fleet.transfer(tuple(links), fill.kbytes, fill.box.filled, fill)
 
     def filled(self, fill: Fill) -> None:
@@ -352,30 +356,30 @@
         if self.fills.get(fill.place) is fill:
             del self.fills[fill.place]
         self.copies.put(fill.place, fill.born, fill.rank, fill.kbytes, fill.group)
-        for other in fill.below:
+        for other in fill.waiting_fills:
             if fill.born >= other.oldest:
-                self.supply(other, fill.born, True)
+                self.send_part(other, fill.born, True)
             else:
-                self.fleet.message(self, other.box, other.box.spoilt, other, SOURCE_DENIES)
+                self.fleet.message(self, other.box, other.box.fill_failed, other, SOURCE_DENIES)
         if fill.first is not None:
             first, fill.first = fill.first, None
             first.fill, first.born = None, fill.born
             if first.open and not self.silent:
-                self._say(first, "done", MISS_ROOT if fill.rooted else MISS)
-        for one in fill.waits:
+                self._say(first, "done", MISS_ROOT if fill.from_origin else MISS)
+        for one in fill.waiting:
             one.fill, one.born = None, fill.born
             if one.open and not self.silent:
                 if fill.born >= one.oldest:
                     self._send(one, JOIN)
                 else:
                     self._fill(one, fill.source)
-        fill.waits = []
+        fill.waiting = []
 
-    def spoilt(self, fill: Fill, note: int) -> None:
+    def fill_failed(self, fill: Fill, note: int) -> None:
         """Handle the source's message that a fill failed."""
-        self._spoil(fill, note)
+        self._fail_fill(fill, note)
 
-    def _spoil(self, fill: Fill, note: int) -> None:
+    def _fail_fill(self, fill: Fill, note: int) -> None:
         if fill.over:
             return
         fill.over = True
@@ -383,14 +387,14 @@
             self.fleet.stop(fill.flow)
         if self.fills.get(fill.place) is fill:
             del self.fills[fill.place]
-        for other in fill.below:
-            self.fleet.message(self, other.box, other.box.spoilt, other, note)
-        for one in [fill.first, *fill.waits]:
+        for other in fill.waiting_fills:
+            self.fleet.message(self, other.box, other.box.fill_failed, other, note)
+        for one in [fill.first, *fill.waiting]:
             if one is not None:
                 one.fill = None
                 if one.open and not (self.silent or self.dead):
                     self._say(one, "miss" if note == NO_COPY else "error", note)
-        fill.first, fill.waits = None, []
+        fill.first, fill.waiting = None, []
 
     # --- as the origin ---
 
@@ -399,9 +403,9 @@
         if self.silent or self.dead:
             return
         self.queue.append((job,))
-        self._hands()
+        self._start_jobs()
 
-    def _hands(self) -> None:
+    def _start_jobs(self) -> None:
         while self.queue and self.busy < self.fleet.hands:
             (job,) = self.queue.popleft()
             if isinstance(job, Fill) and job.over:
@@ -419,7 +423,7 @@
         now = self.fleet.events.now
         if not self.silent:
             if isinstance(job, Fill):
-                self.supply(job, now, True)
+                self.send_part(job, now, True)
             elif job.open:
                 if job.write:
                     self.fleet.effect(job, self)
@@ -427,10 +431,10 @@
                 if job.box is self:
                     self._send(job, MISS_ROOT)
                 else:
-                    self.fleet.message(self, job.box, job.box.passed, job)
-        self._hands()
+                    self.fleet.message(self, job.box, job.box.origin_answered, job)
+        self._start_jobs()
 
-    def passed(self, dispatch: Dispatch) -> None:
+    def origin_answered(self, dispatch: Dispatch) -> None:
         """Send the origin's answer to a forwarded dispatch."""
         if dispatch.open and not (self.silent or self.dead):
             self._send(dispatch, MISS_ROOT)
--- a/lilacloft/emulator/environment.py
+++ b/lilacloft/emulator/environment.py
@@ -27,7 +27,7 @@
     """Interface for caches, parents and origins."""
 
     origin: Any
-    ways_in: list[Link]
+    ingress_links: list[Link]
     cold_cache: tuple[float, int, float]
     cold_parent: tuple[float, int, float]
     fall: int
@@ -86,5 +86,5 @@
     def gone(self, number: int) -> None:
         """Record that a client disconnected, or that its gateway stopped."""
 
-    def excuse(self, number: int, until: int) -> None:
+    def extend_deadline(self, number: int, until: int) -> None:
         """Extend the deadline of a request whose gateway is paused."""
--- a/lilacloft/emulator/fleet.py
+++ b/lilacloft/emulator/fleet.py
@@ -81,11 +81,11 @@
         self.asked_at: dict[int, int] = {}
         self.due: dict[int, int] = {}
         self.apart: set[int] = set()  # partitioned locations
-        self.rule_work: dict[str, deque[tuple[int, float]]] = {}
+        self.cold_work: dict[str, deque[tuple[int, float]]] = {}
         self.hash = hashlib.blake2b(digest_size=12)
         self.took: list[int] = []
         self.result = Result(world.name, seed)
-        self.could = self.earned = self.read = self.from_copy = self.from_stale = self.origin_kb = 0.0
+        self.could = self.earned = self.read = self.cached_reads = self.stale_reads = self.origin_kb = 0.0
         self.served_kb = 0.0
         self.rush = 1.0
         self.hot: list[tuple[str, float]] = []
@@ -99,7 +99,7 @@
         self.log_at = {gateway.name: [0, 0, 0, 0] for gateway in self.gateways}
         self._warm_caches()
         for fault in faults:
-            self.events.at(START + fault.at, FAULT, self.strike, fault)
+            self.events.at(START + fault.at, FAULT, self.apply_fault, fault)
         self._arrive(self.clients.after(0))
 
     def _gateway(self, number: int, policy: Policy) -> Any:
@@ -108,7 +108,7 @@
     def _boxes(self) -> None:
         world = self.world
         self.boxes: list[Box] = []
-        self.ways_in = [Link(f"in {zone}", world.way_in / SECOND) for zone in range(world.zones)]
+        self.ingress_links = [Link(f"in {zone}", world.way_in / SECOND) for zone in range(world.zones)]
         for zone in range(world.zones):
             for number in range(world.caches):
                 self.boxes.append(
@@ -252,27 +252,27 @@
         )
         work = dispatch.kbytes / self.pace
         for one in dict.fromkeys((box, dispatch.source or box)):
-            if one.kind != ORIGIN and one.started and gateway.knows.get(one.name) == one.started:
+            if one.kind != ORIGIN and one.started and gateway.known_starts.get(one.name) == one.started:
                 self._check_cold_load(one, work, now)
         if not self.cut(gateway, box):
             self.events.at(now + self.hop(gateway, box), NET, self._comes, dispatch, work)
 
     def _check_cold_load(self, box: Box, work: float, now: int) -> None:
         """Check rule 4: the recent work sent to a cold server by all gateways that know it is cold."""
-        power = box.power()
-        if power >= 1.0:
+        capacity_fraction = box.capacity_fraction()
+        if capacity_fraction >= 1.0:
             return
-        sent = self.rule_work.setdefault(box.name, deque())
+        sent = self.cold_work.setdefault(box.name, deque())
         sent.append((now, work))
         while sent[0][0] <= now - self.fall:
             sent.popleft()
-        load, most = sum(one for _, one in sent), box.warm()[2] * power * box.size * self.fall
+        load, most = sum(one for _, one in sent), box.warm()[2] * capacity_fraction * box.size * self.fall
         if load > most:
             self.checker.fell(box.name, load, most, now)
 
     def _comes(self, dispatch: Dispatch, work: float) -> None:
         for one in dict.fromkeys((dispatch.box, dispatch.source or dispatch.box)):
-            if not (one.dead or one.bears(work / COLD_TOLERANCE)):
+            if not (one.dead or one.withstands(work / COLD_TOLERANCE)):
                 self.result.fell += 1
                 self._crash(one)
         dispatch.box.take(dispatch)
@@ -378,7 +378,7 @@
         self.due.pop(number, None)
         self.asked_at.pop(number, None)
 
-    def excuse(self, number: int, until: int) -> None:
+    def extend_deadline(self, number: int, until: int) -> None:
         """Extend the deadline of a request whose gateway is paused until a time."""
         told = self.checker.requests[number]
         told.until = max(told.until, until + SLACK)
@@ -406,8 +406,8 @@
             self.served_kb += dispatch.kbytes
             if vhost.effect == "replayable" and not vhost.passes:
                 self.read += 1
-                self.from_copy += dispatch.note in (1, 5)
-                self.from_stale += dispatch.note == 5
+                self.cached_reads += dispatch.note in (1, 5)
+                self.stale_reads += dispatch.note == 5
         elif word == "denied":
             self.result.denied += 1
         else:
@@ -497,7 +497,7 @@
             ]
         return []
 
-    def strike(self, fault: Fault) -> None:
+    def apply_fault(self, fault: Fault) -> None:
         """Apply a fault."""
         now, end = self.events.now, self.events.now + fault.span
         whom = self.struck(fault)
@@ -605,8 +605,8 @@
     def _summarize(self) -> Result:
         out = self.result
         out.worth = self.earned / self.could if self.could else 1.0
-        out.hits = self.from_copy / self.read if self.read else 0.0
-        out.stale = self.from_stale / self.read if self.read else 0.0
+        out.hits = self.cached_reads / self.read if self.read else 0.0
+        out.stale = self.stale_reads / self.read if self.read else 0.0
         out.dispatches = self.sends / max(1, out.requests)
         out.fetched = self.origin_kb / self.served_kb if self.served_kb else 0.0
         took = sorted(self.took)
--- a/lilacloft/emulator/gateway.py
+++ b/lilacloft/emulator/gateway.py
@@ -31,7 +31,9 @@
         self.fleet, self.number, self.zone, self.policy = fleet, number, zone, policy
         self.name = f"g{number}"
         self.settings = fleet.world.settings(zone, number % max(1, fleet.world.gateways))
-        self.offset = self.set_to = 0  # offset from virtual time: of the running process, of the wall clock
+        self.offset = self.wall_clock_offset = (
+            0  # offset from virtual time: of the running process, of the wall clock
+        )
         self.frozen = 0  # paused until then
         self.life = 0
         self.deaf = self.mute = False
@@ -43,13 +45,13 @@
         """Start a new process, which knows only its configuration: the present endpoint list."""
         self.backends: dict[str, Backend] = {}
         self.boxes: dict[Backend, Box] = {}
-        self.knows: dict[str, int] = {}  # start times of servers, as received
+        self.known_starts: dict[str, int] = {}  # start times of servers, as received
         self.asks: dict[Request, tuple[int, Ask]] = {}
         self.out: dict[tuple[Request, int], Dispatch] = {}
         self.open: dict[Request, None] = {}
         self.life += 1
         self.clock_offset = ClockOffset()
-        self.log_heard = -1  # when the last change log event came; -1: only the first list so far
+        self.last_log_event_at = -1  # when the last change log event came; -1: only the first list so far
         self.router = self.policy(self, self.settings)
         self.told(self.fleet.rows(self.zone), "full")
 
@@ -60,7 +62,7 @@
 
     def clock(self, offset: int, at_start: bool = False) -> None:
         """Set its wall clock. As in production, only a new process adopts the time that the clock shows."""
-        self.set_to = offset
+        self.wall_clock_offset = offset
         if at_start:
             self.offset = offset
             self.begin()
@@ -77,10 +79,10 @@
         since = self.fleet.events.now
         self.frozen = max(self.frozen, until)
         for request in self.open:
-            self.fleet.excuse(self.asks[request][0], self.frozen)
-        self.fleet.events.at(self.frozen, NET, self._thaw, self.life, since)
+            self.fleet.extend_deadline(self.asks[request][0], self.frozen)
+        self.fleet.events.at(self.frozen, NET, self._resume, self.life, since)
 
-    def _thaw(self, life: int, since: int) -> None:
+    def _resume(self, life: int, since: int) -> None:
         if life == self.life and self.fleet.events.now >= self.frozen:
             self.router.loop_lagged(self.fleet.events.now - since)
 
@@ -91,7 +93,7 @@
             self.fleet.undo(dispatch)
         for request in self.open:
             self.fleet.gone(self.asks[request][0])
-        self.frozen, self.offset = 0, self.set_to
+        self.frozen, self.offset = 0, self.wall_clock_offset
         self.fleet.checker.forget(self.name)
         self.begin()
 
@@ -100,7 +102,7 @@
     def arrived(self, number: int, ask: Ask) -> None:
         """Handle a client request."""
         if self.held(NET, self.arrived, number, ask):
-            return self.fleet.excuse(number, self.frozen)
+            return self.fleet.extend_deadline(number, self.frozen)
         fleet, vhost = self.fleet, self.fleet.world.vhosts[ask.vhost]
         now = self.now()
         asked = fleet.asked_at[number] + self.offset
@@ -185,7 +187,7 @@
                     self.clock_offset.start_time(self.now(), box.name, box.started, context),
                 )
             )
-            self.knows[box.name] = box.started
+            self.known_starts[box.name] = box.started
             self.fleet.checker.listed(self.name, box.name, box.status != 1, self.fleet.events.now)
         self.router.endpoints_changed(mode, entries)
 
@@ -198,7 +200,7 @@
 
     def _watch_context(self) -> WatchContext | None:
         """Return the state of the change log watch before this event; None for the initial list."""
-        before, self.log_heard = self.log_heard, self.now()
+        before, self.last_log_event_at = self.last_log_event_at, self.now()
         return WatchContext(before, is_current=True) if before >= 0 else None
 
     # --- Host interface ---
--- a/lilacloft/emulator/links.py
+++ b/lilacloft/emulator/links.py
@@ -98,7 +98,7 @@
         for link in flow.links:
             link.flows[flow] = None
             link.wanted += pace
-        self._share(now, self._reach(flow.links, flow))
+        self._update_rates(now, self._connected_flows(flow.links, flow))
         return flow
 
     def end(self, now: int, flow: Flow) -> None:
@@ -111,14 +111,14 @@
         for link in flow.links:
             del link.flows[flow]
             link.wanted = link.wanted - flow.pace if link.flows else 0.0
-        self._share(now, self._reach(touched, None))
+        self._update_rates(now, self._connected_flows(touched, None))
 
     def resize(self, now: int, link: Link, capacity: float) -> None:
         """Change the capacity of a link."""
         bound = link.binds()
         link.capacity = capacity
         if bound or link.binds():
-            self._share(now, self._reach((link,), None))
+            self._update_rates(now, self._connected_flows((link,), None))
 
     def next(self) -> int | None:
         """Return when the next transfer completes at current rates."""
@@ -137,7 +137,7 @@
         self.end(now, flow)
         return flow
 
-    def _reach(self, links: Iterable[Link], flow: Flow | None) -> list[Flow]:
+    def _connected_flows(self, links: Iterable[Link], flow: Flow | None) -> list[Flow]:
         """Return the transfers connected to some links through constraining links."""
         found = {flow: None} if flow else {}
         seen = dict.fromkeys(links)
@@ -155,7 +155,7 @@
                             pending.append(further)
         return list(found)
 
-    def _share(self, now: int, flows: list[Flow]) -> None:
+    def _update_rates(self, now: int, flows: list[Flow]) -> None:
         for flow, rate in shares(flows).items():
             if rate == flow.rate and flow.turn:
                 continue
--- a/lilacloft/emulator/planes.py
+++ b/lilacloft/emulator/planes.py
@@ -226,7 +226,7 @@
         )
         self.planners = [EmulatedPlanner(self, number) for number in range(planners)]
         for trouble in troubles:
-            self.events.at(START + trouble.at, FAULT, self._trouble, trouble)
+            self.events.at(START + trouble.at, FAULT, self._apply_planner_fault, trouble)
 
     def _gateway(self, number: int, policy: Policy) -> PlannedGateway:
         return PlannedGateway(self, number, number // self.world.gateways, policy)
@@ -234,14 +234,14 @@
     def tells(self, box: Box, zone: int) -> bool:
         return self.leave == "across" or super().tells(box, zone)
 
-    def strike(self, fault: Fault) -> None:
+    def apply_fault(self, fault: Fault) -> None:
         if fault.kind != "lone":
-            return super().strike(fault)
+            return super().apply_fault(fault)
         names = {one.name for one in self.struck(fault)}
         for plane in self.planners:
             newly_cut = names - plane.cut
             plane.cut |= newly_cut
-            self.events.at(self.events.now + fault.span, FAULT, self._heal, plane, newly_cut)
+            self.events.at(self.events.now + fault.span, FAULT, self._end_partition, plane, newly_cut)
         return None
 
     # --- messages ---
@@ -275,7 +275,7 @@
 
     # --- planner faults ---
 
-    def _trouble(self, trouble: Trouble) -> None:
+    def _apply_planner_fault(self, trouble: Trouble) -> None:
         if trouble.planner >= len(self.planners):
             return
         plane, end = self.planners[trouble.planner], self.events.now + trouble.span
@@ -291,10 +291,10 @@
             if trouble.kind == "cut":
                 names = {name for place, name in enumerate(sorted(names)) if place % 2 == 0}
             plane.cut |= names - {plane.name}
-            self.events.at(end, FAULT, self._heal, plane, names)
+            self.events.at(end, FAULT, self._end_partition, plane, names)
 
     @staticmethod
-    def _heal(plane: EmulatedPlanner, names: set[str]) -> None:
+    def _end_partition(plane: EmulatedPlanner, names: set[str]) -> None:
         plane.cut -= names
 
 
--- a/lilacloft/emulator/policies.py
+++ b/lilacloft/emulator/policies.py
@@ -210,7 +210,7 @@
         links = [box.out]
         has_copy = self.freshness.likely_cached(request, backend, host.now())
         if source is not backend and not has_copy and request.part_key not in box.fills:
-            links += [fleet.ways_in[self.settings.zone], host.boxes[source].out]
+            links += [fleet.ingress_links[self.settings.zone], host.boxes[source].out]
         is_large = request.kbytes > SMALL_KB
         if is_large and any(link.wanted + fleet.pace > headroom * link.capacity for link in links):
             return False
--- a/lilacloft/experiment/search.py
+++ b/lilacloft/experiment/search.py
@@ -156,7 +156,7 @@
             lost, seeds = (same.lost * same.seeds + lost * seeds) / total, total
         kept = replace(spot, lost=lost, seeds=seeds, kernel=same.kernel if same else spot.kernel)
         if kept.kernel is None:
-            kept = self.presumed(kept)
+            kept = self.with_presumed_kernel(kept)
         self.worst = sorted([*self.worst, kept], key=lambda one: -one.lost)
         self.apart()
         return kept in self.worst
@@ -165,12 +165,12 @@
         """Keep only the worst spot of each family, or one weakness would fill the list."""
         by_family: dict[object, Spot] = {}
         # spots recorded before a kernel was known may contain it
-        self.worst = [self.presumed(one) if one.kernel is None else one for one in self.worst]
+        self.worst = [self.with_presumed_kernel(one) if one.kernel is None else one for one in self.worst]
         for one in sorted(self.worst, key=lambda one: -one.lost):
             by_family.setdefault(family(one), one)
         self.worst = list(by_family.values())[: self.keep]
 
-    def presumed(self, spot: Spot) -> Spot:
+    def with_presumed_kernel(self, spot: Spot) -> Spot:
         """Assign a known kernel of the same world to a spot whose faults contain its types and targets. The
         search produces many such variants, which would otherwise crowd out all other weaknesses."""
         present = {(one.kind, one.whom) for one in spot.faults}
