--- a/lilacloft/emulator/fleet.py
+++ b/lilacloft/emulator/fleet.py
@@ -208,7 +208,7 @@
             return  # superseded by an earlier completion
         self.armed = ()
         while (flow := self.net.take(self.events.now)) is not None:
-            done, context = flow.told
+            done, context = flow.context
             done(context)
         self._schedule_completion()
 
--- a/lilacloft/emulator/links.py
+++ b/lilacloft/emulator/links.py
@@ -39,12 +39,12 @@
 class Flow:
     """One transfer."""
 
-    __slots__ = ("links", "pace", "left", "rate", "since", "turn", "told", "over")
+    __slots__ = ("links", "pace", "left", "rate", "since", "turn", "context", "over")
 
     def __init__(self, links: tuple[Link, ...], pace: float, size: float, now: int) -> None:
         self.links, self.pace, self.left, self.rate, self.since = links, pace, size, 0.0, now
         self.turn = 0  # rises with each change of rate; completion times computed before are void
-        self.told: object = None  # the caller's context
+        self.context: object = None  # the caller's context
         self.over = False
 
 
@@ -91,10 +91,10 @@
         self.number = 0
         self.changes = 0  # rate updates so far: the cost of this model
 
-    def start(self, now: int, links: Iterable[Link], pace: float, size: float, told: object) -> Flow:
+    def start(self, now: int, links: Iterable[Link], pace: float, size: float, context: object) -> Flow:
         """Start a transfer."""
         flow = Flow(tuple(dict.fromkeys(links)), pace, size, now)
-        flow.told = told
+        flow.context = context
         for link in flow.links:
             link.flows[flow] = None
             link.wanted += pace
--- a/lilacloft/emulator/rules.py
+++ b/lilacloft/emulator/rules.py
@@ -69,20 +69,20 @@
 
     # --- clients ---
 
-    def asked(self, request: int, told: RequestRecord) -> None:
+    def asked(self, request: int, record: RequestRecord) -> None:
         """Record a client request."""
-        self.requests[request] = told
+        self.requests[request] = record
 
     def answered(self, request: int, word: str, at: int) -> None:
         """Check a final answer that reached its client."""
-        told = self.requests[request]
-        if told.final:
-            self.breach(1, at, "client", f"{told.name} answered twice: {told.final}, {word}")
-        elif told.left:
-            self.breach(1, at, "client", f"{told.name} answered after its client disconnected")
-        elif at > told.until + self.slack:
-            self.breach(1, at, "client", f"{told.name} answered {(at - told.until) / 10:.1f} ms too late")
-        told.final = word
+        record = self.requests[request]
+        if record.final:
+            self.breach(1, at, "client", f"{record.name} answered twice: {record.final}, {word}")
+        elif record.left:
+            self.breach(1, at, "client", f"{record.name} answered after its client disconnected")
+        elif at > record.until + self.slack:
+            self.breach(1, at, "client", f"{record.name} answered {(at - record.until) / 10:.1f} ms too late")
+        record.final = word
 
     def leaves(self, request: int) -> None:
         """Record that a client disconnected, or its gateway stopped: no answer is required any more."""
@@ -90,9 +90,9 @@
 
     def due(self, request: int, at: int) -> None:
         """Check at a client's deadline that it was answered."""
-        told = self.requests[request]
-        if not (told.final or told.left):
-            self.breach(1, at, "client", f"{told.name} never answered")
+        record = self.requests[request]
+        if not (record.final or record.left):
+            self.breach(1, at, "client", f"{record.name} never answered")
 
     # --- dispatches ---
 
@@ -100,7 +100,7 @@
         self, number: int, request: int, gateway: str, box: str, zone: int, cell: int, source: str, at: int
     ) -> None:
         """Check a dispatch when a gateway sends it."""
-        told = self.requests[request]
+        record = self.requests[request]
         self.of[number] = (request, box, zone, cell)
         for backend in dict.fromkeys((box, source)):
             leaving, since = self.states.get((gateway, backend), (False, 0))
@@ -110,39 +110,39 @@
                     3,
                     at,
                     gateway,
-                    f"{told.name} {way} {backend}, listed as draining {(at - since) / 10:.0f} ms ago",
+                    f"{record.name} {way} {backend}, listed as draining {(at - since) / 10:.0f} ms ago",
                 )
         purges = self.purges.get(gateway, {})
-        mine = {what: purges[what] for what in (told.key, told.group) if what in purges}
+        mine = {what: purges[what] for what in (record.key, record.group) if what in purges}
         if mine:
             self.known[number] = mine
-        if told.ran is not None and told.effect != "replayable":
-            when, where, was, its = told.ran
-            same = {"all": True, "zone": zone == was, "cell": cell == its}[told.where]
-            if told.effect == "non-replayable":
+        if record.ran is not None and record.effect != "replayable":
+            when, where, was, its = record.ran
+            same = {"all": True, "zone": zone == was, "cell": cell == its}[record.where]
+            if record.effect == "non-replayable":
                 self.breach(
-                    2, at, gateway, f"non-replayable {told.name} sent again: {where} may have executed it"
+                    2, at, gateway, f"non-replayable {record.name} sent again: {where} may have executed it"
                 )
-            elif at > when + told.window or not same:
-                self.breach(2, at, gateway, f"uniqued {told.name} sent again outside its window or group")
+            elif at > when + record.window or not same:
+                self.breach(2, at, gateway, f"uniqued {record.name} sent again outside its window or group")
 
     def taken(self, number: int, box: str, at: int) -> None:
         """Check a dispatch when it arrives at its server."""
         request, _, zone, cell = self.of[number]
-        told = self.requests[request]
-        if told.out:
-            self.breach(2, at, box, f"{told.name} out twice: still at {next(iter(told.out.values()))}")
-        told.out[number] = box
+        record = self.requests[request]
+        if record.out:
+            self.breach(2, at, box, f"{record.name} out twice: still at {next(iter(record.out.values()))}")
+        record.out[number] = box
         self.began[number] = at
 
     def ended(self, number: int, word: str, at: int) -> None:
         """Record the end of a dispatch at its server: answered, cancelled or connection closed."""
         request, box, zone, cell = self.of[number]
-        told = self.requests[request]
-        if told.out.pop(number, None) is None:
+        record = self.requests[request]
+        if record.out.pop(number, None) is None:
             return
-        if word not in NEVER_RAN and told.ran is None:
-            told.ran = (self.began[number], box, zone, cell)
+        if word not in NEVER_RAN and record.ran is None:
+            record.ran = (self.began[number], box, zone, cell)
 
     def effect(self, key: str, box: str, at: int) -> None:
         """Check that a write takes effect once only."""
@@ -152,14 +152,14 @@
 
     def served(self, number: int, born: int, at: int) -> None:
         """Check an answer from a copy that the origin served at `born`."""
-        told = self.requests[self.of[number][0]]
+        record = self.requests[self.of[number][0]]
         for what, purged in self.known.get(number, {}).items():
             if 0 < born < purged:
                 self.breach(
                     5,
                     at,
                     "client",
-                    f"{told.name} served a copy {(purged - born) / 10:.0f} ms older "
+                    f"{record.name} served a copy {(purged - born) / 10:.0f} ms older "
                     f"than a purge of {what} that its gateway knew",
                 )
 
--- a/lilacloft/experiment/report.py
+++ b/lilacloft/experiment/report.py
@@ -10,7 +10,7 @@
 from lilacloft.experiment.plan import Experiment
 from lilacloft.experiment.results import Results
 
-UNITS = {"p50": "ms", "p99": "ms", "cpu_us": "us a req"}
+UNITS = {"p50": "ms", "p99": "ms", "cpu_us": "us per request"}
 
 
 def rows(experiment: Experiment, results: Results, measure: str) -> list[list[str]]:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -101,7 +101,7 @@
     net.resize(250, link, 0.0)  # nothing moves
     assert net.next() is None
     net.resize(300, link, 100.0)
-    assert net.next() == 300 + 25 and net.take(325).told == "two" and net.next() is None
+    assert net.next() == 300 + 25 and net.take(325).context == "two" and net.next() is None
     assert link.wanted == 0.0 and not link.flows
 
 
