--- a/rigs/bridge.py
+++ b/rigs/bridge.py
@@ -1,8 +1,8 @@
-"""The emulator's world on sockets: `python -m rigs.bridge --world small --seconds 8 [--faults "..."]`.
+"""An emulator world on sockets: `python -m rigs.bridge --world small --seconds 8 [--faults "..."]`.
 
-Real gateway processes before boxes of the emulator, which run in real time behind sockets: the same links,
-copies, fills and faults. The load is that of the same clients. The same world is run in the emulator as well,
-and both are put side by side: worth and quantiles.
+Runs real gateway processes against the emulator's backends, which run in real time behind sockets with the
+same links, copies, fills and faults. The load is that of the same clients. The same world is run in the
+emulator as well, and the results of both are reported together: value of the answers and latency quantiles.
 """
 
 from __future__ import annotations
@@ -39,31 +39,31 @@
 STATES = {ACTIVE: 0, LEAVING: 1}
 
 
-class Quiet:
-    """Stands for the checker: nothing is checked here."""
+class NullChecker:
+    """Replaces the checker: nothing is checked here."""
 
     effects: dict[str, str] = {}
 
     def __getattr__(self, name: str) -> Any:
-        return lambda *told: None
+        return lambda *args: None
 
 
-class Remote:
-    """A real gateway, as the boxes know it."""
+class RemoteGateway:
+    """The counterpart of a real gateway in the emulator."""
 
     zone = 0
     mute = deaf = False
     loss = 0.0
 
-    def __init__(self, fleet: Live) -> None:
+    def __init__(self, fleet: RealTimeFleet) -> None:
         self.fleet = fleet
 
     def ended(self, dispatch: Dispatch, word: str, note: int, load: list[float]) -> None:
-        """A box answers: on the connection that brought the dispatch."""
+        """Send the answer of a backend on the connection that brought the dispatch."""
         sock, ref = dispatch.request
-        told = f"remark={NOTES[note]}" if note else "-"
+        details = f"remark={NOTES[note]}" if note else "-"
         if load:
-            told = f"{told},report=inflight:{load[0]:g};util:{load[1]:.3f}".removeprefix("-,")
+            details = f"{details},report=inflight:{load[0]:g};util:{load[1]:.3f}".removeprefix("-,")
         with contextlib.suppress(OSError):
             if word in ("reset", "unreached"):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -72,44 +72,45 @@
             else:
                 wire = {"done": b"data", "miss": b"absent", "full": b"full", "error": b"failed"}[word]
                 body = self.fleet.body if word == "done" else b""
-                sock.sendall(encode(ref, wire, told.encode(), body))
+                sock.sendall(encode(ref, wire, details.encode(), body))
 
 
-class Live(Fleet):
-    """A world whose boxes answer on sockets, in real time."""
+class RealTimeFleet(Fleet):
+    """A world whose backends answer on sockets, in real time."""
 
     def __init__(self, world: World, seed: int, faults: list[language.Fault], size: int = 2000) -> None:
         self.body = b"." * size
         super().__init__(world, seed, faults)
-        self.checker = Quiet()
-        self.remote = Remote(self)
+        self.checker = NullChecker()
+        self.remote = RemoteGateway(self)
         self.queue: queue.SimpleQueue[tuple[Any, ...]] = queue.SimpleQueue()
         self.over = False
         self.out: dict[tuple[Any, bytes], Dispatch] = {}
         self.numbered = {f"s-{place:08x}": box for place, box in enumerate(self.boxes, 1)}
-        self.stands = {uid: Stand(self._says(box)) for uid, box in self.numbered.items()}
+        self.stands = {uid: Stand(self._handler(box)) for uid, box in self.numbered.items()}
         self.keys = {name(key): key for key in self.clients.ranked}
         self.change = Log()
         self.number = 1
         self.began = 0.0
 
     def _gateway(self, number: int, policy: Any) -> Gateway:
-        return Gateway(self, number, number // self.world.gateways, policy)  # only for the order of homes
+        # used only to order the homes of a part
+        return Gateway(self, number, number // self.world.gateways, policy)
 
     def _boxes(self) -> None:
         super()._boxes()
         for place, box in enumerate(self.boxes, 1):
-            box.name = f"s-{place:08x}"  # as the gateways are told: the homes are the same
+            box.name = f"s-{place:08x}"  # the name that the gateways know, so that the homes are the same
 
     def _homes(self, router: Any, pool: list[Any], key: str) -> list[str]:
         object_, _, part = key.partition(" ")
         return super()._homes(router, pool, f"{name(object_)} {part}".strip())
 
     def _arrive(self, after: int) -> None:
-        """Clients come over sockets."""
+        """Not used: clients connect over sockets."""
 
     def tell(self, *event: Any) -> None:
-        """The change log's events go to the real gateways."""
+        """Send the events of the change log to the real gateways."""
         self.number += 1
         if event[0] == "boxes":
             data = b"".join(self._record(box) for box, _, _ in event[1])
@@ -139,13 +140,13 @@
 
     # --- sockets ---
 
-    def _says(self, box: Box) -> Any:
-        def says(stand: Stand, sock: socket.socket, items: list[bytes]) -> None:
+    def _handler(self, box: Box) -> Any:
+        def handle(stand: Stand, sock: socket.socket, items: list[bytes]) -> None:
             self.queue.put((box, sock, items))
 
-        return says
+        return handle
 
-    def _in(self, box: Box, sock: socket.socket, items: list[bytes]) -> None:
+    def _handle_message(self, box: Box, sock: socket.socket, items: list[bytes]) -> None:
         verb, ref = items[0], items[1]
         if verb in (b"top", b"ping"):
             if not (box.silent or box.dead):
@@ -159,11 +160,11 @@
                 dispatch.over = True
                 self.events.at(self.events.now + self.hop(self.remote, box), NET, box.undo, dispatch)
         elif verb == b"do":
-            told = parse_fields(items[2])
-            key = self.keys.get(told["thing"], told["thing"])
-            place = next(at for at, one in enumerate(self.world.vhosts) if one.name == told["profile"])
-            vhost, part, now = self.world.vhosts[place], int(told["nth"]), self.events.now
-            ways, age = told.get("ways", "").split("+"), int(told.get("agelim") or 0) * 10
+            fields = parse_fields(items[2])
+            key = self.keys.get(fields["thing"], fields["thing"])
+            place = next(at for at, one in enumerate(self.world.vhosts) if one.name == fields["profile"])
+            vhost, part, now = self.world.vhosts[place], int(fields["nth"]), self.events.now
+            ways, age = fields.get("ways", "").split("+"), int(fields.get("agelim") or 0) * 10
             small = vhost.passes or vhost.effect != "replayable"
             self.sends += 1
             dispatch = Dispatch(
@@ -176,15 +177,15 @@
                 (key, part),
                 self.clients.group(key),
                 2.0 if small else self.clients.size(key, part),
-                self.numbered.get(told.get("next", "")),
-                int(told.get("admit") or 0),
+                self.numbered.get(fields.get("next", "")),
+                int(fields.get("admit") or 0),
                 now - age if age else 0,
                 now - vhost.fresh if vhost.fresh else 0,
                 "share" in ways,
                 "peek" in ways,
                 "swr" in ways,
                 vhost.passes,
-                "" if vhost.effect == "replayable" else told.get("replay") or ref.decode(),
+                "" if vhost.effect == "replayable" else fields.get("replay") or ref.decode(),
                 now,
             )
             self.out[sock, ref] = dispatch
@@ -193,31 +194,31 @@
             )
 
     def effect(self, dispatch: Dispatch, origin: Box) -> None:
-        """Nobody counts them here."""
+        """Effects are not counted here."""
 
     # --- real time ---
 
     def live(self) -> None:
-        """The one thread of the boxes: what comes and what is due."""
+        """The thread that runs all backends: handles messages and due events."""
         while not self.over:
             now = START + int((time.time() - self.began) * SECOND)
             self.events.run(now)
             wait = (self.events.heap[0][0] - now) / SECOND if self.events.heap else 0.1
             try:
-                told = self.queue.get(timeout=min(0.1, max(0.0, wait)))
+                message = self.queue.get(timeout=min(0.1, max(0.0, wait)))
             except queue.Empty:
                 continue
             self.events.run(START + int((time.time() - self.began) * SECOND))
-            self._in(*told)
+            self._handle_message(*message)
 
     def beats(self) -> None:
-        """The change log says each half second that it lives."""
+        """Send a heartbeat of the change log every half second."""
         while not self.over:
             time.sleep(0.5)
             self.change.add(0, 0, b"")
 
     def config(self, number: int, port: int) -> dict[str, Any]:
-        """The platform's file for a gateway."""
+        """The platform configuration file of a gateway."""
         world, settings = self.world, copy.deepcopy(ENV)
         ns = 100_000
         settings["classes"] = [
@@ -283,11 +284,11 @@
 def sockets(
     world: World, seed: int, faults: list[language.Fault], folder: Path, size: int = 2000
 ) -> dict[str, Any]:
-    """The world on sockets: real gateways, real time."""
-    live = Live(world, seed, faults, size)
+    """Run the world on sockets with real gateways, in real time."""
+    live = RealTimeFleet(world, seed, faults, size)
     processes, places = [], []
     try:
-        live.began = time.time() + 3600  # nothing is due before the gateways serve
+        live.began = time.time() + 3600  # no event is due before the gateways serve
         threading.Thread(target=live.live, daemon=True).start()
         threading.Thread(target=live.beats, daemon=True).start()
         for number in range(world.gateways):
@@ -315,7 +316,7 @@
 
 
 def emulated(world: World, seed: int, faults: list[language.Fault]) -> dict[str, Any]:
-    """The same in the emulator, where nobody asks again either."""
+    """Run the same world in the emulator, without client retries, as the clients on sockets send none."""
     alone = replace(world, habits=replace(world.habits, retries=0))
     fleet = Fleet(alone, seed, faults)
     result = fleet.run()
--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -1,4 +1,4 @@
-"""A gateway inside the test's own process, and how clients leave it: what tests need to force a crossing."""
+"""A gateway in the test's own process, and the ways in which clients leave: used to force races."""
 
 import contextlib
 import os
@@ -17,15 +17,15 @@
 
 
 def until(holds, wait=5.0, what=lambda: ""):
-    """Until something holds; an error where it does not within seconds."""
+    """Wait until a condition holds; fails if it does not within `wait` seconds."""
     end = time.monotonic() + wait
     while not holds():
-        assert time.monotonic() < end, f"not in time: {what()}"
+        assert time.monotonic() < end, f"condition not met: {what()}"
         time.sleep(0.002)
 
 
 def waits_for(stand, wait=1.0):
-    """The next request that comes to a stand-in cache within some seconds; None where none does."""
+    """The next dispatch that reaches a stand-in cache within `wait` seconds; None if there is none."""
     try:
         return stand.next(wait=wait)
     except queue.Empty:
@@ -33,37 +33,37 @@
 
 
 def limits(**more):
-    """Changes of the settings' limits, for a world."""
+    """A function that changes the limits in the settings of a world."""
     return lambda settings: settings["limits"].update(more)
 
 
-# --- the ways in which a client leaves ---
+# --- ways in which a client leaves ---
 
 
 def forgets(asker):
-    """It cancels all that it has asked."""
+    """Cancel all requests of a client."""
     for tag in range(1, asker.tag + 1):
         asker.send(b"FORGET", b"%d" % tag)
 
 
 def closes(asker):
-    """It closes its connection."""
+    """Close the connection of a client."""
     asker.sock.close()
 
 
 def halves(asker):
-    """It closes its half, and may read on."""
+    """Close the sending direction only; the client may still read."""
     asker.sock.shutdown(socket.SHUT_WR)
 
 
 def resets(asker):
-    """It resets its connection."""
+    """Reset the connection of a client."""
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     asker.sock.close()
 
 
 class InProcessWorld(World):
-    """A world whose gateway is a Gateway in a thread of this process, so that its threads can be held."""
+    """A world whose gateway runs in a thread of this process, so that its threads can be paused."""
 
     def start(self):
         self.owner = Gateway({**self.config, "listen": "127.0.0.1:0"})
@@ -73,10 +73,10 @@
         self.log.since.get(timeout=5)
         if self.log.released.is_set():
             until(lambda: self.owner.feed.status.current)
-        self.does(lambda: None)  # clients can connect, and what the change log told is taken in
+        self.does(lambda: None)  # clients can connect, and the events of the change log are applied
 
     def does(self, what):
-        """The result of something done in the owner's thread, after all internal events before."""
+        """The result of a function run in the owner's thread, after all earlier internal events."""
         told = queue.SimpleQueue()
         self.owner.post(lambda: told.put(what()))
         return told.get(timeout=5)
@@ -85,14 +85,14 @@
         return self.does(self.owner.open_resources)
 
     def stall(self):
-        """Hold the owner's thread; returns the event that lets it go on."""
-        in_it, go = threading.Event(), threading.Event()
-        self.owner.post(lambda: (in_it.set(), go.wait(10)))
-        assert in_it.wait(5)
+        """Block the owner thread; returns the event that lets it continue."""
+        blocked, go = threading.Event(), threading.Event()
+        self.owner.post(lambda: (blocked.set(), go.wait(10)))
+        assert blocked.wait(5)
         return go
 
     def rests(self, wait=5.0, but=("clients", "checks")):
-        """Until nothing is open, counted or held any more; who stays connected is no such thing."""
+        """Wait until no resource is open or counted, other than the open connections named in `but`."""
         until(
             lambda: not any(many for name, many in self.held().items() if name not in but),
             wait,
@@ -102,7 +102,8 @@
     def close(self):
         self.owner.post(self.owner.end)
         self.thread.join(5)
-        self.owner.feed.move(("127.0.0.1", 1))  # its thread lives on, and its port is another test's soon
+        # the thread of the feed outlives the test, and a later test may use the port
+        self.owner.feed.move(("127.0.0.1", 1))
         for client in [*self.owner.front.clients, *self.owner.front.draining]:
             client.close(CloseReason.RETIRED)
         self.owner.front.stop_accepting()
@@ -114,8 +115,8 @@
 
 @contextlib.contextmanager
 def handed_over(world):
-    """What the next process makes of a world's gateway at rest, in this process; its owner is not started.
-    Connections must be `movable`."""
+    """Yields the restorer of a successor, in this process, to which the state of an idle gateway was
+    transferred; the owner of the successor is not started. Connections must be `movable`."""
     quiescer = Quiescer(world.owner)
     assert world.does(lambda: quiescer.quiesce(time.monotonic() + 4, lambda: True)) == ""
     exported = world.does(lambda: export_gateway(world.owner, "whole", []))
--- a/rigs/load.py
+++ b/rigs/load.py
@@ -1,8 +1,8 @@
-"""Clients of a rig: reqs at a steady rate whatever becomes of them, on held and on short connections.
+"""Clients of a rig: an open-loop load at a steady rate, on long-lived and on short-lived connections.
 
-Each client keeps to the protocol: it sends again once what crossed a close within 50 ms, sends FORGET for
-what it does not wait for, and writes an account of every req and every answer. It never asks twice
-otherwise.
+Each client follows the protocol: it resends once a request that was sent at most 50 ms before its
+connection was closed, sends FORGET for a request that it no longer waits for, and writes every request and
+answer to the account. It retries in no other case.
 """
 
 from __future__ import annotations
@@ -19,29 +19,28 @@
 from rigs.kernel_times import TimestampedBuffer, closed_by_peer_at, write_timed
 from rigs.scene import EFFECTS, Scene, whole
 
-CROSSES = 0.05  # seconds before a close within which a req may be sent again on a new connection
-IDLE = 4.0
+CROSSING_SECONDS = 0.05  # seconds; a request that was sent less than this before a close may be resent
 
 
 @dataclass
-class Asked:
-    """One req as its client knows it."""
+class SentRequest:
+    """One request with what its client knows about it."""
 
     ref: str
     vhost: str
     key: str
     part: int
-    sent: float  # its last byte, at the earliest
+    sent: float  # Unix time; the last byte was sent then or later
     message: bytes
     again: bool = False
     counted: bool = False
-    allow: float = 2.5  # seconds that its client waits
-    whole: bool = True  # has its last byte been sent?
-    crossed: float = 0.0  # seconds that it was on a connection whose close it crossed
+    allow: float = 2.5  # client timeout in seconds
+    whole: bool = True  # whether the last byte has been sent
+    crossed: float = 0.0  # seconds from sending to the close of the connection that caused the resend
 
 
 class Link:
-    """One client's connection; a thread reads its answers."""
+    """A client connection; a thread reads its answers."""
 
     def __init__(self, load: Load, port: int, alone: bool) -> None:
         self.load, self.port, self.alone = load, port, alone
@@ -50,16 +49,16 @@
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.buffer = TimestampedBuffer(self.sock)
         self.lock = threading.Lock()
-        self.open: dict[str, Asked] = {}
+        self.open: dict[str, SentRequest] = {}
         self.forgotten: set[str] = set()
         self.tag, self.over, self.used = 0, False, time.monotonic()
-        threading.Thread(target=self._read, daemon=True).start()
+        threading.Thread(target=self._read_answers, daemon=True).start()
 
-    def send(self, asked: Asked, pause: float = 0.0) -> None:
-        """Send a req; with a pause in two halves."""
+    def send(self, asked: SentRequest, pause: float = 0.0) -> None:
+        """Send a request; with a pause, in two halves."""
         with self.lock:
-            if self.over:  # it ended just now, and nobody would hear of this one
-                raise ConnectionResetError("over")
+            if self.over:  # it has just ended, and no thread would report the loss of this request
+                raise ConnectionResetError("the connection has ended")
             self.tag += 1
             tag = b"%d" % self.tag
             data = asked.message.replace(b"TAG", tag, 1).replace(b"$3\r\n", b"$%d\r\n" % len(tag), 1)
@@ -68,26 +67,27 @@
                 half = len(data) // 2
                 write_timed(self.sock, data[:half])
                 asked.sent, asked.whole = time.time() + pause, False
-                self.load.timers.after(pause, lambda: self._rest(asked, data[half:]))
+                self.load.timers.after(pause, lambda: self._send_rest(asked, data[half:]))
             else:
-                self._whole(asked, data)
+                self._send_end(asked, data)
             self.used = time.monotonic()
 
-    def _rest(self, asked: Asked, data: bytes) -> None:
-        """The second half: only now it is a request, unless its connection has ended."""
+    def _send_rest(self, asked: SentRequest, data: bytes) -> None:
+        """Send the second half, which completes the request, unless the connection has ended."""
         with self.lock:
             if not self.over:
                 asked.sent, asked.whole = time.time(), True
-                self.load.accounted(asked, self.port)
-                self._whole(asked, data)
+                self.load.write_request(asked, self.port)
+                self._send_end(asked, data)
 
-    def _whole(self, asked: Asked, data: bytes) -> None:
-        """Write the last of a request. A busy rig may have got to that late: its time counts from then."""
+    def _send_end(self, asked: SentRequest, data: bytes) -> None:
+        """Write the rest of a request. On a busy machine this may happen late; the time of the request is
+        taken here."""
         asked.sent = write_timed(self.sock, data)
         self.load.account.write("clients", "written", at=asked.sent, ref=asked.ref, crossed=asked.crossed)
 
     def forget(self, ref: str) -> None:
-        """Wait for a req no more."""
+        """Cancel a request and stop waiting for it."""
         with self.lock:
             for tag, asked in list(self.open.items()):
                 if asked.ref == ref:
@@ -101,22 +101,22 @@
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
-    def _read(self) -> None:
+    def _read_answers(self) -> None:
         with contextlib.suppress(OSError):
             while self.buffer.read_from(self.sock):
                 while (items := self.buffer.next_message()) is not None:
-                    self._answer(items)
+                    self._handle_answer(items)
         ended = closed_by_peer_at(self.sock)
         with self.lock:
             self.over = True
             left, self.open = list(self.open.values()), {}
         self.sock.close()
         for asked in left:
-            if not asked.whole:  # half of it is owed nothing
+            if not asked.whole:  # no answer is owed to half a request
                 self.load.count("unsent")
                 continue
-            # a client cannot tell a close that its req crossed from a crash, so bookings are not sent again
-            crossed = not asked.again and ended - asked.sent < CROSSES and not self.load.over
+            # a client cannot tell a close that crossed its request from a crash: bookings are not resent
+            crossed = not asked.again and ended - asked.sent < CROSSING_SECONDS and not self.load.over
             if crossed and (self.load.bold or EFFECTS[asked.vhost] != "non-replayable"):
                 asked.again, asked.crossed = True, max(0.0, ended - asked.sent)
                 self.load.again += 1
@@ -125,7 +125,7 @@
                 self.load.account.write("clients", "lost", at=ended, ref=asked.ref)
                 self.load.count("lost")
 
-    def _answer(self, items: list[bytes]) -> None:
+    def _handle_answer(self, items: list[bytes]) -> None:
         now, tag = time.time(), items[0].decode()
         received_at = self.buffer.received_at
         with self.lock:
@@ -133,7 +133,7 @@
             done = self.alone and not self.open
         if asked is None:
             if tag in self.forgotten:
-                return None  # its answer was on the way
+                return None  # the answer was sent before the FORGET arrived
             return self.load.account.write("clients", "extra", word=items[1].decode())
         word, data = items[1].decode(), items[3] if len(items) > 3 else b""
         born = whole(data, asked.key, asked.part) if word == "200" else None
@@ -147,14 +147,14 @@
             whole=born is not None,
             late=max(0.0, now - received_at),
         )
-        self.load.answered(asked, word, received_at)
+        self.load.count_answer(asked, word, received_at)
         if done:
             self.close()
         return None
 
 
 class Load:
-    """Reqs at a rate, to one or several gateways."""
+    """A load of requests at a given rate on one or several gateways."""
 
     def __init__(
         self,
@@ -169,15 +169,15 @@
         self.account, self.timers = scene.account, scene.timers
         self.chance = scene.chance(seed)
         self.links: dict[int, list[Link]] = {gateway.port: [] for gateway in scene.gateways}
-        self.weights: list[float] = []  # of the gateways, in the order of `links`; none: all alike
+        self.weights: list[float] = []  # of the gateways, in the order of `links`; empty: equal
         self.lock = threading.Lock()
         self.counts = dict.fromkeys(("asked", "done", "denied", "aborted", "left", "lost", "unsent"), 0)
-        self.times: list[tuple[float, float, str, str]] = []  # when sent, how long it took, vhost, word
+        self.times: list[tuple[float, float, str, str]] = []  # time sent, latency, vhost, status
         self.again = 0
         self.over = False
-        self.allows: tuple[int, ...] = (2500,)  # milliseconds that clients wait, drawn from
-        self.forgets = 0.01  # part of the requests that their clients cancel
-        self.bold = False  # sends bookings again as well: before a gateway that remembers what it has sent
+        self.allows: tuple[int, ...] = (2500,)  # client timeouts in milliseconds, one drawn per request
+        self.forgets = 0.01  # fraction of the requests that their clients cancel
+        self.bold = False  # resends bookings too, for gateways that remember what they have dispatched
         self.heard: Callable[[str], None] = lambda word: None
         self.number = 0
         self.thread = threading.Thread(target=self._run, daemon=True)
@@ -186,7 +186,7 @@
         self.thread.start()
 
     def stop(self, wait: float = 3.5) -> None:
-        """Ask no more, and wait until all is answered or can be no more."""
+        """Stop sending, and wait until all requests are answered or the wait is over."""
         self.over = True
         self.thread.join()
         until = time.monotonic() + wait
@@ -197,8 +197,8 @@
         with self.lock:
             self.counts[what] += 1
 
-    def accounted(self, asked: Asked, port: int) -> None:
-        """A request is sent, by its last byte."""
+    def write_request(self, asked: SentRequest, port: int) -> None:
+        """Write a request to the account, dated by its last byte."""
         self.account.write(
             "clients",
             "req",
@@ -214,14 +214,14 @@
             gateway=port,
         )
 
-    def answered(self, asked: Asked, word: str, now: float) -> None:
+    def count_answer(self, asked: SentRequest, word: str, now: float) -> None:
         kind = {"200": "done", "503": "denied"}.get(word, "aborted")
         with self.lock:
             self.counts[kind] += 1
             self.times.append((asked.sent, now - asked.sent, asked.vhost, word))
         self.heard(word)
 
-    # --- the pace ---
+    # --- sending ---
 
     def _run(self) -> None:
         due = time.monotonic()
@@ -236,8 +236,8 @@
                 asked, fresh=drawn < 0.1, pause=0.03 if drawn < 0.02 else 0.0, forget=drawn > 1 - self.forgets
             )
 
-    def make(self) -> Asked:
-        """Draw a req."""
+    def make(self) -> SentRequest:
+        """Draw a random request."""
         drawn, vhost = self.chance.random(), self.mix[0][0]
         for name, part in self.mix:
             vhost = name
@@ -249,7 +249,7 @@
         key = f"{int(self.objects * self.chance.random() ** 3):016x}"
         part = self.chance.randrange(3) if vhost == "clip" else 0
         allow = self.allows[0] if len(self.allows) == 1 else self.chance.choice(self.allows)
-        told: dict[str, Any] = {
+        fields: dict[str, Any] = {
             "ref": ref,
             "allow": allow,
             "lookup": key,
@@ -258,13 +258,13 @@
             "room": 400.0,
         }
         if vhost == "pay":
-            told["replay"] = f"{self.chance.getrandbits(128):032x}"
+            fields["replay"] = f"{self.chance.getrandbits(128):032x}"
         load = b"" if vhost == "clip" else b"x" * 99
-        data = encode(b"EXEC", b"TAG", vhost.encode(), encode_fields(told.items()), load)
-        return Asked(ref, vhost, key, part, 0.0, data, allow=allow / 1000)
+        data = encode(b"EXEC", b"TAG", vhost.encode(), encode_fields(fields.items()), load)
+        return SentRequest(ref, vhost, key, part, 0.0, data, allow=allow / 1000)
 
-    def link(self, asked: Asked, fresh: bool = False, pause: float = 0.0, forget: bool = False) -> None:
-        """Send a req on a connection of some gateway."""
+    def link(self, asked: SentRequest, fresh: bool = False, pause: float = 0.0, forget: bool = False) -> None:
+        """Send a request on a connection to one of the gateways."""
         ports = list(self.links)
         port = self.chance.choices(ports, self.weights)[0] if self.weights else self.chance.choice(ports)
         links = self.links[port]
@@ -274,7 +274,7 @@
             asked.counted = True
             self.count("asked")
             if not pause:
-                self.accounted(asked, port)
+                self.write_request(asked, port)
         try:
             if fresh or len(links) < self.held:
                 link = Link(self, port, alone=fresh)
@@ -282,7 +282,7 @@
             else:
                 link = self.chance.choice([link for link in links if not link.alone] or links)
         except OSError:
-            self.count("unsent")  # no gateway took it: nothing of it is out
+            self.count("unsent")  # no gateway accepted the connection: no byte of it was sent
             self.account.write("clients", "left", ref=asked.ref)
             return None
         try:
--- a/rigs/relay.py
+++ b/rigs/relay.py
@@ -1,16 +1,18 @@
-"""Links that can fail: one process carries many TCP links on loopback, each direction of each by itself.
+"""A TCP relay with fault injection: one process carries many loopback links, with separate faults for each
+direction.
 
-`python -m rigs.relay SPEC` reads pairs of ports (where to listen, where to connect) from a JSON file and
-commands, one JSON object a line, from standard input:
+`python -m rigs.relay SPEC` reads pairs of ports (to listen on, to connect to) from a JSON file, and
+commands from standard input, one JSON object per line:
 
     {"links": [0, 3], "way": "up" | "down" | "both", "set": {"stall": true, "delay": 0.05, "rate": 20000,
      "lossy": 0.1, "reset": 0.01}, "break": true}
 
-`up` is from who connects. Stalled: nothing passes, what comes is held in a bounded buffer, and then nobody
-reads, so that the sender's own buffers fill as on a path that drops everything; a close passes all the same,
-as it would in the end. `delay`: seconds more for each piece, `rate`: bytes a second, `lossy`: part of the
-pieces that come by a repeat, `reset`: part at which the connection is reset. `break` resets what is open.
-It ends with standard input.
+`up` is the direction from the connecting side. `stall`: nothing is forwarded; received data is held in a
+bounded buffer and, once that is full, no longer read, so that the buffers of the sender fill as on a path
+that drops all packets. A close is forwarded nevertheless, as it would be eventually. `delay`: additional
+seconds for each chunk; `rate`: bytes per second; `lossy`: fraction of the chunks that arrive by
+retransmission; `reset`: fraction of the chunks at which the connection is reset. `break` resets open
+connections. The process exits at the end of standard input.
 """
 
 from __future__ import annotations
@@ -30,170 +32,170 @@
 
 from lilacloft.net.tcp_info import since_last_data
 
-HOLDS = 1 << 18  # bytes a direction of a connection
-REPEAT = (0.2, 0.6)
-PIECE = 1 << 15
-CONNECT = 2.0
-NOTABLE = 0.02  # seconds by which a piece is passed on late, from which on it is told
+BUFFER_BYTES = 1 << 18  # bytes buffered per direction of a connection
+RETRANSMISSION_DELAY = (0.2, 0.6)  # seconds
+CHUNK_BYTES = 1 << 15
+CONNECT_TIMEOUT = 2.0  # seconds
+REPORTED_DELAY = 0.02  # seconds; a chunk that is forwarded later than this is reported
 
 
 class Fault:
-    """How one direction of one link is now."""
+    """The current faults of one direction of one link."""
 
     def __init__(self) -> None:
         self.stall, self.delay, self.rate, self.lossy, self.reset = False, 0.0, 0.0, 0.0, 0.0
 
 
-class Way:
+class Direction:
     """One direction of one connection."""
 
     def __init__(self, source: socket.socket, sink: socket.socket, fault: Fault) -> None:
         self.source, self.sink, self.fault = source, sink, fault
-        self.pieces: deque[tuple[float, bytes]] = deque()
+        self.chunks: deque[tuple[float, bytes]] = deque()
         self.held, self.ended, self.due = 0, False, 0.0
 
 
-class Pair:
-    """One connection: both directions."""
+class RelayedConnection:
+    """One connection with both directions."""
 
     def __init__(
         self, link: int, near: socket.socket, far: socket.socket, faults: tuple[Fault, Fault]
     ) -> None:
-        self.link, self.near, self.far, self.up = link, near, far, False
+        self.link, self.near, self.far, self.established = link, near, far, False
         self.since = time.monotonic()
-        self.ways = (Way(near, far, faults[0]), Way(far, near, faults[1]))
+        self.directions = (Direction(near, far, faults[0]), Direction(far, near, faults[1]))
 
 
 class Relay:
-    """All links of one process."""
+    """The links of one process."""
 
     def __init__(self, ports: list[tuple[int, int]], seed: int) -> None:
         self.chance = random.Random(seed)
         self.select = selectors.DefaultSelector()
         self.faults = [(Fault(), Fault()) for _ in ports]
         self.targets = [target for _, target in ports]
-        self.pairs: dict[Pair, None] = {}
+        self.connections: dict[RelayedConnection, None] = {}
         for number, (port, _) in enumerate(ports):
-            door = socket.create_server(("127.0.0.1", port), backlog=64)
-            door.setblocking(False)
-            self.select.register(door, selectors.EVENT_READ, ("door", number))
+            listener = socket.create_server(("127.0.0.1", port), backlog=64)
+            listener.setblocking(False)
+            self.select.register(listener, selectors.EVENT_READ, ("listener", number))
         self.over = False
         self.text = b""
 
     def run(self) -> None:
         os.set_blocking(0, False)
-        self.select.register(0, selectors.EVENT_READ, ("told", None))
+        self.select.register(0, selectors.EVENT_READ, ("command", None))
         print("ready", flush=True)
         while not self.over:
-            for key, mask in self.select.select(self._wait()):
+            for key, mask in self.select.select(self._poll_timeout()):
                 kind, what = key.data
-                if kind == "door":
+                if kind == "listener":
                     self._accept(key.fileobj, what)
-                elif kind == "told":
-                    self._told()
+                elif kind == "command":
+                    self._read_commands()
                 else:
-                    self._moved(what, key.fileobj, mask)
+                    self._handle_ready(what, key.fileobj, mask)
             now = time.monotonic()
-            for pair in list(self.pairs):
-                if not pair.up and now - pair.since > CONNECT:
-                    self._end(pair, True)
-                elif pair.up:
-                    self._pass(pair, now)
+            for connection in list(self.connections):
+                if not connection.established and now - connection.since > CONNECT_TIMEOUT:
+                    self._close(connection, True)
+                elif connection.established:
+                    self._forward(connection, now)
 
-    def _wait(self) -> float:
+    def _poll_timeout(self) -> float:
         now, wait = time.monotonic(), 0.5
-        for pair in self.pairs:
-            for way in pair.ways:
-                if pair.up and way.pieces and not way.fault.stall:
-                    wait = min(wait, max(0.0, max(way.due, way.pieces[0][0]) - now))
+        for connection in self.connections:
+            for way in connection.directions:
+                if connection.established and way.chunks and not way.fault.stall:
+                    wait = min(wait, max(0.0, max(way.due, way.chunks[0][0]) - now))
         return wait
 
-    def _accept(self, door: Any, link: int) -> None:
+    def _accept(self, listener: Any, link: int) -> None:
         with contextlib.suppress(OSError):
-            near, _ = door.accept()
+            near, _ = listener.accept()
             far = socket.socket()
             for sock in (near, far):
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             far.connect_ex(("127.0.0.1", self.targets[link]))
-            pair = Pair(link, near, far, self.faults[link])
-            self.pairs[pair] = None
-            self.select.register(far, selectors.EVENT_WRITE, ("pair", pair))
+            connection = RelayedConnection(link, near, far, self.faults[link])
+            self.connections[connection] = None
+            self.select.register(far, selectors.EVENT_WRITE, ("connection", connection))
 
-    def _moved(self, pair: Pair, sock: Any, mask: int) -> None:
-        if pair not in self.pairs:
+    def _handle_ready(self, connection: RelayedConnection, sock: Any, mask: int) -> None:
+        if connection not in self.connections:
             return
-        if not pair.up:
-            if pair.far.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                return self._end(pair, True)
-            pair.up = True
-            self.select.unregister(pair.far)
-            for one in (pair.near, pair.far):
-                self.select.register(one, selectors.EVENT_READ, ("pair", pair))
+        if not connection.established:
+            if connection.far.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+                return self._close(connection, True)
+            connection.established = True
+            self.select.unregister(connection.far)
+            for one in (connection.near, connection.far):
+                self.select.register(one, selectors.EVENT_READ, ("connection", connection))
             return None
-        way = pair.ways[sock is pair.far]
+        way = connection.directions[sock is connection.far]
         unread_for = since_last_data(sock)
         try:
-            data = sock.recv(PIECE)
+            data = sock.recv(CHUNK_BYTES)
         except BlockingIOError:
             return None
         except OSError:
-            return self._end(pair, True)
+            return self._close(connection, True)
         if not data:
-            if way.fault.stall or not way.pieces:
-                return self._end(pair, False)
+            if way.fault.stall or not way.chunks:
+                return self._close(connection, False)
             way.ended = True
             self.select.unregister(sock)
             return None
-        self._note_lateness(unread_for)
+        self._report_lateness(unread_for)
         fault, now = way.fault, time.monotonic()
         if fault.reset and self.chance.random() < fault.reset:
-            return self._end(pair, True)
+            return self._close(connection, True)
         late = fault.delay
         if fault.lossy and self.chance.random() < fault.lossy:
-            late += self.chance.uniform(*REPEAT)
-        last = way.pieces[-1][0] if way.pieces else 0.0
-        way.pieces.append((max(last, now + late), data))
+            late += self.chance.uniform(*RETRANSMISSION_DELAY)
+        last = way.chunks[-1][0] if way.chunks else 0.0
+        way.chunks.append((max(last, now + late), data))
         way.held += len(data)
-        if way.held >= HOLDS:
+        if way.held >= BUFFER_BYTES:
             self.select.unregister(sock)
         return None
 
-    def _note_lateness(self, late: float) -> None:
-        """Tell of a piece that this process came to late, in its account."""
-        if late > NOTABLE:
+    def _report_lateness(self, late: float) -> None:
+        """Report a chunk that this process handled late, as an entry of the account."""
+        if late > REPORTED_DELAY:
             entry = {"at": time.time(), "who": "relay", "what": "passed", "late": late}
             print(json.dumps(entry), file=sys.stderr, flush=True)
 
-    def _pass(self, pair: Pair, now: float) -> None:
-        for way in pair.ways:
-            while way.pieces and not way.fault.stall and max(way.pieces[0][0], way.due) <= now:
-                due, data = way.pieces[0]
-                self._note_lateness(now - max(due, way.due))
-                piece = data[: max(1, int(way.fault.rate * 0.02))] if way.fault.rate else data
+    def _forward(self, connection: RelayedConnection, now: float) -> None:
+        for way in connection.directions:
+            while way.chunks and not way.fault.stall and max(way.chunks[0][0], way.due) <= now:
+                due, data = way.chunks[0]
+                self._report_lateness(now - max(due, way.due))
+                chunk = data[: max(1, int(way.fault.rate * 0.02))] if way.fault.rate else data
                 try:
-                    sent = way.sink.send(piece)
+                    sent = way.sink.send(chunk)
                 except BlockingIOError:
                     way.due = now + 0.005
                     break
                 except OSError:
-                    return self._end(pair, True)
-                full = way.held >= HOLDS
+                    return self._close(connection, True)
+                full = way.held >= BUFFER_BYTES
                 way.held -= sent
-                way.pieces.popleft()
+                way.chunks.popleft()
                 if sent < len(data):
-                    way.pieces.appendleft((due, data[sent:]))
+                    way.chunks.appendleft((due, data[sent:]))
                 if way.fault.rate:
                     way.due = now + sent / way.fault.rate
-                if full and way.held < HOLDS and not way.ended:
-                    self.select.register(way.source, selectors.EVENT_READ, ("pair", pair))
-            if way.ended and not way.pieces:
-                return self._end(pair, False)
+                if full and way.held < BUFFER_BYTES and not way.ended:
+                    self.select.register(way.source, selectors.EVENT_READ, ("connection", connection))
+            if way.ended and not way.chunks:
+                return self._close(connection, False)
         return None
 
-    def _end(self, pair: Pair, reset: bool) -> None:
-        self.pairs.pop(pair, None)
-        for sock in (pair.near, pair.far):
+    def _close(self, connection: RelayedConnection, reset: bool) -> None:
+        self.connections.pop(connection, None)
+        for sock in (connection.near, connection.far):
             with contextlib.suppress(KeyError, ValueError):
                 self.select.unregister(sock)
             with contextlib.suppress(OSError):
@@ -201,27 +203,27 @@
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
 
-    def _told(self) -> None:
+    def _read_commands(self) -> None:
         data = os.read(0, 1 << 16)
         if not data:
             self.over = True
             return
         *lines, self.text = (self.text + data).split(b"\n")
         for line in lines:
-            told = json.loads(line)
-            links = set(told["links"])
+            command = json.loads(line)
+            links = set(command["links"])
             for link in links:
-                for place in {"up": (0,), "down": (1,), "both": (0, 1)}[told.get("way", "both")]:
-                    for name, value in told.get("set", {}).items():
+                for place in {"up": (0,), "down": (1,), "both": (0, 1)}[command.get("way", "both")]:
+                    for name, value in command.get("set", {}).items():
                         setattr(self.faults[link][place], name, value)
-            if told.get("break"):
-                for pair in [pair for pair in self.pairs if pair.link in links]:
-                    self._end(pair, True)
+            if command.get("break"):
+                for connection in [connection for connection in self.connections if connection.link in links]:
+                    self._close(connection, True)
 
 
 def main() -> int:
     spec = json.loads(Path(sys.argv[1]).read_text())
-    Relay([tuple(pair) for pair in spec["ports"]], spec["seed"]).run()
+    Relay([tuple(connection) for connection in spec["ports"]], spec["seed"]).run()
     return 0
 
 
--- a/rigs/scene.py
+++ b/rigs/scene.py
@@ -1,9 +1,10 @@
-"""A scripted world: boxes with copies, parents, an origin, a change log, and real gateway processes between
-them.
+"""A scripted test environment: stand-in backends (caches, parents, an origin), a change log, and real gateway
+processes.
 
-Everything that is drawn is drawn from one seed, one stream a purpose. What each party sees goes to one
-Account. A box keeps copies and fills misses from the source it is told, inside this process; how it behaves
-is switched by the script: silent, dead, slow, resetting, cold, draining.
+All random choices derive from one seed, with one random stream per purpose. Everything that a party observes
+is written to one Account. The backends run as threads of this process: they keep copies and fill misses from
+the source that the dispatch names. The script controls how each behaves: silent, dead, slow, resetting, cold
+or draining.
 """
 
 from __future__ import annotations
@@ -34,8 +35,8 @@
 
 KINDS = ["small", "large", "parent", "origin"]
 STATES = {"active": 0, "leaving": 1, "left": 2}
-DROPS = 5.0  # seconds after which purged copies are gone everywhere; the settings promise 6
-HIT, HELD, FILL, WRITE = 0.004, 0.012, 0.030, 0.060  # seconds, besides what is drawn
+PURGE_SECONDS = 5.0  # time until purged copies are gone from all backends; the settings promise 6
+HIT, SOURCE_HIT, FILL, WRITE = 0.004, 0.012, 0.030, 0.060  # seconds, without the random part
 VHOSTS = [
     {
         "name": "clip",
@@ -70,14 +71,15 @@
 
 
 def body(key: str, part: int, born: float, size: int) -> bytes:
-    """The bytes of a part: they say what they are, and are checked by whoever gets them."""
+    """The body of an object part; it names the part and ends with a checksum, so that any receiver can verify
+    it."""
     head = f"{key} {part} {born:.4f} {size} ".encode()
     data = head + b"." * max(0, size - len(head) - 8)
     return data + b"%08x" % zlib.crc32(data)
 
 
 def whole(data: bytes, key: str, part: int) -> float | None:
-    """When the origin gave out a copy; None where these are not the bytes of that part."""
+    """The time at which the origin issued a copy; None if the data is not an intact body of that part."""
     if len(data) < 8 or data[-8:] != b"%08x" % zlib.crc32(data[:-8]):
         return None
     words = data.split(b" ", 3)
@@ -85,7 +87,7 @@
 
 
 class Timers:
-    """One thread that does things when they are due."""
+    """A timer thread that runs callbacks when they are due."""
 
     def __init__(self) -> None:
         self.due: list[tuple[float, int, Callable[[], None]]] = []
@@ -93,11 +95,11 @@
         self.change = threading.Condition()
         threading.Thread(target=self._run, daemon=True).start()
 
-    def after(self, wait: float, what: Callable[[], None]) -> None:
-        """Do something in a while."""
+    def after(self, wait: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback in `wait` seconds."""
         with self.change:
             self.number += 1
-            heapq.heappush(self.due, (time.monotonic() + wait, self.number, what))
+            heapq.heappush(self.due, (time.monotonic() + wait, self.number, callback))
             self.change.notify()
 
     def _run(self) -> None:
@@ -107,13 +109,13 @@
                 if left > 0:
                     self.change.wait(left)
                     continue
-                what = heapq.heappop(self.due)[2]
+                callback = heapq.heappop(self.due)[2]
             with contextlib.suppress(OSError):
-                what()
+                callback()
 
 
 class Box(Stand):
-    """A cache, a parent or the origin."""
+    """A stand-in backend: a cache, a parent or the origin."""
 
     def __init__(self, scene: Scene, number: int, kind: str, port: int = 0) -> None:
         self.scene, self.number, self.kind = scene, number, kind
@@ -121,14 +123,14 @@
         self.copies: dict[tuple[str, int], float] = {}
         self.chance = scene.chance(self.name)
         self.silent = False
-        self.slow = 0.0  # seconds more for each answer
-        self.resets = 0.0  # part of the dispatches that are answered by a reset
+        self.slow = 0.0  # additional seconds per answer
+        self.resets = 0.0  # fraction of the dispatches that are answered by a reset
         self.state, self.started = "active", 0.0
-        self.open: dict[tuple[int, bytes], bool] = {}  # what waits for an answer
+        self.open: dict[tuple[int, bytes], bool] = {}  # unanswered, by connection and reference
         self.numbers: dict[Any, int] = {}
         self.buffers: dict[socket.socket, TimestampedBuffer] = {}
         self.lock = threading.Lock()
-        super().__init__(self._says, port)
+        super().__init__(self._handle_message, port)
         timestamp_received_bytes(self.sock)
 
     def _serve(self, sock: socket.socket) -> None:
@@ -141,115 +143,116 @@
         buffer = self.buffers[sock] = TimestampedBuffer(sock)
         return buffer
 
-    def _note(self, what: str, received_at: float, **told: Any) -> None:
-        """Account for what came at a time, by the kernel, and is read only now."""
+    def _write_received(self, what: str, received_at: float, **fields: Any) -> None:
+        """Write an entry for a message that the kernel received at `received_at` and that is read now."""
         now = time.time()
-        self.scene.account.write(self.name, what, at=now, late=max(0.0, now - received_at), **told)
+        self.scene.account.write(self.name, what, at=now, late=max(0.0, now - received_at), **fields)
 
     def closed(self, sock: socket.socket) -> None:
-        """A connection has ended; what was open on it is given up."""
-        self._gives_up(self.numbers[sock], closed_by_peer_at(sock))
+        """Called when a connection has ended; abandons the dispatches that are open on it."""
+        self._abandon_dispatches(self.numbers[sock], closed_by_peer_at(sock))
         self.buffers.pop(sock, None)
         sock.close()
 
-    def _gives_up(self, number: int, closed_at: float) -> None:
-        """What is open on a connection is over. Before a reset of ours, as a gateway that has seen that may
-        send elsewhere at once."""
+    def _abandon_dispatches(self, number: int, closed_at: float) -> None:
+        """Abandon the dispatches that are open on a connection. Called before this backend resets a
+        connection, as a gateway that has seen the reset may send elsewhere at once."""
         with self.lock:
             for place in [place for place in self.open if place[0] == number]:
                 del self.open[place]
-            self._note("closed", closed_at, conn=number)
+            self._write_received("closed", closed_at, conn=number)
 
-    def _says(self, stand: Stand, sock: socket.socket, items: list[bytes]) -> None:
+    def _handle_message(self, stand: Stand, sock: socket.socket, items: list[bytes]) -> None:
         number, verb = self.numbers[sock], items[0]
         received_at = self.buffers[sock].received_at
         if verb == b"undo":
             with self.lock:
                 self.open.pop((number, items[1]), None)
-                # also where the answer is out by now: the undo may have been here before it
-                self._note("undo", received_at, conn=number, ref=items[1].decode())
+                # written even if the answer has been sent: the undo may have been received before that
+                self._write_received("undo", received_at, conn=number, ref=items[1].decode())
         elif verb in (b"top", b"ping"):
             if not self.silent:
                 busy = min(0.9, len(self.open) / 20)
                 report = b"report=inflight:%d;util:%.2f" % (len(self.open), busy)
                 sock.sendall(encode(items[1], b"well", report))
         elif verb == b"do":
-            self._do(sock, number, items[1], parse_fields(items[2]))
+            self._handle_dispatch(sock, number, items[1], parse_fields(items[2]))
 
-    def _taken(
-        self, sock: socket.socket, number: int, ref: bytes, told: dict[str, str], of_gateway: bool = True
+    def _register_dispatch(
+        self, sock: socket.socket, number: int, ref: bytes, fields: dict[str, str], of_gateway: bool = True
     ) -> tuple[str, int, float]:
-        """A dispatch has come, or another box's question; returns the object, its part, the oldest copy that
-        will do."""
-        key, part = told["thing"], int(told["nth"])
-        age = int(told["agelim"]) / 1000 if int(told.get("agelim", 0)) else 8.0
+        """Register a dispatch, or a fill request of another backend; returns the object, its part and the
+        maximum age of an acceptable copy."""
+        key, part = fields["thing"], int(fields["nth"])
+        age = int(fields["agelim"]) / 1000 if int(fields.get("agelim", 0)) else 8.0
         with self.lock:
             self.open[number, ref] = True
             if of_gateway:
-                self._note(
+                self._write_received(
                     "do",
                     self.buffers[sock].received_at,
                     conn=number,
                     ref=ref.decode(),
-                    vhost=told["profile"],
+                    vhost=fields["profile"],
                     key=key,
                     part=part,
-                    next=told.get("next"),
+                    next=fields.get("next"),
                     age=age,
-                    replay=told.get("replay"),
-                    limit=int(told["max"]) / 1000,
+                    replay=fields.get("replay"),
+                    limit=int(fields["max"]) / 1000,
                 )
         return key, part, age
 
     def drop(self, key: str, at: float) -> None:
-        """A while after a purge it has no older copy any more. (All objects here are of one group.)"""
+        """Remove copies that are older than a purge. (All objects here are in one purge group.)"""
         for place, born in list(self.copies.items()):
             if born < at and (not key or place[0] == key):
                 self.copies.pop(place, None)
 
-    def _answers_by_reset(self, sock: socket.socket, number: int) -> bool:
-        """Is a dispatch answered by a reset of its connection? Then that is done."""
+    def _reset_at_random(self, sock: socket.socket, number: int) -> bool:
+        """Reset the connection instead of answering, at random; returns whether it was reset."""
         if self.chance.random() >= self.resets:
             return False
-        self._gives_up(number, time.time())
+        self._abandon_dispatches(number, time.time())
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.shutdown(socket.SHUT_RDWR)
         return True
 
-    def _do(self, sock: socket.socket, number: int, ref: bytes, told: dict[str, str]) -> None:
-        key, part, age = self._taken(sock, number, ref, told)
+    def _handle_dispatch(self, sock: socket.socket, number: int, ref: bytes, fields: dict[str, str]) -> None:
+        key, part, age = self._register_dispatch(sock, number, ref, fields)
         if self.silent:
             return
-        if self._answers_by_reset(sock, number):
+        if self._reset_at_random(sock, number):
             return
         wait = self.slow + self.chance.expovariate(250)
-        if EFFECTS[told["profile"]] != "replayable":
-            self.scene.timers.after(wait + WRITE / 2, lambda: self._effect(number, ref, told))
+        if EFFECTS[fields["profile"]] != "replayable":
+            self.scene.timers.after(wait + WRITE / 2, lambda: self._apply_effect(number, ref, fields))
             self.scene.timers.after(
                 wait + WRITE,
-                lambda: self._answer(
+                lambda: self._send_answer(
                     sock, number, ref, b"data", b"remark=TCP_MISS", body(key, part, 0.0, 64)
                 ),
             )
             return
         now, born = time.time(), self.copies.get((key, part))
-        source = self.scene.boxes.get(told.get("next", ""))
+        source = self.scene.boxes.get(fields.get("next", ""))
         if born is not None and now - born <= age:
             note, wait = b"TCP_HIT", wait + HIT
-            if "swr" in told.get("ways", "") and source and now - born > 6.4:
-                self.copies[key, part] = now  # renewed behind
+            if "swr" in fields.get("ways", "") and source and now - born > 6.4:
+                self.copies[key, part] = now  # revalidated in the background
         elif source is None:
             return self.scene.timers.after(
-                wait + HIT, lambda: self._answer(sock, number, ref, b"absent", b"remark=PEER_MISS", b"")
+                wait + HIT, lambda: self._send_answer(sock, number, ref, b"absent", b"remark=PEER_MISS", b"")
             )
         else:
-            held = source.copies.get((key, part))
+            copy_created_at = source.copies.get((key, part))
             wait += source.slow
-            if held is not None and now - held <= age:
-                note, wait, born = b"TCP_MISS", wait + HELD, held
-            elif "peek" in told.get("ways", ""):
+            if copy_created_at is not None and now - copy_created_at <= age:
+                note, wait, born = b"TCP_MISS", wait + SOURCE_HIT, copy_created_at
+            elif "peek" in fields.get("ways", ""):
                 return self.scene.timers.after(
-                    wait + HELD, lambda: self._answer(sock, number, ref, b"absent", b"remark=PEER_MISS", b"")
+                    wait + SOURCE_HIT,
+                    lambda: self._send_answer(sock, number, ref, b"absent", b"remark=PEER_MISS", b""),
                 )
             else:
                 note, wait, born = b"TCP_MISS_ROOT", wait + FILL + self.scene.origin.slow, now
@@ -257,25 +260,25 @@
             self.copies[key, part] = born
         data = body(key, part, born, 2000)
         self.scene.timers.after(
-            wait, lambda: self._answer(sock, number, ref, b"data", b"remark=" + note, data)
+            wait, lambda: self._send_answer(sock, number, ref, b"data", b"remark=" + note, data)
         )
         return None
 
-    def _effect(self, number: int, ref: bytes, told: dict[str, str]) -> None:
-        """A write has its effect, unless it was given up before; one key has one, wherever it comes to."""
+    def _apply_effect(self, number: int, ref: bytes, fields: dict[str, str]) -> None:
+        """Apply the effect of a write unless it was cancelled; each key has one effect over all backends."""
         with self.lock:
             if (number, ref) not in self.open:
                 return
         with self.scene.lock:
-            key = told.get("replay")
+            key = fields.get("replay")
             if key in self.scene.seen:
                 return
             if key:
                 self.scene.seen.add(key)
         self.scene.account.write(self.name, "effect", ref=ref.decode(), replay=key)
 
-    def _answer(
-        self, sock: socket.socket, number: int, ref: bytes, word: bytes, told: bytes, data: bytes
+    def _send_answer(
+        self, sock: socket.socket, number: int, ref: bytes, word: bytes, details: bytes, data: bytes
     ) -> None:
         with self.lock:
             if self.silent or self.open.pop((number, ref), None) is None:
@@ -286,13 +289,13 @@
                 conn=number,
                 ref=ref.decode(),
                 word=word.decode(),
-                note=told.partition(b"=")[2].decode(),
+                note=details.partition(b"=")[2].decode(),
             )
-            sock.sendall(encode(ref, word, told, data))
+            sock.sendall(encode(ref, word, details, data))
 
 
 class ChangeLog(Log):
-    """The change log of a scene: numbers events, and keeps an account of them."""
+    """The change log of a scene: numbers the events and writes them to the account."""
 
     beats_at_once = False
 
@@ -309,7 +312,7 @@
                 sock.sendall(beat)
 
     def tell(self, box: Box) -> None:
-        """A box's state has changed."""
+        """Publish the changed state of a backend."""
         self.number += 1
         self.scene.listed(box)
         self.add(
@@ -319,25 +322,25 @@
         )
 
     def purge(self, key: str = "", group: int = 0) -> None:
-        """An object, or a group, is purged."""
+        """Publish a purge of an object or of a purge group."""
         self.number += 1
         now = time.time()
         self.scene.account.write("log", "purge", at=now, key=key, group=group)
-        self.scene.timers.after(DROPS, lambda: self.drop(key, now))
+        self.scene.timers.after(PURGE_SECONDS, lambda: self.drop(key, now))
         if key:
             self.add(self.number, 3, struct.pack(">QQ", int(key, 16), int(now * 1000)))
         else:
             self.add(self.number, 4, struct.pack(">HQ", group, int(now * 1000)))
 
     def drop(self, key: str, at: float) -> None:
-        """A while after a purge no box has an older copy any more, as the settings promise: from then on
-        gateways may forget it."""
+        """Remove copies that are older than a purge from all backends, within the time that the settings
+        promise; from then on gateways may forget the purge."""
         for box in list(self.scene.boxes.values()):
             box.drop(key, at)
 
 
 class Gateway:
-    """One gateway process and its successors; what they log goes to one file."""
+    """One gateway process and its successors; all of them log to one file."""
 
     def __init__(self, scene: Scene, number: int) -> None:
         self.scene, self.name, self.program = scene, f"n{number}", scene.program
@@ -350,20 +353,21 @@
         self.words: list[str] = []
 
     def settings(self, text: str) -> tuple[str, str]:
-        """Operators' settings of its own, as words for `start`; RECORDS stands for its folder of records."""
+        """Write this gateway's operator settings; returns the arguments for `start`. RECORDS in the text
+        stands for its folder of records."""
         path = self.scene.folder / f"{self.name}.sexp"
         path.write_text(f"(lilacloft {text.replace('RECORDS', 'records-' + self.name)})")
         return "--settings", str(path)
 
     def start(self, *more: str) -> None:
-        """Run it, and wait until it serves."""
+        """Start the process and wait until it serves."""
         place = self.spawn(*more)
         self.wait("serving on", place)
         assert self.process is not None
         self.pids.append(self.process.pid)
 
     def spawn(self, *more: str) -> int:
-        """Run it; returns where in its log it begins to write."""
+        """Start the process; returns the offset in the log file at which its lines begin."""
         self.config.write_text(json.dumps(self.scene.config(self)))
         self.words = [sys.executable, "-m", *self.program, "serve", "--config", str(self.config), *more]
         with self.log.open("ab") as file:
@@ -372,7 +376,7 @@
         return place
 
     def wait(self, text: str, place: int = 0, most: float = 20.0) -> str:
-        """Until a line of its log holds a text; returns the line."""
+        """Wait for a log line that contains a text; returns the line."""
         until = time.monotonic() + most
         while time.monotonic() < until:
             for line in self.log.read_bytes()[place:].decode().split("\n"):
@@ -381,10 +385,10 @@
             if self.process is not None and self.process.poll() not in (None, 0):
                 break
             time.sleep(0.01)
-        raise RuntimeError(f"{self.name} never said {text!r}: {self.log.read_text()[-2000:]}")
+        raise RuntimeError(f"{self.name} did not log {text!r}: {self.log.read_text()[-2000:]}")
 
     def alive(self) -> bool:
-        """Does it answer a check?"""
+        """Whether it answers a health check."""
         with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", self.port), 1.0) as sock:
             sock.sendall(encode(b"ALIVE", b"1", b""))
             return b"serving" in sock.recv(100)
@@ -392,7 +396,7 @@
 
 
 class Scene:
-    """The whole world of a rig."""
+    """The complete environment of a rig."""
 
     def __init__(
         self,
@@ -423,7 +427,7 @@
         self.gateways = [Gateway(self, number) for number in range(gateways)]
 
     def chance(self, purpose: str) -> random.Random:
-        """A stream of random numbers of its own."""
+        """A random number generator for one purpose, derived from the seed."""
         return random.Random(f"{self.seed} {purpose}")
 
     def listed(self, box: Box) -> None:
@@ -438,7 +442,7 @@
         )
 
     def config(self, gateway: Gateway) -> dict[str, Any]:
-        """The platform's file for one gateway, as the change log stands."""
+        """The platform configuration file of one gateway, at the current position of the change log."""
         settings = copy.deepcopy(ENV)
         settings["classes"] = copy.deepcopy(VHOSTS)
         settings["familyInfo"].update(FAMILY)
@@ -470,7 +474,7 @@
         }
 
     def limits(self) -> Limits:
-        """What the checker holds the gateways to."""
+        """The limits against which the checker verifies the gateways."""
         rules, family = ENV["obligations"], ENV["familyInfo"]
         cache = (rules["startCapacity"], rules["coldNs"] / 1e9, rules["tipMultiple"])
         parent = (family["parentFloor"], family["parentWarmsInNs"] / 1e9, family["parentBreaksAt"])
@@ -479,36 +483,36 @@
             pace=family["paceKbPerS"],
         )
 
-    # --- what a script does ---
+    # --- actions of a script ---
 
     def say(self, text: str) -> None:
-        """Note something in the account."""
+        """Write a remark of the script to the account."""
         self.account.write("script", "said", text=text)
 
     def kill(self, box: Box) -> None:
-        """A box dies: its door closes, its connections are reset."""
+        """Kill a backend: close its listening socket and reset its connections."""
         self.say(f"{box.name} dies")
         box.close()
         box.break_off()
 
     def returns(self, box: Box) -> None:
-        """It comes back at its address, cold, and is listed so."""
+        """Restart a killed backend at its address with no copies, and publish its new start time."""
         self.say(f"{box.name} returns cold")
-        again = Box(self, box.number, box.kind, box.port)
-        again.started = time.time()
-        self.boxes[box.name] = again
+        restarted = Box(self, box.number, box.kind, box.port)
+        restarted.started = time.time()
+        self.boxes[box.name] = restarted
         pool = self.caches if box in self.caches else self.parents
-        pool[pool.index(box)] = again
-        self.log.tell(again)
+        pool[pool.index(box)] = restarted
+        self.log.tell(restarted)
 
     def drain(self, box: Box, state: str = "leaving") -> None:
-        """A box is to be left, or (`active`) may be used again."""
+        """Publish that a backend is leaving or, with `active`, that it may be used again."""
         self.say(f"{box.name} {state}")
         box.state = state
         self.log.tell(box)
 
     def close(self) -> None:
-        """End everything that was started here."""
+        """Stop all processes and stand-ins of this scene."""
         self.timers.over = True
         for gateway in self.gateways:
             for pid in processes(str(gateway.config)):
@@ -521,9 +525,9 @@
             stand.close()
 
 
-class Booked(Replaced):
-    """One that books and takes fares. Its clients wait long: on a machine that is slow at starting processes
-    an upgrade took longer than their time, and what they got said nothing of it."""
+class WriteWorld(Replaced):
+    """A world with virtual hosts for writes. Its clients have a long timeout: where processes start slowly,
+    an upgrade outlasted a shorter one, and the timed-out answers showed nothing about the upgrade."""
 
     allow = 9000
 
@@ -537,12 +541,13 @@
 
 
 @contextlib.contextmanager
-def booked(folder: Path, **usual: Any) -> Iterator[Callable[..., Booked]]:
-    """Makes such worlds, of some caches and with what is usual for them; all end with it."""
-    worlds: list[Booked] = []
+def booked(folder: Path, **usual: Any) -> Iterator[Callable[..., WriteWorld]]:
+    """Yields a function that creates such worlds, with `usual` as default arguments; closes them all at the
+    end."""
+    worlds: list[WriteWorld] = []
 
-    def make(*caches: Any, **more: Any) -> Booked:
-        worlds.append(Booked(folder, caches or (None,), **{**usual, **more}))
+    def make(*caches: Any, **more: Any) -> WriteWorld:
+        worlds.append(WriteWorld(folder, caches or (None,), **{**usual, **more}))
         return worlds[-1]
 
     try:
--- a/rigs/skewed.py
+++ b/rigs/skewed.py
@@ -1,25 +1,25 @@
-"""A gateway whose clock is off: `python -m rigs.skewed MILLISECONDS[:STEP@SECONDS] serve ...`.
+"""A gateway with a skewed clock: `python -m rigs.skewed MILLISECONDS[:STEP@SECONDS] serve ...`.
 
-Its Unix clock is so far ahead (or, negative, behind); with a step it is set by so many milliseconds more,
-so long after the start. The monotonic clock is untouched, as on a real machine.
+Its Unix clock is ahead by MILLISECONDS (or, if negative, behind); with a step, it is moved by a further
+STEP milliseconds SECONDS after the start. The monotonic clock is unchanged, as on a real machine.
 """
 
 import sys
 import time
 
-OFFSET, _, LATER = sys.argv[1].partition(":")
-STEP, _, AFTER = LATER.partition("@")
-BEGAN, REAL = time.monotonic(), time.time_ns
+OFFSET, _, STEP_SPEC = sys.argv[1].partition(":")
+STEP, _, STEP_AFTER = STEP_SPEC.partition("@")
+STARTED, REAL_TIME_NS = time.monotonic(), time.time_ns
 
 
-def shifted() -> int:
-    """Unix time in nanoseconds by the clock that is off."""
-    step = float(STEP or 0) if AFTER and time.monotonic() - BEGAN >= float(AFTER) else 0.0
-    return REAL() + int((float(OFFSET) + step) * 1e6)
+def skewed_time_ns() -> int:
+    """Unix time in nanoseconds by the skewed clock."""
+    step = float(STEP or 0) if STEP_AFTER and time.monotonic() - STARTED >= float(STEP_AFTER) else 0.0
+    return REAL_TIME_NS() + int((float(OFFSET) + step) * 1e6)
 
 
-time.time_ns = shifted
-time.time = lambda: shifted() / 1e9
+time.time_ns = skewed_time_ns
+time.time = lambda: skewed_time_ns() / 1e9
 
 if __name__ == "__main__":
     from lilacloft.__main__ import main
--- a/rigs/stands.py
+++ b/rigs/stands.py
@@ -1,4 +1,5 @@
-"""Stand-ins for what a gateway talks to: caches, the change log, clients, and a world of them."""
+"""Stand-ins for the parties that a gateway talks to (caches, change log, clients), and test worlds made of
+them."""
 
 import contextlib
 import copy
@@ -22,7 +23,7 @@
 from lilacloft.net.resp import MessageBuffer, encode, encode_fields
 from rigs.named_numbers import NamedNumbers
 
-logger.remove()  # threads of earlier tests may log when the test runner's standard error is gone
+logger.remove()  # threads of earlier tests may log after the test runner has closed standard error
 
 ENV = {
     "balancers": 1,
@@ -92,12 +93,14 @@
 
 
 class Stand:
-    """A party on a listening socket: each connection has a buffer, and what comes in goes to `says`."""
+    """A server on a listening socket: each connection has a read buffer, and each message is passed to
+    `says`."""
 
     def __init__(self, says=None, port=0):
         self.says = says or (lambda stand, sock, items: None)
         self.seen, self.socks = queue.SimpleQueue(), []
-        # none of those that outgoing connections take: one that is closed could not be opened there again
+        # outside the range of ephemeral ports: an outgoing connection could take the port of a closed server,
+        # which could then not listen on it again
         self.port = port or unused()
         self.sock = socket.create_server(("127.0.0.1", self.port))
         threading.Thread(target=self._accept, daemon=True).start()
@@ -114,7 +117,7 @@
             thread.start()
 
     def accepted(self, thread):
-        """A connection was accepted, which a thread will serve."""
+        """Called for each accepted connection with the thread that will serve it."""
 
     def _serve(self, sock):
         buffer = self.new_buffer(sock)
@@ -130,10 +133,10 @@
         return MessageBuffer()
 
     def closed(self, sock):
-        """A connection has ended."""
+        """Called when a connection has ended."""
 
     def next(self, verb=b"do", wait=5):
-        """The next message of a kind."""
+        """The next message with a given verb."""
         while True:
             at, sock, items = self.seen.get(timeout=wait)
             if items[0] == verb:
@@ -141,11 +144,11 @@
 
     def break_off(self, reset=True):
         for sock in self.socks:
-            with contextlib.suppress(OSError):  # it may have ended
+            with contextlib.suppress(OSError):  # the connection may have ended
                 if reset:
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             with contextlib.suppress(OSError):
-                # a thread that waits to read would keep the connection alive past the close
+                # a blocked read of the serving thread would keep the connection open after the close
                 sock.shutdown(socket.SHUT_RD if reset else socket.SHUT_RDWR)
             sock.close()
         self.socks.clear()
@@ -156,12 +159,12 @@
         self.sock.close()
 
 
-def serves(body=b"bytes", told=b"remark=TCP_HIT"):
-    """A cache that answers all it is asked."""
+def serves(body=b"bytes", details=b"remark=TCP_HIT"):
+    """The handler of a cache that answers every dispatch and health check."""
 
     def says(stand, sock, items):
         if items[0] == b"do":
-            sock.sendall(encode(items[1], b"data", told, body))
+            sock.sendall(encode(items[1], b"data", details, body))
         elif items[0] in (b"top", b"ping"):
             sock.sendall(encode(items[1], b"well", b"report=inflight:1;util:0.2"))
 
@@ -169,28 +172,28 @@
 
 
 def silent(stand, sock, items):
-    """A cache that takes all and answers checks only; the test answers the rest."""
+    """The handler of a cache that answers health checks only; the test answers the dispatches."""
     if items[0] in (b"top", b"ping"):
         sock.sendall(encode(items[1], b"well", b"report=inflight:1;util:0.2"))
 
 
 class Log(Stand):
-    """The change log. Who connects gets all later frames at once, and an empty one behind them."""
+    """The change log. A client that connects gets all later frames at once, followed by an empty frame."""
 
-    beats_at_once = True  # else the first empty frame comes when the subclass sends it
-    released = threading.Event()  # while it is not set, who connects is told nothing
+    beats_at_once = True  # if not, the subclass sends the first empty frame
+    released = threading.Event()  # no frames are sent to new connections until this is set
     released.set()
 
     def __init__(self, frames=(), port=0):
         self.frames, self.since = list(frames), NamedNumbers()
-        self.order, self.follow = threading.Lock(), []  # who has had all frames so far
+        self.order, self.follow = threading.Lock(), []  # connections that have had all frames so far
         super().__init__(port=port)
 
     def accepted(self, thread):
         self.since.expect(thread)
 
     def hold(self):
-        """Accept connections from now on, and tell nothing on them before `released` is set."""
+        """From now on accept connections but send no frames on them until `released` is set."""
         self.released = threading.Event()
 
     def _serve(self, sock):
@@ -230,11 +233,11 @@
 
 
 def _blocks():
-    """Ports below those that outgoing connections take, in blocks: who listens on a block's first port, to
-    the end of its process, has the others to itself. So processes side by side never name the same one."""
-    first, many = 10_000, 88
+    """Yields ports below the ephemeral range, in blocks. A process reserves a block by listening on its first
+    port until it ends, so that concurrent processes never use the same port."""
+    first, block_count = 10_000, 88
     for turn in itertools.count(os.getpid()):
-        begin = first + turn * 37 % many * 250
+        begin = first + turn * 37 % block_count * 250
         try:
             held = socket.create_server(("127.0.0.1", begin), backlog=1)
         except OSError:
@@ -244,7 +247,7 @@
 
 
 def unused(ports=_blocks()):
-    """A port to listen on later, which no other test or rig of this machine takes."""
+    """A port to listen on later that no other test or rig on this machine uses."""
     for port in ports:
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
             return port
@@ -261,16 +264,23 @@
     def ask(self, vhost=b"clip", key=1, body=b"", **more):
         self.tag += 1
         ref = f"{zlib.crc32(b'%d %d' % (id(self), self.tag)):016x}"
-        told = {"ref": ref, "allow": self.allow, "lookup": f"{key:016x}", "nth": 0, "batch": 7, "room": 400.0}
-        told.update(more)
-        self.send(b"EXEC", b"%d" % self.tag, vhost, encode_fields(told.items()), body)
+        fields = {
+            "ref": ref,
+            "allow": self.allow,
+            "lookup": f"{key:016x}",
+            "nth": 0,
+            "batch": 7,
+            "room": 400.0,
+        }
+        fields.update(more)
+        self.send(b"EXEC", b"%d" % self.tag, vhost, encode_fields(fields.items()), body)
         return b"%d" % self.tag
 
     def send(self, *items):
         self.sock.sendall(encode(*items))
 
     def answer(self):
-        """The next answer; None once the connection has ended."""
+        """The next answer; None if the connection has ended."""
         while True:
             if items := self.buffer.next_message():
                 return items
@@ -279,9 +289,9 @@
 
 
 class World:
-    """Caches, a parent and the origin of our own, a change log, and one real gateway process before them."""
+    """Stand-in caches, parent, origin and change log, and one real gateway process."""
 
-    allow = 1500  # ms that its clients wait
+    allow = 1500  # client timeout in ms
 
     def __init__(
         self,
@@ -294,9 +304,9 @@
         descriptors=None,
         program=("lilacloft",),
     ):
-        """`descriptors`: how many the system lets the gateway have; none: as many as this process. `program`:
-        the module to run, with arguments of its own before those of the program."""
-        self.python, self.early = python, []  # the interpreter's options; what was written before it served
+        """`descriptors`: the gateway's limit of file descriptors; None: that of this process. `program`: the
+        module to run, with its own arguments before those of the gateway."""
+        self.python, self.early = python, []  # interpreter options; log lines from before it served
         self.program = program
         self.descriptors = descriptors
         self.caches = [Stand(says or serves()) for says in caches]
@@ -339,27 +349,27 @@
         if self.descriptors is not None:
             words = ["sh", "-c", f'ulimit -n {self.descriptors}; exec "$@"', "sh", *words]
         self.process = subprocess.Popen(words, stderr=subprocess.PIPE, text=True)
-        awaited = {"serving on", *self.said_by_watch()}
+        awaited = {"serving on", *self.change_log_texts()}
         while awaited:
             line = self.process.stderr.readline()
-            assert line, f"the process ended: {self.early}"
+            assert line, f"the gateway exited before it served: {self.early}"
             self.early.append(line)
             awaited = {text for text in awaited if text not in line}
         self.log.since.get(timeout=5)
 
-    def said_by_watch(self):
-        """What a gateway says of the change log soon after its start: that it has read it to its end, or
-        could not reach it; nothing while the log is held."""
+    def change_log_texts(self):
+        """The text that a gateway logs about the change log soon after its start (that it has read it to the
+        end, or could not reach it); nothing while the log is held."""
         return ["change log: "] if self.log.released.is_set() else []
 
     def asker(self):
         return Asker(self.port, self.allow)
 
     def stop(self):
-        """SIGTERM; returns the exit code and what was written."""
+        """Send SIGTERM; returns the exit code and the rest of the log."""
         self.process.terminate()
-        told = self.process.communicate(timeout=10)[1]
-        return self.process.returncode, told
+        log_text = self.process.communicate(timeout=10)[1]
+        return self.process.returncode, log_text
 
     def close(self):
         self.process.kill()
@@ -370,8 +380,8 @@
 
 
 def processes(config):
-    """All processes of a gateway, also those that it was upgraded to, or that a supervisor started: known by
-    their words, as nobody else has a configuration at this place."""
+    """All processes of a gateway, including its successors and those that a supervisor started. They are
+    found by their command lines, as the path of the configuration file is unique."""
     found = []
     for name in filter(str.isdigit, os.listdir("/proc")):
         with contextlib.suppress(OSError), open(f"/proc/{name}/cmdline", "rb") as file:
@@ -381,12 +391,12 @@
 
 
 class Replaced(World):
-    """A world whose gateway can be replaced: its log is a file, as its successors write to it too."""
+    """A world whose gateway can be upgraded: it logs to a file, as its successors log there too."""
 
     def __init__(
         self, tmp_path, caches=(None,), words=(), limits="", forms=None, program=("lilacloft",), **more
     ):
-        """`forms`: other operators' settings than that it can be replaced."""
+        """`forms`: operator settings that replace the default ones, which enable upgrades."""
         self.handover, self.file, self.words = str(tmp_path / "h.sock"), tmp_path / "log", words
         self.settings = tmp_path / "settings.sexp"
         forms = f'(upgrade (handover "h.sock") (limits {limits}))' if forms is None else forms
@@ -407,7 +417,7 @@
             str(self.settings),
             *self.words,
         ]
-        awaited = ["serving on", *self.said_by_watch()]
+        awaited = ["serving on", *self.change_log_texts()]
         before = self.file.read_text() if self.file.exists() else ""
         with self.file.open("ab") as file:
             self.process = subprocess.Popen(self.command, stderr=file, stdin=subprocess.DEVNULL)
@@ -418,24 +428,24 @@
             self.log.since.get(timeout=5)
 
     def killed(self):
-        """Kill it, and start it again."""
+        """Kill the gateway and start it again."""
         self.process.kill()
         self.process.wait()
         self.start()
 
     def told(self, text, count=1, wait=10):
-        """Until the log has a text so often; returns the last such line."""
+        """Wait until the log has `count` lines with a text; returns the last of these."""
         until = time.monotonic() + wait
         while time.monotonic() < until:
             lines = [line for line in self.file.read_text().split("\n") if text in line]
             if len(lines) >= count:
                 return lines[count - 1]
             time.sleep(0.005)
-        raise AssertionError(f"{text!r} not {count} times in {self.file.read_text()}")
+        raise AssertionError(f"{text!r} logged fewer than {count} times in {self.file.read_text()}")
 
     def upgrade(self, step="fine", mode="whole", seen=lambda phase: None, to=None):
-        """Replace it by a process that fails at a step, or does not; returns whether that went well, and why
-        not."""
+        """Upgrade the gateway to a process that fails at `step`, or does not; returns whether the upgrade
+        succeeded, and the reason if not."""
 
         def tell(phase):
             if phase.pid and phase.pid not in self.pids:
@@ -448,7 +458,7 @@
         return request_upgrade(self.handover, to, mode, tell, 30.0)
 
     def close(self):
-        for _ in range(2):  # a supervisor may have started one meanwhile
+        for _ in range(2):  # a supervisor may have started another one meanwhile
             for pid in processes(str(self.path)):
                 with contextlib.suppress(ProcessLookupError):
                     os.kill(pid, signal.SIGKILL)
@@ -459,7 +469,8 @@
 
 
 def made(kind, folder):
-    """For a fixture: yields a function that makes worlds of a kind, and closes them all at the end."""
+    """The generator of a fixture: yields a function that creates worlds of a class, and closes them all at
+    the end."""
     worlds = []
 
     def make(*caches, **more):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Many processes of the program with faults between them: gateways, planners, boxes, relays on all links."""
+"""A fleet of processes with faults between them: gateways, planners, backends, and relays on all links."""
 
 import contextlib
 import json
@@ -14,14 +14,14 @@
 from lilacloft.emulator.faults import parse
 from lilacloft.net.resp import encode
 from rigs.fleet import Fleet, drawn, run
-from rigs.relay import HOLDS
+from rigs.relay import BUFFER_BYTES
 from rigs.stands import unused
 
-pytestmark = pytest.mark.xdist_group("fleet")  # some twenty processes each: one run at a time
+pytestmark = pytest.mark.xdist_group("fleet")  # about twenty processes each, so one run at a time
 
 
-class Linked:
-    """A relay process with one link to a stand-in that sends back what it gets."""
+class RelayLink:
+    """A relay process with one link to a listening socket of the test."""
 
     def __init__(self, tmp_path):
         self.port = unused()
@@ -39,8 +39,8 @@
             sock.settimeout(5)
         return near, far
 
-    def say(self, way="both", broken=False, **told):
-        line = json.dumps({"links": [0], "way": way, "set": told, "break": broken})
+    def say(self, way="both", broken=False, **settings):
+        line = json.dumps({"links": [0], "way": way, "set": settings, "break": broken})
         self.process.stdin.write(line.encode() + b"\n")
         self.process.stdin.flush()
 
@@ -52,12 +52,12 @@
 
 @pytest.fixture
 def link(tmp_path):
-    made = Linked(tmp_path)
+    made = RelayLink(tmp_path)
     yield made
     made.close()
 
 
-def test_a_link_passes_both_ways_and_a_close(link):
+def test_relay_forwards_both_directions_and_a_close(link):
     near, far = link.pair()
     near.sendall(b"there")
     assert far.recv(10) == b"there"
@@ -67,12 +67,12 @@
     assert near.recv(10) == b""
 
 
-def test_a_stalled_direction_holds_what_comes_and_gives_it_on_at_the_heal(link):
+def test_stalled_direction_buffers_data_and_forwards_it_after_the_stall(link):
     near, far = link.pair()
     link.say("down", stall=True)
     far.settimeout(0.3)
     until = time.monotonic() + 5
-    while time.monotonic() < until:  # the command is on its way beside the connection
+    while time.monotonic() < until:  # the command may take effect after the first bytes
         far.sendall(b"x")
         near.settimeout(0.2)
         try:
@@ -86,7 +86,7 @@
     assert near.recv(10)
 
 
-def test_a_stalled_link_holds_no_more_than_its_bound(link):
+def test_stalled_link_buffers_no_more_than_its_limit(link):
     near, far = link.pair()
     link.say("up", stall=True)
     time.sleep(0.3)
@@ -97,19 +97,19 @@
             sent += near.send(b"." * 65536)
         except BlockingIOError:
             time.sleep(0.01)
-    assert sent < HOLDS + (16 << 20)  # the rest is in the kernel's buffers
+    assert sent < BUFFER_BYTES + (16 << 20)  # the rest is in kernel buffers
     status = Path(f"/proc/{link.process.pid}/status").read_text()
     assert int(status.split("VmRSS:")[1].split()[0]) < 60_000
 
 
-def test_what_is_open_can_be_reset(link):
+def test_break_resets_open_connections(link):
     near, _ = link.pair()
     link.say(broken=True)
     with pytest.raises(ConnectionResetError):
         near.recv(10)
 
 
-def test_faults_are_drawn_alike_and_only_those_that_processes_can_have():
+def test_drawn_faults_are_reproducible_and_applicable_to_processes():
     sizes = {"zone": 4, "hub": 2, "cache": 16, "parent": 4, "gateway": 24, "object": 40}
     one = drawn(7, 60.0, 12, sizes)
     assert one == drawn(7, 60.0, 12, sizes) and one != drawn(8, 60.0, 12, sizes)
@@ -125,7 +125,7 @@
     }
 
 
-def test_each_fault_of_the_scripts_has_something_done_here(tmp_path):
+def test_each_fault_of_the_scripts_has_actions(tmp_path):
     fleet = Fleet(tmp_path, 1, 4, 1, caches=1)
     try:
         for text in (
@@ -153,39 +153,41 @@
         fleet.close()
 
 
-def check(report, faults=1):
-    """What a machine with more work than cores keeps as well: it answers late there, and a box's process may
-    read an undo later than the 8 ms that gateways wait for it. All else is asserted: answers lost, twice or
-    of nobody's making, effects twice, drains, cold bes, purges. (The rig itself counts everything.)"""
+def assert_kept_rules(report, faults=1):
+    """Asserts the rules that hold on an overloaded machine too. Gateways answer late there, and the process
+    of a backend may read an undo later than the 8 ms for which gateways wait. All other rules are
+    asserted: answers lost, duplicated or without a request, duplicate effects, drains, cold backends,
+    purges. (The rig itself counts every breach.)"""
     strict = [text for text in report["all"] if "too late" not in text and "out twice" not in text]
     assert len(report["faults"]) >= faults
     assert not strict and report["faults_seen"] == 0, (strict[:5], report["tail"])
     assert report["counts"]["asked"] > 300 and report["done"] > 0.85
 
 
-def test_a_lost_location_is_left_and_back_on_processes():
+def test_failed_location_is_left_and_used_again_after_recovery():
     report = run("silent-cold", 8, 3, 18.0, 40.0, 1, caches=2)
-    check(report)
-    told = "\n".join(report["left"]["p0 1"])
-    assert "left, 0 of 64 slices: its caches fail" in told and "returning" in told
+    assert_kept_rules(report)
+    explained = "\n".join(report["left"]["p0 1"])
+    assert "left, 0 of 64 slices: its caches fail" in explained and "returning" in explained
     assert not any(place.endswith((" 0", " 2", " 3")) for place in report["left"])
 
 
-def test_planners_that_all_die_meanwhile_leave_gateways_that_go_on():
+def test_gateways_continue_when_all_planners_die():
     report = run("nobody", 8, 3, 14.0, 40.0, 2, caches=2)
-    check(report)
+    assert_kept_rules(report)
 
 
-def test_faults_drawn_from_a_seed_break_no_rule():
-    check(run("drawn", 8, 3, 12.0, 40.0, 5, count=8, caches=2), 4)
+def test_drawn_faults_cause_no_breach():
+    assert_kept_rules(run("drawn", 8, 3, 12.0, 40.0, 5, count=8, caches=2), 4)
 
 
-def test_cold_boxes_are_judged_by_what_came_from_those_that_were_told(tmp_path):
-    """Forty dispatches of a tenth of a second each within 0.4 s, at a box that started a second before: of a
-    gateway that had been told a breach, of one whose change log was cut the script's doing."""
+def test_cold_backends_are_checked_on_dispatches_of_informed_gateways(tmp_path):
+    """Forty dispatches of a tenth of a second each reach a backend within 0.4 s, a second after its start.
+    They are a breach if their gateway knew of the start, and caused by the script if its change log was
+    cut."""
     fleet = Fleet(tmp_path, 1, 4, 1, caches=1)
     try:
-        told, cut = fleet.gateways[0], fleet.gateways[1]
+        informed, cut = fleet.gateways[0], fleet.gateways[1]
         backend, start = fleet.caches[0], 1000.0
         fleet.births.append((backend.name, start + 0.3))
         fleet.cuts.append((cut.name, "log", start - 5.0, start + 9.0))
@@ -241,7 +243,7 @@
                 ]
             return out
 
-        breaches, beyond = fleet.judged(entries(told))
+        breaches, beyond = fleet.judged(entries(informed))
         assert breaches and {one.rule for one in breaches} == {4} and beyond == 0
         breaches, beyond = fleet.judged(entries(cut))
         assert not breaches and beyond > 0
@@ -249,8 +251,9 @@
         fleet.close()
 
 
-def test_what_a_killed_box_had_taken_is_over_by_the_account(tmp_path, monkeypatch):
-    """CI found a rule broken where a box took a dispatch between the entry of its end and its end."""
+def test_killed_backend_accepts_no_dispatch_after_its_entry_of_death(tmp_path, monkeypatch):
+    """Guards against a false breach, seen in CI: a backend accepted a dispatch between the entry of its death
+    and its actual end."""
     fleet = Fleet(tmp_path, 1, 1, planners=0, zones=1, caches=1, hubs=1, parents=1)
     box, site = fleet.caches[0], fleet.sites[0]
     fleet.start_site(0)
--- a/tests/test_kernel_times.py
+++ b/tests/test_kernel_times.py
@@ -1,6 +1,7 @@
-"""What parties of a rig read and write is dated by the kernel: their own lateness makes no breach, and what a
-gateway does wrong is found all the same. A stand-in gateway plants each fault, on real sockets; its own
-lateness only makes a fault larger."""
+"""Rigs date what they read and write by the kernel. Their own lateness must cause no breach, and faults of a
+gateway must still be found. A stand-in gateway commits each fault on real sockets; if it is late itself,
+that only makes the fault larger.
+"""
 
 import dataclasses
 import select
@@ -31,15 +32,15 @@
 from rigs.scene import Scene, body
 from rigs.stands import Stand
 
-LATE = 0.5  # seconds by which the rig comes to things, where it is made late
-ALLOW = 0.5  # seconds that clients wait
+LATE = 0.5  # seconds by which the rig is delayed, where a test delays it
+ALLOW = 0.5  # client timeout in seconds
 CANCEL_WAIT = 0.008  # seconds from an undo to the next dispatch
 LIMITS = Limits(cold={"small": (0.2, 15.0, 2.0)}, attempts=True)
 
 
 @dataclasses.dataclass
-class Taken:
-    """A request as the stand-in gateway has it; `at`: when its kernel had it, in Unix time."""
+class ReceivedRequest:
+    """A request that the stand-in gateway received; `at` is the Unix time at which its kernel had it."""
 
     gateway: "StandInGateway"
     sock: socket.socket
@@ -51,7 +52,7 @@
     forgotten_at: float = 0.0
 
     def wait_until(self, seconds):
-        """Until so long after the kernel had the request."""
+        """Wait until `seconds` after the kernel had the request."""
         wait_for_time(self.at + seconds)
 
     def answer(self):
@@ -61,22 +62,22 @@
         self.note_lateness(self.at + ALLOW + SLACK)
 
     def dispatch(self, sock, more=0.0):
-        """Send it to a box, with the time that is left and `more` seconds."""
+        """Dispatch the request to a backend, with the remaining time and `more` seconds as its limit."""
         computed_at = time.time()
-        told = {
+        fields = {
             "profile": "clip",
             "thing": self.fields["lookup"],
             "nth": self.fields["nth"],
             "max": int(1000 * (ALLOW - (computed_at - self.at) + more)),
         }
-        sock.sendall(encode(b"do", self.ref, encode_fields(told.items())))
+        sock.sendall(encode(b"do", self.ref, encode_fields(fields.items())))
         self.gateway.sent["do"] += 1
         self.note_lateness(computed_at + TIME_SLACK)
         if self.forgotten_at:
             self.note_lateness(self.forgotten_at + GONE + SLACK)
 
     def note_lateness(self, limit):
-        """On a machine with more work than cores it may be late itself."""
+        """Record whether this gateway was late itself, as on a machine with more work than cores."""
         self.gateway.was_late |= time.time() > limit - 2 * JIFFY
 
     def undo(self, sock):
@@ -89,37 +90,39 @@
 
 
 class StandInGateway(Stand):
-    """Does with each request what the test says."""
+    """A gateway that runs a function of the test for each request."""
 
     def __init__(self, scene, act):
         self.scene, self.act = scene, act
-        self.buffers, self.taken, self.boxes = {}, {}, []
-        self.sent = Counter()  # by kind of the entry that is to come of it
+        self.buffers, self.received, self.boxes = {}, {}, []
+        self.sent = Counter()  # number of messages by the kind of the entry that each causes
         self.finished = threading.Event()
-        self.was_late = False  # by its own clock; then a breach is its own doing
-        super().__init__(self._says, scene.gateways[0].port)
+        self.was_late = False  # by its own clock; if so, it causes breaches itself
+        super().__init__(self._handle_message, scene.gateways[0].port)
 
     def new_buffer(self, sock):
         self.buffers[sock] = TimestampedBuffer(sock, CLIENT_MESSAGE_SIZES)
         return self.buffers[sock]
 
-    def _says(self, stand, sock, items):
+    def _handle_message(self, stand, sock, items):
         at = self.buffers[sock].received_at
         if items[0] == b"FORGET":
-            taken = self.taken[sock, items[1]]
-            taken.forgotten_at = at
-            taken.forgotten.set()
+            received = self.received[sock, items[1]]
+            received.forgotten_at = at
+            received.forgotten.set()
             return
         fields = parse_fields(items[3])
-        taken = self.taken[sock, items[1]] = Taken(self, sock, items[1], fields["ref"].encode(), fields, at)
-        threading.Thread(target=self._run, args=(taken,), daemon=True).start()
+        received = self.received[sock, items[1]] = ReceivedRequest(
+            self, sock, items[1], fields["ref"].encode(), fields, at
+        )
+        threading.Thread(target=self._run, args=(received,), daemon=True).start()
 
-    def _run(self, taken):
-        self.act(taken)
+    def _run(self, received):
+        self.act(received)
         self.finished.set()
 
     def box(self, place):
-        """A connection to a cache; it stays open until the test ends, or closes it."""
+        """A connection to a cache that stays open until the test ends or closes it."""
         sock = socket.create_connection(("127.0.0.1", self.scene.caches[place].port), 5)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.boxes.append(sock)
@@ -127,13 +130,13 @@
 
 
 def wait_for_time(at):
-    """Until a Unix time has come."""
+    """Wait until a Unix time."""
     while (left := at - time.time()) > 0:
         time.sleep(left)
 
 
 class LateBuffer(TimestampedBuffer):
-    """One whose thread comes to each read late."""
+    """A buffer whose thread is late for each read."""
 
     def read_from(self, sock):
         select.select([sock], [], [], 20)
@@ -141,20 +144,20 @@
         return super().read_from(sock)
 
 
-def writes_late(sock, data):
+def write_late(sock, data):
     time.sleep(LATE)
     return write_timed(sock, data)
 
 
 @pytest.fixture(params=["in time", "boxes read late", "clients read late", "clients write late"])
 def world(request, tmp_path, monkeypatch):
-    """A scene with silent caches, of which one kind of party is late."""
+    """A scene with silent caches, in which one kind of party is delayed."""
     if request.param == "boxes read late":
         monkeypatch.setattr(scene_module, "TimestampedBuffer", LateBuffer)
     elif request.param == "clients read late":
         monkeypatch.setattr(load_module, "TimestampedBuffer", LateBuffer)
     elif request.param == "clients write late":
-        monkeypatch.setattr(load_module, "write_timed", writes_late)
+        monkeypatch.setattr(load_module, "write_timed", write_late)
     scene = Scene(tmp_path, 1, caches=2, parents=1)
     for box in scene.caches:
         box.silent = True
@@ -163,8 +166,8 @@
 
 
 def breaches(scene, act, forgets=False):
-    """One request, with which the gateway does something; what the checker says of it, and whether the
-    gateway was late itself."""
+    """Send one request, which the gateway handles by `act`; returns the breaches that the checker finds, and
+    whether the gateway was late itself."""
     gateway = StandInGateway(scene, act)
     load = Load(scene, 1.0, mix=(("clip", 1.0),))
     load.allows = (int(1000 * ALLOW),)
@@ -185,127 +188,127 @@
 
 
 def all_read(scene, gateway):
-    """Has everybody read what the gateway sent?"""
+    """Whether all messages of the gateway have been read."""
     read = Counter(entry["what"] for entry in scene.account.sorted())
     return all(read[what] >= count for what, count in gateway.sent.items())
 
 
-# --- faults that are planted ---
+# --- injected faults ---
 
 
-def answers_late(taken):
-    taken.wait_until(ALLOW + SLACK + 0.06)
-    taken.answer()
+def answer_late(received):
+    received.wait_until(ALLOW + SLACK + 0.06)
+    received.answer()
 
 
-def tells_too_much(taken):
-    taken.dispatch(taken.gateway.box(0), more=TIME_SLACK + 0.01 + 0.001)
-    taken.answer()
+def dispatch_with_excess_time(received):
+    received.dispatch(received.gateway.box(0), more=TIME_SLACK + 0.01 + 0.001)
+    received.answer()
 
 
-def closes_unanswered(taken):
-    taken.wait_until(0.1)
-    taken.sock.shutdown(socket.SHUT_RDWR)
-    taken.gateway.sent["lost"] += 1
+def close_unanswered(received):
+    received.wait_until(0.1)
+    received.sock.shutdown(socket.SHUT_RDWR)
+    received.gateway.sent["lost"] += 1
 
 
-def sends_before_the_undo(taken):
-    first, second = taken.gateway.box(0), taken.gateway.box(1)
-    taken.dispatch(first)
+def resend_before_undo(received):
+    first, second = received.gateway.box(0), received.gateway.box(1)
+    received.dispatch(first)
     time.sleep(0.02)
-    taken.dispatch(second)
+    received.dispatch(second)
     time.sleep(0.002)
-    taken.undo(first)
-    taken.answer()
+    received.undo(first)
+    received.answer()
 
 
-def sends_before_the_close(taken):
-    first, second = taken.gateway.box(0), taken.gateway.box(1)
-    taken.dispatch(first)
+def resend_before_close(received):
+    first, second = received.gateway.box(0), received.gateway.box(1)
+    received.dispatch(first)
     time.sleep(0.02)
-    taken.dispatch(second)
+    received.dispatch(second)
     time.sleep(0.002)
-    taken.close(first)
-    taken.answer()
+    received.close(first)
+    received.answer()
 
 
-def begins_for_one_who_left(taken):
-    assert taken.forgotten.wait(5)
-    wait_for_time(taken.forgotten_at + GONE + SLACK + 0.01)
-    taken.dispatch(taken.gateway.box(0), more=-ALLOW)
+def dispatch_after_forget(received):
+    assert received.forgotten.wait(5)
+    wait_for_time(received.forgotten_at + GONE + SLACK + 0.01)
+    received.dispatch(received.gateway.box(0), more=-ALLOW)
 
 
-PLANTED = [
-    (answers_late, "too late", False),
-    (tells_too_much, "more than its client has", False),
-    (closes_unanswered, "lost", False),
-    (sends_before_the_undo, "out twice", False),
-    (sends_before_the_close, "out twice", False),
-    (begins_for_one_who_left, "after its client left", True),
+FAULTS = [
+    (answer_late, "too late", False),
+    (dispatch_with_excess_time, "more than its client has", False),
+    (close_unanswered, "lost", False),
+    (resend_before_undo, "out twice", False),
+    (resend_before_close, "out twice", False),
+    (dispatch_after_forget, "after its client left", True),
 ]
 
 
-@pytest.mark.parametrize("act, text, forgets", PLANTED)
-def test_a_planted_fault_is_found_however_late_the_rig_is(world, act, text, forgets):
+@pytest.mark.parametrize("act, text, forgets", FAULTS)
+def test_injected_fault_is_found_when_the_rig_is_late(world, act, text, forgets):
     found, _ = breaches(world, act, forgets)
     assert any(text in breach for breach in found), found
 
 
-# --- what keeps the rules ---
+# --- behaviour without faults ---
 
 
-def answers_in_time(taken):
-    taken.wait_until(ALLOW - LATE + 2 * SLACK)  # when a late client reads it, the time is over
-    taken.answer()
+def answer_in_time(received):
+    received.wait_until(ALLOW - LATE + 2 * SLACK)  # a delayed client reads it after the deadline
+    received.answer()
 
 
-def tells_what_is_left(taken):
-    taken.dispatch(taken.gateway.box(0))
-    taken.answer()
+def dispatch_with_remaining_time(received):
+    received.dispatch(received.gateway.box(0))
+    received.answer()
 
 
-def sends_after_the_undo(taken):
-    first, second = taken.gateway.box(0), taken.gateway.box(1)
-    taken.dispatch(first)
+def resend_after_undo(received):
+    first, second = received.gateway.box(0), received.gateway.box(1)
+    received.dispatch(first)
     time.sleep(0.02)
-    taken.undo(first)
+    received.undo(first)
     time.sleep(CANCEL_WAIT)
-    taken.dispatch(second)
-    taken.answer()
+    received.dispatch(second)
+    received.answer()
 
 
-def sends_after_the_close(taken):
-    """The kernel tells of a close to two jiffies."""
-    first, second = taken.gateway.box(0), taken.gateway.box(1)
-    taken.dispatch(first)
+def resend_after_close(received):
+    """The kernel dates a close to within two jiffies."""
+    first, second = received.gateway.box(0), received.gateway.box(1)
+    received.dispatch(first)
     time.sleep(0.02)
-    taken.close(first)
+    received.close(first)
     time.sleep(3 * JIFFY)
-    taken.dispatch(second)
-    taken.answer()
+    received.dispatch(second)
+    received.answer()
 
 
-def begins_and_hears_that_its_client_left(taken):
-    assert taken.forgotten.wait(5)
-    taken.dispatch(taken.gateway.box(0), more=-ALLOW)
+def dispatch_at_forget(received):
+    assert received.forgotten.wait(5)
+    received.dispatch(received.gateway.box(0), more=-ALLOW)
 
 
-KEPT = [
-    (answers_in_time, False),
-    (tells_what_is_left, False),
-    (sends_after_the_undo, False),
-    (sends_after_the_close, False),
-    (begins_and_hears_that_its_client_left, True),
+CORRECT_ACTIONS = [
+    (answer_in_time, False),
+    (dispatch_with_remaining_time, False),
+    (resend_after_undo, False),
+    (resend_after_close, False),
+    (dispatch_at_forget, True),
 ]
 
 
-@pytest.mark.parametrize("act, forgets", KEPT)
-def test_who_keeps_the_rules_is_not_blamed_for_a_rig_that_is_late(world, act, forgets):
+@pytest.mark.parametrize("act, forgets", CORRECT_ACTIONS)
+def test_correct_gateway_has_no_breach_when_the_rig_is_late(world, act, forgets):
     found, was_late = breaches(world, act, forgets)
     assert found == [] or was_late
 
 
-def test_a_request_that_crosses_a_close_which_the_client_reads_late_is_sent_again(tmp_path, monkeypatch):
+def test_request_that_crosses_a_close_is_resent_when_the_client_reads_late(tmp_path, monkeypatch):
     monkeypatch.setattr(load_module, "TimestampedBuffer", LateBuffer)
     scene = Scene(tmp_path, 1, caches=1, parents=1)
     load = Load(scene, 1.0)
@@ -322,24 +325,25 @@
             second.close()
     finally:
         scene.close()
-    assert asked.again and asked.crossed < load_module.CROSSES
+    assert asked.again and asked.crossed < load_module.CROSSING_SECONDS
 
 
-def test_a_box_that_answers_what_was_given_up_in_its_kernel_makes_no_breach(tmp_path, monkeypatch):
-    """Its answer comes after the undo did and before it reads that; by then another box has the request."""
+def test_answer_after_an_unread_undo_is_no_breach(tmp_path, monkeypatch):
+    """The backend answers after the undo has arrived and before it reads it; by then another backend has the
+    request."""
     monkeypatch.setattr(scene_module, "TimestampedBuffer", LateBuffer)
     scene = Scene(tmp_path, 1, caches=2, parents=1)
     scene.caches[0].slow = LATE - 0.1
     scene.caches[1].silent = True
 
-    def act(taken):
-        first, second = taken.gateway.box(0), taken.gateway.box(1)
-        taken.answer()
-        taken.dispatch(first)
-        wait_for_time(taken.at + LATE + 0.05)  # it has read the dispatch
-        taken.undo(first)
+    def act(received):
+        first, second = received.gateway.box(0), received.gateway.box(1)
+        received.answer()
+        received.dispatch(first)
+        wait_for_time(received.at + LATE + 0.05)  # the backend has read the dispatch
+        received.undo(first)
         time.sleep(CANCEL_WAIT)
-        taken.dispatch(second)
+        received.dispatch(second)
 
     try:
         found, was_late = breaches(scene, act)
@@ -352,12 +356,12 @@
     assert undone["at"] - undone["late"] < ended["at"] < undone["at"]
 
 
-# --- the kernel's times ---
+# --- kernel times ---
 
 
 @pytest.fixture
 def pair():
-    """Two ends of a connection on loopback; the second tells when bytes came."""
+    """Both ends of a loopback connection; the second has kernel timestamps enabled."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         timestamp_received_bytes(server)
         near = socket.create_connection(server.getsockname(), 5)
@@ -368,7 +372,7 @@
     far.close()
 
 
-def test_bytes_are_dated_by_when_the_kernel_had_them(pair):
+def test_received_bytes_have_kernel_time(pair):
     near, far = pair
     buffer = TimestampedBuffer(far)
     for _ in range(3):
@@ -380,7 +384,7 @@
         assert before <= buffer.received_at < after + 0.05
 
 
-def test_of_bytes_that_are_read_together_the_last_counts(pair):
+def test_bytes_read_together_have_time_of_the_last(pair):
     near, far = pair
     buffer = TimestampedBuffer(far)
     near.sendall(b"x")
@@ -391,7 +395,7 @@
     assert buffer.read_from(far) == 2 and buffer.received_at >= before
 
 
-def test_without_a_timestamp_the_time_is_within_two_jiffies_and_never_too_early(pair):
+def test_time_without_timestamp_is_within_two_jiffies_and_never_early(pair):
     near, far = pair
     buffer = TimestampedBuffer(far)
     far.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 0)
@@ -405,7 +409,7 @@
 
 
 @pytest.mark.parametrize("behind", [b"", b"more"])
-def test_a_close_is_never_dated_before_it_came_nor_as_late_as_it_is_read(pair, behind):
+def test_close_is_dated_neither_before_its_arrival_nor_at_its_reading(pair, behind):
     near, far = pair
     near.sendall(b"x")
     time.sleep(0.1)
@@ -413,7 +417,7 @@
     near.close()
     after = time.time()
     time.sleep(0.2)
-    if behind:  # what is sent to who has closed makes the time no earlier
+    if behind:  # data sent to a peer that has closed makes the time no earlier
         far.sendall(behind)
     assert far.recv(10) == b"x"
     closed_at = closed_by_peer_at(far)
@@ -422,7 +426,7 @@
 
 
 @pytest.mark.parametrize("ends", ["shut down here", "reset there"])
-def test_a_close_that_the_kernel_does_not_date_counts_from_its_reading(pair, ends):
+def test_close_without_kernel_time_is_dated_at_its_reading(pair, ends):
     near, far = pair
     near.sendall(b"x")
     time.sleep(0.05)
@@ -437,7 +441,7 @@
 
 
 class SlowSocket:
-    """A socket whose thread is kept from running before and after it sends."""
+    """A socket whose thread is delayed before and after it sends."""
 
     def __init__(self, sock, before, after):
         self.sock, self.before, self.after, self.sent_at = sock, before, after, (0.0, 0.0)
@@ -449,12 +453,12 @@
         self.sent_at = (began, time.time())
         time.sleep(self.after)
 
-    def getsockopt(self, *told):
-        return self.sock.getsockopt(*told)
+    def getsockopt(self, *args):
+        return self.sock.getsockopt(*args)
 
 
 @pytest.mark.parametrize("before, after", [(0.0, 0.0), (0.2, 0.0), (0.0, 0.2), (0.1, 0.1)])
-def test_a_write_is_never_dated_later_than_it_was_nor_much_earlier(pair, before, after):
+def test_write_is_never_dated_late_nor_much_too_early(pair, before, after):
     sock = SlowSocket(pair[0], before, after)
     for _ in range(5):
         written_at = write_timed(sock, b"x" * 100)
@@ -462,22 +466,22 @@
 
 
 class LateTicks(SlowSocket):
-    """A socket of a kernel that has not counted the last jiffy yet, of a time that began with a jiffy."""
+    """A socket of a kernel that has not counted the last jiffy yet, for a period that began with a jiffy."""
 
-    def getsockopt(self, *told):
+    def getsockopt(self, *args):
         since = time.time() - self.sent_at[1]
         counted = JIFFY * (int(since / JIFFY) - 1)
         return LAST_DATA_SENT.pack(round(counted * MILLISECONDS_PER_SECOND)).ljust(TCP_INFO_SIZE, b"\0")
 
 
-def test_a_write_is_not_dated_later_where_a_jiffy_is_counted_late(pair):
+def test_write_is_not_dated_late_when_a_jiffy_is_counted_late(pair):
     for wait in (0.1, 0.1 + JIFFY / 4, 0.1 + JIFFY / 2, 0.1 + 3 * JIFFY / 4):
         sock = LateTicks(pair[0], 0.1, wait)
         written_at = write_timed(sock, b"x" * 100)
         assert sock.sent_at[0] - 3 * JIFFY - 0.05 <= written_at <= sock.sent_at[1]
 
 
-def test_a_write_that_fails_counts_from_its_beginning(pair):
+def test_failed_write_is_dated_at_its_start(pair):
     near, _ = pair
     near.sendall(b"x")
     near.close()
@@ -485,7 +489,7 @@
     assert before <= write_timed(near, b"y") <= time.time()
 
 
-# --- the checker, on both sides of each bound ---
+# --- the checker, on both sides of each limit ---
 
 
 def entry(at, what, who="clients", **more):
@@ -493,8 +497,8 @@
 
 
 def request(**more):
-    told = {"vhost": "v", "effect": "replayable", "key": "k", "part": 0, "group": 7}
-    return entry(0.0, "req", allow=1.0, kbytes=400.0, **told, **more)
+    fields = {"vhost": "v", "effect": "replayable", "key": "k", "part": 0, "group": 7}
+    return entry(0.0, "req", allow=1.0, kbytes=400.0, **fields, **more)
 
 
 def answer(at, **more):
@@ -506,67 +510,69 @@
 
 
 def found(*entries):
-    told = sorted([request(), *entries], key=lambda one: one["at"])
-    return [breach.text for breach in check(told, LIMITS)]
+    ordered = sorted([request(), *entries], key=lambda one: one["at"])
+    return [breach.text for breach in check(ordered, LIMITS)]
 
 
 @pytest.mark.parametrize("late", [None, 0.0, 0.2])
 @pytest.mark.parametrize("beyond, is_breach", [(-0.001, False), (0.001, True)])
-class TestEachBound:
-    """`late` None: the entry does not say it."""
+class TestEachLimit:
+    """`late` None: the entry has no such field."""
 
     @staticmethod
     def lag(late):
         return ({}, 0.0) if late is None else ({"late": late}, late)
 
     @pytest.mark.parametrize("written", [None, 0.0, 0.3])
-    def test_of_a_late_answer(self, late, beyond, is_breach, written):
-        told, lag = self.lag(late)
+    def test_late_answer(self, late, beyond, is_breach, written):
+        fields, lag = self.lag(late)
         entries = [] if written is None else [entry(written, "written")]
         at = (written or 0.0) + 1.0 + SLACK + beyond
-        assert any("too late" in text for text in found(*entries, answer(at + lag, **told))) == is_breach
+        assert any("too late" in text for text in found(*entries, answer(at + lag, **fields))) == is_breach
 
-    def test_of_a_late_answer_to_what_was_sent_again(self, late, beyond, is_breach):
-        told, lag = self.lag(late)
+    def test_late_answer_to_resent_request(self, late, beyond, is_breach):
+        fields, lag = self.lag(late)
         again = [entry(0.1, "written"), entry(0.5, "written", crossed=0.04)]
         at = 0.5 - 0.04 + 1.0 + SLACK + beyond
-        assert any("too late" in text for text in found(*again, answer(at + lag, **told))) == is_breach
+        assert any("too late" in text for text in found(*again, answer(at + lag, **fields))) == is_breach
 
-    def test_of_what_is_told(self, late, beyond, is_breach):
-        told, lag = self.lag(late)
+    def test_limit_of_a_dispatch(self, late, beyond, is_breach):
+        fields, lag = self.lag(late)
         limit = 1.0 - 0.4 + TIME_SLACK + beyond
-        texts = found(entry(0.1, "written"), do(0.5 + lag, limit=limit, **told), answer(0.9))
+        texts = found(entry(0.1, "written"), do(0.5 + lag, limit=limit, **fields), answer(0.9))
         assert any("told" in text for text in texts) == is_breach
 
-    def test_of_an_attempt_for_who_left(self, late, beyond, is_breach):
-        told, lag = self.lag(late)
-        texts = found(entry(0.2, "left"), do(0.2 + GONE + SLACK + beyond + lag, limit=0.1, **told))
+    def test_attempt_after_forget(self, late, beyond, is_breach):
+        fields, lag = self.lag(late)
+        texts = found(entry(0.2, "left"), do(0.2 + GONE + SLACK + beyond + lag, limit=0.1, **fields))
         assert any("begun" in text for text in texts) == is_breach
 
     @pytest.mark.parametrize("what", ["undo", "closed"])
     @pytest.mark.parametrize("is_answered", [False, True])
-    def test_of_two_out_at_once(self, late, beyond, is_breach, what, is_answered):
-        """Box b has the request at 0.3; box a gives it up at about then, and may have answered meanwhile."""
-        told, lag = self.lag(late)
-        over = entry(0.3 + beyond + lag, what, "a", conn=1, **told)
+    def test_two_concurrent_dispatches(self, late, beyond, is_breach, what, is_answered):
+        """Backend b gets the request at 0.3; backend a ends it at about that time, and may have answered
+        before."""
+        fields, lag = self.lag(late)
+        over = entry(0.3 + beyond + lag, what, "a", conn=1, **fields)
         end = [entry(0.3 + lag, "end", "a", conn=1, word="data")] if is_answered and lag else []
         texts = found(do(0.1), do(0.3, "b"), over, *end, answer(0.9))
         assert any("out twice" in text for text in texts) == is_breach
 
-    def test_of_a_second_dispatch_that_lay_unread(self, late, beyond, is_breach):
-        told, lag = self.lag(late)
-        texts = found(do(0.1), entry(0.3 + beyond, "undo", "a", conn=1), do(0.3 + lag, "b", **told))
+    def test_second_dispatch_that_lay_unread(self, late, beyond, is_breach):
+        fields, lag = self.lag(late)
+        texts = found(do(0.1), entry(0.3 + beyond, "undo", "a", conn=1), do(0.3 + lag, "b", **fields))
         assert any("out twice" in text for text in texts) == is_breach
 
-    def test_of_a_drain(self, late, beyond, is_breach):
-        told, lag = self.lag(late)
+    def test_dispatch_to_leaving_backend(self, late, beyond, is_breach):
+        fields, lag = self.lag(late)
         listed = entry(0.0, "listed", "log", backend="a", state="leaving", started=0.0)
-        texts = found(listed, do(1.0 + SLACK + beyond + lag, **told))
+        texts = found(listed, do(1.0 + SLACK + beyond + lag, **fields))
         assert any("leaving" in text for text in texts) == is_breach
 
 
-def test_cold_boxes_are_judged_by_when_dispatches_came_and_not_by_when_they_are_read():
-    """Sixty in six seconds are no more than a cold box bears; read all at once they looked like it."""
+def test_cold_limit_uses_arrival_times_of_dispatches():
+    """Sixty dispatches in six seconds are within the limit of a cold backend, but read all at once they
+    looked like a breach."""
     listed = entry(
         0.0, "listed", "log", backend="a", state="active", started=0.01, capacity=5.0, kind="small"
     )
@@ -576,9 +582,9 @@
     assert any("cold for" in text for text in found(listed, *at_once))
 
 
-def test_a_client_says_nothing_of_a_request_later_than_it_writes_it(tmp_path):
+def test_request_entry_is_never_later_than_its_write(tmp_path):
     scene = Scene(tmp_path, 1, caches=1, parents=1)
-    gateway = StandInGateway(scene, lambda taken: taken.answer())
+    gateway = StandInGateway(scene, lambda received: received.answer())
     load = Load(scene, 1.0)
     try:
         for pause in (0.0, 0.03):
