--- a/rigs/failing.py
+++ b/rigs/failing.py
@@ -1,8 +1,8 @@
-"""System calls that fail as Linux documents, put under a gateway's own code: sockets, polls and threads.
+"""Fault injection for the system calls of a gateway: sockets, polls and threads fail as Linux documents.
 
-A `Failures` says which call fails with which error, and how often; `put_under` makes the connections, the
-listening socket, polls and threads of this process ask it before each call. Seeded, so that a run can be
-repeated as far as threads allow; reads and writes may be short as well.
+A `Failures` decides which call fails with which error, and how often. `put_under` makes the connections,
+the listening socket, polls and threads of this process consult it before each call. The failures are
+seeded, so that a run can be repeated as far as threads allow; reads and writes may be short as well.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 from lilacloft.net import connection, downstream, polling, upstream, write_backlog
 
-# errors that pass by themselves, by call, as the manual pages have them
-PASSING: Mapping[str, tuple[int, ...]] = {
+# transient errors by call, from the manual pages
+TRANSIENT_ERRORS: Mapping[str, tuple[int, ...]] = {
     "accept": (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO),
     "recv": (errno.ENOMEM, errno.EINTR),
     "send": (errno.ENOBUFS, errno.ENOMEM, errno.EINTR),
@@ -34,40 +34,42 @@
     "thread": (errno.EAGAIN,),
     "thread that writes": (errno.EAGAIN,),
 }
-BROKEN = (errno.ETIMEDOUT, errno.EHOSTUNREACH)  # how a connection may show that its way has broken
+# errors by which a connection shows that its network path has failed
+BROKEN = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 
 class Failures:
-    """Which calls fail next. Any thread may ask."""
+    """Decides which calls fail. Any thread may use it."""
 
     def __init__(self, rates: Mapping[str, float] | None = None, seed: int = 0, short: float = 0.0) -> None:
-        """`rates`: part of the calls that fail, by call; `short`: part of reads and writes that are short."""
+        """`rates`: fraction of the calls that fail, by call; `short`: fraction of reads and writes that are
+        short."""
         self.rates, self.short = dict(rates or {}), short
         self.chance, self.lock = random.Random(seed), threading.Lock()
-        self.due: dict[str, deque[int]] = {}  # errors that a test asks for, by call
+        self.due: dict[str, deque[int]] = {}  # errors requested by a test, by call
         self.seen: Counter[str] = Counter()
 
     def next(self, call: str, *errors: int) -> None:
-        """The next calls of a kind fail, with these errors."""
+        """Let the next calls of a kind fail with these errors."""
         self.due.setdefault(call, deque()).extend(errors)
 
     def before(self, call: str) -> None:
-        """A call is about to be made; raises the OSError with which it fails."""
+        """Called before each system call; raises the OSError with which it fails."""
         with self.lock:
-            error = self._drawn(call)
+            error = self._next_error(call)
             self.seen[call] += error is not None
         if error is not None:
-            raise OSError(error, f"{call} fails on purpose")
+            raise OSError(error, f"injected failure of {call}")
 
-    def _drawn(self, call: str) -> int | None:
+    def _next_error(self, call: str) -> int | None:
         if self.due.get(call):
             return self.due[call].popleft()
         if self.chance.random() < self.rates.get(call, 0.0):
-            return self.chance.choice(PASSING[call])
+            return self.chance.choice(TRANSIENT_ERRORS[call])
         return None
 
     def size(self, most: int) -> int:
-        """Bytes that a read or write of so many takes."""
+        """The number of bytes that a read or write of `most` bytes processes."""
         with self.lock:
             if most > 1 and self.chance.random() < self.short:
                 return self.chance.randrange(1, most)
@@ -99,16 +101,16 @@
         self._failures.before("connect")
         self._sock.connect(address)
 
-    def setsockopt(self, *told: Any) -> None:
+    def setsockopt(self, *args: Any) -> None:
         self._failures.before("setsockopt")
-        self._sock.setsockopt(*told)
+        self._sock.setsockopt(*args)
 
     def accept(self) -> tuple[socket.socket, Any]:
         self._failures.before("accept")
         return self._sock.accept()
 
     def close(self) -> None:
-        """The descriptor is given back also where the call fails, as on Linux."""
+        """Close the descriptor even if the call then fails, as on Linux."""
         self._sock.close()
         self._failures.before("close")
 
@@ -119,54 +121,55 @@
     def __init__(self, failures: Failures) -> None:
         self._poll, self._failures = select.poll(), failures
 
-    def register(self, *told: Any) -> None:
-        self._poll.register(*told)
+    def register(self, *args: Any) -> None:
+        self._poll.register(*args)
 
-    def poll(self, *told: Any) -> list[tuple[int, int]]:
+    def poll(self, *args: Any) -> list[tuple[int, int]]:
         self._failures.before("poll")
-        return self._poll.poll(*told)
+        return self._poll.poll(*args)
 
 
 def _delegating(module: Any, **changed: Any) -> SimpleNamespace:
-    """A module with some of its functions changed, for those who have it by name."""
+    """A copy of the namespace of a module with some functions replaced."""
     return SimpleNamespace(**{**vars(module), **changed})
 
 
 @contextlib.contextmanager
 def put_under(failures: Failures) -> Iterator[Failures]:
-    """Let all connections made from now on, and the calls around them, ask before each call."""
-    begun, opened = connection.Connection.__init__, downstream.Downstream.__init__
+    """Let the connections that are created from now on, and the related calls, consult `failures` before each
+    call."""
+    connection_init, downstream_init = connection.Connection.__init__, downstream.Downstream.__init__
     polls = _delegating(select, poll=lambda: FailingPoll(failures))
 
-    def begin(self: connection.Connection, *told: Any, **more: Any) -> None:
+    def init_connection(self: connection.Connection, *args: Any, **more: Any) -> None:
         if more.get("sock") is None and "target" in more:
             failures.before("socket")
-        begun(self, *told, **more)
+        connection_init(self, *args, **more)
         self.sock = FailingSocket(self.sock, failures)  # type: ignore[assignment]
 
-    def open_door(self: downstream.Downstream, *told: Any, **more: Any) -> None:
-        opened(self, *told, **more)
+    def init_downstream(self: downstream.Downstream, *args: Any, **more: Any) -> None:
+        downstream_init(self, *args, **more)
         self.sock = FailingSocket(self.sock, failures)  # type: ignore[assignment]
 
-    def start_thread(*told: Any) -> int:
-        writes = told[0].__name__ == connection.Connection._write.__name__
+    def start_thread(*args: Any) -> int:
+        writes = args[0].__name__ == connection.Connection._write.__name__
         try:
             failures.before("thread that writes" if writes else "thread")
         except OSError as wrong:
             raise RuntimeError("can't start new thread") from wrong
-        return _thread.start_new_thread(*told)
+        return _thread.start_new_thread(*args)
 
     threads = _delegating(_thread, start_new_thread=start_thread)
     modules = tuple(map(vars, (connection, write_backlog, polling, downstream, upstream)))
     before = [
         (names, name, names[name]) for names in modules for name in ("select", "_thread") if name in names
     ]
-    connection.Connection.__init__, downstream.Downstream.__init__ = begin, open_door  # type: ignore[method-assign]
+    connection.Connection.__init__, downstream.Downstream.__init__ = init_connection, init_downstream  # type: ignore[method-assign]
     for names, name, _ in before:
         names[name] = polls if name == "select" else threads
     try:
         yield failures
     finally:
-        connection.Connection.__init__, downstream.Downstream.__init__ = begun, opened  # type: ignore[method-assign]
-        for names, name, was in before:
-            names[name] = was
+        connection.Connection.__init__, downstream.Downstream.__init__ = connection_init, downstream_init  # type: ignore[method-assign]
+        for names, name, original in before:
+            names[name] = original
--- a/rigs/failing_disk.py
+++ b/rigs/failing_disk.py
@@ -1,7 +1,8 @@
-"""A disk that fails for a while: the store's writes and syncs raise what Linux documents, some half done.
+"""A disk that fails for a while: writes and syncs of the store raise errors that Linux documents, some writes
+partially done.
 
-`put_under` makes the store's own directory (lilacloft/store/files.py) fail in this process for a span from
-its start on. Seeded, so that a run can be repeated as far as threads allow.
+`put_under` makes the store directory (lilacloft/store/files.py) of this process fail for a span from the
+call on. The failures are seeded, so that a run can be repeated as far as threads allow.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 from lilacloft.store import files
 
 ERRORS = (errno.ENOSPC, errno.EIO)
-HALF_WRITTEN = 0.5  # part of the failing writes that leave some of their bytes behind
+PARTIAL_WRITE_SHARE = 0.5  # fraction of the failing writes that write some of their bytes
 
 
 class FailingDisk:
-    """Which calls fail. Any thread may ask."""
+    """Decides which calls fail. Any thread may use it."""
 
     def __init__(self, rate: float, seconds: float, seed: int) -> None:
-        """`rate`: part of the calls that fail; `seconds`: for how long from now."""
+        """`rate`: fraction of the calls that fail; `seconds`: duration of the failures from now."""
         self.rate, self.until = rate, time.monotonic() + seconds
         self.chance = random.Random(seed)
 
@@ -31,9 +32,9 @@
         return time.monotonic() < self.until and self.chance.random() < self.rate
 
     def write(self, descriptor: int, data: Any) -> int:
-        """`os.write`, which may fail, with or without a part of it written."""
+        """`os.write`, which may fail before or after a partial write."""
         if self.fails():
-            if len(data) > 1 and self.chance.random() < HALF_WRITTEN:
+            if len(data) > 1 and self.chance.random() < PARTIAL_WRITE_SHARE:
                 os.write(descriptor, data[: self.chance.randrange(1, len(data))])
             raise self._error()
         return os.write(descriptor, data)
@@ -51,10 +52,10 @@
         os.fsync(descriptor)
 
     def _error(self) -> OSError:
-        return OSError(self.chance.choice(ERRORS), "the disk fails on purpose")
+        return OSError(self.chance.choice(ERRORS), "injected disk failure")
 
 
 def put_under(disk: FailingDisk) -> None:
-    """Let the store's directory write to a disk that fails, for the rest of this process."""
+    """Let the store use a failing disk for the rest of this process."""
     changed = {"write": disk.write, "fdatasync": disk.fdatasync, "fsync": disk.fsync}
     files.os = SimpleNamespace(**{**vars(os), **changed})  # type: ignore[attr-defined]
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -1,15 +1,17 @@
-"""Many processes of the program with links that fail between them:
+"""A fleet of real processes with failing links between them:
 `python -m rigs.fleet SCRIPT [--gateways 24 --planners 3 --seconds 30 --seed 1 --drawn 6] [--json FILE]`.
 
-Real gateways and planners, stand-in boxes in processes of their own (one for each location, hub and the
-origin), and a relay on every link: gateway to box, to change log and to planner, planner to planner, cache to
-source; each direction by itself. The script is one of `rigs.failover`, in the emulator's fault language, or
-drawn from the seed: the same script runs in virtual time and here. Judged by the accounts of clients, boxes
-and change log; every run ends with what the planners decided, and when.
-
-What the script itself did is counted as `beyond`, not as a breach: a req called back from a box behind a cut
-link is at two boxes, as nothing can tell the first; reqs end with a gateway that is killed or stopped; a
-gateway cut off from the change log knows no purge and no cold start, nor does any in the moment of it.
+Runs real gateways and planners, stand-in backends in processes of their own (one for each location and
+hub, and one for the origin), and a relay on every link: gateway to backend, to change log and to planner,
+planner to planner, and cache to source, each direction separately. The script is one of `rigs.failover`,
+in the fault language of the emulator, or drawn from the seed; the same script runs in virtual time and
+here. The checker judges the accounts of clients, backends and change log. At the end of a run the planners
+are asked for their decisions and when they made them.
+
+Consequences of the script itself are counted as `beyond`, not as breaches. A request that is called back
+from a backend behind a cut link is at two backends, as the first cannot be told. Requests are lost with a
+gateway that is killed or stopped. A gateway that is cut off from the change log knows of no purge and no
+cold start, and no gateway does at the moment of the event.
 """
 
 from __future__ import annotations
@@ -49,10 +51,10 @@
 
 KINDS = ("small", "large", "parent", "origin")
 ORIGIN = "s-00000fff"
-TOLD = 0.5  # seconds after which all that can be reached know
-LONGEST = 2.0  # that a box's process takes to start, at the most
-UP_AGAIN = 0.3  # seconds from a box's end to its new start
-DRAWN = {
+TOLD = 0.5  # seconds until all reachable parties know of an event
+MAX_START_SECONDS = 2.0  # seconds; the longest start of a process of backends
+RESTART_DELAY = 0.3  # seconds from the end of a backend to its restart
+FAULT_WEIGHTS = {
     "lone": 1,
     "unlogged": 1,
     "silent": 3,
@@ -72,11 +74,11 @@
 
 @dataclass
 class Meta:
-    """A box as the script knows it."""
+    """A backend as the script knows it."""
 
     name: str
     kind: str
-    zone: int  # place among all locations, hubs after those with caches
+    zone: int  # index among all locations; hubs follow the locations with caches
     port: int
     state: str = "active"
     started: float = 0.0
@@ -84,7 +86,7 @@
 
 @dataclass
 class Worker:
-    """A process of ours that takes commands on its standard input."""
+    """A process of the rig that takes commands on standard input."""
 
     words: list[str]
     log: Path
@@ -99,16 +101,18 @@
         assert self.process.stdout is not None
         line = self.process.stdout.readline()
         if line != b"ready\n":
-            raise RuntimeError(f"{self.words} said {line!r}: {self.log.read_text()[-2000:]}")
+            raise RuntimeError(
+                f"{self.words} did not start, it printed {line!r}: {self.log.read_text()[-2000:]}"
+            )
 
-    def say(self, told: dict[str, Any]) -> None:
+    def say(self, command: dict[str, Any]) -> None:
         with self.lock, contextlib.suppress(BrokenPipeError):
             assert self.process is not None and self.process.stdin is not None
-            self.process.stdin.write(json.dumps(told).encode() + b"\n")
+            self.process.stdin.write(json.dumps(command).encode() + b"\n")
             self.process.stdin.flush()
 
     def halt(self) -> None:
-        """Stop it, and wait until none of its threads runs any more; it may have ended by itself."""
+        """Stop the process and wait until none of its threads runs; it may have ended by itself."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal.SIGSTOP)
             os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WEXITED | os.WNOWAIT)
@@ -119,8 +123,8 @@
             self.process.wait()
 
 
-class Feed(Log):
-    """The change log as one party reaches it: bes stand at the ports that it has for them."""
+class PartyChangeLog(Log):
+    """The change log as seen by one party: backends are listed at the relay ports of that party."""
 
     beats_at_once = False
 
@@ -129,7 +133,7 @@
         super().__init__()
 
     def tell(self, number: int, backend: Meta) -> None:
-        """An event: how a be stands now. Nothing to a party that does not reach it."""
+        """Send the state of a backend, unless the party does not reach it."""
         if backend.name in self.ports:
             payload = bytearray(
                 record(
@@ -140,7 +144,7 @@
                     int(backend.started * 1000),
                 )
             )
-            payload[11] = backend.zone  # record() knows two locations only
+            payload[11] = backend.zone  # record() supports two locations only
             self.add(number, 2, bytes(payload))
 
     def _serve(self, sock: Any) -> None:
@@ -152,7 +156,7 @@
 
 
 class Fleet:
-    """The whole world of a run."""
+    """The complete environment of a run."""
 
     def __init__(
         self,
@@ -173,10 +177,10 @@
         self.sockets, self.memory_mb = 1024, 192
         self.backends: dict[str, Meta] = {}
         for number in range(zones * caches):
-            self._be(number + 1, "small", number // caches)
+            self._add_backend(number + 1, "small", number // caches)
         for number in range(parents):
-            self._be(1000 + number, "parent", zones + number % hubs)
-        self._be(int(ORIGIN[2:], 16), "origin", zones)
+            self._add_backend(1000 + number, "parent", zones + number % hubs)
+        self._add_backend(int(ORIGIN[2:], 16), "origin", zones)
         self.caches = [backend for backend in self.backends.values() if backend.kind == "small"]
         self.parents = [backend for backend in self.backends.values() if backend.kind == "parent"]
         self.gateways = [Gateway(self, number) for number in range(gateways)]  # type: ignore[arg-type]
@@ -186,16 +190,18 @@
         self.planner_names = [f"p{number}" for number in range(planners)]
         self.real = {name: unused() for name in self.planner_names}
         self.planners: dict[str, subprocess.Popen[bytes]] = {}
-        self.links: dict[tuple[str, str], tuple[int, int, int]] = {}  # who, whom: relay, number there, port
+        # by (from, to): relay, number of the link in that relay, port
+        self.links: dict[tuple[str, str], tuple[int, int, int]] = {}
         self.spec: list[list[tuple[int, int]]] = [[] for _ in range(zones + 1)]
         self.cuts: list[tuple[str, str, float, float]] = []
-        self.births: list[tuple[str, float]] = []  # when a box that started anew was listed so
-        self.halted: list[tuple[int, float, float]] = []  # gateways' ports: stopped or killed, and when
+        self.births: list[tuple[str, float]] = []  # backend and time at which its restart was published
+        # gateway port, and start and end of the period in which it is stopped or killed
+        self.halted: list[tuple[int, float, float]] = []
         self._wire()
         self.relays = [self._relay(place, ports) for place, ports in enumerate(self.spec)]
         self.sites = {place: self._site(place) for place in range(zones + hubs + 1)}
 
-    def _be(self, number: int, kind: str, zone: int) -> None:
+    def _add_backend(self, number: int, kind: str, zone: int) -> None:
         name = f"s-{number:08x}"
         self.backends[name] = Meta(name, kind, zone, unused())
 
@@ -208,8 +214,8 @@
         return mine
 
     def _wire(self) -> None:
-        """A relay on every link."""
-        self.feeds: dict[str, Feed] = {}
+        """Create the links, each with a relay."""
+        self.feeds: dict[str, PartyChangeLog] = {}
         for gateway in self.gateways:
             zone = self.zone_of[gateway.name]
             ports = {
@@ -217,12 +223,14 @@
                 for backend in self.backends.values()
                 if backend.kind != "small" or backend.zone == zone
             }
-            feed = self.feeds[gateway.name] = Feed(ports)
+            feed = self.feeds[gateway.name] = PartyChangeLog(ports)
             self._link(zone, gateway.name, "log", feed.port)
             for name, port in self.real.items():
                 self._link(zone, gateway.name, name, port)
         for name in self.planner_names:
-            self.feeds[name] = Feed({backend.name: backend.port for backend in self.backends.values()})
+            self.feeds[name] = PartyChangeLog(
+                {backend.name: backend.port for backend in self.backends.values()}
+            )
             for other, port in self.real.items():
                 if other != name:
                     self._link(self.zones, name, other, port)
@@ -243,9 +251,9 @@
         way: str = "both",
         broken: bool = False,
         seconds: float = 0.0,
-        **told: Any,
+        **settings: Any,
     ) -> None:
-        """Set faults on links; `seconds`: for so long nothing may pass, for the judge."""
+        """Set faults on links. `seconds`: how long the checker is to assume that nothing passes."""
         by: dict[int, list[int]] = {}
         now = time.time()
         for pair in pairs:
@@ -255,12 +263,12 @@
                 if seconds:
                     self.cuts.append((*pair, now, now + seconds))
         for relay, numbers in by.items():
-            self.relays[relay].say({"links": numbers, "way": way, "set": told, "break": broken})
+            self.relays[relay].say({"links": numbers, "way": way, "set": settings, "break": broken})
 
-    # --- boxes ---
+    # --- backends ---
 
     def of(self, site: int) -> list[Meta]:
-        """The bes of a process: a location's, a hub's, or the last: the origin."""
+        """The backends of a process: those of a location or hub; the last process has the origin."""
         if site == self.zones + self.hubs:
             return [self.backends[ORIGIN]]
         return [
@@ -292,20 +300,20 @@
         self.sites[place].start()
 
     def kill_site(self, place: int) -> None:
-        """The process of some boxes is killed: what was out there is over, and nobody there writes that down.
-        It is halted first: what it takes after the entry of its end would never be over, and what a gateway
-        sends elsewhere, once it knows of the end, must come after the entry."""
+        """Kill the process of some backends, which cannot record that their dispatches are over. It is
+        stopped first, as a dispatch that it accepts after the entry of its death would never be over, and
+        as the dispatches that gateways resend once they notice the death must come after the entry."""
         self.sites[place].halt()
         for backend in self.of(place):
             self.account.write(backend.name, "died")
         self.sites[place].kill()
 
-    def box(self, names: Iterable[str], **told: Any) -> None:
+    def box(self, names: Iterable[str], **command: Any) -> None:
         names = list(names)
         for place, site in self.sites.items():
             mine = [backend.name for backend in self.of(place) if backend.name in names]
             if mine:
-                site.say({"boxes": mine, **told})
+                site.say({"boxes": mine, **command})
 
     # --- the change log ---
 
@@ -321,7 +329,7 @@
         )
 
     def tell(self, backends: Iterable[Meta]) -> None:
-        """Their states have changed."""
+        """Publish the changed states of backends."""
         for backend in backends:
             self.number += 1
             self.listed(backend)
@@ -338,7 +346,7 @@
 
     # --- gateways and planners ---
 
-    chance, limits = Scene.chance, Scene.limits  # the part of a scene that loads and judges use
+    chance, limits = Scene.chance, Scene.limits  # the part of a scene that loads and the checker use
 
     def settings(self, zone: int, slot: int) -> dict[str, Any]:
         out = copy.deepcopy(ENV)
@@ -359,7 +367,7 @@
         return out
 
     def config(self, gateway: Any) -> dict[str, Any]:
-        """The platform's file for a gateway, or for a planner by its name."""
+        """The platform configuration file of a gateway, or of a planner given by name."""
         name = gateway if isinstance(gateway, str) else gateway.name
         feed, zone = self.feeds[name], self.zone_of.get(name, 0)
         names = [one for one in self.zone_of if self.zone_of[one] == zone]
@@ -391,7 +399,7 @@
         }
 
     def places(self, who: str) -> str:
-        """All planners, at the ports at which one reaches them."""
+        """The addresses of all planners as one party reaches them."""
         return ",".join(
             f"{name}=127.0.0.1:{port if name == who else self.links[who, name][2]}"
             for name, port in self.real.items()
@@ -426,17 +434,17 @@
                 stdout=subprocess.DEVNULL,
             )
 
-    def asked(self, name: str, *words: str) -> list[str]:
-        told = subprocess.run(
+    def query(self, name: str, *words: str) -> list[str]:
+        completed = subprocess.run(
             [sys.executable, "-m", "lilacloft", "plan", words[0], f"127.0.0.1:{self.real[name]}", *words[1:]],
             capture_output=True,
             text=True,
             timeout=20,
         )
-        return told.stdout.splitlines()
+        return completed.stdout.splitlines()
 
     def start(self) -> None:
-        """All processes; boxes and relays first."""
+        """Start all processes, relays and backends first."""
         for backend in self.backends.values():
             self.listed(backend)
         with ThreadPoolExecutor(8) as pool:
@@ -459,7 +467,7 @@
             feed.close()
 
     def entries(self) -> list[dict[str, Any]]:
-        """Everybody's account, in the order of time."""
+        """The entries of all parties, in order of time."""
         out = list(self.account.entries)
         for path in sorted(self.folder.glob("account-*.jsonl")):
             out += [json.loads(line) for line in path.read_text().splitlines() if line.endswith("}")]
@@ -467,7 +475,7 @@
 
     # --- the script ---
 
-    def struck(self, fault: Fault) -> list[Meta]:
+    def affected_backends(self, fault: Fault) -> list[Meta]:
         number = int(fault.which) if fault.which.isdigit() else 0
         return {
             "cache": self.caches[number : number + 1],
@@ -478,9 +486,9 @@
         }.get(fault.whom, [])
 
     def actions(self, fault: Fault) -> list[tuple[float, Callable[[], None]]]:
-        """What a fault is here: what to do, and when."""
+        """The actions that implement a fault, each with its time in seconds."""
         at, span, end = fault.at / SECOND, fault.span / SECOND, fault.end / SECOND
-        names = [backend.name for backend in self.struck(fault)]
+        names = [backend.name for backend in self.affected_backends(fault)]
         number = int(fault.which) if fault.which.isdigit() else 0
         to = [(gateway.name, name) for gateway in self.gateways for name in names]
         gateways = self.gateways[int(fault.which) : int(fault.which) + 1] if fault.whom == "gateway" else []
@@ -526,7 +534,7 @@
             place = int(fault.which) + (self.zones if fault.whom == "hub" else 0)
             return [
                 (at, lambda: self.kill_site(place)),
-                (max(end, at + UP_AGAIN), lambda: self._born(place)),
+                (max(end, at + RESTART_DELAY), lambda: self._born(place)),
             ]
         if fault.kind == "drain":
             return [(at, lambda: self._state(names, "leaving")), (end, lambda: self._state(names, "active"))]
@@ -612,36 +620,40 @@
         return [(at, lambda: self.cut(pairs, stall=True)), (end, lambda: self.cut(pairs, stall=False))]
 
     def judged(self, entries: list[dict[str, Any]]) -> tuple[list[Breach], int]:
-        """Breaches, and how many more are the script's own doing: a dispatch called back behind a link that
-        was cut, where nobody could tell its box; a req whose gateway the script had stopped or killed; a
-        purge that its gateway could not have been told of. Cold boxes are judged by what came from gateways
-        that had been told of the start, as it is they who are to keep the budget."""
+        """The breaches, and the number of further ones that the script itself causes: a dispatch that is
+        called back behind a cut link, where its backend cannot be told; a request whose gateway the script
+        had stopped or killed; a purge of which its gateway could not know. The rule for cold backends is
+        checked on the dispatches of gateways that knew of the start, as these must keep the limit."""
         requests = {entry["ref"]: entry for entry in entries if entry["what"] == "req"}
         names = {gateway.port: gateway.name for gateway in self.gateways}
-        told = [
+        informed = [
             entry
             for entry in entries
             if entry["what"] != "do"
-            or not self._unknowing(entry, names.get(requests.get(entry["ref"], {}).get("gateway")))
+            or not self._was_uninformed(entry, names.get(requests.get(entry["ref"], {}).get("gateway")))
         ]
         all_ = check(entries, self.limits())
         real = [one for one in all_ if one.rule != 4 and not self._excused(one, requests, names)]
-        real += [one for one in check(told, self.limits()) if one.rule == 4]
+        real += [one for one in check(informed, self.limits()) if one.rule == 4]
         return sorted(real, key=lambda one: one.at), len(all_) - len(real)
 
-    def _unlogged(self, name: str | None, begin: float, end: float) -> bool:
-        """Was a gateway cut off from the change log, at any time between the two?"""
+    def _was_cut_from_log(self, name: str | None, begin: float, end: float) -> bool:
+        """Whether a gateway was cut off from the change log at any time between the two."""
         return any(
             who == name and whom == "log" and since <= end and begin <= until
             for who, whom, since, until in self.cuts
         )
 
-    def _unknowing(self, entry: dict[str, Any], name: str | None) -> bool:
-        """Was a dispatch sent by a gateway that could not know of its boxes' last starts?"""
+    def _was_uninformed(self, entry: dict[str, Any], name: str | None) -> bool:
+        """Whether the gateway that sent a dispatch could not know of the last start of its backends."""
         sent_at = received(entry)
         for backend in (entry["who"], entry.get("next")):
-            births = [at for other, at in self.births if other == backend and at - LONGEST <= sent_at]
-            if births and (sent_at <= births[-1] + TOLD or self._unlogged(name, sent_at - TOLD, sent_at)):
+            births = [
+                at for other, at in self.births if other == backend and at - MAX_START_SECONDS <= sent_at
+            ]
+            if births and (
+                sent_at <= births[-1] + TOLD or self._was_cut_from_log(name, sent_at - TOLD, sent_at)
+            ):
                 return True
         return False
 
@@ -649,7 +661,7 @@
         words = breach.text.split()
         if breach.rule == 2 and "out twice" in breach.text:
             return any(whom == words[-1] and begin <= breach.at <= end for _, whom, begin, end in self.cuts)
-        if " told " in breach.text or " begun " in breach.text:  # it was under way on a link that was cut
+        if " told " in breach.text or " begun " in breach.text:  # the dispatch was on a link that was cut
             return any(
                 whom == breach.who and since <= breach.at <= over for _, whom, since, over in self.cuts
             )
@@ -661,15 +673,17 @@
                 port == request["gateway"] and begin <= breach.at and request["at"] <= end
                 for port, begin, end in self.halted
             )
-        return breach.rule == 5 and self._unlogged(names[request["gateway"]], request["at"], breach.at)
+        return breach.rule == 5 and self._was_cut_from_log(
+            names[request["gateway"]], request["at"], breach.at
+        )
 
 
 def drawn(seed: int, seconds: float, count: int, sizes: dict[str, int]) -> list[Fault]:
-    """So many faults of those that processes can have, from a seed."""
+    """Draw faults from a seed, of the kinds that can be applied to processes."""
     stream = Chance(seed).stream("fleet")
     return [
         fault
-        for fault in language.draw(stream, sizes, int(seconds * SECOND), count, dict(DRAWN))
+        for fault in language.draw(stream, sizes, int(seconds * SECOND), count, dict(FAULT_WEIGHTS))
         if fault.whom not in ("shelf", "version", "group")
         and not (fault.kind in ("cold", "down") and fault.whom not in ("zone", "hub"))
     ]
@@ -686,15 +700,17 @@
     leaves: bool = True,
     caches: int = 4,
 ) -> dict[str, Any]:
-    """One run: a script of `rigs.failover`, or `drawn`."""
+    """Run a script of `rigs.failover`, or `drawn` faults."""
     with tempfile.TemporaryDirectory(prefix="fleet") as name:
         fleet = Fleet(Path(name), seed, gateways, planners, caches=caches, leaves=leaves)
         sizes = {"zone": 4, "hub": 2, "cache": 4 * caches, "parent": 4, "gateway": gateways, "object": 40}
-        told = None if script == "drawn" else SCRIPTS.get(script)
-        faults = language.parse(told.faults) if told else drawn(seed, seconds, count, sizes)
+        scripted = None if script == "drawn" else SCRIPTS.get(script)
+        faults = language.parse(scripted.faults) if scripted else drawn(seed, seconds, count, sizes)
         due = [action for fault in faults for action in fleet.actions(fault)]
         due += [
-            action for trouble in (told.troubles if told else ()) for action in fleet.planner_actions(trouble)
+            action
+            for trouble in (scripted.troubles if scripted else ())
+            for action in fleet.planner_actions(trouble)
         ]
         try:
             fleet.start()
@@ -713,7 +729,7 @@
             counts = {key: load.counts[key] - before[key] for key in before}
             said = (
                 {
-                    f"{name} {zone}": fleet.asked(name, "explain", f"zone {zone}")
+                    f"{name} {zone}": fleet.query(name, "explain", f"zone {zone}")
                     for name in fleet.planner_names
                     if fleet.planners[name].poll() is None
                     for zone in range(6)
@@ -760,7 +776,7 @@
     caches: int,
     leave: str,
 ) -> dict[str, Any]:
-    """The same script in virtual time, in a world of the same sizes."""
+    """Run the same script in the emulator, in a world of the same size."""
     habits = Habits(
         rate=rate,
         objects=300,
@@ -783,9 +799,9 @@
         habits=habits,
         service=300.0,
     )
-    told = None if script == "drawn" else SCRIPTS.get(script)
+    scripted = None if script == "drawn" else SCRIPTS.get(script)
     result = Planes(
-        place, seed, faults, planners=planners, troubles=told.troubles if told else (), leave=leave
+        place, seed, faults, planners=planners, troubles=scripted.troubles if scripted else (), leave=leave
     ).run()
     answered = result.done + result.denied + result.aborted
     return {"done": result.done / max(1, answered), "asked": result.asked, "breaches": len(result.breaches)}
@@ -796,13 +812,17 @@
     parser.add_argument("script", choices=[*SCRIPTS])
     parser.add_argument("--gateways", type=int, default=24)
     parser.add_argument("--planners", type=int, default=3)
-    parser.add_argument("--caches", type=int, default=4, help="of each location")
+    parser.add_argument("--caches", type=int, default=4, help="number in each location")
     parser.add_argument("--seconds", type=float, default=30.0)
     parser.add_argument("--rate", type=float, default=150.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--drawn", type=int, default=6, help="faults, where the script is drawn")
-    parser.add_argument("--kept", action="store_true", help="no location is left: our earlier version")
-    parser.add_argument("--beside", action="store_true", help="the same script in virtual time as well")
+    parser.add_argument("--drawn", type=int, default=6, help="number of faults if the script is `drawn`")
+    parser.add_argument(
+        "--kept",
+        action="store_true",
+        help="never divert traffic from a location (behaviour of the earlier version)",
+    )
+    parser.add_argument("--beside", action="store_true", help="also run the same script in virtual time")
     parser.add_argument("--json", metavar="FILE")
     given = parser.parse_args(words)
     report = run(
--- a/rigs/planes.py
+++ b/rigs/planes.py
@@ -1,9 +1,10 @@
-"""Two levels on sockets: `python -m rigs.planes --forwarders 30 --planners 3 --seconds 60 [--calm|--alone]`.
+"""Gateways and planners on sockets:
+`python -m rigs.planes --forwarders 30 --planners 3 --seconds 60 [--calm|--alone]`.
 
-Real gateways and planners before stand-in boxes, under load. Planners are killed and started again, and
-stopped for a while as if cut off, at random, all at once at times; boxes fall silent and drain, objects are
-purged. Judged by the accounts of clients, boxes and change log. `--calm` leaves planners alone, `--alone`
-runs none.
+Runs real gateways and planners with stand-in backends, under load. At random times planners are killed and
+restarted, or stopped for a while as if cut off, sometimes all at once; backends fall silent and drain, and
+objects are purged. The checker judges the accounts of clients, backends and change log. With `--calm` the
+planners are not disturbed, with `--alone` there are none.
 """
 
 from __future__ import annotations
@@ -30,10 +31,10 @@
 from rigs.told import tell
 from rigs.upgrade_probes import histogram
 
-SETTLING_SECONDS = 3.0  # from the start until counting begins
-STOP_SHARE = 0.3  # of the troubles that stop a planner for a while; the others kill it
-SINGLE_SHARE = 0.75  # of the troubles that concern one planner; the others concern all
-ANSWER_SECONDS = 10.0  # within which a planner that was just started answers
+SETTLING_SECONDS = 3.0  # from the start of the load until counting begins
+STOP_SHARE = 0.3  # share of the planner faults that stop a planner for a while; the others kill it
+SINGLE_SHARE = 0.75  # share of the planner faults that affect one planner; the others affect all
+ANSWER_SECONDS = 10.0  # time within which a newly started planner answers
 FAULT_KINDS = ("silent", "drain", "purge")
 
 
@@ -49,7 +50,7 @@
 
     def start(self, name: str) -> None:
         """Start a planner."""
-        # one file for each planner: another that was just started may still be reading its own
+        # one file per planner, as another planner that was just started may still be reading its file
         config = self.scene.folder / f"{name}.json"
         config.write_text(json.dumps(self.scene.config(self.scene.gateways[0])))
         options = {
@@ -98,12 +99,12 @@
 
 @dataclass(frozen=True)
 class Options:
-    """What a run is to be."""
+    """The parameters of a run."""
 
     forwarders: int
     planners: int
     seconds: float
-    rate: float  # requests a second
+    rate: float  # requests per second
     seed: int
     calm: bool = False  # planners are not disturbed
     alone: bool = False  # there are no planners
@@ -112,7 +113,7 @@
 
 @dataclass
 class Findings:
-    """What was found at the end of a run."""
+    """The results of a run."""
 
     shown: list[str]  # the first lines of `plan show`
     breaches: list[Any]
@@ -122,7 +123,7 @@
 
 
 def run(options: Options) -> dict[str, Any]:
-    """Run a fleet under load and troubles; return the report."""
+    """Run a fleet under load and faults; return the report."""
     with tempfile.TemporaryDirectory(prefix="planes") as name:
         scene = Scene(Path(name), options.seed, caches=options.caches, gateways=options.forwarders)
         planners = Planners(scene, 0 if options.alone else options.planners)
@@ -160,7 +161,7 @@
 
 
 def disturb_caches(scene: Scene, over: threading.Event) -> None:
-    """Disturb caches until the end: the same troubles at the same times in every mode."""
+    """Disturb caches until the end, with the same faults at the same times in every mode."""
     random = scene.chance("boxes")
     while not over.wait(2.0 + 2.0 * random.random()):
         cache = random.choice(scene.caches)
@@ -180,7 +181,7 @@
 
 
 def disturb_planners(planners: Planners, options: Options, random: Random) -> None:
-    """Kill and stop planners until the end of the run; only wait where they are not to be disturbed."""
+    """Kill and stop planners until the end of the run, or only wait if they are not to be disturbed."""
     until = time.monotonic() + options.seconds
     while time.monotonic() < until:
         time.sleep(0.5 + random.random())
@@ -200,7 +201,7 @@
 
 
 def first_lines(planners: Planners) -> list[str]:
-    """Return the first lines of `plan show`; the planner may have been started just now."""
+    """Return the first lines of `plan show`, retrying as the planner may have just been started."""
     shown: list[str] = []
     until = time.monotonic() + ANSWER_SECONDS
     while planners.addresses and not shown and time.monotonic() < until:
@@ -258,8 +259,8 @@
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--rate", type=float, default=150.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--calm", action="store_true", help="planners are left alone")
-    parser.add_argument("--alone", action="store_true", help="there are none")
+    parser.add_argument("--calm", action="store_true", help="do not disturb planners")
+    parser.add_argument("--alone", action="store_true", help="run no planners")
     parser.add_argument("--json", metavar="FILE")
     arguments = vars(parser.parse_args(words))
     path = arguments.pop("json")
--- a/rigs/shim.py
+++ b/rigs/shim.py
@@ -1,10 +1,11 @@
-"""A gateway whose system calls fail for a moment now and then, and whose wall clock is off and stepped:
+"""A gateway with failing system calls and a wall clock that is skewed and stepped:
 `python -m rigs.shim SPEC serve ...`.
 
-SPEC is a JSON object: `seed`; `rates`, the part of calls that fail, by call (rigs.failing); `short`, the part
-of reads and writes that are short; `offset`, milliseconds by which the wall clock is ahead; `steps`, a list
-of pairs, seconds after the start and milliseconds by which the clock is set then; `disk`, a pair, the part of
-the store's writes and syncs that fail and for how many seconds from the start on (rigs.failing_disk).
+SPEC is a JSON object: `seed`; `rates`, the fraction of calls that fail, by call (rigs.failing); `short`,
+the fraction of reads and writes that are short; `offset`, milliseconds by which the wall clock is ahead;
+`steps`, a list of pairs, seconds after the start and milliseconds by which the clock is moved then;
+`disk`, a pair, the fraction of the writes and syncs of the store that fail and for how many seconds from
+the start (rigs.failing_disk).
 """
 
 from __future__ import annotations
@@ -16,22 +17,22 @@
 from typing import Any
 
 SPEC: dict[str, Any] = json.loads(sys.argv[1])
-BEGAN, REAL = time.monotonic(), time.time_ns
+STARTED, REAL_TIME_NS = time.monotonic(), time.time_ns
 
 
-def stepped() -> int:
-    """Unix time in nanoseconds by the clock that is off."""
-    gone = time.monotonic() - BEGAN
-    ahead = SPEC.get("offset", 0) + sum(by for at, by in SPEC.get("steps", ()) if gone >= at)
-    return REAL() + int(ahead * 1e6)
+def skewed_time_ns() -> int:
+    """Unix time in nanoseconds by the skewed clock."""
+    elapsed = time.monotonic() - STARTED
+    ahead = SPEC.get("offset", 0) + sum(by for at, by in SPEC.get("steps", ()) if elapsed >= at)
+    return REAL_TIME_NS() + int(ahead * 1e6)
 
 
-time.time_ns = stepped
-time.time = lambda: stepped() / 1e9
+time.time_ns = skewed_time_ns
+time.time = lambda: skewed_time_ns() / 1e9
 
 
 def run() -> int:
-    """Serve with the failures of the spec under it."""
+    """Run the gateway with the failures that the specification describes."""
     from lilacloft.__main__ import main
     from rigs import failing_disk
     from rigs.failing import Failures, put_under
@@ -42,11 +43,11 @@
     failures = Failures(SPEC.get("rates"), SPEC.get("seed", 0), SPEC.get("short", 0.0))
     connect = socket.create_connection
 
-    def fails(*told: Any, **more: Any) -> socket.socket:
+    def connect_or_fail(*args: Any, **more: Any) -> socket.socket:
         failures.before("connect")
-        return connect(*told, **more)
+        return connect(*args, **more)
 
-    socket.create_connection = fails  # the change log's connection
+    socket.create_connection = connect_or_fail  # the connection to the change log is made with it
     with put_under(failures):
         return main(sys.argv[2:])
 
--- a/rigs/slow_disk.py
+++ b/rigs/slow_disk.py
@@ -1,4 +1,4 @@
-"""A gateway whose disk takes some seconds for each sync: `python -m rigs.slow_disk SECONDS serve ...`."""
+"""A gateway whose disk delays each sync by some seconds: `python -m rigs.slow_disk SECONDS serve ...`."""
 
 import sys
 import time
@@ -10,7 +10,7 @@
     sync = StoreDirectory.sync
 
     def slow_sync(self: StoreDirectory, name: str) -> None:
-        """Wait, then sync."""
+        """Sync after the delay."""
         time.sleep(float(sys.argv[1]))
         sync(self, name)
 
--- a/rigs/told.py
+++ b/rigs/told.py
@@ -1,4 +1,4 @@
-"""What a rig ends with: its report as JSON, printed, and in a file where one is named."""
+"""Output of the final report of a rig: printed as JSON, and written to a file if one is named."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def tell(report: dict[str, Any], file: str | None) -> None:
-    """Print a report, and write it to a file."""
+    """Print a report and, if a file is named, write it there."""
     text = json.dumps(report, indent=1)
     if file:
         Path(file).write_text(text + "\n")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The suite's own plugin: what KNOWN-RED.txt lists. And the worlds that several files of tests make."""
+"""Registers the plugin that reads KNOWN-RED.txt, and defines the fixtures that several test files share."""
 
 import threading
 
@@ -14,7 +14,8 @@
 
 @pytest.fixture(autouse=True)
 def no_watch_connects_after_its_test(monkeypatch):
-    """The thread of a watch lives on; a later test that counts refused connections would count its own."""
+    """The thread of a watch outlives its test; its connection attempts would disturb later tests that count
+    refused connections."""
     watches, start = [], DiscoveryWatch.start
 
     def recorded(watch):
@@ -29,19 +30,19 @@
 
 @pytest.fixture
 def in_process(tmp_path):
-    """Makes worlds whose gateway is in this process."""
+    """Creates worlds whose gateway runs in this process."""
     yield from made(InProcessWorld, tmp_path)
 
 
 @pytest.fixture
 def world(tmp_path):
-    """Makes worlds whose gateway is a process of its own."""
+    """Creates worlds whose gateway is a separate process."""
     yield from made(World, tmp_path)
 
 
 @pytest.fixture
 def late(monkeypatch):
-    """Connections to caches come up when the test says so."""
+    """Connections to caches are not made until the test sets the event; `begun` counts the attempts."""
     comes, begun, connect = threading.Event(), threading.Semaphore(0), Connection._connect
 
     def held(self):
