--- a/rigs/bridge.py
+++ b/rigs/bridge.py
@@ -198,7 +198,7 @@
 
     # --- real time ---
 
-    def live(self) -> None:
+    def run_backends(self) -> None:
         """The thread that runs all backends: handles messages and due events."""
         while not self.over:
             now = START + int((time.time() - self.began) * SECOND)
@@ -211,7 +211,7 @@
             self.events.run(START + int((time.time() - self.began) * SECOND))
             self._handle_message(*message)
 
-    def beats(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a heartbeat of the change log every half second."""
         while not self.over:
             time.sleep(0.5)
@@ -289,8 +289,8 @@
     processes, places = [], []
     try:
         live.began = time.time() + 3600  # no event is due before the gateways serve
-        threading.Thread(target=live.live, daemon=True).start()
-        threading.Thread(target=live.beats, daemon=True).start()
+        threading.Thread(target=live.run_backends, daemon=True).start()
+        threading.Thread(target=live.send_heartbeats, daemon=True).start()
         for number in range(world.gateways):
             port = unused()
             path = folder / f"n{number}.json"
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -765,7 +765,7 @@
     }
 
 
-def beside(
+def run_in_emulator(
     script: str,
     faults: list[Fault],
     gateways: int,
@@ -838,7 +838,7 @@
     )
     if given.beside:
         faults = [fault for text in report["faults"] for fault in language.parse(text)]
-        report["beside"] = beside(
+        report["beside"] = run_in_emulator(
             given.script,
             faults,
             given.gateways,
