--- a/rigs/gate.py
+++ b/rigs/gate.py
@@ -1,12 +1,11 @@
-"""Why reqs were refused: `python -m rigs.gate WORLD [--faults "..."] [--seeds N] [--json FILE]`.
-
-A plain model of the gate that every attempt passes (`Dispatcher.send_first`): the same conditions,
-written out one by one in the order in which the gate asks them, each with a name. A module
-that is watched by it tells, for each request it rejects, which conditions refused it on the way, so that a
-weak world found by the search is understood by what held its requests back: the link's limit, a cache's
-limit, a cold budget, an ejected backend, load. The model decides nothing: where it would say otherwise than
-the gate did, that is counted as a disagreement, and a test holds it at none. It owns no state of the module;
-it reads it.
+"""Counts why requests were rejected: `python -m rigs.gate WORLD [--faults "..."] [--seeds N] [--json FILE]`.
+
+A reference model of the admission check that every attempt passes (`Dispatcher.send_first`): the same
+conditions, one by one in the order of the real check, each with a name. For each request that the observed
+routing module rejects, the model records which conditions refused its attempts: the link's limit, a cache's
+limit, a slow-start budget, an ejected backend, load. That explains low scores of emulated scenarios.
+The model only reads the module's state and decides nothing. Where it differs from the real check, that counts
+as a disagreement; a test expects none.
 """
 
 from __future__ import annotations
@@ -37,16 +36,16 @@
 SENT = "sent"
 
 
-def side(router: Router, backend: Backend) -> str:
-    """Return which kind of backend it is: cache, parent or origin."""
+def backend_kind(router: Router, backend: Backend) -> str:
+    """Return the kind of a backend: cache, parent or origin."""
     pools = router.pools
     return "cache" if backend in pools.caches else "parent" if backend in pools.parents else "origin"
 
 
-def reason(
+def refusal_reason(
     router: Router, request: Request, backend: Backend, source: Backend, cache_only: bool = False
 ) -> str:
-    """Return the first condition of the gate that refuses this attempt, or `SENT`; asked before the gate."""
+    """Return the first condition that refuses this attempt, or `SENT`; called before the real check."""
     vhost, now = router.virtual_hosts[request.vhost], router.host.now()
     settings, averages = router.settings, router.averages
     if request.finished or request.in_flight:
@@ -55,17 +54,19 @@
         return "status"
     if request.first_executed_at is not None and vhost.idempotency != "replayable":
         first = request.first_executed_by
-        known = {"all": True, "zone": backend.zone == first.zone, "cell": backend.cell == first.cell}
+        in_scope = {"all": True, "zone": backend.zone == first.zone, "cell": backend.cell == first.cell}
         until = request.first_executed_at + vhost.idempotency_window - settings.tick
-        if vhost.idempotency != "uniqued" or not known[vhost.idempotency_scope] or now >= until:
+        if vhost.idempotency != "uniqued" or not in_scope[vhost.idempotency_scope] or now >= until:
             return "effect"
-    touched = (backend,) if backend is source else (backend, source)
-    for peer in touched:
+    used_backends = (backend,) if backend is source else (backend, source)
+    for peer in used_backends:
         if peer.ejected and (now < peer.retry_at or peer.canary or vhost.idempotency != "replayable"):
-            return f"suspect {side(router, peer)}"
-    look = backend is source and backend in router.pools.caches
-    fill = not look and (backend is source or not router.freshness.likely_cached(request, backend, now))
-    limit = None if not fill else source.concurrency_limit if cache_only else router.link_limit
+            return f"suspect {backend_kind(router, peer)}"
+    is_lookup = backend is source and backend in router.pools.caches
+    is_fill = not is_lookup and (
+        backend is source or not router.freshness.likely_cached(request, backend, now)
+    )
+    limit = None if not is_fill else source.concurrency_limit if cache_only else router.link_limit
     value = vhost.value / request.transfer_time * averages.transfer_time / (averages.value or 1.0)
     weight = min(max(value, 1 / MAX_PRIORITY), MAX_PRIORITY)
     if (
@@ -76,100 +77,110 @@
     if backend.reported_load > max(1.0, INITIAL_FACTOR * weight) * shed_order(request, backend):
         return "crowd"
     if not backend.concurrency_limit.allows(weight, now):
-        return f"limit {side(router, backend)}"
+        return f"limit {backend_kind(router, backend)}"
     if limit and not limit.allows(weight, now):
-        return "link" if limit is router.link_limit else f"limit {side(router, source)}"
+        return "link" if limit is router.link_limit else f"limit {backend_kind(router, source)}"
     work = request.kbytes / settings.transfer_rate or vhost.mean_transfer_time
-    for peer in touched:
+    for peer in used_backends:
         if not router.slow_start.allows(peer, work, now):
-            return f"cold {side(router, peer)}"
+            return f"cold {backend_kind(router, peer)}"
     return SENT
 
 
-class WatchedDispatcher(Dispatcher):
-    """The gate as it is, with the model asked before it."""
+class ObservedDispatcher(Dispatcher):
+    """The real admission check; the model is evaluated before each call."""
 
-    router: Watched
+    router: ObservedRouter
 
     def send_first(self, request: Request, routes: Iterable[Route], cache_only: bool = False) -> bool:
         routes, router = list(routes), self.router
-        expected = self._expected(request, routes, cache_only)
+        expected = self._expected_attempt(request, routes, cache_only)
         sent = super().send_first(request, routes, cache_only)
-        found = (request.backend, request.source) if sent else None
-        if found != expected:
-            said = "sent" if expected else "refused"
-            router.disagreed[f"model {said}, gate {'sent' if sent else 'refused'}"] += 1
+        actual = (request.backend, request.source) if sent else None
+        if actual != expected:
+            verdict = "sent" if expected else "refused"
+            router.disagreed[f"model {verdict}, gate {'sent' if sent else 'refused'}"] += 1
         return sent
 
-    def _expected(
+    def _expected_attempt(
         self, request: Request, routes: Iterable[Route], cache_only: bool
     ) -> tuple[Backend, Backend] | None:
-        """Return the attempt that the model sends, and note why it refuses those before it."""
+        """Return the attempt that the model would send, and record why it refuses the earlier ones."""
         for backend, sources in routes:
             for source in sources:
-                said = reason(self.router, request, backend, source, cache_only)
-                if said == SENT:
+                condition = refusal_reason(self.router, request, backend, source, cache_only)
+                if condition == SENT:
                     return backend, source
-                self.router.held.setdefault(id(request), collections.Counter())[said] += 1
+                self.router.refusals.setdefault(id(request), collections.Counter())[condition] += 1
         return None
 
 
-class Watched(Router):
-    """The module as it is, with the model beside its gate; `tally` counts by process, as runs are."""
+class ObservedRouter(Router):
+    """The routing module with the model beside its admission check. The counters belong to the class: each
+    process makes one run at a time."""
 
-    tally: collections.Counter[str] = collections.Counter()
+    rejections: collections.Counter[str] = collections.Counter()
     disagreed: collections.Counter[str] = collections.Counter()
-    held: dict[int, collections.Counter[str]] = {}  # by the request's id, while it is open
-    when: collections.Counter[int] = collections.Counter()  # given up, by the second of the world
+    refusals: dict[int, collections.Counter[str]] = {}  # by id of the unfinished request, by condition
+    rejections_by_second: collections.Counter[int] = collections.Counter()  # seconds of emulated time
 
     def __init__(self, host: Any, settings: Any) -> None:
         super().__init__(host, settings)
-        self.dispatcher = WatchedDispatcher(self.rules)
+        self.dispatcher = ObservedDispatcher(self.rules)
         self.dispatcher.router = self
 
     def reject(self, request: Request, why: RejectReason) -> None:
         if not request.finished:
-            held = self.held.get(id(request))
-            over = (
+            refused_by = self.refusals.get(id(request))
+            exhausted = (
                 request.attempts >= min(MAX_ATTEMPTS, self.settings.max_attempts)
                 or self.host.now() >= request.deadline - self.settings.tick
             )
-            cause = "tries or time" if over else " + ".join(sorted(held)) if held else "no way"
-            self.tally[cause] += 1
-            self.when[(self.host.now() - START) // SECOND] += 1
-        self.held.pop(id(request), None)
+            cause = (
+                "tries or time" if exhausted else " + ".join(sorted(refused_by)) if refused_by else "no way"
+            )
+            self.rejections[cause] += 1
+            self.rejections_by_second[(self.host.now() - START) // SECOND] += 1
+        self.refusals.pop(id(request), None)
         super().reject(request, why)
 
     def client_disconnected(self, request: Request) -> None:
         super().client_disconnected(request)
-        self.held.pop(id(request), None)
+        self.refusals.pop(id(request), None)
 
     def attempt_ended(self, request: Request, backend: Backend, result: AttemptResult) -> None:
         super().attempt_ended(request, backend, result)
         if request.finished:
-            self.held.pop(id(request), None)
+            self.refusals.pop(id(request), None)
 
 
-def watched(told: tuple[World, tuple[Any, ...], int]) -> dict[str, Any]:
-    """One run with the model beside the gate: what was refused by which conditions, and disagreements."""
-    world, faults, seed = told
-    Watched.tally, Watched.disagreed, Watched.held = collections.Counter(), collections.Counter(), {}
-    Watched.when = collections.Counter()
-    result = Fleet(world, seed, faults, Watched).run()
+def observed_run(arguments: tuple[World, tuple[Any, ...], int]) -> dict[str, Any]:
+    """Run a scenario with the model beside the admission check; return refusals by condition and
+    disagreements."""
+    world, faults, seed = arguments
+    ObservedRouter.rejections, ObservedRouter.disagreed, ObservedRouter.refusals = (
+        collections.Counter(),
+        collections.Counter(),
+        {},
+    )
+    ObservedRouter.rejections_by_second = collections.Counter()
+    result = Fleet(world, seed, faults, ObservedRouter).run()
     return {
         "seed": seed,
         "worth": result.worth,
         "denied": result.denied,
         "aborted": result.aborted,
-        "refused": dict(Watched.tally),
-        "disagreed": dict(Watched.disagreed),
-        "by_second": [Watched.when[second] for second in range(world.span // SECOND + 1)],
+        "refused": dict(ObservedRouter.rejections),
+        "disagreed": dict(ObservedRouter.disagreed),
+        "by_second": [
+            ObservedRouter.rejections_by_second[second] for second in range(world.span // SECOND + 1)
+        ],
     }
 
 
 def world(name: str, seconds: float, changes: list[str]) -> World:
-    """A named world, for so long, with fields changed as NAME=VALUE, read as an experiment's file reads
-    `(NAME VALUE)` (spans with their unit)."""
+    """Return a named scenario of that duration, with fields changed by NAME=VALUE. Values are read as
+    `(NAME VALUE)` in an experiment's file, so durations have a unit."""
     found = WORLDS[name].lasting(seconds)
     for change in changes:
         field, _, value = change.partition("=")
@@ -183,43 +194,49 @@
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="python -m rigs.gate", description=__doc__)
     parser.add_argument("world", choices=sorted(WORLDS))
-    parser.add_argument("changes", nargs="*", help="fields of the world changed, as NAME=VALUE")
+    parser.add_argument("changes", nargs="*", help="fields of the scenario to change, as NAME=VALUE")
     parser.add_argument("--faults", default="")
     parser.add_argument("--seconds", type=float, default=4.0)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=8)
     parser.add_argument("--json", metavar="FILE")
-    told = parser.parse_args(argv)
+    args = parser.parse_args(argv)
     try:
-        faults = tuple(language.parse(told.faults))
+        faults = tuple(language.parse(args.faults))
     except language.FaultError as error:
         parser.error(str(error))
-    chosen = world(told.world, told.seconds, told.changes)
+    chosen = world(args.world, args.seconds, args.changes)
     with Pool() as pool:
-        seeds = range(told.seed, told.seed + told.seeds)
-        runs = pool.map(watched, [(chosen, faults, seed) for seed in seeds])
+        seeds = range(args.seed, args.seed + args.seeds)
+        runs = pool.map(observed_run, [(chosen, faults, seed) for seed in seeds])
     refused: collections.Counter[str] = collections.Counter()
     disagreed: collections.Counter[str] = collections.Counter()
-    for one in runs:
-        refused.update(one["refused"])
-        disagreed.update(one["disagreed"])
+    for run in runs:
+        refused.update(run["refused"])
+        disagreed.update(run["disagreed"])
     count = len(runs)
     print(
-        f"{told.world}, {count} seeds: worth {sum(one['worth'] for one in runs) / count:.3f}, "
-        f"given up a seed {sum(refused.values()) / count:.1f}"
+        f"{args.world}, {count} seeds: worth {sum(run['worth'] for run in runs) / count:.3f}, "
+        f"rejected per seed {sum(refused.values()) / count:.1f}"
     )
     for cause, many in refused.most_common(12):
         print(f"  {many / count:8.1f}  {cause}")
-    seconds = zip(*(one["by_second"] for one in runs))
-    print("  given up by second of the world: " + " ".join(f"{sum(many) / count:.0f}" for many in seconds))
+    seconds = zip(*(run["by_second"] for run in runs))
+    print(
+        "  rejected by second of emulated time: " + " ".join(f"{sum(many) / count:.0f}" for many in seconds)
+    )
     print(
         f"model and gate disagreed {sum(disagreed.values())} times"
-        + (": " + ", ".join(f"{k} {v}" for k, v in disagreed.most_common(3)) if disagreed else "")
+        + (
+            ": " + ", ".join(f"{text} {count}" for text, count in disagreed.most_common(3))
+            if disagreed
+            else ""
+        )
     )
-    if told.json:
-        with open(told.json, "w") as out:
-            kept = {"world": told.world, "changes": told.changes, "faults": told.faults, "runs": runs}
-            json.dump(kept, out, indent=1)
+    if args.json:
+        with open(args.json, "w") as out:
+            report = {"world": args.world, "changes": args.changes, "faults": args.faults, "runs": runs}
+            json.dump(report, out, indent=1)
     return 1 if disagreed else 0
 
 
--- a/rigs/model.py
+++ b/rigs/model.py
@@ -1,4 +1,4 @@
-"""The module's host for tests: it writes down what the module does, and holds the rules beside it."""
+"""A host of the routing module for tests: it records the module's calls and checks them against the rules."""
 
 import math
 
@@ -7,8 +7,8 @@
 from lilacloft.routing.router import Router
 
 SEC = 10_000
-SENDS_SEEN = 2000  # of late, that are looked through
-GONE = SEC // 10  # after its client has gone no attempt may begin any more
+RECENT_SENDS = 2000  # latest sends that are searched
+DISCONNECT_GRACE = SEC // 10  # after the client's disconnect in which an attempt may still begin
 
 
 def vhost(effect="replayable", **more):
@@ -71,15 +71,15 @@
 
 
 class Model:
-    """The host, and beside it the rules in their plainest words; each breach is a line in `wrong`."""
+    """The host, with the rules restated in their simplest form; each violation adds a line to `wrong`."""
 
     def __init__(self, config, caches=4, parents=2):
         self.config, self.time = config, 1000 * SEC
-        self.beliefs = []
+        self.health_changes = []
         self.wakes, self.wrong, self.sends, self.finals = [], [], [], []
         self.history, self.purges, self.listed, self.asked, self.withdrawn = {}, [], {}, [], []
-        self.shown = 0.0  # the most transfers at once, over a fall span, that it sent a warm cache
-        self.gone = {}  # since when the clients of reqs may have gone, as the host knows it
+        self.peak_transfers = 0.0  # most concurrent transfers, averaged over a window, sent to a warm cache
+        self.gone = {}  # by request: time of the client's disconnect, as the host knows it
         self.caches = [Backend(f"c{n}") for n in range(caches)]
         self.parents = [Backend(f"p{n}") for n in range(parents)]
         self.origin = Backend("origin")
@@ -124,7 +124,7 @@
         self.router.attempt_ended(request, backend, AttemptResult(seq, outcome, duration, final, note))
 
     def run(self, span):
-        """Let time pass, waking the module when it asked to be."""
+        """Advance the time, firing the timers that the module has set."""
         until = self.time + span
         self.called_off()
         while self.wakes and min(self.wakes)[0] <= until:
@@ -152,47 +152,52 @@
     def dispatch(self, dispatch):
         request, backend, source = dispatch.request, dispatch.backend, dispatch.source
         limit, age = dispatch.timeout, dispatch.max_age
-        past = self.history[request]
-        self.must(not any(call is request for call, _ in self.finals), "sent after the end")
-        self.must(all(entry[4] for entry in past), "two out at once")
-        self.must(len(past) < self.config["limits"]["max_dispatches"], "too many dispatches")
-        gone = self.gone.get(request)
-        self.must(gone is None or self.time - gone <= GONE, "begun for who has left")
-        self.must(limit > 0 and self.time + limit <= request.deadline, "time-out past the client's")
+        attempts = self.history[request]
+        self.expect(not any(call is request for call, _ in self.finals), "sent after the final answer")
+        self.expect(all(entry[4] for entry in attempts), "two out at once")
+        self.expect(len(attempts) < self.config["limits"]["max_dispatches"], "too many dispatches")
+        disconnected_at = self.gone.get(request)
+        self.expect(
+            disconnected_at is None or self.time - disconnected_at <= DISCONNECT_GRACE,
+            "attempt begun after the client's disconnect",
+        )
+        self.expect(
+            limit > 0 and self.time + limit <= request.deadline, "timeout beyond the client's deadline"
+        )
         config = self.config["vhosts"][request.vhost]
-        ran = [entry for entry in past if entry[4] not in ("full", "unreached", "unsent", "miss")]
-        if ran and config["effect"] == "non-replayable":
-            self.must(False, "non-replayable sent again")
-        if ran and config["effect"] == "uniqued":
-            self.must(self.time - ran[0][3] < config["repeat_window"], "uniqued sent again too late")
-            held = {
+        executed = [entry for entry in attempts if entry[4] not in ("full", "unreached", "unsent", "miss")]
+        if executed and config["effect"] == "non-replayable":
+            self.expect(False, "non-replayable sent again")
+        if executed and config["effect"] == "uniqued":
+            self.expect(self.time - executed[0][3] < config["repeat_window"], "uniqued sent again too late")
+            scope = {
                 "all": True,
-                "zone": backend.zone == ran[0][1].zone,
-                "cell": backend.cell == ran[0][1].cell,
+                "zone": backend.zone == executed[0][1].zone,
+                "cell": backend.cell == executed[0][1].cell,
             }
-            self.must(held[config["repeat_group"]], "uniqued left its group")
+            self.expect(scope[config["repeat_group"]], "uniqued left its group")
         for peer in (backend, source):
-            status, _, told = self.listed[peer]
-            self.must(
-                status == 1 or self.time - told <= self.config["rules"]["drain_grace"],
+            status, _, listed_at = self.listed[peer]
+            self.expect(
+                status == 1 or self.time - listed_at <= self.config["rules"]["drain_grace"],
                 "sent to a draining be",
             )
         for key, group, at in self.purges:
             if (key == request.key or (not key and group == request.purge_group)) and (
                 self.time - at <= self.config["family"]["purge_done"]
             ):
-                self.must(0 < age <= max(1, self.time - at), "older than a purge")
+                self.expect(0 < age <= max(1, self.time - at), "older than a purge")
         self.sends.append((self.time, request, backend, source))
         if backend in self.caches and not (
             self.listed[backend][1] and self.time - self.listed[backend][1] < self.config["rules"]["cold"]
         ):
             span = self.config["rules"]["fall"]
-            sent = sum(at > self.time - span for at, _, to, _ in self.sends[-SENDS_SEEN:] if to is backend)
+            sent = sum(at > self.time - span for at, _, to, _ in self.sends[-RECENT_SENDS:] if to is backend)
             work = 400 / self.config["family"]["pace_kb_per_s"] * SEC
-            self.shown = max(self.shown, sent * work / span)
-        past.append(
+            self.peak_transfers = max(self.peak_transfers, sent * work / span)
+        attempts.append(
             [
-                len(past),
+                len(attempts),
                 backend,
                 source,
                 self.time,
@@ -207,24 +212,28 @@
             ]
         )
         for peer in {backend, source}:
-            self.must(self.weigh(peer), f"cold {'parent' if peer in self.parents else 'cache'} pushed over")
+            self.expect(
+                self.within_cold_budget(peer),
+                f"cold {'parent' if peer in self.parents else 'cache'} pushed over",
+            )
 
-    def weigh(self, peer):
-        """Rule 4: this gateway's part of what a cold be may be sent in every fall window."""
+    def within_cold_budget(self, peer):
+        """Return whether this gateway keeps to its share of the work that a cold backend may be sent in a
+        window (rule 4)."""
         _, started, _ = self.listed[peer]
         family, rules, age = self.config["family"], self.config["rules"], self.time - self.listed[peer][1]
-        cold = (
+        ramp = (
             (family["parent_floor"], family["parent_warms_in"], family["parent_breaks_at"])
             if peer in self.parents
             else (rules["start_capacity"], rules["cold"], rules["tip_multiple"])
         )
-        if not started or age >= cold[1] or peer is self.origin:
+        if not started or age >= ramp[1] or peer is self.origin:
             return True
-        told = 5.0
+        capacity = 5.0
         if self.config["weight_source"] == "silent":
             if (family.get("feed_kb_per_s") or [0])[0] or peer in self.parents:
-                return True  # guessed from links
-            told = max(1.0, self.shown * max(1, family["zone_gateways"][0]))
+                return True  # the module estimates the capacity from links
+            capacity = max(1.0, self.peak_transfers * max(1, family["zone_gateways"][0]))
         gateways = self.config["gateways"] if peer in self.parents else max(1, family["zone_gateways"][0])
         work = 400 / family["pace_kb_per_s"] * SEC
         sent = sum(
@@ -232,33 +241,35 @@
             for at, _, backend, source in self.sends
             if peer in (backend, source) and at > self.time - rules["fall"]
         )
-        share = cold[0] + (1 - cold[0]) * age / cold[1]
-        part = cold[2] * share * told * rules["fall"] / gateways
-        if gateways > 2 or part < work:
-            # whole reqs, in turn, counted over a tick more; that those of all are never too many is for tests
-            # of fleets to say
-            part *= 1 + self.config["granularity"] / rules["fall"]
-            part = math.ceil(part / work) * work
-        return sent <= part
+        available = ramp[0] + (1 - ramp[0]) * age / ramp[1]
+        share = ramp[2] * available * capacity * rules["fall"] / gateways
+        if gateways > 2 or share < work:
+            # Gateways send whole requests in turn, so the share is counted over one more tick and rounded up.
+            # Tests of fleets check that all gateways together do not send too much.
+            share *= 1 + self.config["granularity"] / rules["fall"]
+            share = math.ceil(share / work) * work
+        return sent <= share
 
     def client_left_at(self, request):
         return self.gone.get(request)
 
     def cancel(self, request, seq):
-        self.must(self.config["limits"]["cancel"], "cancelled where none may be")
+        self.expect(self.config["limits"]["cancel"], "cancelled although the settings forbid it")
         self.asked.append(request)
 
     def subscribe(self, on):
-        self.must(self.config["discovery"] == "subscribe" and on, "asked where changes come by themselves")
+        self.expect(
+            self.config["discovery"] == "subscribe" and on, "subscribed although discovery is automatic"
+        )
 
     def withdraw(self, request, seq):
         self.withdrawn.append((request, seq))
 
     def reject(self, request, after):
-        past, config = self.history[request], self.config["vhosts"][request.vhost]
-        ran = [entry for entry in past if entry[4] not in ("full", "unreached", "unsent", "miss")]
-        self.must(
-            not ran
+        attempts, config = self.history[request], self.config["vhosts"][request.vhost]
+        executed = [entry for entry in attempts if entry[4] not in ("full", "unreached", "unsent", "miss")]
+        self.expect(
+            not executed
             or config["effect"] == "replayable"
             or (config["effect"] == "uniqued" and config["repeat_group"] == "all"),
             "denied though it may have run",
@@ -269,8 +280,8 @@
         self.final(request)
 
     def final(self, request):
-        self.must(not any(call is request for call, _ in self.finals), "two final answers")
-        self.must(
+        self.expect(not any(call is request for call, _ in self.finals), "two final answers")
+        self.expect(
             self.time <= request.deadline + self.config["rules"].get("answer_slack", 80), "answered too late"
         )
         self.finals.append((request, self.time))
@@ -282,11 +293,11 @@
         pass
 
     def health_changed(self, backend, what, why):
-        self.beliefs.append((self.time, backend, what, why))
+        self.health_changes.append((self.time, backend, what, why))
 
     def limit_recorded(self, backend, was, limit, late):
         pass
 
-    def must(self, held, text):
-        if not held:
+    def expect(self, condition, text):
+        if not condition:
             self.wrong.append(text)
