--- a/rigs/gate.py
+++ b/rigs/gate.py
@@ -228,7 +228,7 @@
     print(
         f"model and gate disagreed {sum(disagreed.values())} times"
         + (
-            ": " + ", ".join(f"{text} {count}" for text, count in disagreed.most_common(3))
+            ": " + ", ".join(f"{text} {times}" for text, times in disagreed.most_common(3))
             if disagreed
             else ""
         )
--- a/rigs/ramp.py
+++ b/rigs/ramp.py
@@ -1,11 +1,11 @@
-"""What a fleet sends a server that has just started: `python -m rigs.ramp [--gateways 24 --trials 20]`.
-
-Real gateway processes before one location of stand-in caches, each behind a relay, with traffic as uneven as
-a Pareto distribution makes it. In each trial one or two caches are listed as started anew, the news reaches
-some gateways late, and in half of the trials some gateways, or most of them at once, are restarted during the
-slow start. Counted by the caches' own accounts: the calls of all gateways in every window of the settings'
-length, beside N, the calls of mean work that the settings allow a cold server in it. Chance may add
-2 x root of N + 2.
+"""Measures a fleet's load on a cache in slow start: `python -m rigs.ramp [--gateways 24 --trials 20]`.
+
+Real gateway processes run in front of one location of stub caches, each behind a relay, and their shares of
+the traffic follow a Pareto distribution. In each trial one or two caches are listed as just started, some
+gateways get the update late, and in half of the trials some or most gateways are restarted during the slow
+start. The caches' event logs give the calls of all gateways in each window of the configured length. They
+are compared with N, the calls of mean work that the settings allow a cold cache in that window. Random
+variation may add 2 x root of N + 2.
 """
 
 from __future__ import annotations
@@ -28,70 +28,70 @@
 from rigs.told import tell
 
 KBYTES = 400.0  # of each request of the load
-CAPACITY = 5.0  # transfers at full pace that a cache's link carries, as it is listed
-LATE = 0.4  # part of the gateways that the news reaches late
-LATEST = 1.5  # seconds
-SETTLES = 4.0  # seconds of service before the first trial
-FEW, MOST = 1 / 6, 0.7  # parts of the gateways that are restarted
-UNEVEN = 1.2  # shape of the Pareto distribution of the gateways' traffic
+CAPACITY = 5.0  # listed capacity of a cache's link, in concurrent transfers at the full rate
+LATE_SHARE = 0.4  # share of the gateways that get an update late
+MAX_UPDATE_DELAY = 1.5  # seconds
+WARM_UP = 4.0  # seconds of service before the first trial
+RESTARTED_FEW, RESTARTED_MOST = 1 / 6, 0.7  # shares of the gateways that are restarted
+PARETO_SHAPE = 1.2  # of the distribution of the gateways' traffic
 
 
 @dataclass(frozen=True)
 class SlowStart:
-    """What the settings promise of a server that has started; spans in seconds."""
+    """The load limits that the settings set for a cache in slow start; durations in seconds."""
 
-    floor: float  # part of its capacity that it has at once
-    warm: float  # when it has all of it
-    multiple: float  # of its capacity at a time: sent more than that, it falls over
-    window: float  # counted over so long
-    calls: float  # of mean work that it can do in a second when warm
+    floor: float  # share of its capacity that is available at the start
+    warm: float  # age at which all of its capacity is available
+    multiple: float  # of the available capacity; a cache that gets more load fails
+    window: float  # length of the window in which calls are counted
+    calls: float  # calls of mean work per second that it can serve when warm
 
     def allowed(self, age: float) -> float:
-        """N: the calls that it may be sent in a window that ends at an age."""
+        """Return N, the calls that it may be sent in a window that ends at an age."""
         return self.multiple * (self.floor + (1 - self.floor) * age / self.warm) * self.calls * self.window
 
     def total(self) -> float:
-        """The calls allowed over the whole start."""
+        """Return the calls that are allowed over the whole slow start."""
         return self.multiple * self.calls * self.warm * (1 + self.floor) / 2
 
 
 @dataclass(frozen=True)
-class Use:
-    """How a budget was used."""
+class BudgetUse:
+    """How much of a slow start's budget was used."""
 
-    sent: int  # calls over the whole start
-    part: float  # of what the settings allow over the whole start
-    fullest: float  # the most in a window, as a part of its N
-    over: float  # the most in a window above its N, in units of root N; below 0: never so many
-    beyond_chance: int  # windows with more than N + 2 x root of N + 2
+    sent: int  # calls over the whole slow start
+    part: float  # used share of what the settings allow over the whole slow start
+    fullest: float  # most calls in a window, divided by its N
+    over: float  # most calls in a window above its N, in units of root N; negative if N was never reached
+    beyond_chance: int  # windows with more than N + 2 x root of N + 2 calls
 
 
-def use(ages: Iterable[float], start: SlowStart) -> Use:
-    """Of calls that came at some ages of a server, in order."""
-    within: deque[float] = deque()
+def budget_use(ages: Iterable[float], start: SlowStart) -> BudgetUse:
+    """Return the budget use of calls that came at these ages of a cache; the ages are sorted."""
+    in_window: deque[float] = deque()
     sent, fullest, over, beyond = 0, 0.0, -math.inf, 0
     for age in ages:
         if not 0 <= age < start.warm:
             continue
         sent += 1
-        within.append(age)
-        while within[0] <= age - start.window:
-            within.popleft()
+        in_window.append(age)
+        while in_window[0] <= age - start.window:
+            in_window.popleft()
         allowed = start.allowed(age)
-        fullest = max(fullest, len(within) / allowed)
-        over = max(over, (len(within) - allowed) / math.sqrt(allowed))
-        beyond += len(within) > allowed + 2 * math.sqrt(allowed) + 2
-    return Use(sent, sent / start.total(), fullest, over, beyond)
+        fullest = max(fullest, len(in_window) / allowed)
+        over = max(over, (len(in_window) - allowed) / math.sqrt(allowed))
+        beyond += len(in_window) > allowed + 2 * math.sqrt(allowed) + 2
+    return BudgetUse(sent, sent / start.total(), fullest, over, beyond)
 
 
 class Ramp(Fleet):
     """One location of caches behind many gateways; no planners."""
 
     def __init__(self, folder: Path, seed: int, gateways: int, warm: float, untold: bool = False) -> None:
-        """`untold`: the gateways are told nothing of what a cache, or the location's link, can do."""
+        """`untold`: the gateways do not know the capacity of the caches and of the location's link."""
         self.warm, self.untold = warm, untold
         super().__init__(folder, seed, gateways, planners=0, zones=1, hubs=1, caches=4, parents=2)
-        self.heard: dict[tuple[str, str], float] = {}  # gateway and cache: when it was told of the start
+        self.updated_at: dict[tuple[str, str], float] = {}  # by gateway and cache: time of the update
 
     def settings(self, zone: int, slot: int) -> dict[str, Any]:
         out = super().settings(zone, slot)
@@ -102,7 +102,7 @@
         return out
 
     def slow_start(self) -> SlowStart:
-        """As the settings have it."""
+        """Return the slow start that the settings define."""
         settings = self.settings(0, 0)
         rules, pace = settings["obligations"], settings["familyInfo"]["paceKbPerS"]
         return SlowStart(
@@ -114,7 +114,7 @@
         )
 
     def begin(self, backends: list[Meta], delays: dict[str, float]) -> None:
-        """Some caches have started just now, and each gateway hears of it after a delay."""
+        """List caches as just started; each gateway gets the update after its delay."""
         now, first = time.time(), self.number + 1
         for backend in backends:
             backend.started = now
@@ -122,84 +122,86 @@
             self.listed(backend)
         for gateway in self.gateways:
             self.timers.after(
-                delays[gateway.name], lambda name=gateway.name: self._hears(name, first, backends)
+                delays[gateway.name], lambda name=gateway.name: self._send_update(name, first, backends)
             )
 
-    def _hears(self, name: str, first: int, backends: list[Meta]) -> None:
-        for place, backend in enumerate(backends):
-            self.heard.setdefault((name, backend.name), time.time())
-            self.feeds[name].tell(first + place, backend)
+    def _send_update(self, name: str, first: int, backends: list[Meta]) -> None:
+        for number, backend in enumerate(backends):
+            self.updated_at.setdefault((name, backend.name), time.time())
+            self.feeds[name].tell(first + number, backend)
 
     def restart(self, gateway: Gateway, backends: list[Meta]) -> None:
-        """It is killed and started anew, and its configuration tells it of all starts so far."""
+        """Kill and restart a gateway; its new configuration holds all starts so far."""
         for backend in backends:
-            self.heard.setdefault((gateway.name, backend.name), time.time())
+            self.updated_at.setdefault((gateway.name, backend.name), time.time())
         self._again(gateway)
 
     def trial(self, number: int, load: Load) -> dict[str, float]:
-        """One slow start, or two at once; returns the caches by their starts."""
+        """Run one slow start, or two at once; return the start times by cache."""
         chance = self.chance(f"trial {number}")
-        load.weights = [chance.paretovariate(UNEVEN) for _ in self.gateways]
+        load.weights = [chance.paretovariate(PARETO_SHAPE) for _ in self.gateways]
         backends = chance.sample(self.caches, 2 if number % 3 == 2 else 1)
-        self.heard.clear()
+        self.updated_at.clear()
         self.begin(
             backends,
             {
-                gateway.name: chance.uniform(0, LATEST) if chance.random() < LATE else 0.0
+                gateway.name: chance.uniform(0, MAX_UPDATE_DELAY) if chance.random() < LATE_SHARE else 0.0
                 for gateway in self.gateways
             },
         )
-        begun = time.monotonic()
+        trial_began = time.monotonic()
         for at, gateway in self._restarts(chance, number):
-            time.sleep(max(0.0, begun + at - time.monotonic()))
+            time.sleep(max(0.0, trial_began + at - time.monotonic()))
             self.restart(gateway, backends)
-        time.sleep(max(0.0, begun + self.warm + 0.5 - time.monotonic()))
+        time.sleep(max(0.0, trial_began + self.warm + 0.5 - time.monotonic()))
         return {backend.name: backend.started for backend in backends}
 
     def _restarts(self, chance: Random, number: int) -> list[tuple[float, Gateway]]:
-        """When which gateways are restarted: in every fourth trial a few, each at its time; in every fourth
-        most of them at once; else none. Seconds after the caches' start."""
+        """Return the restarts of gateways, in seconds after the caches' start: in every fourth trial a few,
+        each at its own time; in every other fourth most of them at once; otherwise none."""
         latest = 0.8 * self.warm
         if number % 4 == 1:
-            few = chance.sample(self.gateways, round(FEW * len(self.gateways)))
+            few = chance.sample(self.gateways, round(RESTARTED_FEW * len(self.gateways)))
             return sorted(((chance.uniform(0, latest), one) for one in few), key=lambda one: one[0])
         if number % 4 == 3:
             at = chance.uniform(0, latest)
-            return [(at, one) for one in chance.sample(self.gateways, round(MOST * len(self.gateways)))]
+            return [
+                (at, one) for one in chance.sample(self.gateways, round(RESTARTED_MOST * len(self.gateways)))
+            ]
         return []
 
 
-def measured(
+def measure_starts(
     entries: list[dict[str, Any]],
     names: dict[int, str],
     starts: dict[str, float],
-    heard: dict[tuple[str, str], float],
+    updated_at: dict[tuple[str, str], float],
     start: SlowStart,
 ) -> list[dict[str, Any]]:
-    """How each start was used: by all gateways, and by those that had been told of it."""
+    """Return the budget use of each start, by all gateways and by those that had got the update."""
     senders = {entry["ref"]: names[entry["gateway"]] for entry in entries if entry["what"] == "req"}
-    out = []
+    report = []
     for name, began in starts.items():
         calls = [
             (entry["at"], senders.get(entry["ref"], ""))
             for entry in entries
             if entry["what"] == "do" and entry["who"] == name
         ]
-        told = [at for at, who in calls if at >= heard.get((who, name), math.inf)]
-        out.append(
+        after_update = [at for at, who in calls if at >= updated_at.get((who, name), math.inf)]
+        report.append(
             {
                 "cache": name,
-                "all": asdict(use((at - began for at, _ in calls), start)),
-                "told": asdict(use((at - began for at in told), start)),
+                "all": asdict(budget_use((at - began for at, _ in calls), start)),
+                "told": asdict(budget_use((at - began for at in after_update), start)),
             }
         )
-    return out
+    return report
 
 
 def run(
     gateways: int, trials: int, rate: float, warm: float, seed: int, untold: bool = False
 ) -> dict[str, Any]:
-    """Trials one after the other on one fleet."""
+    """Run the trials one after the other on one fleet and return the report."""
     done, starts = [], []
     with tempfile.TemporaryDirectory(prefix="ramp") as folder:
         fleet = Ramp(Path(folder), seed, gateways, warm, untold)
@@ -207,17 +209,17 @@
             fleet.start()
             load = Load(fleet, rate)  # type: ignore[arg-type]
             load.start()
-            time.sleep(SETTLES)
+            time.sleep(WARM_UP)
             for number in range(trials):
-                done.append((fleet.trial(number, load), dict(fleet.heard)))
+                done.append((fleet.trial(number, load), dict(fleet.updated_at)))
             load.stop()
             entries, start = fleet.entries(), fleet.slow_start()
             names = {gateway.port: gateway.name for gateway in fleet.gateways}
-            for began, heard in done:
-                starts += measured(entries, names, began, heard, start)
+            for began, updated_at in done:
+                starts += measure_starts(entries, names, began, updated_at, start)
         finally:
             fleet.close()
-    told = [one["told"] for one in starts]
+    informed = [one["told"] for one in starts]
     return {
         "untold": untold,
         "gateways": gateways,
@@ -229,27 +231,29 @@
         "asked": load.counts["asked"],
         "done": load.counts["done"],
         "n_at_first": start.allowed(0.0),
-        "most_over": max(one["over"] for one in told),
-        "fullest": max(one["fullest"] for one in told),
+        "most_over": max(used["over"] for used in informed),
+        "fullest": max(used["fullest"] for used in informed),
         "most_over_by_all": max(one["all"]["over"] for one in starts),
-        "part_used": sum(one["part"] for one in told) / len(told),
-        "beyond_chance": sum(one["beyond_chance"] for one in told),
+        "part_used": sum(used["part"] for used in informed) / len(informed),
+        "beyond_chance": sum(used["beyond_chance"] for used in informed),
         "each": starts,
     }
 
 
-def main(words: list[str] | None = None) -> int:
+def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="python -m rigs.ramp", description=__doc__)
     parser.add_argument("--gateways", type=int, default=24)
     parser.add_argument("--trials", type=int, default=20)
-    parser.add_argument("--rate", type=float, default=240.0, help="requests a second of all clients")
-    parser.add_argument("--warm", type=float, default=8.0, help="seconds until a cache has all its capacity")
-    parser.add_argument("--untold", action="store_true", help="nothing is told of what caches can do")
+    parser.add_argument("--rate", type=float, default=240.0, help="requests per second of all clients")
+    parser.add_argument(
+        "--warm", type=float, default=8.0, help="seconds until all of a cache's capacity is available"
+    )
+    parser.add_argument("--untold", action="store_true", help="gateways do not know the caches' capacity")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", metavar="FILE")
-    given = parser.parse_args(words)
-    report = run(given.gateways, given.trials, given.rate, given.warm, given.seed, given.untold)
-    tell(report, given.json)
+    args = parser.parse_args(argv)
+    report = run(args.gateways, args.trials, args.rate, args.warm, args.seed, args.untold)
+    tell(report, args.json)
     return 1 if report["beyond_chance"] else 0
 
 
--- a/rigs/restarts.py
+++ b/rigs/restarts.py
@@ -1,8 +1,9 @@
-"""How soon restarted gateways are ready: `python -m rigs.restarts [--gateways 24 --waves 20]`.
+"""Measures how soon restarted gateways are ready: `python -m rigs.restarts [--gateways 24 --waves 20]`.
 
-All gateway processes of a scene are killed and started at once, wave by wave, while clients keep asking and
-discovery is up, down (its port refuses) or silent (it accepts, and says nothing). For each start the span
-from just before the exec to the first answer: to a health check, and to a request, served or refused.
+In each wave all gateway processes are killed and started at once, while clients keep sending requests and
+discovery is up, down (its port refuses connections) or silent (it accepts connections and never answers).
+For each start the report has the time from just before the exec to the first answer to a health check, and
+to the first answer to a request, served or rejected.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 from rigs.told import tell
 
 DISCOVERY = ("up", "down", "silent")
-GIVEN_UP = 30.0  # seconds after which a start has failed
-KNOCK = 0.005  # seconds between two tries to connect
-BETWEEN = 0.5  # seconds of service between two waves
+START_TIMEOUT = 30.0  # seconds
+CONNECT_INTERVAL = 0.005  # seconds between two attempts to connect
+WAVE_INTERVAL = 0.5  # seconds of service between two waves
 
 
-class Silent(Stand):
-    """A change log that takes what is written to it, and never says anything."""
+class SilentChangeLog(Stand):
+    """A change log that reads what it is sent and never answers."""
 
     def _serve(self, sock: socket.socket) -> None:
         with contextlib.suppress(OSError):
@@ -42,51 +43,52 @@
 
 @dataclass(frozen=True)
 class Start:
-    """One start of a process; spans in seconds since its exec."""
+    """One start of a process; seconds since its exec."""
 
-    checked: float  # the first health check answered `serving`
-    answered: float  # the first request with an answer
+    checked: float  # first answer `serving` to a health check
+    answered: float  # first answer to a request
 
 
-def spread(spans: list[float]) -> dict[str, float]:
-    """Median, the span that nine in ten keep within, and the worst; in seconds."""
-    spans = sorted(spans)
+def spread(durations: list[float]) -> dict[str, float]:
+    """Return the median, the 90th percentile and the maximum of durations in seconds."""
+    durations = sorted(durations)
     return {
-        "median": round(spans[len(spans) // 2], 3),
-        "p90": round(spans[-(-9 * len(spans) // 10) - 1], 3),
-        "worst": round(spans[-1], 3),
+        "median": round(durations[len(durations) // 2], 3),
+        "p90": round(durations[-(-9 * len(durations) // 10) - 1], 3),
+        "worst": round(durations[-1], 3),
     }
 
 
-def knock(port: int, began: float) -> socket.socket:
-    """A connection, as soon as there is one; TimeoutError where there is none in time."""
-    while time.monotonic() < began + GIVEN_UP:
+def connect_when_open(port: int, began: float) -> socket.socket:
+    """Connect as soon as the port accepts connections; raise TimeoutError if it does not in time."""
+    while time.monotonic() < began + START_TIMEOUT:
         with contextlib.suppress(OSError):
             return socket.create_connection(("127.0.0.1", port), 1.0)
-        time.sleep(KNOCK)
-    raise TimeoutError(f"port {port}: no connection in {GIVEN_UP} s")
+        time.sleep(CONNECT_INTERVAL)
+    raise TimeoutError(f"port {port}: no connection in {START_TIMEOUT} s")
 
 
-def asked(port: int, began: float, message: bytes, words: tuple[bytes, ...]) -> float:
-    """The span until a message has one of the answers; asked again on a new connection where one ends."""
-    while time.monotonic() < began + GIVEN_UP:
-        with contextlib.suppress(OSError), knock(port, began) as sock:
-            sock.settimeout(GIVEN_UP)
+def time_to_answer(port: int, began: float, message: bytes, answers: tuple[bytes, ...]) -> float:
+    """Return the seconds until a message got one of the answers. It is sent again on a new connection if one
+    ends."""
+    while time.monotonic() < began + START_TIMEOUT:
+        with contextlib.suppress(OSError), connect_when_open(port, began) as sock:
+            sock.settimeout(START_TIMEOUT)
             sock.sendall(message)
             buffer = MessageBuffer()
             while buffer.read_from(sock):
                 items = buffer.next_message()
-                if items and items[1] in words:
+                if items and items[1] in answers:
                     return time.monotonic() - began
-    raise TimeoutError(f"port {port}: no answer in {GIVEN_UP} s")
+    raise TimeoutError(f"port {port}: no answer in {START_TIMEOUT} s")
 
 
-def started(gateway: Gateway) -> Start:
+def timed_start(gateway: Gateway) -> Start:
     """Start a gateway that is not running, and wait until it is ready."""
     began = time.monotonic()
     gateway.spawn()
-    checked = asked(gateway.port, began, encode(b"ALIVE", b"1", b""), (b"serving",))
-    told = {
+    checked = time_to_answer(gateway.port, began, encode(b"ALIVE", b"1", b""), (b"serving",))
+    fields = {
         "ref": f"{time.monotonic_ns():016x}",
         "allow": 2500,
         "lookup": f"{1:016x}",
@@ -94,20 +96,20 @@
         "batch": 7,
         "room": 400.0,
     }
-    request = encode(b"EXEC", b"1", b"clip", encode_fields(told.items()), b"")
-    return Start(checked, asked(gateway.port, began, request, (b"200", b"503")))
+    request = encode(b"EXEC", b"1", b"clip", encode_fields(fields.items()), b"")
+    return Start(checked, time_to_answer(gateway.port, began, request, (b"200", b"503")))
 
 
 @contextlib.contextmanager
-def discovery(scene: Scene, state: str) -> Iterator[None]:
-    """Discovery as it is to be while the waves last."""
+def discovery_in_state(scene: Scene, state: str) -> Iterator[None]:
+    """Keep discovery in a state during the waves."""
     if state == "up":
         yield
         return
     port = scene.log.port
     scene.log.close()
     scene.log.break_off()
-    silent = Silent(port=port) if state == "silent" else None
+    silent = SilentChangeLog(port=port) if state == "silent" else None
     yield
     if silent:
         silent.break_off()
@@ -115,7 +117,7 @@
 
 
 def run(state: str, gateways: int, waves: int, rate: float, seed: int) -> dict[str, Any]:
-    """Waves of restarts of all gateways with discovery in one state."""
+    """Restart all gateways in waves, with discovery in one state, and return the report."""
     starts: list[Start] = []
     with tempfile.TemporaryDirectory(prefix="restarts") as folder:
         scene = Scene(Path(folder), seed, gateways=gateways)
@@ -124,14 +126,14 @@
                 list(pool.map(Gateway.start, scene.gateways))
                 load = Load(scene, rate)
                 load.start()
-                with discovery(scene, state):
+                with discovery_in_state(scene, state):
                     for _ in range(waves):
-                        time.sleep(BETWEEN)
+                        time.sleep(WAVE_INTERVAL)
                         for gateway in scene.gateways:
                             assert gateway.process is not None
                             gateway.process.kill()
                             gateway.process.wait()
-                        starts += pool.map(started, scene.gateways)
+                        starts += pool.map(timed_start, scene.gateways)
                 load.stop()
         finally:
             scene.close()
@@ -143,24 +145,26 @@
         "seed": seed,
         "starts": len(starts),
         "asked": load.counts["asked"],
-        "checked_s": spread([one.checked for one in starts]),
-        "answered_s": spread([one.answered for one in starts]),
+        "checked_s": spread([start.checked for start in starts]),
+        "answered_s": spread([start.answered for start in starts]),
     }
 
 
-def main(words: list[str] | None = None) -> int:
+def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="python -m rigs.restarts", description=__doc__)
-    parser.add_argument("--discovery", choices=DISCOVERY, action="append", help="may be repeated; else all")
+    parser.add_argument(
+        "--discovery", choices=DISCOVERY, action="append", help="may be repeated; default: all"
+    )
     parser.add_argument("--gateways", type=int, default=24)
     parser.add_argument("--waves", type=int, default=20)
     parser.add_argument("--rate", type=float, default=200.0)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", metavar="FILE")
-    given = parser.parse_args(words)
-    states = given.discovery or DISCOVERY
+    args = parser.parse_args(argv)
+    states = args.discovery or DISCOVERY
     tell(
-        {"runs": [run(state, given.gateways, given.waves, given.rate, given.seed) for state in states]},
-        given.json,
+        {"runs": [run(state, args.gateways, args.waves, args.rate, args.seed) for state in states]},
+        args.json,
     )
     return 0
 
--- a/rigs/sizes.py
+++ b/rigs/sizes.py
@@ -1,9 +1,9 @@
-"""Who is answered, by size: `python -m rigs.sizes WORLD [CHANGES] [--faults "..."] [--seeds N]`.
+"""Reports answered shares by size: `python -m rigs.sizes WORLD [CHANGES] [--faults "..."] [--seeds N]`.
 
-Plays a world of the emulator and tells, for each vhost and each tenth of its reqs by size, which share was
-answered, in time or late. The users' terms: of a vhost's largest tenth, and of the fifth below it, at least
-two thirds of the vhost's share on a quiet day, half on others. It watches the module from outside and changes
-nothing.
+Runs an emulated scenario and reports, for each virtual host and each tenth of its requests by size, which
+share was answered, in time or late. The requirement: the largest tenth, and the fifth below it, get at least
+two thirds of the virtual host's overall share in a scenario without faults, and half of it in others. It
+observes the routing module from outside and changes nothing.
 """
 
 from __future__ import annotations
@@ -22,16 +22,17 @@
 from lilacloft.routing.router import Router
 from rigs.gate import world
 
-FEW = 50  # reqs of a vhost below which a tenth tells nothing
+FEW = 50  # requests of a virtual host below which the tenths are too small to compare
 
 
-class Counted(Router):
-    """The module as it is, with the end of each req written down; by process, as runs are."""
+class RecordingRouter(Router):
+    """The routing module, with the end of each request recorded. The rows belong to the class: each process
+    makes one run at a time."""
 
-    rows: dict[int, list[Any]] = {}  # by the req's id: the req, and whether it was answered
+    rows: dict[int, list[Any]] = {}  # by the request's id: the request, and whether it was answered
 
     def request_arrived(self, request: Request) -> None:
-        self.rows[id(request)] = [request, None]  # it holds the req, so no other has its id
+        self.rows[id(request)] = [request, None]  # holds the request, so that its id is not reused
         super().request_arrived(request)
 
     def reject(self, request: Request, why: RejectReason) -> None:
@@ -45,36 +46,38 @@
         super().attempt_ended(request, backend, result)
 
 
-def play(told: tuple[World, tuple[Any, ...], int]) -> list[tuple[int, float, bool]]:
-    """One run: vhost, KB and whether it was answered, of each req that its client waited for."""
-    chosen, faults, seed = told
-    Counted.rows = {}
-    Fleet(chosen, seed, faults, Counted).run()
+def play(arguments: tuple[World, tuple[Any, ...], int]) -> list[tuple[int, float, bool]]:
+    """Make one run; return virtual host, KB and whether it was answered, for each request whose client
+    waited for it."""
+    chosen, faults, seed = arguments
+    RecordingRouter.rows = {}
+    Fleet(chosen, seed, faults, RecordingRouter).run()
     return [
         (request.vhost, request.kbytes, answered)
-        for request, answered in Counted.rows.values()
+        for request, answered in RecordingRouter.rows.values()
         if answered is not None
     ]
 
 
 def tenths(rows: list[tuple[int, float, bool]]) -> dict[int, list[float]]:
-    """For each vhost with enough reqs, the answered share of each tenth of them, the smallest first."""
-    out = {}
+    """Return the answered share of each tenth by size, the smallest first, for each virtual host with enough
+    requests."""
+    shares = {}
     for vhost in sorted({row[0] for row in rows}):
-        mine = sorted(
+        ordered = sorted(
             (kbytes, place, answered) for place, (of, kbytes, answered) in enumerate(rows) if of == vhost
         )
-        if len(mine) >= FEW:
-            cuts = [len(mine) * tenth // 10 for tenth in range(11)]
-            out[vhost] = [
-                sum(row[2] for row in mine[first:last]) / (last - first)
+        if len(ordered) >= FEW:
+            cuts = [len(ordered) * tenth // 10 for tenth in range(11)]
+            shares[vhost] = [
+                sum(row[2] for row in ordered[first:last]) / (last - first)
                 for first, last in zip(cuts, cuts[1:], strict=False)
             ]
-    return out
+    return shares
 
 
 def fair(shares: list[float]) -> tuple[float, float]:
-    """The largest tenth's share, and that of the fifth below it, over the whole's."""
+    """Return the shares of the largest tenth and of the fifth below it, relative to the overall share."""
     whole = sum(shares) / len(shares)
     if not whole:
         return 1.0, 1.0
@@ -82,10 +85,10 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Play it, and print a line for each vhost."""
+    """Run the scenario and print a line for each virtual host."""
     parser = argparse.ArgumentParser(prog="python -m rigs.sizes", description=__doc__)
     parser.add_argument("world", choices=sorted(WORLDS))
-    parser.add_argument("changes", nargs="*", help="fields of the world changed, as NAME=VALUE")
+    parser.add_argument("changes", nargs="*", help="fields of the scenario to change, as NAME=VALUE")
     parser.add_argument("--faults", default="")
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--seeds", type=int, default=4)
@@ -104,11 +107,11 @@
         ]
     found = {chosen.vhosts[vhost].name: shares for vhost, shares in tenths(rows).items()}
     for name, shares in found.items():
-        top, next_ = fair(shares)
+        largest, below = fair(shares)
         print(
             f"{name}: answered {sum(shares) / 10:.3f}; by tenth of size, the smallest first, "
             f"{' '.join(f'{share:.2f}' for share in shares)}; "
-            f"the largest {top:.2f} of it, the fifth below {next_:.2f}"
+            f"the largest {largest:.2f} of it, the fifth below {below:.2f}"
         )
     if args.json:
         with open(args.json, "w", encoding="utf-8") as file:
--- a/rigs/soak.py
+++ b/rigs/soak.py
@@ -1,20 +1,22 @@
-"""A soak of a few dozen real processes on loopback with troubles that overlap:
+"""A soak test of a few dozen real processes on loopback with overlapping faults:
 `python -m rigs.soak --seeds 1 2 3 [--gateways 24 --seconds 20 --troubles 16] [--hard] [--json FILE]`.
 
-Gateways, boxes and relays on all links are processes, as in rigs.fleet, without planners. From the seed are
-drawn: planned ends with restarts, kills, pauses, new configurations in a row that move discovery, links that
-stall, reset, lose or delay, a change log that cannot be reached, boxes that fall silent, slow, reset, drain,
-or start anew cold, and purges; two or three at a time. Under some gateways system calls fail for a moment
-(rigs.failing), and some have a wall clock that is an hour off, and stepped. Beside the judged clients, some
-of whom cancel or have little time, there are rude ones (rigs.rude).
-
-With `--hard` signals come in series (SIGTERM and SIGHUP several times within 0.1 s, also to a process that
-starts), SIGKILL comes at the protocol's earliest after SIGTERM, with clients that use their open connections
-until then, and there are crowds: the rate threefold for a second or two, at one gateway or at all.
-
-Judged by the accounts of clients and boxes (rigs.checker, with the operators' terms on attempts), by the
-gateways' own checks (lilacloft/invariants.py), and by how processes end: a planned end is with code 0 and in
-time, no start takes 10 s, no event ends in an exception, nothing is held once all is answered.
+Gateways, backends and a relay on each link are processes, as in rigs.fleet, without planners. The seed
+determines the faults, two or three at a time: planned restarts, kills, pauses, series of new configurations
+that move discovery, links that stall, reset, lose or delay, an unreachable change log, backends that do not
+answer, slow down, reset connections, drain or restart with an empty cache, and purges. At some gateways
+system calls fail briefly (rigs.failing), and some have a wall clock that is an hour off or is stepped. Beside
+the checked clients, some of whom cancel or have little time, there are misbehaving ones (rigs.rude).
+
+With `--hard` signals come in series (SIGTERM and SIGHUP several times within 0.1 s, also during a start),
+SIGKILL follows SIGTERM at the earliest time that the protocol allows, with clients that use their open
+connections until then, and there are load spikes: three times the rate for a second or two, at one gateway
+or at all.
+
+The verdict is made from the event logs of clients and backends (rigs.checker, including the rules on
+attempts), the gateways' own checks (lilacloft/invariants.py), and the processes' exits: a planned exit has
+code 0 and is in time, no start takes 10 s, no event ends in an exception, and nothing is held once all
+requests are answered.
 """
 
 from __future__ import annotations
@@ -44,17 +46,17 @@
 from rigs.scene import Gateway
 from rigs.told import tell
 
-SETTLES = 2.0  # seconds of service before the first trouble
-QUIET = 1.0  # seconds after the last one
-PURGES_LAST = 6.0  # seconds for which a configuration tells of purges, by the settings
-EARLIEST_KILL = 3.7  # seconds after SIGTERM, by the protocol for deadlines of 3 s
-SIGNAL_SERIES = 0.1  # seconds
-START_SPAN = 0.6  # seconds of a start in which a signal may come to it
-CROWD = 3.0  # times the rate
-ENDS = 7.0  # seconds in which a process that is told to end must have
-READY = 10.0  # seconds in which a start must serve
-HOUR = 3_600_000  # milliseconds
-RATES = {
+WARM_UP = 2.0  # seconds of service before the first fault
+COOL_DOWN = 1.0  # seconds of service after the last fault
+PURGE_RETENTION = 6.0  # seconds for which the settings keep purges in a configuration
+EARLIEST_KILL = 3.7  # seconds after SIGTERM; the protocol's minimum for deadlines of 3 s
+SIGNAL_SERIES = 0.1  # seconds over which a series of signals is spread
+START_SPAN = 0.6  # seconds after a process's start in which it may be signalled
+SPIKE_FACTOR = 3.0  # multiple of the usual request rate
+EXIT_TIMEOUT = 7.0  # seconds from SIGTERM to the exit
+START_TIMEOUT = 10.0  # seconds from a start to service
+HOUR_MS = 3_600_000
+CALL_FAILURE_RATES = {
     "accept": 0.02,
     "recv": 0.002,
     "send": 0.005,
@@ -66,7 +68,7 @@
     "thread": 0.005,
     "thread that writes": 0.05,
 }
-KINDS = (
+FAULT_KINDS = (
     "term",
     "term",
     "kill",
@@ -86,12 +88,12 @@
     "purge",
     "purge",
 )
-HARD_KINDS = (*KINDS, "signals", "signals", "start", "crowd", "crowd")
+HARD_FAULT_KINDS = (*FAULT_KINDS, "signals", "signals", "start", "crowd", "crowd")
 
 
 @dataclass
-class Ended:
-    """How processes came to their ends, and up again."""
+class ProcessExits:
+    """Exit codes, late exits and the slowest start of the gateway processes."""
 
     codes: Counter[int] = field(default_factory=Counter)
     late: list[str] = field(default_factory=list)
@@ -99,62 +101,63 @@
 
 
 class Soak(Fleet):
-    """The world of one run."""
+    """The processes and faults of one run."""
 
     def __init__(self, folder: Path, seed: int, gateways: int, hard: bool = False) -> None:
         super().__init__(folder, seed, gateways, planners=0, zones=2, caches=3, hubs=1, parents=2)
-        self.patience = EARLIEST_KILL if hard else ENDS  # for a planned end
+        self.exit_timeout = EARLIEST_KILL if hard else EXIT_TIMEOUT  # for a planned exit
         self.load: Load | None = None
-        self.crowded = False
+        self.spike_active = False
         self.purged: list[tuple[int, str, float]] = []  # number, object and time
         self.direct: set[str] = set()  # gateways that follow the change log without the relay
-        self.ended = Ended()
-        self.paused: dict[str, list[tuple[float, float]]] = {}  # gateways that were stopped, and when: what
-        # they answer late is no fault, and what they lose is one
-        self.busy: set[str] = set()  # gateways that are being ended or started
+        self.exits = ProcessExits()
+        # When each gateway was stopped by SIGSTOP: late answers in that time are excused, lost requests not.
+        self.paused: dict[str, list[tuple[float, float]]] = {}
+        self.busy: set[str] = set()  # gateways that a fault of their own is acting on
         self.threads: list[threading.Thread] = []
         for number, gateway in enumerate(self.gateways):
             gateway.program = ("rigs.shim", json.dumps(self._spec(number)))
 
     def _spec(self, number: int) -> dict[str, Any]:
-        """The shim of one gateway: calls fail under every second, a clock is off at every third."""
+        """Return the shim's settings for one gateway. System calls fail at every second gateway; the clock
+        has an offset at every third and is stepped at another third."""
         chance, spec = self.chance(f"shim {number}"), {"seed": self.seed * 100 + number}
         if number % 2:
-            spec.update(rates=RATES, short=0.2)
+            spec.update(rates=CALL_FAILURE_RATES, short=0.2)
         if number % 3 == 1:
-            spec["offset"] = chance.choice((HOUR, -HOUR))
+            spec["offset"] = chance.choice((HOUR_MS, -HOUR_MS))
         if number % 3 == 2:
-            spec["steps"] = [[chance.uniform(3, 10), chance.choice((HOUR, -HOUR, 5000, -5000))]]
+            spec["steps"] = [[chance.uniform(3, 10), chance.choice((HOUR_MS, -HOUR_MS, 5000, -5000))]]
         return spec
 
     def config(self, gateway: Any) -> dict[str, Any]:
-        """With the purges of late, as the protocol has it, and the change log where it is followed now."""
-        out, now = super().config(gateway), time.time()
-        out["known"]["results"] += [
+        """Add the recent purges, as the protocol requires, and the address of the change log in use."""
+        config, now = super().config(gateway), time.time()
+        config["known"]["results"] += [
             {"seq": number, "invalidate": {"object": key, "time": int(at * 1000)}}
             for number, key, at in self.purged
-            if now - at < PURGES_LAST
+            if now - at < PURGE_RETENTION
         ]
         if gateway.name in self.direct:
-            out["changelog"] = f"127.0.0.1:{self.feeds[gateway.name].port}"
-        return out
+            config["changelog"] = f"127.0.0.1:{self.feeds[gateway.name].port}"
+        return config
 
     def limits(self) -> Limits:
         limits = super().limits()
         limits.chance = limits.attempts = True
         return limits
 
-    # --- troubles ---
+    # --- faults ---
 
-    def act(self, kind: str, chance: Random) -> None:
-        """One trouble, of a length of its own; it is taken back by itself."""
+    def inject(self, kind: str, chance: Random) -> None:
+        """Inject one fault of random duration; it ends by itself."""
         span = chance.uniform(0.3, 2.5)
-        free = [one for one in self.gateways if one.name not in self.busy]
-        gateway = chance.choice(free or self.gateways)
-        if kind in ("term", "kill", "pause", "reload", "signals", "start") and not free:
+        idle = [one for one in self.gateways if one.name not in self.busy]
+        gateway = chance.choice(idle or self.gateways)
+        if kind in ("term", "kill", "pause", "reload", "signals", "start") and not idle:
             return
         self.account.write("script", "said", text=f"{kind} {gateway.name} for {span:.2f} s")
-        own = {
+        gateway_faults = {
             "term": self._term,
             "kill": self._kill,
             "pause": self._pause,
@@ -163,25 +166,27 @@
             "start": self._signalled_start,
         }
         if kind == "crowd":
-            self._crowd(gateway if chance.random() < 0.5 else None, chance.uniform(1.0, 2.0))
-        elif kind in own:
-            self._aside(own[kind], gateway, chance.uniform(0.1, 0.9), chance.randrange(1, 4))
+            self._load_spike(gateway if chance.random() < 0.5 else None, chance.uniform(1.0, 2.0))
+        elif kind in gateway_faults:
+            self._run_in_thread(
+                gateway_faults[kind], gateway, chance.uniform(0.1, 0.9), chance.randrange(1, 4)
+            )
         elif kind in ("stall", "reset", "lossy", "late", "unlogged"):
-            self._link_trouble(kind, gateway, span, chance)
+            self._inject_link_fault(kind, gateway, span, chance)
         elif kind == "purge":
             for _ in range(chance.randrange(1, 4)):
                 self.purge(f"{int(300 * chance.random() ** 3):016x}")
         elif kind == "cold":
             self._cold(chance)
         else:
-            self._box_trouble(kind, chance.choice([*self.caches, *self.parents]), span)
+            self._inject_backend_fault(kind, chance.choice([*self.caches, *self.parents]), span)
 
-    def _aside(self, what: Callable[..., None], gateway: Gateway, *told: Any) -> None:
+    def _run_in_thread(self, fault: Callable[..., None], gateway: Gateway, *arguments: Any) -> None:
         self.busy.add(gateway.name)
 
         def run() -> None:
             try:
-                what(gateway, *told)
+                fault(gateway, *arguments)
             finally:
                 self.busy.discard(gateway.name)
 
@@ -189,75 +194,73 @@
         self.threads.append(thread)
         thread.start()
 
-    def _up(self, gateway: Gateway) -> None:
+    def _start_and_time(self, gateway: Gateway) -> None:
         began = time.monotonic()
         self.start_gateway(gateway)
-        self.ended.slowest_start = max(self.ended.slowest_start, time.monotonic() - began)
+        self.exits.slowest_start = max(self.exits.slowest_start, time.monotonic() - began)
 
     def _term(self, gateway: Gateway, *_: Any) -> None:
-        """A planned end, and a restart."""
+        """Stop a gateway as planned, and restart it."""
         self.end(gateway)
-        self._up(gateway)
+        self._start_and_time(gateway)
 
     def end(self, gateway: Gateway) -> None:
-        """A planned end."""
+        """Stop a gateway as planned: SIGTERM, and SIGKILL after the time limit."""
         process = gateway.process
         assert process is not None
         process.terminate()
         try:
-            self.ended.codes[process.wait(self.patience)] += 1
+            self.exits.codes[process.wait(self.exit_timeout)] += 1
         except subprocess.TimeoutExpired:
-            self.ended.late.append(gateway.name)
+            self.exits.late.append(gateway.name)
             process.kill()
             process.wait()
 
     def _signals(self, gateway: Gateway, span: float, times: int) -> None:
-        """A planned end that is told several times, with new configurations between."""
+        """Send SIGTERM and SIGHUP alternately, then stop and restart the gateway."""
         for number in [signal.SIGTERM, signal.SIGHUP] * times:
             self._signal([gateway], number)
             time.sleep(SIGNAL_SERIES * span / (2 * times))
         self._term(gateway)
 
     def _signalled_start(self, gateway: Gateway, span: float, times: int) -> None:
-        """A planned end, and another one while the next process starts."""
+        """Restart a gateway and signal the new process during its start."""
         self.end(gateway)
-        place = gateway.spawn()
+        log_offset = gateway.spawn()
         process = gateway.process
         assert process is not None
         time.sleep(START_SPAN * span)
         for number in [signal.SIGHUP] * (times - 1) + [signal.SIGTERM]:
             process.send_signal(number)
-        code = process.wait(self.patience)
-        has_served = b"serving on" in gateway.log.read_bytes()[place:]
-        if has_served or code not in (
-            -signal.SIGTERM,
-            -signal.SIGHUP,
-        ):  # before it takes signals, they end it
-            self.ended.codes[code] += 1
-        self._up(gateway)
-
-    def _crowd(self, gateway: Gateway | None, span: float) -> None:
-        """More requests for a while, to one gateway or to all."""
+        code = process.wait(self.exit_timeout)
+        has_served = b"serving on" in gateway.log.read_bytes()[log_offset:]
+        # Until its signal handlers are installed, the signals end the process.
+        if has_served or code not in (-signal.SIGTERM, -signal.SIGHUP):
+            self.exits.codes[code] += 1
+        self._start_and_time(gateway)
+
+    def _load_spike(self, gateway: Gateway | None, span: float) -> None:
+        """Raise the request rate for a while, at one gateway or at all."""
         load = self.load
-        if load is None or self.crowded:
+        if load is None or self.spike_active:
             return
-        self.crowded, usual, weights = True, load.rate, load.weights
-        load.rate = CROWD * usual
+        self.spike_active, usual, weights = True, load.rate, load.weights
+        load.rate = SPIKE_FACTOR * usual
         if gateway is not None:
-            share = (CROWD - 1) * len(self.gateways)  # of that one: all that is more comes to it
+            share = (SPIKE_FACTOR - 1) * len(self.gateways)  # all additional requests go to that gateway
             load.weights = [1.0 + share * (one is gateway) for one in self.gateways]
 
-        def back() -> None:
-            load.rate, load.weights, self.crowded = usual, weights, False
+        def end_spike() -> None:
+            load.rate, load.weights, self.spike_active = usual, weights, False
 
-        self.timers.after(span, back)
+        self.timers.after(span, end_spike)
 
     def _kill(self, gateway: Gateway, *_: Any) -> None:
         self._halted([gateway], 3.0)
         assert gateway.process is not None
         gateway.process.kill()
         gateway.process.wait()
-        self._up(gateway)
+        self._start_and_time(gateway)
 
     def _pause(self, gateway: Gateway, span: float, _: int) -> None:
         now = time.time()
@@ -267,69 +270,69 @@
         self._signal([gateway], signal.SIGCONT)
 
     def _reload(self, gateway: Gateway, _: float, times: int) -> None:
-        """New configurations in a row, each of which moves discovery."""
+        """Apply a series of new configurations, each of which moves discovery."""
         for _ in range(times):
             self.direct ^= {gateway.name}
-            part = gateway.config.with_suffix(".part")
-            part.write_text(json.dumps(self.config(gateway)))
-            part.replace(gateway.config)
+            temporary = gateway.config.with_suffix(".part")
+            temporary.write_text(json.dumps(self.config(gateway)))
+            temporary.replace(gateway.config)
             self._signal([gateway], signal.SIGHUP)
             time.sleep(0.03)
 
-    def _link_trouble(self, kind: str, gateway: Gateway, span: float, chance: Random) -> None:
+    def _inject_link_fault(self, kind: str, gateway: Gateway, span: float, chance: Random) -> None:
         if kind == "unlogged":
             pairs = [(gateway.name, "log")]
             if gateway.name not in self.direct:
                 self.cut(pairs, seconds=span + 1, stall=True)
                 self.timers.after(span, lambda: self.cut(pairs, "both", True, stall=False))
             return
-        box = chance.choice([*self.caches, *self.parents])
-        pairs = [(one.name, box.name) for one in self.gateways]
+        backend = chance.choice([*self.caches, *self.parents])
+        pairs = [(one.name, backend.name) for one in self.gateways]
         if kind == "stall":
             way = chance.choice(("up", "down", "both"))
             self.cut(pairs, way, seconds=span + 1, stall=True)
             self.timers.after(span, lambda: self.cut(pairs, way, chance.random() < 0.5, stall=False))
             return
-        set_, back = {
+        fault, cleared = {
             "reset": ({"reset": 0.1}, {"reset": 0.0}),
             "lossy": ({"lossy": 0.2}, {"lossy": 0.0}),
             "late": ({"delay": chance.uniform(0.05, 0.4)}, {"delay": 0.0}),
         }[kind]
-        self.cut(pairs, seconds=span + 1, **set_)
-        self.timers.after(span, lambda: self.cut(pairs, **back))
+        self.cut(pairs, seconds=span + 1, **fault)
+        self.timers.after(span, lambda: self.cut(pairs, **cleared))
 
-    def _box_trouble(self, kind: str, box: Meta, span: float) -> None:
-        names = [box.name]
+    def _inject_backend_fault(self, kind: str, backend: Meta, span: float) -> None:
+        names = [backend.name]
         if kind == "drain":
-            if box.state == "active":
+            if backend.state == "active":
                 self._state(names, "leaving")
                 self.timers.after(span + 1.5, lambda: self._state(names, "active"))
             return
-        on, off = {
+        fault, cleared = {
             "silent": ({"silent": True}, {"silent": False}),
             "slow": ({"slow": 0.3}, {"slow": 0.0}),
             "resets": ({"resets": 0.2}, {"resets": 0.0}),
         }[kind]
-        self.box(names, set=on)
-        self.timers.after(span, lambda: self.box(names, set=off))
+        self.box(names, set=fault)
+        self.timers.after(span, lambda: self.box(names, set=cleared))
 
     def _cold(self, chance: Random) -> None:
-        """All caches of a location start anew."""
-        place = chance.randrange(self.zones)
-        self.kill_site(place)
-        self.timers.after(0.3, lambda: self._born(place))
+        """Restart all caches of a location with empty storage."""
+        zone = chance.randrange(self.zones)
+        self.kill_site(zone)
+        self.timers.after(0.3, lambda: self._born(zone))
 
     def purge(self, key: str) -> None:
         self.purged.append((self.number + 1, key, time.time()))
         super().purge(key)
 
     def _excused(self, breach: Any, requests: dict[str, Any], names: dict[int, str]) -> bool:
-        """Also what a client sends again whose gateway was killed: it may have run there; and what a gateway
-        answers late that was stopped."""
+        """Also excuse repeated requests of clients whose gateway was killed, as it may have executed them,
+        and late answers of gateways that were paused."""
         if super()._excused(breach, requests, names):
             return True
-        name = re.search(r"\b[0-9a-f]{16}\b", breach.text)
-        request = requests.get(name[0]) if name else None
+        ref = re.search(r"\b[0-9a-f]{16}\b", breach.text)
+        request = requests.get(ref[0]) if ref else None
         if request is None:
             return False
         if breach.rule == 1:
@@ -343,24 +346,24 @@
         )
 
 
-def counted(logs: list[str], part: str) -> Counter[str]:
-    """One part of the counters that gateways print at their ends, summed."""
-    out: Counter[str] = Counter()
+def summed_counters(logs: list[str], group: str) -> Counter[str]:
+    """Sum one group of the counters that gateways print at exit."""
+    total: Counter[str] = Counter()
     for text in logs:
-        for line in re.findall(rf" {part}: (.*)", text):
-            out.update({name: int(count) for name, count in re.findall(r"(\w+)=(\d+)", line)})
-    return out
+        for line in re.findall(rf" {group}: (.*)", text):
+            total.update({name: int(count) for name, count in re.findall(r"(\w+)=(\d+)", line)})
+    return total
 
 
-def broken(logs: dict[str, str], paused: Container[str]) -> Counter[str]:
-    """Promises that gateways found broken, but for late answers of those that the script had stopped."""
-    out: Counter[str] = Counter()
+def reported_violations(logs: dict[str, str], paused: Container[str]) -> Counter[str]:
+    """Sum the violations that gateways reported, except late answers of gateways that were paused."""
+    total: Counter[str] = Counter()
     for name, text in logs.items():
-        found = counted([text], "violations")
+        violations = summed_counters([text], "violations")
         if name in paused:
-            found.pop("answered_late", None)
-        out.update(found)
-    return +out
+            violations.pop("answered_late", None)
+        total.update(violations)
+    return +total
 
 
 def run(
@@ -372,12 +375,12 @@
     keep: Path | None = None,
     hard: bool = False,
 ) -> dict[str, Any]:
-    """One run; everybody's account and all logs are kept in a folder, if one is named."""
+    """Make one run and return its report; event logs and process logs are copied to `keep` if given."""
     with tempfile.TemporaryDirectory(prefix="soak") as name:
         fleet = Soak(Path(name), seed, gateways, hard)
         chance = fleet.chance("troubles")
-        due = sorted(
-            (chance.uniform(0, seconds), chance.choice(HARD_KINDS if hard else KINDS))
+        schedule = sorted(
+            (chance.uniform(0, seconds), chance.choice(HARD_FAULT_KINDS if hard else FAULT_KINDS))
             for _ in range(troubles)
         )
         try:
@@ -388,15 +391,15 @@
             rude = Rude([gateway.port for gateway in fleet.gateways], fleet.chance("rude"))
             load.start()
             rude.start()
-            time.sleep(SETTLES)
+            time.sleep(WARM_UP)
             began = time.monotonic()
-            for at, kind in due:
+            for at, kind in schedule:
                 time.sleep(max(0.0, began + at - time.monotonic()))
-                fleet.act(kind, chance)
+                fleet.inject(kind, chance)
             time.sleep(max(0.0, began + seconds - time.monotonic()))
             for thread in fleet.threads:
-                thread.join(ENDS + READY)
-            time.sleep(QUIET)
+                thread.join(EXIT_TIMEOUT + START_TIMEOUT)
+            time.sleep(COOL_DOWN)
             rude.stop()
             load.stop()
             for gateway in fleet.gateways:
@@ -406,7 +409,7 @@
             seen = [*entries, *relay_entries(fleet.folder)]
             by_name = {path.stem: path.read_text() for path in sorted(fleet.folder.glob("n*.log"))}
             logs = list(by_name.values())
-            violations = broken(by_name, fleet.paused)
+            violations = reported_violations(by_name, fleet.paused)
             if keep:
                 kept = keep / str(seed)
                 shutil.copytree(fleet.folder, kept, dirs_exist_ok=True)
@@ -418,7 +421,7 @@
         "seed": seed,
         "gateways": gateways,
         "seconds": seconds,
-        "troubles": [f"{at:.2f} {kind}" for at, kind in due],
+        "troubles": [f"{at:.2f} {kind}" for at, kind in schedule],
         "counts": load.counts,
         "breaches": [
             f"{one} ({who_was_late(one, seen) or 'nobody of the rig was late'})" for one in breaches
@@ -429,19 +432,19 @@
         "told": [line[:600] for text in logs for line in text.splitlines() if "invariant: " in line][:20],
         "exceptions": [text[text.index("Traceback") :][:1500] for text in logs if "Traceback" in text][:3],
         "left_over": +Counter(
-            {name: counted(logs, "held")[name] for name in ("calls", "names", "reqs", "limits")}
+            {name: summed_counters(logs, "held")[name] for name in ("calls", "names", "reqs", "limits")}
         ),
-        "faults": counted(logs, "answers")["faults"],
-        "codes": {str(code): many for code, many in fleet.ended.codes.items()},
-        "ended_late": fleet.ended.late,
-        "slowest_start_s": round(fleet.ended.slowest_start, 2),
-        "refused": counted(logs, "refused"),
-        "retried": counted(logs, "retried after"),
+        "faults": summed_counters(logs, "answers")["faults"],
+        "codes": {str(code): many for code, many in fleet.exits.codes.items()},
+        "ended_late": fleet.exits.late,
+        "slowest_start_s": round(fleet.exits.slowest_start, 2),
+        "refused": summed_counters(logs, "refused"),
+        "retried": summed_counters(logs, "retried after"),
     }
 
 
-def bad(report: dict[str, Any]) -> bool:
-    """Was anything found?"""
+def has_failed(report: dict[str, Any]) -> bool:
+    """Return whether a run's report shows a failure."""
     return bool(
         report["breaches"]
         or sum(report["violations"].values())
@@ -450,27 +453,29 @@
         or report["faults"]
         or report["ended_late"]
         or set(report["codes"]) - {"0"}
-        or report["slowest_start_s"] > READY
+        or report["slowest_start_s"] > START_TIMEOUT
     )
 
 
-def main(words: list[str] | None = None) -> int:
+def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="python -m rigs.soak", description=__doc__)
     parser.add_argument("--seeds", type=int, nargs="+", default=[1])
     parser.add_argument("--gateways", type=int, default=24)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--troubles", type=int, default=24)
     parser.add_argument("--rate", type=float, default=200.0)
-    parser.add_argument("--hard", action="store_true", help="signals in series, early kills, crowds")
-    parser.add_argument("--keep", type=Path, metavar="FOLDER", help="for accounts and logs")
+    parser.add_argument("--hard", action="store_true", help="series of signals, early kills, load spikes")
+    parser.add_argument(
+        "--keep", type=Path, metavar="FOLDER", help="where event logs and process logs are kept"
+    )
     parser.add_argument("--json", metavar="FILE")
-    given = parser.parse_args(words)
+    args = parser.parse_args(argv)
     reports = [
-        run(seed, given.gateways, given.seconds, given.troubles, given.rate, given.keep, given.hard)
-        for seed in given.seeds
+        run(seed, args.gateways, args.seconds, args.troubles, args.rate, args.keep, args.hard)
+        for seed in args.seeds
     ]
-    tell({"runs": reports, "bad": [report["seed"] for report in reports if bad(report)]}, given.json)
-    return 1 if any(map(bad, reports)) else 0
+    tell({"runs": reports, "bad": [report["seed"] for report in reports if has_failed(report)]}, args.json)
+    return 1 if any(map(has_failed, reports)) else 0
 
 
 if __name__ == "__main__":
