--- a/rigs/broken.py
+++ b/rigs/broken.py
@@ -1,7 +1,7 @@
-"""A gateway that breaks one of the five rules on purpose: `python -m rigs.broken [guarded-]RULE serve ...`.
+"""Runs a gateway that breaks a rule on purpose: `python -m rigs.broken [guarded-]RULE serve ...`.
 
-It is there to see the checker name the rule, and, with its own checks (lilacloft/invariants.py) in place, to
-see those find it; nothing else may use it.
+It serves to test that the checker finds the rule and, with the gateway's own checks
+(lilacloft/invariants.py) left on, that those find it. Nothing else may use it.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 from lilacloft.routing.slow_start import SlowStart
 
 
-def answers_twice() -> None:
-    once = Downstream.answer
+def answer_twice() -> None:
+    answer = Downstream.answer
 
-    def twice(client: Any, *told: Any) -> None:
-        once(client, *told)
-        once(client, *told)
+    def twice(client: Any, *arguments: Any) -> None:
+        answer(client, *arguments)
+        answer(client, *arguments)
 
     Downstream.answer = staticmethod(twice)
 
 
-def sends_again() -> None:
-    retries.MAY_HAVE_EXECUTED = ()  # nothing is taken to have run
+def retry_executed_requests() -> None:
+    retries.MAY_HAVE_EXECUTED = ()  # all requests count as not executed
 
 
-def hears_no_drain() -> None:
-    listed = Router.endpoints_changed
+def ignore_draining() -> None:
+    endpoints_changed = Router.endpoints_changed
 
-    def ready(self: Router, mode: str, entries: Any) -> None:
-        listed(
+    def list_all_as_ready(self: Router, mode: str, entries: Any) -> None:
+        endpoints_changed(
             self,
             mode,
             [
@@ -46,28 +46,28 @@
             ],
         )
 
-    Router.endpoints_changed = ready
+    Router.endpoints_changed = list_all_as_ready
 
 
-def spares_no_cold_one() -> None:
+def ignore_slow_start() -> None:
     SlowStart.allows = lambda self, backend, work, now: True
 
 
-def knows_no_purge() -> None:
+def ignore_purges() -> None:
     Router.object_purged = lambda self, key, group, age: None
 
 
 RULES = {
-    "1": answers_twice,
-    "2": sends_again,
-    "3": hears_no_drain,
-    "4": spares_no_cold_one,
-    "5": knows_no_purge,
+    "1": answer_twice,
+    "2": retry_executed_requests,
+    "3": ignore_draining,
+    "4": ignore_slow_start,
+    "5": ignore_purges,
 }
 
 
-def unguarded() -> None:
-    """Its own checks let everything pass."""
+def disable_own_checks() -> None:
+    """Make the gateway's own checks pass everything."""
     Invariants.may_send = lambda self, history, backend, source, work, now: True
     Invariants.may_begin = lambda self, begun: True
 
@@ -76,5 +76,5 @@
     guarded, _, rule = sys.argv[1].rpartition("-")
     RULES[rule]()
     if not guarded:
-        unguarded()
+        disable_own_checks()
     sys.exit(main(sys.argv[2:]))
--- a/rigs/bulk.py
+++ b/rigs/bulk.py
@@ -1,9 +1,9 @@
-"""Records of a large fleet, made up: `python -m rigs.bulk --gateways 50 --bes 200 --seconds 3600 --out
-DIR`.
+"""Generates records of a large fleet:
+`python -m rigs.bulk --gateways 50 --bes 200 --seconds 3600 --out DIR`.
 
-No gateway runs: the records are drawn from a seed, in the form that gateways write, with clocks that are
-off, a restart, and a few troubles whose truth is written beside them. Gateways are spread over locations;
-each asks the caches of its own, and all the parents.
+No gateway runs. The records are random, from a seed, in the format that gateways write, with clock offsets
+and a few faults, which are also written to a file. Gateways are spread over locations; each uses the caches
+of its own location and all parents.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 
 def stream(seed: int, purpose: str) -> np.random.Generator:
-    """Random numbers of a purpose's own."""
+    """Return a random generator for one purpose."""
     return np.random.default_rng([seed, *purpose.encode()])
 
 
 class Fleet:
-    """What is true of the whole."""
+    """The fleet, and the faults that the records shall show."""
 
     def __init__(self, seed: int, gateways: int, backends: int, seconds: int, zones: int = 5) -> None:
         self.seed, self.gateways, self.seconds, self.zones = seed, gateways, seconds, zones
@@ -70,7 +70,7 @@
 
 
 def write(fleet: Fleet, number: int, out: Path) -> int:
-    """One gateway's records; returns the bytes."""
+    """Write one gateway's records; return their size in bytes."""
     chance = stream(fleet.seed, f"gateway {number}")
     name, zone = f"g{number:03}", number % fleet.zones
     mine = [cache for cache in fleet.caches if fleet.zone[cache] == zone]
@@ -181,31 +181,32 @@
     return sum(map(len, lines))
 
 
-def _one(told: tuple[Fleet, int, Path]) -> int:
-    return write(*told)
+def _write_one(arguments: tuple[Fleet, int, Path]) -> int:
+    return write(*arguments)
 
 
 def make(out: Path, seed: int, gateways: int, backends: int, seconds: int) -> tuple[Fleet, int]:
-    """All records; returns the truth and the bytes."""
+    """Write all records; return the fleet and their size in bytes."""
     fleet = Fleet(seed, gateways, backends, seconds)
     with multiprocessing.Pool() as pool:
-        size = sum(pool.map(_one, [(fleet, number, out / f"g{number:03}") for number in range(gateways)]))
+        size = sum(
+            pool.map(_write_one, [(fleet, number, out / f"g{number:03}") for number in range(gateways)])
+        )
     (out / "truth.json").write_text(json.dumps(fleet.truth(), indent=1) + "\n")
     return fleet, size
 
 
-def main(words: list[str] | None = None) -> int:
+def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="python -m rigs.bulk", description=__doc__)
     parser.add_argument("--gateways", type=int, default=50)
     parser.add_argument("--bes", dest="backends", type=int, default=200)
     parser.add_argument("--seconds", type=int, default=3600)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--out", required=True, metavar="DIR")
-    given = parser.parse_args(words)
-    _, size = make(Path(given.out), given.seed, given.gateways, given.backends, given.seconds)
-    print(
-        f"{size / 1e6:.0f} MB of records: {given.gateways} gateways, {given.backends} bes, {given.seconds} s"
-    )
+    args = parser.parse_args(argv)
+    _, size = make(Path(args.out), args.seed, args.gateways, args.backends, args.seconds)
+    fleet = f"{args.gateways} gateways, {args.backends} backends, {args.seconds} s"
+    print(f"{size / 1e6:.0f} MB of records: {fleet}")
     return 0
 
 
--- a/rigs/failover.py
+++ b/rigs/failover.py
@@ -1,10 +1,11 @@
-"""A location lost and back, in virtual time: `python -m rigs.failover silent-cold --seeds 8 [--json FILE]`.
-
-The same world, clients and faults by seed under several ways of deciding: `alone` (each gateway by itself),
-`planes` (planners, locations not left: our earlier version), `leaves` (locations are left, past their caches,
-and returned to), `across` (the same, to others' caches), `oracle` (reads the world). What is said: worth in
-all, in the trouble and in the 20 s after it; when nine tenths of a lost location's reqs went elsewhere, from
-the first that was not answered; what was sent into it; which were left, how often; rules broken.
+"""Emulates the loss and return of a location: `python -m rigs.failover silent-cold --seeds 8 [--json FILE]`.
+
+Each seed gives the same scenario, clients and faults to several policies: `alone` (each gateway decides by
+itself), `planes` (planners without failover of locations, as in an earlier version), `leaves` (locations fail
+over past their caches, and fail back), `across` (they fail over to the caches of other locations), `oracle`
+(knows the state of the scenario). The report has the score over all, during the faults and in the 20 s after
+them; the time from a location's loss until nine tenths of its requests went elsewhere; the attempts sent into
+it; which locations failed over and how often; and the rules that were broken.
 """
 
 from __future__ import annotations
@@ -27,28 +28,28 @@
 from lilacloft.emulator.worlds import READS, SECOND, World
 from lilacloft.failover.failover_state import FailoverPhase
 
-WAYS = ("alone", "planes", "leaves", "across", "oracle")
+POLICY_NAMES = ("alone", "planes", "leaves", "across", "oracle")
 
 
 @dataclass(frozen=True)
 class Script:
-    """What happens: faults, planners' troubles, and from when to when it is trouble."""
+    """Faults of the fleet and of planners, and the time span in seconds in which the faults act."""
 
     faults: str
     troubles: tuple[Trouble, ...] = ()
     begin: float = 4.0
     end: float = 9.0
     span: float = 30.0
-    parent: float = 16.0  # transfers that one parent can send at once
+    parent: float = 16.0  # concurrent transfers that one parent can send
 
 
-def turns(seconds: float, length: float) -> str:
-    """A location that is silent by turns."""
-    out, at = [], 4.0
+def alternating(seconds: float, length: float) -> str:
+    """Return the faults of a location that alternately answers and does not."""
+    faults, at = [], 4.0
     while at + length < seconds:
-        out.append(f"(at {at:g}s (silent (zone 1)) (for {length:g}s))")
+        faults.append(f"(at {at:g}s (silent (zone 1)) (for {length:g}s))")
         at += 2 * length
-    return " ".join(out)
+    return " ".join(faults)
 
 
 SILENT = "(at 4s (silent (zone 1)) (for 5s))"
@@ -69,9 +70,9 @@
         end=17.0,
         span=36.0,
     ),
-    "turns": Script(turns(60.0, 3.0), end=60.0, span=80.0),
-    "turns-long": Script(turns(600.0, 3.0), end=600.0, span=620.0),
-    "half": Script(f"{SILENT} (at 8.9s (cold (version 1)))"),  # every second box anew at the return
+    "turns": Script(alternating(60.0, 3.0), end=60.0, span=80.0),
+    "turns-long": Script(alternating(600.0, 3.0), end=600.0, span=620.0),
+    "half": Script(f"{SILENT} (at 8.9s (cold (version 1)))"),  # every second cache is empty at the return
     "issuer": Script(f"{SILENT} (at 8.9s (cold (zone 1)))", (Trouble("kill", 0, 45_000, 120_000),)),
     "issuer-back": Script(f"{SILENT} (at 8.9s (cold (zone 1)))", (Trouble("kill", 0, 115_000, 60_000),)),
     "nobody": Script(
@@ -89,24 +90,24 @@
     "lone": Script(f"{SILENT} (at 3s (lone (zone 1)) (for 8s))"),
     "unlogged": Script(f"{SILENT} (at 8.9s (cold (zone 1))) (at 3s (unlogged (zone 1)) (for 8s))"),
     "calm": Script(""),
-    "drawn": Script("", begin=0.0, end=10.0, span=16.0),  # four faults of any kind, from the seed
+    "drawn": Script("", begin=0.0, end=10.0, span=16.0),  # four random faults of any kind
     "tight": Script(f"{SILENT} (at 8.9s (cold (zone 1)))", parent=0.4),
 }
 
 
 @dataclass(frozen=True)
 class WorldSize:
-    """How large a world is."""
+    """The size of a scenario."""
 
     caches: int = 200
     gateways: int = 50
-    rate: float = 600.0  # requests a second
+    rate: float = 600.0  # requests per second
     zones: int = 4
 
 
 def build_world(size: WorldSize, span: float = 30.0) -> World:
-    """A large site: locations of one size, parents in two hubs that can serve for a lost location. `span`: in
-    seconds."""
+    """Return a large scenario: locations of equal size, and parents in two hubs that can serve for a lost
+    location. `span`: in seconds."""
     return World(
         "site",
         zones=size.zones,
@@ -120,19 +121,19 @@
     )
 
 
-class Watched:
-    """Counts by second what clients asked and were served, by their gateway's location, and what came to
-    boxes."""
+class FleetObserver:
+    """Counts the requests and answers of clients by second and location of the gateway, and the dispatches to
+    backends."""
 
     def watch(self) -> None:
         self.could_at: dict[int, float] = {}
         self.earned_at: dict[int, float] = {}
-        self.sent_to: dict[tuple[int, int], int] = {}  # by tenth of a second: dispatches into a location
-        self.asked_in: dict[tuple[int, int], int] = {}  # and reqs of its gateways
-        self.took_in: dict[int, list[int]] = {}  # what was done, by location: how long it took
+        self.sent_to: dict[tuple[int, int], int] = {}  # dispatches, by tenth of a second and location
+        self.asked_in: dict[tuple[int, int], int] = {}  # requests of its gateways
+        self.took_in: dict[int, list[int]] = {}  # durations of answered requests, by location
 
     def served_share(self, begin: float, end: float) -> float:
-        """The served share of what was asked for, by value, between two times in seconds."""
+        """Return the served share of the requested value between two times in seconds."""
         seconds = range(int(begin), int(end))
         could = sum(self.could_at.get(at, 0.0) for at in seconds)
         earned = sum(self.earned_at.get(at, 0.0) for at in seconds)
@@ -145,7 +146,7 @@
         self.could_at[at] = self.could_at.get(at, 0.0) + self.could - before
 
     def final(self, gateway: Any, number: int, ask: Any, word: str, after: int, dispatch: Any) -> None:
-        before, asked = self.earned, self.asked_at.get(number, ask.first)  # this try, not the first
+        before, asked = self.earned, self.asked_at.get(number, ask.first)  # this attempt, not the first
         super().final(gateway, number, ask, word, after, dispatch)
         at = (ask.first - START) // SECOND
         self.earned_at[at] = self.earned_at.get(at, 0.0) + self.earned - before
@@ -156,21 +157,21 @@
         at = (self.events.now - START) // 1000, dispatch.box.zone
         self.sent_to[at] = self.sent_to.get(at, 0) + 1
         if dispatch.seq == 0:
-            mine = at[0], dispatch.gateway.zone
-            self.asked_in[mine] = self.asked_in.get(mine, 0) + 1
+            own = at[0], dispatch.gateway.zone
+            self.asked_in[own] = self.asked_in.get(own, 0) + 1
         super().sending(dispatch, number, source)
 
 
-class WatchedFleet(Watched, Fleet):
-    """One level."""
+class ObservedFleet(FleetObserver, Fleet):
+    """A fleet without planners, observed."""
 
 
-class WatchedPlanes(Watched, Planes):
-    """Two levels."""
+class WatchedPlanes(FleetObserver, Planes):
+    """A fleet with planners, observed."""
 
 
 def run_world(script_name: str, way: str, seed: int, size: WorldSize) -> dict[str, Any]:
-    """Run one world under one way of deciding; return its row of the report."""
+    """Run one scenario under one policy; return its row of the report."""
     script = SCRIPTS[script_name]
     world = replace(build_world(size, script.span), parent_size=script.parent)
     faults: list[Fault] = parse(script.faults)
@@ -209,24 +210,24 @@
 def _fleet(
     world: World, way: str, seed: int, faults: list[Fault], planner_troubles: tuple[Trouble, ...]
 ) -> Any:
-    """The fleet that decides in a given way."""
+    """Return the fleet with a policy."""
     if way in ("alone", "oracle"):
-        return WatchedFleet(world, seed, faults, POLICIES["module" if way == "alone" else "oracle"])
+        return ObservedFleet(world, seed, faults, POLICIES["module" if way == "alone" else "oracle"])
     leave = {"planes": "never", "leaves": "past"}.get(way, way)
     return WatchedPlanes(world, seed, faults, troubles=planner_troubles, leave=leave)
 
 
 def _p99_elsewhere(fleet: Any, faults: list[Fault]) -> float:
-    """The 99th percentile of the answer times in the locations without a fault, in milliseconds."""
-    struck = {int(fault.which) for fault in faults if fault.whom == "zone"}
+    """Return the 99th percentile of the answer times in the locations without a fault, in milliseconds."""
+    faulty_zones = {int(fault.which) for fault in faults if fault.whom == "zone"}
     times = sorted(
-        duration for zone, all_ in fleet.took_in.items() if zone not in struck for duration in all_
+        duration for zone, all_ in fleet.took_in.items() if zone not in faulty_zones for duration in all_
     )
     return times[len(times) * 99 // 100] / 10 if times else 0.0
 
 
 def _history(fleet: Any) -> list[str]:
-    """What the planners decided of locations, with its times in the fleet's time."""
+    """Return the planners' decisions on locations, with times on the fleet's clock."""
     lines = []
     for plane in fleet.planners:
         zones = plane.planner.locations.decider
@@ -239,7 +240,8 @@
 
 
 def _count_failovers(fleet: Any, history: list[str]) -> int:
-    """How often a location was left. A planner that followed another has the same changes once more."""
+    """Return how often a location failed over. A standby planner repeats the active one's changes, so this
+    is the maximum over the planners."""
     return max(
         sum(
             line.startswith(f"{plane.name} ")
@@ -251,8 +253,8 @@
 
 
 def time_to_failover(fleet: Any, fault: Fault) -> tuple[float | None, int]:
-    """From a location's loss on: the seconds until nine tenths of its requests went elsewhere at once (for
-    half a second), None: never; and how many attempts were sent into it while it was lost."""
+    """Return the seconds from a location's loss until nine tenths of its requests went elsewhere for half a
+    second (None if never), and the number of attempts that were sent into it while it was lost."""
     zone, begin, end = int(fault.which), fault.at // 1000, fault.end // 1000
     into = sum(fleet.sent_to.get((at, zone), 0) for at in range(begin, end))
     for at in range(begin, end - 5):
@@ -263,18 +265,27 @@
     return None, into
 
 
-HURT = {"lossy": 2, "deaf": 2, "mute": 2, "lag": 1, "break": 1, "clock": 1, "restart": 2, "stop": 2}
+OBSERVER_FAULTS = {
+    "lossy": 2,
+    "deaf": 2,
+    "mute": 2,
+    "lag": 1,
+    "break": 1,
+    "clock": 1,
+    "restart": 2,
+    "stop": 2,
+}
 
 
 OBSERVERS_SIZE = WorldSize(24, 12, 110.0, 4)
 
 
-def run_with_hurt_observers(seed: int) -> list[str]:
-    """A small world in which only observers are hurt: gateways by drawn faults, planners by drawn troubles.
-    Returns what was decided of any location, and any rule that was broken."""
+def run_with_faulty_observers(seed: int) -> list[str]:
+    """Run a small scenario with random faults of gateways and planners only. Return all decisions on
+    locations and all breaches of rules; none are expected."""
     world = build_world(OBSERVERS_SIZE, span=8.0)
     stream = Chance(seed).stream("hurt")
-    faults = language.draw(stream, {"gateway": 12}, 6 * SECOND, 4, dict(HURT))
+    faults = language.draw(stream, {"gateway": 12}, 6 * SECOND, 4, dict(OBSERVER_FAULTS))
     fleet = Planes(world, seed, faults, troubles=troubles(stream, 3, 6 * SECOND, 2), leave="past")
     result = fleet.run()
     decided = [
@@ -288,9 +299,10 @@
 
 
 def run_observers(seeds: int, processes: int) -> dict[str, Any]:
-    """Worlds with hurt observers, by seed from 1 on; the report counts those with any decision or breach."""
+    """Run scenarios with faulty observers, seeds 1 to `seeds`; the report counts those with any decision
+    or breach."""
     with ProcessPoolExecutor(processes) as pool:
-        results = list(pool.map(run_with_hurt_observers, range(1, seeds + 1), chunksize=8))
+        results = list(pool.map(run_with_faulty_observers, range(1, seeds + 1), chunksize=8))
     wrong = {seed: lines for seed, lines in enumerate(results, 1) if lines}
     return {"seeds": seeds, "wrong": len(wrong), "first": dict(list(wrong.items())[:5])}
 
@@ -304,7 +316,7 @@
 
 
 def _summary(rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """The means of the rows of one way of deciding."""
+    """Return the means of the rows of one policy."""
     times = sorted(row["elsewhere"] for row in rows if row["elsewhere"] is not None)
     return {
         **{column: round(_mean(rows, column), 4) for column in MEANS},
@@ -317,7 +329,7 @@
 def run_script(
     script: str, seeds: int, size: WorldSize, ways: tuple[str, ...], processes: int
 ) -> dict[str, Any]:
-    """Run all seeds of one script in all ways."""
+    """Run all seeds of one script under all policies."""
     with ProcessPoolExecutor(processes) as pool:
         jobs = [
             pool.submit(run_world, script, way, seed, size) for seed in range(1, seeds + 1) for way in ways
@@ -344,14 +356,14 @@
     parser.add_argument("--gateways", type=int, default=50)
     parser.add_argument("--rate", type=float, default=600.0)
     parser.add_argument("--zones", type=int, default=4)
-    parser.add_argument("--ways", default=",".join(WAYS))
+    parser.add_argument("--ways", default=",".join(POLICY_NAMES))
     parser.add_argument("--processes", type=int, default=8)
     parser.add_argument("--json", metavar="FILE")
     return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the scripts of a command line; 1 where any rule was broken."""
+    """Run the scripts of the command line; return 1 if any rule was broken."""
     args = _parser().parse_args(argv)
     size = WorldSize(args.caches, args.gateways, args.rate, args.zones)
     if "observers" in args.scripts:
--- a/rigs/incident.py
+++ b/rigs/incident.py
@@ -1,11 +1,11 @@
-"""A scripted incident with records: `python -m rigs.incident --seed N --out DIR`.
-
-Three gateways before four caches, two parents and an origin; one gateway's clock is a second ahead, and one
-is killed and started again in the middle. One cache goes silent and comes back, then the origin turns slow
-and recovers, then an object is purged. DIR gets the gateways' records and `truth.json`: what was scripted,
-and when. The course of the records is compared with that: what was found, missed, invented, and how far off
-the beginnings are. `--quiet` scripts nothing at all; `--seeds K` plays so many, one after the other, and
-prints a table.
+"""Plays a scripted incident with records: `python -m rigs.incident --seed N --out DIR`.
+
+Three gateways run in front of four caches, two parents and an origin. One gateway's clock is a second ahead,
+and one gateway is killed and restarted. One cache stops answering and recovers, then the origin becomes slow
+and recovers, then an object is purged. DIR gets the gateways' records and `truth.json`, the scripted events
+and their times. The timeline of the records is compared with it: events found, missed and invented, and the
+errors of the start times. With `--quiet` nothing is scripted. `--seeds K` plays K incidents one after the
+other and prints a row for each.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 from rigs.load import Load
 from rigs.scene import Scene
 
-AHEAD = "1000"  # ms that one clock is ahead
+CLOCK_OFFSET_MS = "1000"  # of the gateway whose clock is ahead
 
 
 class Incident:
-    """One incident."""
+    """One scripted incident."""
 
     def __init__(
         self, out: Path, seed: int, quiet: bool = False, rate: float = 170.0, pace: float = 1.0
@@ -48,12 +48,12 @@
         time.sleep(seconds * self.pace)
 
     def run(self) -> None:
-        """Play it; the records and the truth are in the folder then."""
+        """Play the incident; leaves the records and the scripted events in the folder."""
         scene = self.scene
         try:
             for gateway in scene.gateways:
                 settings = gateway.settings('(record (folder "RECORDS"))')
-                skew = AHEAD if gateway is scene.gateways[1] else "0"
+                skew = CLOCK_OFFSET_MS if gateway is scene.gateways[1] else "0"
                 gateway.program = ("rigs.skewed", skew)
                 gateway.start(*settings)
             load = Load(scene, self.rate, held=18)
@@ -104,23 +104,24 @@
 
 
 def compare(found: Timeline, truth: dict[str, Any]) -> dict[str, Any]:
-    """What was found of the truth, what was not, and what never was."""
-    left = list(found.incidents)
+    """Compare a timeline with the scripted events: found, missed and invented incidents, and errors of
+    times."""
+    unmatched = list(found.incidents)
     errors, missed, wrong_end = {}, [], {}
     order = []
     for row in truth["episodes"]:
-        mine = [
+        candidates = [
             one
-            for one in left
+            for one in unmatched
             if one.kind == row["kind"]
             and one.subject == row["subject"]
             and abs(one.begin - row["begin"]) < 5000
         ]
-        if not mine:
+        if not candidates:
             missed.append(row["kind"])
             continue
-        one = min(mine, key=lambda one: abs(one.begin - row["begin"]))
-        left.remove(one)
+        one = min(candidates, key=lambda one: abs(one.begin - row["begin"]))
+        unmatched.remove(one)
         order.append(found.incidents.index(one))
         errors[row["kind"]] = one.begin - row["begin"]
         if one.end is not None and row["end"] is not None:
@@ -139,7 +140,7 @@
     return {
         "found": len(errors),
         "missed": missed,
-        "invented": [one.title() for one in left],
+        "invented": [one.title() for one in unmatched],
         "in_order": order == sorted(order),
         "begin_error_ms": {kind: round(ms) for kind, ms in errors.items()},
         "end_error_ms": {kind: round(ms) for kind, ms in wrong_end.items()},
@@ -149,34 +150,34 @@
 
 
 def play(out: Path, seed: int, quiet: bool = False, pace: float = 1.0) -> tuple[Timeline, dict[str, Any]]:
-    """Play one, read its records, and compare."""
+    """Play one incident, read its records and compare them with the script."""
     incident = Incident(out, seed, quiet, pace=pace)
     incident.run()
     runs, damage = read([str(out)])
     found = build_timeline(runs)
-    told = compare(found, json.loads((out / "truth.json").read_text()))
-    return found, {"seed": seed, "quiet": quiet, **told, "damage": [str(one) for one in damage]}
+    comparison = compare(found, json.loads((out / "truth.json").read_text()))
+    return found, {"seed": seed, "quiet": quiet, **comparison, "damage": [str(one) for one in damage]}
 
 
-def main(words: list[str] | None = None) -> int:
+def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="python -m rigs.incident", description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--out", required=True, metavar="DIR")
     parser.add_argument("--quiet", action="store_true")
     parser.add_argument("--json", metavar="FILE")
-    given = parser.parse_args(words)
+    args = parser.parse_args(argv)
     rows = []
-    for seed in range(given.seed, given.seed + given.seeds):
-        out = Path(given.out) if given.seeds == 1 else Path(given.out) / f"seed-{seed}"
-        _, row = play(out, seed, given.quiet)
+    for seed in range(args.seed, args.seed + args.seeds):
+        out = Path(args.out) if args.seeds == 1 else Path(args.out) / f"seed-{seed}"
+        _, row = play(out, seed, args.quiet)
         rows.append(row)
         print(json.dumps(row), flush=True)
-    if given.json:
-        Path(given.json).write_text(json.dumps(rows, indent=1) + "\n")
-    bad = [row for row in rows if row["missed"] or row["invented"] or not row["in_order"]]
-    print(f"{len(rows)} played, {len(rows) - len(bad)} as scripted")
-    return 1 if bad else 0
+    if args.json:
+        Path(args.json).write_text(json.dumps(rows, indent=1) + "\n")
+    failed = [row for row in rows if row["missed"] or row["invented"] or not row["in_order"]]
+    print(f"{len(rows)} played, {len(rows) - len(failed)} as scripted")
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/rigs/lateness.py
+++ b/rigs/lateness.py
@@ -1,10 +1,10 @@
-"""Who was late in a run: the rig's clients, boxes and relays, by their accounts, and the gateways, by their
-counters.
+"""Reports the processing delays of a run: of the rig's clients, backends and relays, from their event logs,
+and of the gateways, from their counters.
 
-A report of it judges nothing: it tells whose threads got too little processor time while a rule was broken.
-The checker counts what clients and boxes read from when their kernels had it, so their lags alone break no
-rule. But a dispatch that lay unread with its undo behind it is dated by that, and a relay's lag is part of
-what it carries.
+The report is no verdict: it shows whose threads got too little processor time while a rule was broken. The
+checker counts what clients and backends read from when their kernels had it, so their delays alone break no
+rule. But a dispatch that lay unread with its cancellation behind it gets the cancellation's time, and a
+relay's delay adds to the time of what it forwards.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 from rigs.checker import Breach
 
 Entry = dict[str, Any]
-NAMED = re.compile(r"\b[0-9a-f]{16}\b")
+REF = re.compile(r"\b[0-9a-f]{16}\b")
 LAG_LINE = re.compile(r" lag of (\w+): .*longest_ms=(\d+)")
-NOTABLE = 0.02  # seconds; lags that are shorter are not told
-SPAN = 0.5  # seconds around a breach in which a relay's lags are told
+NOTABLE = 0.02  # seconds; shorter delays are not reported
+SPAN = 0.5  # seconds before and after a breach in which a relay's delays are reported
 
 
 def relay_entries(folder: Path) -> list[Entry]:
-    """What relays told of their own lags."""
+    """Return the entries in which relays logged their own delays."""
     lines = [line for path in folder.glob("relay-*.log") for line in path.read_text().splitlines()]
     return [json.loads(line) for line in lines if line.startswith("{") and line.endswith("}")]
 
 
-def party(entry: Entry) -> str:
-    """The kind of party that wrote an entry."""
+def process_kind(entry: Entry) -> str:
+    """Return the kind of process that wrote an entry."""
     return "boxes" if str(entry["who"]).startswith("s-") else str(entry["who"])
 
 
 def lateness(entries: Iterable[Entry], logs: Iterable[str]) -> dict[str, Any]:
-    """For each kind of party its longest lag in milliseconds and how many were notable; for gateways the
-    longest by kind of work."""
+    """Return for each kind of process its longest delay in milliseconds and the number of notable ones, and
+    for gateways the longest by kind of work."""
     found: dict[str, list[float]] = defaultdict(list)
     for entry in entries:
         if "late" in entry:
-            found[party(entry)].append(entry["late"])
+            found[process_kind(entry)].append(entry["late"])
     report: dict[str, Any] = {
         who: {
             "of": len(lags),
@@ -59,16 +59,15 @@
 
 
 def who_was_late(breach: Breach, entries: Iterable[Entry]) -> str:
-    """The lags of the rig's parties that had to do with a request that a breach names; "" where there were
-    none."""
-    name = NAMED.search(breach.text)
-    told = []
+    """Return the delays in the rig that affected the request of a breach; empty if there were none."""
+    ref = REF.search(breach.text)
+    delays = []
     for entry in entries:
         late = entry.get("late", 0.0)
         if late <= NOTABLE:
             continue
-        if name and entry.get("ref") == name[0]:
-            told.append(f"{entry['who']} read its {entry['what']} {late:.3f} s late")
+        if ref and entry.get("ref") == ref[0]:
+            delays.append(f"{entry['who']} read its {entry['what']} {late:.3f} s late")
         elif entry["what"] == "passed" and abs(entry["at"] - breach.at) < SPAN:
-            told.append(f"a relay passed a piece on {late:.3f} s late")
-    return "; ".join(told[:4])
+            delays.append(f"a relay passed a piece on {late:.3f} s late")
+    return "; ".join(delays[:4])
--- a/rigs/upgrade.py
+++ b/rigs/upgrade.py
@@ -1,10 +1,10 @@
-"""Upgrades in a row under steady load: `python -m rigs.upgrade --times 100 --rate 200 --seed 1`.
+"""Runs successive upgrades under steady load: `python -m rigs.upgrade --times 100 --rate 200 --seed 1`.
 
-Reads and writes of all kinds of idempotency go through one gateway while it is replaced again and again, by
-processes that may fail on purpose. The report says what was lost or executed twice, by the records of clients
-and stand-ins; the latency of requests during upgrades and between them; how long connections waited to be
-accepted; and the memory and descriptors of both processes. `--kill` instead kills the process that serves, at
-random points, under a supervisor.
+Reads and writes of all idempotency classes go through one gateway while it is replaced repeatedly, by
+processes that may fail on purpose. The report says what was lost or executed twice, by the event logs of
+clients and stub backends; the latency of requests during upgrades and between them; how long connections
+waited to be accepted; and the memory and descriptors of both processes. With `--kill` the serving process of
+a supervised gateway is killed at random points instead.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 POLL_SECONDS = 0.02
 WARM_UP_SECONDS = 2.0  # after a start, in which the hit share is measured
 STEADY_SECONDS = 3.0  # before the first upgrade, in which it is measured for comparison
-END_TIMEOUT = 10.0  # seconds for a gateway to end
-SUCCEEDING_STEPS = ("fine", "old")  # of rigs.crash: those after which the handover succeeds
+END_TIMEOUT = 10.0  # seconds until a gateway must have exited
+SUCCEEDING_STEPS = ("fine", "old")  # steps of rigs.crash with which the handover succeeds
 
 
 def cache_use(entries: list[dict[str, Any]], began: float, ended: float) -> dict[str, float]:
-    """Return the hit share, and the attempts for each request, of the reads that were sent in a time."""
+    """Return the hit share and the attempts per request of the reads that were sent between two times."""
     requests = {
         entry["ref"]
         for entry in entries
@@ -56,7 +56,7 @@
 
 
 class UpgradeRun:
-    """A gateway that is replaced again and again."""
+    """A run of successive upgrades of one gateway."""
 
     def __init__(self, args: argparse.Namespace, folder: Path) -> None:
         self.args = args
@@ -68,9 +68,9 @@
         self.rows: list[dict[str, Any]] = []  # one for each upgrade
 
     def upgrade(self, step: str) -> dict[str, Any]:
-        """Upgrade once, to a process that fails at a step or does not."""
-        words = self.gateway.words
-        command = shlex.join(words) if step == "fine" else crash_command(step, words[3:])
+        """Upgrade once, to a process that fails at `step` (`fine`: it does not fail)."""
+        arguments = self.gateway.words
+        command = shlex.join(arguments) if step == "fine" else crash_command(step, arguments[3:])
         phases: list[PhaseReport] = []
         sampler = ResourceSampler([self.pid])
         sampler.start()
@@ -202,7 +202,7 @@
         }
 
     def _report_outcomes(self) -> dict[str, Any]:
-        """Return how many upgrades succeeded, and which ended otherwise than they should."""
+        """Return how many upgrades succeeded, and which had an unexpected result."""
         fine = [row for row in self.rows if row["step"] == "fine"]
         failed = [row for row in self.rows if row["step"] != "fine"]
         return {
@@ -245,23 +245,23 @@
     """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog="python -m rigs.upgrade", description=__doc__)
     parser.add_argument("--times", type=int, default=100)
-    parser.add_argument("--rate", type=float, default=200.0, help="reqs a second")
+    parser.add_argument("--rate", type=float, default=200.0, help="requests per second")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--mode", choices=("whole", "drain"), default="whole")
     parser.add_argument("--crash", default="none", help=f"random, or one of {', '.join(STEPS)}")
-    parser.add_argument("--gap", type=float, default=0.0, help="seconds between upgrades; else drawn")
-    parser.add_argument("--held", type=int, default=8, help="clients' connections that stay")
+    parser.add_argument("--gap", type=float, default=0.0, help="seconds between upgrades; default: random")
+    parser.add_argument("--held", type=int, default=8, help="clients' persistent connections")
     parser.add_argument("--objects", type=int, default=300)
     parser.add_argument("--kill", action="store_true", help="kill a supervised worker instead")
-    parser.add_argument("--store", action="store_true", help="one that has a store; bookings are sent again")
+    parser.add_argument("--store", action="store_true", help="give it a store; clients then retry bookings")
     parser.add_argument("--json", metavar="FILE")
-    parser.add_argument("--account", metavar="FILE", help="keep what all parties saw")
+    parser.add_argument("--account", metavar="FILE", help="write the event logs of all processes to FILE")
     return parser
 
 
-def main(words: list[str] | None = None) -> int:
-    """Run by the command line; returns 0 if nothing was wrong, else 1."""
-    args = argument_parser().parse_args(words)
+def main(argv: list[str] | None = None) -> int:
+    """Run as the command line says; return 0 if no check failed, else 1."""
+    args = argument_parser().parse_args(argv)
     with tempfile.TemporaryDirectory(prefix="upgrade") as folder:
         run = (KillRun if args.kill else UpgradeRun)(args, Path(folder))
         try:
--- a/rigs/upgrade_kills.py
+++ b/rigs/upgrade_kills.py
@@ -1,4 +1,4 @@
-"""Workers of a supervised gateway that are killed at random points: `python -m rigs.upgrade --kill`."""
+"""Kills workers of a supervised gateway at random points: `python -m rigs.upgrade --kill`."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from rigs.upgrade_probes import crash_command, histogram, show_progress
 
 POLL_SECONDS = 0.01
-SERVING_TIMEOUT = 20.0  # seconds until somebody serves after a kill
+SERVING_TIMEOUT = 20.0  # seconds after a kill until a worker must serve
 
 
 class KillRun:
-    """A supervised worker that is killed at random points: between upgrades, and during them."""
+    """A run that kills the workers of a supervised gateway between upgrades and during them."""
 
     def __init__(self, args: argparse.Namespace, folder: Path) -> None:
         self.args = args
@@ -31,11 +31,11 @@
         self.gateway = self.scene.gateways[0]
         self.random = self.scene.chance("kills")
         self.load = Load(self.scene, args.rate)
-        self.kinds = dict.fromkeys(("between", "old", "new"), 0)  # which process is killed; how often
-        self.recoveries: list[float] = []  # seconds after each kill until somebody serves
+        self.kinds = dict.fromkeys(("between", "old", "new"), 0)  # kills, by the process that was killed
+        self.recoveries: list[float] = []  # seconds after each kill until a worker served
 
     def worker(self) -> int:
-        """Return the worker that is the gateway, by the supervisor's log."""
+        """Return the process id of the serving worker, from the supervisor's log."""
         lines = [
             line
             for line in self.gateway.log.read_text().split("\n")
@@ -83,7 +83,7 @@
             upgrade.join(20)
 
     def _start_upgrade(self, kind: str, wait: float) -> threading.Thread:
-        """Start an upgrade; the new process dies after so many seconds, if that is the kind."""
+        """Start an upgrade. If `kind` is `new`, the new process dies after `wait` seconds."""
         step = f"kill-{1000 * wait:.1f}" if kind == "new" else "fine"
         arguments = [word for word in self.gateway.words[3:] if word != "--supervised"]
         upgrade = threading.Thread(
@@ -100,11 +100,11 @@
         return upgrade
 
     def _wait_until_served(self, kill: str) -> None:
-        """Wait until somebody serves after a kill."""
+        """Wait until a worker serves after a kill."""
         began = time.monotonic()
         while not self.gateway.alive():
             if time.monotonic() - began > SERVING_TIMEOUT:
-                raise RuntimeError(f"nobody serves after {kill}")
+                raise RuntimeError(f"no worker serves within {SERVING_TIMEOUT:.0f} s after {kill}")
             time.sleep(POLL_SECONDS)
         self.recoveries.append(time.monotonic() - began)
 
--- a/rigs/upgrade_probes.py
+++ b/rigs/upgrade_probes.py
@@ -1,4 +1,4 @@
-"""What the rigs of upgrades observe with: an accept probe, a sampler of resources, histograms."""
+"""Measuring tools of the upgrade rigs: an accept probe, a resource sampler, histograms."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 
 
 class AcceptProbe(threading.Thread):
-    """Connects and sends ALIVE again and again: how long does nobody accept?"""
+    """Connects and sends ALIVE repeatedly, to measure how long connections are not accepted."""
 
     def __init__(self, port: int) -> None:
         super().__init__(daemon=True)
         self.port = port
-        self.is_over = False
-        self.waits: list[tuple[float, float]] = []  # when each began, and its seconds
+        self.is_stopped = False
+        self.waits: list[tuple[float, float]] = []  # start time and duration of each
         self.refused = 0
 
     def run(self) -> None:
-        """Probe until `is_over` is set."""
-        while not self.is_over:
+        """Probe until `is_stopped` is set."""
+        while not self.is_stopped:
             began = time.time()
             try:
                 with socket.create_connection(("127.0.0.1", self.port), CONNECT_TIMEOUT) as sock:
@@ -58,23 +58,23 @@
             time.sleep(PROBE_SECONDS)
 
     def finish(self) -> None:
-        """End, and wait for it."""
-        self.is_over = True
+        """Stop the thread and wait until it has ended."""
+        self.is_stopped = True
         self.join()
 
 
 class ResourceSampler(threading.Thread):
-    """Samples the memory and descriptors of processes; keeps the most that they had together."""
+    """Samples the memory and descriptors of processes; keeps the maximum of their sum."""
 
     def __init__(self, pids: list[int]) -> None:
         super().__init__(daemon=True)
         self.pids = pids
-        self.is_over = False
+        self.is_stopped = False
         self.memory_mb = self.sockets = 0.0
 
     def run(self) -> None:
-        """Sample until `is_over` is set."""
-        while not self.is_over:
+        """Sample until `is_stopped` is set."""
+        while not self.is_stopped:
             memory_mb = sockets = 0.0
             for pid in list(self.pids):
                 with suppress(OSError, ValueError, IndexError):
@@ -85,8 +85,8 @@
             time.sleep(SAMPLE_SECONDS)
 
     def finish(self) -> None:
-        """End, and wait for it."""
-        self.is_over = True
+        """Stop the thread and wait until it has ended."""
+        self.is_stopped = True
         self.join()
 
 
@@ -96,6 +96,6 @@
 
 
 def show_progress(text: str) -> None:
-    """Overwrite the line of a terminal that shows the progress."""
+    """Show the progress on one line, if standard error is a terminal."""
     if sys.stderr.isatty():
         print(f"\r{text}", end="", file=sys.stderr)
