--- a/rigs/__init__.py
+++ b/rigs/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins, scripted worlds, checkers and experiments of our own, on loopback: `python -m rigs.NAME`.
+"""Stub backends, scripted scenarios, checkers and measurements on loopback: `python -m rigs.NAME`.
 
-They own the outside of a gateway. They must never share code with the decision module, and never reach past
-loopback.
+They simulate the environment of a gateway. They must not share code with the routing module, and must not use
+the network beyond loopback.
 """
--- a/rigs/crash.py
+++ b/rigs/crash.py
@@ -1,12 +1,13 @@
-"""A gateway that fails on purpose: `python -m rigs.crash STEP serve ...`, as the new process of an upgrade.
-
-Steps, in the order in which a new process comes to them: `exit` at once, `hang` at once, `nonsense` in
-place of the first frame, `old` (a form that cannot hold open reqs), `ancient` (one that cannot be written
-for), `hello`, `warm`, `ready`, `unreadable` (the state is refused), `state`, `have`, `stuck` (takes
-everything and says nothing more), `commit` (was told that it is the gateway, and has not answered), `taken`
-(has answered, and done nothing). `orphan` ends the old process once it has everything, and `orphaned` waits
-for its death before it says so. `kill-D` dies D milliseconds after its start, wherever it is then. `fine`
-does not fail.
+"""Runs a gateway that fails on purpose as the new process of an upgrade:
+`python -m rigs.crash STEP serve ...`.
+
+Steps, in the order of a handover: `exit` and `hang` at the start, `nonsense` in place of the first frame,
+`old` (a handover version without open requests), `ancient` (a version that the sender cannot write), `hello`,
+`warm`, `ready`, `unreadable` (the state cannot be read), `state`, `have`, `stuck` (receives everything and
+sends nothing more), `commit` (has received the commit and not acknowledged it), `taken` (has acknowledged it
+and not started). `orphan` kills the old process once everything has been received, and `orphaned` also waits
+for its death before it reports the state as restored. `kill-D` dies D milliseconds after its start, at any
+step. `fine` does not fail.
 """
 
 from __future__ import annotations
@@ -41,8 +42,8 @@
     "stuck",
     "commit",
 )
-CODE = 70
-METHODS = {  # of a HandoverReceiver, by the step that ends with it
+EXIT_CODE = 70
+METHODS = {  # of HandoverReceiver, by the step that the method completes
     "hello": "send_hello",
     "warm": "receive_warm_up",
     "table": "receive_object_parts",
@@ -53,22 +54,22 @@
 
 
 def die(*_: Any, **__: Any) -> None:
-    """As a crash does: nothing is closed in order, nothing said."""
-    os._exit(CODE)
+    """Exit as in a crash, without any cleanup."""
+    os._exit(EXIT_CODE)
 
 
-def after(name: str) -> None:
-    """Die once a step is done."""
+def die_after(name: str) -> None:
+    """Make the process exit once a step is done."""
     step = getattr(HandoverReceiver, METHODS[name])
 
-    def both(self: HandoverReceiver, *arguments: Any) -> None:
+    def run_step_and_die(self: HandoverReceiver, *arguments: Any) -> None:
         step(self, *arguments)
         die()
 
-    setattr(HandoverReceiver, METHODS[name], both)
+    setattr(HandoverReceiver, METHODS[name], run_step_and_die)
 
 
-def arrange(step: str) -> None:
+def install_failure(step: str) -> None:
     """Make this process fail at a step."""
     if step == "exit":
         die()
@@ -96,19 +97,19 @@
     elif step in ("orphan", "orphaned"):
         send_state_restored = HandoverReceiver.send_state_restored
 
-        def last(self: HandoverReceiver) -> None:
+        def kill_sender_and_send(self: HandoverReceiver) -> None:
             os.kill(self.sender_pid, signal.SIGKILL)
             while step == "orphaned" and os.getppid() == self.sender_pid:
                 time.sleep(0.001)
             send_state_restored(self)
 
-        HandoverReceiver.send_state_restored = last
+        HandoverReceiver.send_state_restored = kill_sender_and_send
     elif step.startswith("kill-"):
         threading.Timer(float(step[5:]) / 1000, die).start()
     elif step != "fine":
-        after(step)
+        die_after(step)
 
 
 if __name__ == "__main__":
-    arrange(sys.argv[1])
+    install_failure(sys.argv[1])
     sys.exit(main(sys.argv[2:]))
--- a/rigs/disk_model.py
+++ b/rigs/disk_model.py
@@ -1,7 +1,7 @@
 """A model of a disk in memory: what was written and not synced may be lost, torn or reordered by a crash.
 
-Writes go to a file in pages. Until a sync each page may be durable or not, independently. Names created,
-renamed and removed become durable in their order, some or all, until the directory is synced. Writes and
+Writes go to a file in pages. Until a sync each page may be durable or not, independently. Until the directory
+is synced, a prefix of the created, renamed and removed names may be durable. Writes and
 syncs can be made to fail. After a failed sync the pages that are not durable count as clean, as in kernels: a
 later sync does not write them. A crash can come before any call, or in the middle of a write.
 """
@@ -15,14 +15,14 @@
 
 
 class CrashError(Exception):
-    """The modelled power failed."""
+    """The modelled machine lost its power."""
 
 
 class Node:
     """A file: its durable bytes, and the pages that may not be durable."""
 
     def __init__(self) -> None:
-        self.cache = bytearray()  # what a reader sees until a crash
+        self.cache = bytearray()  # content that reads return until a crash
         self.durable = bytearray()
         self.dirty_pages: set[int] = set()
 
@@ -37,7 +37,7 @@
         """Make a page durable."""
         start, end = page * PAGE, min((page + 1) * PAGE, len(self.cache))
         if len(self.durable) < end:
-            self.durable.extend(bytes(end - len(self.durable)))  # a hole before it reads as zeros
+            self.durable.extend(bytes(end - len(self.durable)))  # a hole before the page reads as zeros
         self.durable[start:end] = self.cache[start:end]
 
 
@@ -52,7 +52,7 @@
         self.unsynced_names: list[tuple[str, str, Node | None]] = []  # operation, name, file
         self.calls = 0
         self.crash_at: int | None = None  # number of the call before which the power fails
-        self.skips_syncs = False  # a fault made on purpose: syncs do nothing
+        self.skips_syncs = False  # injected fault: syncs do nothing
 
     # --- crashes and faults ---
 
@@ -66,7 +66,7 @@
             raise OSError(errno.EIO, f"Input/output error in {operation}")
 
     def restart(self) -> None:
-        """Restore the power: only what was durable is there."""
+        """Restart after a crash, with the durable content only."""
         for operation, name, node in self.unsynced_names[
             : self.random.randrange(len(self.unsynced_names) + 1)
         ]:
--- a/rigs/recording.py
+++ b/rigs/recording.py
@@ -1,8 +1,9 @@
-"""What recording costs, or a store: `python -m rigs.recording --seconds 60 --rate 170 [--store] [--reads]`.
+"""Measures the cost of recording or of a store:
+`python -m rigs.recording --seconds 60 --rate 170 [--store] [--reads]`.
 
-Two gateways of one world under the same load, side by side in one run: one writes records (or has a store),
-the other does not. It prints the CPU time of each a req, the latency of each, and what was written; several
-rounds, the two taking turns.
+Two gateways of one fleet run side by side under the same load: one writes records (or has a store), the other
+does not. The report has the CPU use, memory and latency of both, and the bytes written per second. The
+gateways change roles from round to round.
 """
 
 from __future__ import annotations
@@ -21,33 +22,33 @@
 from rigs.told import tell
 from rigs.upgrade_probes import histogram
 
-TICK = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
-def cpu(pid: int) -> float:
-    """Seconds of CPU that a process has had."""
+def cpu_seconds(pid: int) -> float:
+    """Return the CPU time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
 
-def memory(pid: int) -> float:
-    """Its resident memory in MB."""
+def memory_mb(pid: int) -> float:
+    """Return the resident memory of a process in MB."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGESIZE") / 1e6
 
 
 READS = (("clip", 1.0),)
 
 
-def round_(
+def measure_round(
     folder: Path, seed: int, seconds: float, rate: float, first: int, store: bool = False, reads: bool = False
 ) -> dict[str, Any]:
-    """One round; `first` says which of the two gateways records, or has a store."""
-    forms = '(store (folder "store"))' if store else '(record (folder "RECORDS"))'
+    """Measure one round; `first` is the number of the gateway that records, or has a store."""
+    settings = '(store (folder "store"))' if store else '(record (folder "RECORDS"))'
     scene = Scene(folder, seed, gateways=2)
     try:
         loads = []
         for place, gateway in enumerate(scene.gateways):
-            gateway.start(*(gateway.settings(forms) if place == first else ()))
+            gateway.start(*(gateway.settings(settings) if place == first else ()))
         for gateway in scene.gateways:
             load = Load(scene, rate, seed="same", **({"mix": READS} if reads else {}))
             load.links = {gateway.port: []}
@@ -57,19 +58,19 @@
         time.sleep(3.0)
         for load in loads:
             load.times.clear()
-        began = [cpu(gateway.process.pid) for gateway in scene.gateways]
+        began = [cpu_seconds(gateway.process.pid) for gateway in scene.gateways]
         time.sleep(seconds)
-        ended = [cpu(gateway.process.pid) for gateway in scene.gateways]
-        used = [after - before for before, after in zip(began, ended, strict=True)]
-        held = [memory(gateway.process.pid) for gateway in scene.gateways]
+        ended = [cpu_seconds(gateway.process.pid) for gateway in scene.gateways]
+        cpu_used = [after - before for before, after in zip(began, ended, strict=True)]
+        resident_mb = [memory_mb(gateway.process.pid) for gateway in scene.gateways]
         for load in loads:
             load.stop()
         size = sum(path.stat().st_size for path in folder.rglob("*.jsonl"))
-        out = {}
+        report = {}
         for place, name in ((first, "on"), (1 - first, "off")):
-            out[name] = {
-                "cpu_part": used[place] / seconds,
-                "memory_mb": held[place],
+            report[name] = {
+                "cpu_part": cpu_used[place] / seconds,
+                "memory_mb": resident_mb[place],
                 "latency_ms": histogram([took for _, took, _, _ in loads[place].times]),
                 "by_vhost_ms": {
                     vhost: histogram(
@@ -82,33 +83,33 @@
                     for vhost in sorted({one[2] for one in loads[place].times})
                 },
             }
-        return {**out, "bytes_a_second": size / (seconds + 3)}
+        return {**report, "bytes_a_second": size / (seconds + 3)}
     finally:
         scene.close()
 
 
-def main(words: list[str] | None = None) -> int:
+def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="python -m rigs.recording", description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0)
-    parser.add_argument("--rate", type=float, default=170.0, help="reqs a second a gateway")
+    parser.add_argument("--rate", type=float, default=170.0, help="requests per second and gateway")
     parser.add_argument("--rounds", type=int, default=4)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--store", action="store_true", help="what a store costs")
-    parser.add_argument("--reads", action="store_true", help="no req needs a durable word")
+    parser.add_argument("--store", action="store_true", help="measure a store instead of recording")
+    parser.add_argument("--reads", action="store_true", help="only requests that need no durable write")
     parser.add_argument("--json", metavar="FILE")
-    given = parser.parse_args(words)
+    args = parser.parse_args(argv)
     rounds = []
-    for number in range(given.rounds):
+    for number in range(args.rounds):
         with tempfile.TemporaryDirectory(prefix="recording") as folder:
             rounds.append(
-                round_(
+                measure_round(
                     Path(folder),
-                    given.seed + number,
-                    given.seconds,
-                    given.rate,
+                    args.seed + number,
+                    args.seconds,
+                    args.rate,
                     number % 2,
-                    given.store,
-                    given.reads,
+                    args.store,
+                    args.reads,
                 )
             )
 
@@ -123,7 +124,7 @@
         "more_of_a_core": more,
         "more_of_its_cpu": more / median("off", "cpu_part"),
     }
-    tell(report, given.json)
+    tell(report, args.json)
     return 0
 
 
--- a/rigs/store_kill.py
+++ b/rigs/store_kill.py
@@ -1,4 +1,4 @@
-"""Kills a gateway with a store at random points under load, and starts it again each time."""
+"""Kills a gateway with a store at random points under load, and restarts it each time."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from rigs.upgrade_probes import histogram
 
 STORE_SETTINGS = '(store (folder "store"))'
-DISK_FAILURES = 0.5  # part of a failing disk's calls that fail
-PURGE_SHARE = 0.5  # of the kills, before which an object is purged
+DISK_FAILURES = 0.5  # share of a failing disk's calls that fail
+PURGE_SHARE = 0.5  # share of the kills that follow a purge
 
 
 def kill(
     times: int, rate: float, seed: int, with_store: bool = True, disk_fails_for: float = 0.0
 ) -> dict[str, Any]:
-    """Kill a gateway `times` times at `rate` requests a second; half of its disk's writes and syncs fail in
-    the first `disk_fails_for` seconds of each life.
+    """Kill a gateway `times` times at `rate` requests per second; half of its disk's writes and syncs fail in
+    the first `disk_fails_for` seconds after each start.
 
-    Clients send again, under its name, what crossed the end of their connection, requests that are not
-    idempotent too. The accounts of backends and clients are checked against the rules. Without a store
+    Clients resend requests that were in flight when their connection ended, under the same reference, even
+    non-idempotent ones. The event logs of backends and clients are checked against the rules. Without a store
     breaches are expected.
     """
     with tempfile.TemporaryDirectory(prefix="storekill") as name:
@@ -69,7 +69,7 @@
 def _kill_and_restart(
     scene: Scene, times: int, random_source: random.Random, settings: tuple[str, ...]
 ) -> list[float]:
-    """Kill the gateway `times` times; returns how long each start took, in seconds."""
+    """Kill the gateway `times` times; return how long each start took, in seconds."""
     gateway = scene.gateways[0]
     restart_seconds = []
     for _ in range(times):
--- a/rigs/store_recovery.py
+++ b/rigs/store_recovery.py
@@ -104,10 +104,10 @@
         if store.durable_sequence != last.records:
             errors.append(f"cut at {cut}: {store.durable_sequence} records instead of {last.records}")
         if records_by_key(store) != expected:
-            errors.append(f"cut at {cut}: another state than after {last.records} records")
+            errors.append(f"cut at {cut}: state differs from that after {last.records} records")
         at_commit = cut in (framing.FILE_HEADER.size, last.offset)
         if store.report.damage or bool(store.report.torn) == at_commit:
-            errors.append(f"cut at {cut}: told {store.report}")
+            errors.append(f"cut at {cut}: reported {store.report}")
     return errors
 
 
@@ -153,8 +153,8 @@
     disk: Disk
     random: random.Random
     puts: list[Record] = field(default_factory=list)  # all records that are or may be stored
-    acknowledged: int = 0  # how many of them a commit has reported as durable
-    commit_sizes: set[int] = field(default_factory=set)  # how many may be durable: whole commits only
+    acknowledged: int = 0  # number of records that a commit has reported as durable
+    commit_sizes: set[int] = field(default_factory=set)  # possible durable counts: after whole commits
 
     def work(self, store: Store) -> None:
         """Put, commit and compact at random until the power fails."""
@@ -185,16 +185,16 @@
         """Return what is wrong with a store that was recovered after a crash; empty if nothing is."""
         durable = store.durable_sequence
         if durable < self.acknowledged:
-            return f"{durable} records, {self.acknowledged} told as down; {store.report}"
+            return f"{durable} records, {self.acknowledged} acknowledged as durable; {store.report}"
         if durable not in self.commit_sizes:
-            return f"half a commit: {durable} of {sorted(self.commit_sizes)}"
+            return f"incomplete commit recovered: {durable} of {sorted(self.commit_sizes)}"
         expected: RecordsByKey = {}
         for record in self.puts[:durable]:
             apply_record(expected, record)
         if records_by_key(store) != expected:
-            return f"another state than that after {durable} records"
+            return f"recovered state differs from that after {durable} records"
         if store.report.damage:
-            return f"damage where there was but a crash: {store.report.damage}"
+            return f"damage reported after a mere crash: {store.report.damage}"
         return ""
 
 
@@ -213,7 +213,7 @@
         store = Store(disk, segment_bytes=run.random.choice([300, 1000, 1 << 20]))
         if store.durable_sequence != len(run.puts):
             count = f"{store.durable_sequence} records instead of {len(run.puts)}"
-            return [f"{where}: recovered again, {count}"]
+            return [f"{where}: second recovery found {count}"]
         disk.crash_at = disk.calls + run.random.randrange(1, MAX_CALLS_BEFORE_CRASH)
         with contextlib.suppress(CrashError):
             run.work(store)
