--- a/rigs/disk_model.py
+++ b/rigs/disk_model.py
@@ -1,9 +1,9 @@
 """A model of a disk in memory: what was written and not synced may be lost, torn or reordered by a crash.
 
 Writes go to a file in pages. Until a sync each page may be durable or not, independently. Until the directory
-is synced, a prefix of the created, renamed and removed names may be durable. Writes and
-syncs can be made to fail. After a failed sync the pages that are not durable count as clean, as in kernels: a
-later sync does not write them. A crash can come before any call, or in the middle of a write.
+is synced, a prefix of the created, renamed and removed names may be durable. Writes and syncs
+can be made to fail. After a failed sync the pages that are not durable count as clean, as in kernels: a later
+sync does not write them. A crash can come before any call, or in the middle of a write.
 """
 
 from __future__ import annotations
--- a/tests/test_red.py
+++ b/tests/test_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt tolerates the failures that it lists and nothing else, and cannot be forgotten."""
+"""Tests of KNOWN-RED.txt: only listed failures are tolerated, and outdated entries fail the run."""
 
 import os
 import subprocess
@@ -31,7 +31,7 @@
 
 
 def run(folder, lines, *args, tests=TESTS, outcome="pass"):
-    """The exit code and output of a suite of its own, with these lines in its KNOWN-RED.txt."""
+    """Run a separate suite with these lines in its KNOWN-RED.txt; return its exit code and output."""
     (folder / "tests").mkdir()
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
     (folder / "tests" / "conftest.py").write_text('pytest_plugins = ["rigs.red"]\n')
@@ -55,16 +55,16 @@
 BOTH = (entry(FAILS, "no end is told"), entry(FAILS_SECOND_PARAMETER, "two are one too many"))
 
 
-@pytest.mark.parametrize("side", [("-n0",), ("-n2",)])
-def test_listed_tests_run_and_are_printed_and_fail_nothing(tmp_path, side):
-    code, output = run(tmp_path, ["# a word", "", *BOTH], *side)
+@pytest.mark.parametrize("workers", [("-n0",), ("-n2",)])
+def test_listed_tests_run_and_are_printed_and_fail_nothing(tmp_path, workers):
+    code, output = run(tmp_path, ["# a word", "", *BOTH], *workers)
     assert code == 0 and "2 passed, 2 xfailed" in output
     assert f"known failure: {FAILS} still fails: no end is told (issue 31)" in output
     assert f"known failure: {FAILS_SECOND_PARAMETER} still fails: two are one too many (issue 31)" in output
 
 
 @pytest.mark.parametrize(
-    "lines, says",
+    "lines, message",
     [
         (BOTH[:1], "1 failed"),  # test_some[2] is not listed
         ((*BOTH, entry("tests/test_it.py::test_passes")), "XPASS(strict)"),
@@ -82,10 +82,10 @@
         ((*BOTH, *(entry(f"tests/test_it.py::test_{n}") for n in range(4))), "4 failed"),
     ],
 )
-@pytest.mark.parametrize("side", [("-n0",), ("-n2",)])
-def test_what_may_not_be_passed_over_fails_the_run(tmp_path, lines, says, side):
-    code, output = run(tmp_path, lines, *side)
-    assert code not in (0, 5) and says in output
+@pytest.mark.parametrize("workers", [("-n0",), ("-n2",)])
+def test_unlisted_failures_and_outdated_or_malformed_entries_fail_the_run(tmp_path, lines, message, workers):
+    code, output = run(tmp_path, lines, *workers)
+    assert code not in (0, 5) and message in output
 
 
 @pytest.mark.parametrize(
@@ -124,7 +124,7 @@
 
 
 def assert_refused(folder, line):
-    """The reader raises an error that names the line, which stands below a good one."""
+    """Check that the reader raises an error that names the line, which follows a well-formed one."""
     path = folder / red.FILE_NAME
     path.write_text(f"{BOTH[1]}\n{line}\n")
     with pytest.raises(ValueError, match=r"KNOWN-RED\.txt, line 2"):
@@ -132,19 +132,19 @@
 
 
 @pytest.mark.parametrize("outcome, count", [("fail", "1 passed, 1 xfailed"), ("pass", "1 passed, 1 xpassed")])
-@pytest.mark.parametrize("side", [("-n0",), ("-n2", "--dist", "loadgroup")])
-def test_an_intermittent_failure_may_have_either_outcome_and_it_is_printed(tmp_path, outcome, count, side):
+@pytest.mark.parametrize("workers", [("-n0",), ("-n2", "--dist", "loadgroup")])
+def test_an_intermittent_failure_may_have_either_outcome_and_it_is_printed(tmp_path, outcome, count, workers):
     lines = [entry(INTERMITTENT, SOMETIMES)]
-    code, output = run(tmp_path, lines, *side, tests=INTERMITTENT_TEST, outcome=outcome)
+    code, output = run(tmp_path, lines, *workers, tests=INTERMITTENT_TEST, outcome=outcome)
     assert code == 0 and count in output
     assert f"known failure: {INTERMITTENT} {outcome}ed this time: {SOMETIMES} (issue 31)" in output
 
 
 @pytest.mark.parametrize("outcome, expected_code", [("fail", 0), ("pass", 1)])
-@pytest.mark.parametrize("side", [("-n0",), ("-n2", "--dist", "loadgroup")])
-def test_without_counts_an_entry_of_the_same_test_has_to_fail(tmp_path, outcome, expected_code, side):
+@pytest.mark.parametrize("workers", [("-n0",), ("-n2", "--dist", "loadgroup")])
+def test_without_counts_an_entry_of_the_same_test_has_to_fail(tmp_path, outcome, expected_code, workers):
     lines = [entry(INTERMITTENT, "it is slow")]
-    code, output = run(tmp_path, lines, *side, tests=INTERMITTENT_TEST, outcome=outcome)
+    code, output = run(tmp_path, lines, *workers, tests=INTERMITTENT_TEST, outcome=outcome)
     assert code == expected_code
     assert (f"known failure: {INTERMITTENT} still fails: it is slow" in output) == (outcome == "fail")
     assert ("XPASS(strict)" in output) == (outcome == "pass")
@@ -156,15 +156,15 @@
     assert code == 0 and f"known failure: {INTERMITTENT} did not run: {SOMETIMES}" in output
 
 
-@pytest.mark.parametrize("side", [("-n0",), ("-n2",)])
-def test_more_than_three_may_be_listed_and_each_still_has_to_fail(tmp_path, side):
+@pytest.mark.parametrize("workers", [("-n0",), ("-n2",)])
+def test_more_than_three_may_be_listed_and_each_still_has_to_fail(tmp_path, workers):
     tests = "import pytest\n@pytest.mark.parametrize('n', range(6))\ndef test_it(n): assert n == 5\n"
     listed = [entry(f"tests/test_it.py::test_it[{n}]") for n in range(5)]
-    code, output = run(tmp_path, listed, *side, tests=tests)
+    code, output = run(tmp_path, listed, *workers, tests=tests)
     assert code == 0 and "1 passed, 5 xfailed" in output and output.count("still fails") == 5
 
 
-def test_a_part_of_the_suite_may_be_run_alone(tmp_path):
+def test_a_part_of_the_suite_can_be_run(tmp_path):
     code, _ = run(tmp_path, BOTH, "-n0", "tests/test_it.py::test_passes")
     assert code == 0
 
--- a/tests/test_rigs.py
+++ b/tests/test_rigs.py
@@ -1,4 +1,4 @@
-"""The rigs themselves: the checker names each rule that is broken, and the experiments run to a good end."""
+"""Tests of the rigs: the checker names each broken rule, and the upgrade and demo rigs pass."""
 
 import dataclasses
 import json
@@ -50,8 +50,8 @@
     return entry(at, backend, "end", conn=conn, ref=ref, word=word)
 
 
-GOOD = [request(0.0), do(0.1), end(0.2), answer(0.3), entry(9.0, "script", "said")]
-BAD = [
+CORRECT_LOG = [request(0.0), do(0.1), end(0.2), answer(0.3), entry(9.0, "script", "said")]
+BREACHES = [
     (1, "never answered", [request(0.0), entry(9.0, "script", "said")]),
     (1, "too late", [request(0.0), answer(1.06), entry(9.0, "script", "said")]),
     (1, "answered twice", [request(0.0), answer(0.1), answer(0.2)]),
@@ -137,17 +137,17 @@
 ]
 
 
-def test_a_good_account_has_no_breach():
-    assert check(GOOD, LIMITS) == []
-    told = [
+def test_correct_log_has_no_breach():
+    assert check(CORRECT_LOG, LIMITS) == []
+    purged = [
         entry(1.0, "log", "purge", key="k", group=0),
         request(1.1),
-        answer(1.2, born=0.5),  # not known yet
+        answer(1.2, born=0.5),  # the purge need not be known yet
         request(2.0, "s"),
         answer(2.1, "s", born=1.5),
     ]
-    assert check(told, LIMITS) == []
-    twice = [
+    assert check(purged, LIMITS) == []
+    retried = [
         request(0.0, effect="non-replayable"),
         do(0.1),
         end(0.2, word="full"),
@@ -155,17 +155,17 @@
         end(0.4, "b"),
         answer(0.5),
     ]
-    assert check(twice, LIMITS) == []
+    assert check(retried, LIMITS) == []
 
 
-@pytest.mark.parametrize("rule, text, entries", BAD)
+@pytest.mark.parametrize("rule, text, entries", BREACHES)
 def test_each_breach_is_named_with_its_rule(rule, text, entries):
     found = check(entries, LIMITS)
     assert {breach.rule for breach in found} == {rule}
     assert all(text in str(breach) for breach in found) and found
 
 
-def test_bytes_that_are_not_those_of_the_part_are_seen():
+def test_corrupt_or_truncated_body_is_detected():
     data = body("ab", 1, 12.5, 500)
     assert whole(data, "ab", 1) == 12.5 and len(data) == 500
     assert whole(data, "ab", 2) is None and whole(data[:-1], "ab", 1) is None
@@ -173,7 +173,7 @@
 
 
 def play(tmp_path, rule=None):
-    """A short day with everything in it, before a gateway that keeps the rules or breaks one."""
+    """Run load, a restart, a drain and purges against a gateway that keeps the rules or breaks one."""
     scene = Scene(tmp_path, 5, program=("rigs.broken", rule) if rule else ("lilacloft",))
     try:
         scene.gateways[0].start()
@@ -198,13 +198,13 @@
         scene.close()
 
 
-def test_a_gateway_that_keeps_the_rules_has_no_breach(tmp_path):
+def test_correct_gateway_has_no_breach(tmp_path):
     breaches, counts = play(tmp_path)
     assert breaches == [] and counts["done"] > 300
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_a_gateway_that_breaks_a_rule_is_caught(tmp_path, rule):
+def test_gateway_that_breaks_a_rule_is_detected(tmp_path, rule):
     assert int(rule) in {breach.rule for breach in play(tmp_path, rule)[0]}
 
 
@@ -218,7 +218,7 @@
         (0.5, 0.02, 0.0, ["begun"]),
     ],
 )
-def test_the_terms_on_attempts_are_judged_where_they_are_asked_for(limit, left, written, seen):
+def test_rules_on_attempts_are_checked_only_if_enabled(limit, left, written, seen):
     entries = [request(0.0), entry(written, "clients", "written", ref="r")]
     entries += [] if left is None else [entry(left, "clients", "left", ref="r")]
     entries += [entry(0.19, "a", "do", conn=1, ref="r", next=None, limit=limit)]
@@ -236,7 +236,7 @@
     assert "invariant: " in log.read_text()
 
 
-def test_upgrades_in_a_row_lose_and_double_nothing(tmp_path):
+def test_successive_upgrades_lose_and_repeat_nothing(tmp_path):
     out = tmp_path / "out.json"
     assert (
         upgrade.main(
@@ -268,7 +268,7 @@
     assert report["supervisor_lived"] and report["doubled"] == 0 and report["code"] == 0
 
 
-def test_the_demo_shows_a_fleet_and_keeps_the_rules(tmp_path, capsys):
+def test_demo_prints_a_fleet_and_keeps_the_rules(tmp_path, capsys):
     assert demo.main(["--seconds", "5", "--folder", str(tmp_path / "demo")]) == 0
-    told = capsys.readouterr().out
-    assert "done" in told and "hit share" in told and "no rule broken" in told
+    output = capsys.readouterr().out
+    assert "done" in output and "hit share" in output and "no rule broken" in output
