--- a/lilacloft/failover/hash_slices.py
+++ b/lilacloft/failover/hash_slices.py
@@ -30,7 +30,7 @@
     return tuple(positions)
 
 
-def is_away(placement_key: str, zone: int, returned_slices: int) -> bool:
+def is_failed_over(placement_key: str, zone: int, returned_slices: int) -> bool:
     """Return whether a location with so many returned slices does not serve an object part."""
     return (
         returned_slices < SLICE_COUNT
--- a/lilacloft/failover/local_failover.py
+++ b/lilacloft/failover/local_failover.py
@@ -50,10 +50,10 @@
     next_canary_at: Ticks = 0  # in the router's time
     substitutes: tuple[ZoneWeight, ...] = ()
 
-    def is_away(self, placement_key: str, is_safe: bool, now: Ticks) -> bool:
+    def is_failed_over(self, placement_key: str, is_safe: bool, now: Ticks) -> bool:
         """Return whether the location is not used for an object part. Of the requests that would not use it,
         those that are safe to repeat (`is_safe`) may be sent there as canaries, one at a time."""
-        if not hash_slices.is_away(placement_key, self.zone, self.returned_slices):
+        if not hash_slices.is_failed_over(placement_key, self.zone, self.returned_slices):
             return False
         if self.sends_canaries and is_safe and now >= self.next_canary_at:
             self.next_canary_at = now + CANARY_TURN
@@ -217,9 +217,9 @@
         if state.return_fails():
             state.fail_return(now)
             return
-        is_away = failover.returned_slices == 0
-        failover.sends_canaries = is_away and (now // CANARY_TURN) % self.gateways == self.canary_slot
-        if is_away:
+        is_failed_over = failover.returned_slices == 0
+        failover.sends_canaries = is_failed_over and (now // CANARY_TURN) % self.gateways == self.canary_slot
+        if is_failed_over:
             if not state.may_begin_return(now):
                 return
         elif now - state.raised_at < TICKS_PER_SECOND / self.slices_per_second:
--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -10,7 +10,7 @@
 from lilacloft.gateway.context import GatewayContext
 from lilacloft.gateway.dispatcher import AttemptDispatcher
 from lilacloft.gateway.lifecycle import Lifecycle
-from lilacloft.invariants import Effect, History
+from lilacloft.invariants import IdempotencyRule, RequestHistory
 from lilacloft.net.client_connection import ClientConnection
 from lilacloft.net.client_request import ClientRequest
 from lilacloft.routing.model import RejectReason, Request
@@ -31,7 +31,7 @@
         self.answers, self.dispatcher = answers, dispatcher
         self.clock, self.loop = gateway.clock, gateway.loop
         self.effects = [
-            Effect(vhost["effect"], vhost.get("repeat_group", "cell"), vhost.get("repeat_window", 0))
+            IdempotencyRule(vhost["effect"], vhost.get("repeat_group", "cell"), vhost.get("repeat_window", 0))
             for vhost in gateway.vhosts
         ]
 
@@ -86,9 +86,9 @@
             is_write=bool(client_request.body),
         )
 
-    def request_history(self, client_request: ClientRequest, request: Request) -> History:
+    def request_history(self, client_request: ClientRequest, request: Request) -> RequestHistory:
         """Return the invariant checks' state for a request that has arrived or was handed over."""
-        history = History(
+        history = RequestHistory(
             client_request.name,
             self.effects[client_request.vhost],
             request.deadline,
--- a/lilacloft/gateway/dispatcher.py
+++ b/lilacloft/gateway/dispatcher.py
@@ -12,7 +12,7 @@
 from lilacloft.gateway.context import GatewayContext
 from lilacloft.gateway.event_loop import ScheduledCall
 from lilacloft.gateway.wire_messages import attempt_milliseconds, encode_dispatch
-from lilacloft.invariants import History
+from lilacloft.invariants import RequestHistory
 from lilacloft.net.attempt import Attempt
 from lilacloft.net.client_request import ClientRequest
 from lilacloft.net.close_reasons import OUTCOMES, CloseReason
@@ -82,7 +82,7 @@
             window_over=self.idempotency_deadline(client_request.history),
         )
 
-    def idempotency_deadline(self, history: History) -> Ticks:
+    def idempotency_deadline(self, history: RequestHistory) -> Ticks:
         """Return from when on, by the monotonic clock, a request that may have been executed must not be sent
         again; 0: it always may be."""
         if history.first_executed_at is None or history.effect.kind == Idempotency.SAFE:
--- a/lilacloft/gateway/event_loop.py
+++ b/lilacloft/gateway/event_loop.py
@@ -134,7 +134,7 @@
         for _ in range(self.work.client_count + 1):
             self._run_internal()
             self._run_due_timers()
-            event = self.work.next_of_clients(self.clock.monotonic_time + URGENT_TIME)
+            event = self.work.next_client_item(self.clock.monotonic_time + URGENT_TIME)
             if event is None:
                 return
             self.run_event(event)
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -187,7 +187,7 @@
     def connection_closing(self, names: list[str]) -> None:
         """Check that this gateway may close a connection on which requests of these names are open. Any
         thread may call this."""
-        self.invariants.closed_with_open(names)
+        self.invariants.report_unanswered(names)
 
     # --- time and events, for other packages ---
 
--- a/lilacloft/gateway/reporting.py
+++ b/lilacloft/gateway/reporting.py
@@ -12,7 +12,7 @@
 
 from lilacloft.gateway.clock import monotonic_ticks
 from lilacloft.gateway.context import GatewayContext
-from lilacloft.invariants import Promise
+from lilacloft.invariants import Invariant
 from lilacloft.net.attempt import Attempt
 from lilacloft.net.lag_histogram import GatewayLags
 from lilacloft.net.processor_wait import processor_wait
@@ -67,7 +67,7 @@
     def _trail(self, name: str) -> str:
         return "; ".join(str(step) for step in self.gateway.trace.steps_of(name))
 
-    def report_violation(self, promise: Promise, name: str, detail: str) -> None:
+    def report_violation(self, invariant: Invariant, name: str, detail: str) -> None:
         """Log that an invariant is violated, or was about to be, with the request's trace; at most once per
         second. Any thread may call this."""
         now = monotonic_ticks()
@@ -75,7 +75,7 @@
             return
         self.last_violation_at = now
         trail = self._trail(name) or "no trace"
-        logger.error("invariant: {}: {} {}; {}", promise.value, name, detail, trail)
+        logger.error("invariant: {}: {} {}; {}", invariant.value, name, detail, trail)
 
     def open_resources(self) -> dict[str, int]:
         """Return the numbers of resources in use. Once no request is outstanding, all are 0 except client
--- a/lilacloft/invariants.py
+++ b/lilacloft/invariants.py
@@ -29,7 +29,7 @@
 DRAIN_GRACE = 10_000  # time for which a draining backend may be used, if the settings do not set it
 
 
-class Promise(Enum):
+class Invariant(Enum):
     """An invariant; the value is the description in log messages."""
 
     CLIENT_HAD_LEFT = "an attempt was started for a client that had left"
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class Effect:
+class IdempotencyRule:
     """The idempotency settings of a virtual host: whether a request may be retried that may have been
     executed."""
 
@@ -56,11 +56,11 @@
 
 
 @dataclass(slots=True)
-class History:
+class RequestHistory:
     """The course of one request, as recorded by the checks."""
 
     name: str
-    effect: Effect
+    effect: IdempotencyRule
     deadline: int  # when its client stops waiting
     in_flight: bool = False
     sent_at: int = 0  # when the last attempt was decided
@@ -96,7 +96,7 @@
     """Since when a backend has been draining or gone, by the gateway's time and by the monotonic clock."""
 
     at: int
-    steady: int
+    monotonic_time: int
 
 
 class Invariants:
@@ -106,12 +106,12 @@
     def __init__(
         self,
         settings: Mapping[str, Any],
-        on_violation: Callable[[Promise, str, str], None] = lambda _invariant, _name, _detail: None,
+        on_violation: Callable[[Invariant, str, str], None] = lambda _invariant, _name, _detail: None,
     ) -> None:
         """`on_violation` is called with the invariant, the name of the request or backend, and details."""
         rules, family = settings["rules"], settings["family"]
         self.on_violation = on_violation
-        self.counts = dict.fromkeys(Promise, 0)
+        self.counts = dict.fromkeys(Invariant, 0)
         self.lock = threading.Lock()
         self.overload_window = rules["fall"]
         self.drain_grace = rules.get("drain_grace") or DRAIN_GRACE
@@ -125,7 +125,7 @@
         self.sent_while_cold: dict[Backend, deque[tuple[int, float]]] = {}  # recent (time, work)
         self.drained: dict[str, DrainingSince] = {}  # since when backends are draining or gone, by name
 
-    def _violated(self, invariant: Promise, name: str, detail: str) -> bool:
+    def _violated(self, invariant: Invariant, name: str, detail: str) -> bool:
         """Count and report an invariant that is violated, or would be; returns False."""
         with self.lock:
             self.counts[invariant] += 1
@@ -134,7 +134,9 @@
 
     # --- sending and retrying ---
 
-    def may_send(self, history: History, backend: Backend, source: Backend, work: float, now: int) -> bool:
+    def may_send(
+        self, history: RequestHistory, backend: Backend, source: Backend, work: float, now: int
+    ) -> bool:
         """Return whether an attempt may be sent to a backend with `source` filling a miss; checked for every
         attempt when it is decided."""
         allowed = (
@@ -149,71 +151,71 @@
             history.in_flight, history.sent_at, history.backend = True, now, backend
         return allowed
 
-    def _is_open(self, history: History) -> bool:
+    def _is_open(self, history: RequestHistory) -> bool:
         if history.settled:
-            return self._violated(Promise.SETTLED, history.name, "when decided")
+            return self._violated(Invariant.SETTLED, history.name, "when decided")
         if history.in_flight:
             return self._violated(
-                Promise.TWO_OUT, history.name, f"first at {history.backend and history.backend.name}"
+                Invariant.TWO_OUT, history.name, f"first at {history.backend and history.backend.name}"
             )
         return True
 
-    def _may_repeat(self, history: History, backend: Backend, now: int) -> bool:
+    def _may_repeat(self, history: RequestHistory, backend: Backend, now: int) -> bool:
         """Return whether a request may be sent, considering that it may have been executed before."""
         effect, first = history.effect, history.first_executed_by
         if history.first_executed_at is None or first is None or effect.kind == "replayable":
             return True
         same = {"all": True, "zone": backend.zone == first.zone, "cell": backend.cell == first.cell}
         if effect.kind != "uniqued" or not same[effect.scope]:
-            return self._violated(Promise.SENT_AGAIN, history.name, f"{first.name}, then {backend.name}")
+            return self._violated(Invariant.SENT_AGAIN, history.name, f"{first.name}, then {backend.name}")
         if now >= history.first_executed_at + effect.window:
             late = (now - history.first_executed_at - effect.window) / 10
-            return self._violated(Promise.WINDOW_OVER, history.name, f"{late:.1f} ms after its window")
+            return self._violated(Invariant.WINDOW_OVER, history.name, f"{late:.1f} ms after its window")
         return True
 
-    def _within_drain_grace(self, history: History, backend: Backend, now: int) -> bool:
+    def _within_drain_grace(self, history: RequestHistory, backend: Backend, now: int) -> bool:
         """Return whether a backend is ready, or has been draining or gone for no longer than the grace
         period."""
         since = self.drained.get(backend.name)
         if since is None or now <= since.at + self.drain_grace:
             return True
-        return self._violated(Promise.DRAIN, history.name, f"when decided for {backend.name}")
+        return self._violated(Invariant.DRAIN, history.name, f"when decided for {backend.name}")
 
-    def attempt_ended(self, history: History, outcome: str) -> None:
+    def attempt_ended(self, history: RequestHistory, outcome: str) -> None:
         """Record the end of the attempt in flight."""
         history.in_flight = False
         if outcome in MAY_HAVE_EXECUTED and history.first_executed_at is None:
             history.first_executed_at, history.first_executed_by = history.sent_at, history.backend
 
-    def may_begin(self, first_byte: FirstByte) -> bool:
+    def may_send_first_byte(self, first_byte: FirstByte) -> bool:
         """Return whether the first byte of an attempt may be sent; the attempt may have waited for a
         connection since it was decided."""
         if first_byte.client_left_at and first_byte.now > first_byte.client_left_at + CLIENT_LEFT_LIMIT:
             elapsed = (first_byte.now - first_byte.client_left_at) / 10
-            return self._violated(Promise.CLIENT_HAD_LEFT, first_byte.name, f"{elapsed:.1f} ms before")
+            return self._violated(Invariant.CLIENT_HAD_LEFT, first_byte.name, f"{elapsed:.1f} ms before")
         if first_byte.deadline and first_byte.time_limit > first_byte.deadline - first_byte.now + TIME_SLACK:
             limit, left = first_byte.time_limit / 10, (first_byte.deadline - first_byte.now) / 10
             return self._violated(
-                Promise.TIME_LEFT, first_byte.name, f"time limit {limit:.0f} ms, left {left:.0f} ms"
+                Invariant.TIME_LEFT, first_byte.name, f"time limit {limit:.0f} ms, left {left:.0f} ms"
             )
         if first_byte.window_ends_at and first_byte.now > first_byte.window_ends_at:
-            return self._violated(Promise.WINDOW_OVER, first_byte.name, "when its first byte was sent")
+            return self._violated(Invariant.WINDOW_OVER, first_byte.name, "when its first byte was sent")
         if (
             first_byte.draining_since
             and first_byte.now > first_byte.draining_since + self.drain_grace + WIRE_SLACK
         ):
-            return self._violated(Promise.DRAIN, first_byte.name, "when its first byte was sent")
+            return self._violated(Invariant.DRAIN, first_byte.name, "when its first byte was sent")
         return True
 
     # --- backends ---
 
-    def endpoint_changed(self, name: str, status: int, now: int, steady: int) -> None:
+    def endpoint_changed(self, name: str, status: int, now: int, monotonic_time: int) -> None:
         """Record the status of a backend from discovery (1: ready, 2: draining, 0: gone). `now` and `steady`:
         the gateway's time and the monotonic clock."""
         if status == 1:
             self.drained.pop(name, None)
         else:
-            self.drained.setdefault(name, DrainingSince(now, steady))
+            self.drained.setdefault(name, DrainingSince(now, monotonic_time))
             if status == 0 and len(self.drained) > MAX_GONE_BACKENDS:
                 del self.drained[next(iter(self.drained))]
 
@@ -238,32 +240,32 @@
         budget = limits.overload_factor * share * backend.capacity * self.overload_window / max(mean, 1.0)
         if len(recent) + 1 > budget + allowed_excess(budget):
             return self._violated(
-                Promise.SLOW_START, backend.name, f"{len(recent) + 1} requests, budget {budget:.1f}"
+                Invariant.SLOW_START, backend.name, f"{len(recent) + 1} requests, budget {budget:.1f}"
             )
         recent.append((now, work))
         return True
 
     # --- answering and closing ---
 
-    def answered(self, history: History, now: int) -> None:
+    def answered(self, history: RequestHistory, now: int) -> None:
         """Record the final answer to a request."""
         if history.settled:
-            self._violated(Promise.ANSWERED_TWICE, history.name, "")
+            self._violated(Invariant.ANSWERED_TWICE, history.name, "")
         elif now > history.deadline + self.answer_slack:
             late = (now - history.deadline) / 10
-            self._violated(Promise.ANSWERED_LATE, history.name, f"{late:.1f} ms late")
+            self._violated(Invariant.ANSWERED_LATE, history.name, f"{late:.1f} ms late")
         history.settled = True
 
     @staticmethod
-    def client_left(history: History) -> None:
+    def client_left(history: RequestHistory) -> None:
         """Record that the client has left, so that its request needs no answer."""
         history.settled = True
 
-    def closed_with_open(self, names: list[str]) -> None:
+    def report_unanswered(self, names: list[str]) -> None:
         """Report the open requests on a connection that this gateway closes, or at the exit of this
         process."""
         for name in names:
-            self._violated(Promise.UNANSWERED, name, "closed by the gateway")
+            self._violated(Invariant.UNANSWERED, name, "closed by the gateway")
 
     # --- reports ---
 
--- a/lilacloft/net/upstream.py
+++ b/lilacloft/net/upstream.py
@@ -123,7 +123,9 @@
             return False
         attempt.refresh()
         drained = self.invariants.drained.get(attempt.backend.name)
-        return self.invariants.may_begin(attempt.first_byte(drained.steady if drained else 0))
+        return self.invariants.may_send_first_byte(
+            attempt.first_byte(drained.monotonic_time if drained else 0)
+        )
 
     def dispatch(self, attempt: Attempt) -> CloseReason | None:
         """Send an attempt; if it cannot be sent, return the reason for which it ended."""
--- a/lilacloft/routing/catch_up.py
+++ b/lilacloft/routing/catch_up.py
@@ -19,7 +19,9 @@
 from lilacloft.routing.units import Ticks
 
 MAX_LIMITED_TIME: Ticks = 30_000
-MAX_UNTOLD_TIME: Ticks = 22_000  # after the log's answer; a silent connection is closed within this time
+MAX_LIMITED_TIME_AFTER_ANSWER: Ticks = (
+    22_000  # after the log's answer; a silent connection is closed within this time
+)
 GRACE_SHARE = 0.5  # of the grace period; the rest covers the delay to the cache and clock differences
 MIN_AGE: Ticks = 1  # 0 would mean any age
 
@@ -57,12 +59,12 @@
     def repeated(self, now: Ticks) -> None:
         """Handle an event that was read before; the backlog follows. As nothing new was read, another
         interruption does not extend the limit."""
-        self._shorten(now + MAX_UNTOLD_TIME)
+        self._shorten(now + MAX_LIMITED_TIME_AFTER_ANSWER)
 
     def answered(self, now: Ticks) -> None:
         """Handle the first new event on a connection; the rest of the backlog follows."""
         self.progress = LogProgress.SETTLED
-        self._shorten(now + MAX_UNTOLD_TIME)
+        self._shorten(now + MAX_LIMITED_TIME_AFTER_ANSWER)
 
     def end(self) -> None:
         """Lift the limit: the log was read to its end, or cannot be read now."""
--- a/lilacloft/routing/fair_queue.py
+++ b/lilacloft/routing/fair_queue.py
@@ -79,7 +79,7 @@
         if due_at is not None:
             heapq.heappush(self.deadlines, ItemDeadline(due_at, self.sequence, entry))
 
-    def next_of_clients(self, due_by: Ticks) -> Item | None:
+    def next_client_item(self, due_by: Ticks) -> Item | None:
         """Dequeue an item that is due by `due_by`, unless the last one was overdue too; otherwise the
         oldest item of the client whose turn it is. Returns None if no client item is queued."""
         entry = None if self.was_overdue else self._take_overdue(due_by)
@@ -102,7 +102,7 @@
         """Dequeue the item to be processed first; None if nothing is queued."""
         if self.replies or self.internal:
             return self.next_internal()
-        return self.next_of_clients(due_by)
+        return self.next_client_item(due_by)
 
     def _dequeue(self, entry: ClientItem[Item] | None) -> Item | None:
         if entry is None:
--- a/lilacloft/routing/fleet_plan.py
+++ b/lilacloft/routing/fleet_plan.py
@@ -19,7 +19,7 @@
     def canaries_only(self) -> bool:
         """Whether the location is sent only canary requests that test it as a whole."""
 
-    def is_away(self, placement_key: str, is_safe: bool, now: Ticks) -> bool:
+    def is_failed_over(self, placement_key: str, is_safe: bool, now: Ticks) -> bool:
         """Return whether an object part is served by another location. `is_safe`: its request may be executed
         any number of times."""
 
@@ -57,5 +57,7 @@
     def failed_over_zones(self, placement_key: str, is_safe: bool, now: Ticks) -> set[int]:
         """Return the locations that are not used for an object part."""
         return {
-            zone for zone, failover in self.failovers.items() if failover.is_away(placement_key, is_safe, now)
+            zone
+            for zone, failover in self.failovers.items()
+            if failover.is_failed_over(placement_key, is_safe, now)
         }
--- a/lilacloft/routing/router.py
+++ b/lilacloft/routing/router.py
@@ -49,7 +49,7 @@
         self.outliers.cancel_if_safe = self.cancel_if_safe
         self.routes = RoutePlanner(rules)
         self.dispatcher = Dispatcher(rules)
-        self.caught_up_at: Ticks = 0  # until then this gateway lags itself, and treats no attempt as overdue
+        self.lagging_until: Ticks = 0  # until then this gateway lags itself, and treats no attempt as overdue
         if self.settings.subscribes:
             self.timer_fired(Timer.SUBSCRIBE)
         self.timer_fired(Timer.MAINTENANCE)
@@ -237,7 +237,7 @@
     def loop_lagged(self, late: Ticks) -> None:
         """Handle a lag of the host's event loop by `late` ticks: answers may be unread, and no backend is to
         blame for that."""
-        self.caught_up_at = self.host.now() + late
+        self.lagging_until = self.host.now() + late
 
     def timer_fired(self, timer: Timer | str) -> None:
         """Handle a timer that was set with `Host.wake`."""
@@ -265,8 +265,8 @@
         """Handle an attempt that has reached its latency objective, or a multiple of it: decide whether its
         backend or its source is at fault."""
         now, attempt = self.host.now(), request.attempts - 1
-        if now < self.caught_up_at:
-            return self.deadlines.add(self.caught_up_at, request, attempt)
+        if now < self.lagging_until:
+            return self.deadlines.add(self.lagging_until, request, attempt)
         backend, source = request.backend, request.source
         objective = self.virtual_hosts[request.vhost].latency_objective(request.transfer_time)
         limit = request.sent_at + OVERDUE_FACTOR * objective
--- a/lilacloft/routing/snapshot.py
+++ b/lilacloft/routing/snapshot.py
@@ -155,7 +155,7 @@
         "work": router.averages.transfer_time,
         "unit": router.averages.load,
         "arrivals": router.load_reports.request_count,
-        "caught_up": router.caught_up_at,
+        "caught_up": router.lagging_until,
         "borne": router.slow_start.learned_capacity,
     }
 
@@ -234,7 +234,7 @@
     router.averages.transfer_time = values["work"]
     router.averages.load = values["unit"]
     router.load_reports.request_count = values["arrivals"]
-    router.caught_up_at = values["caught_up"]
+    router.lagging_until = values["caught_up"]
     router.slow_start.learned_capacity = values["borne"]
 
 
--- a/lilacloft/settings_validation.py
+++ b/lilacloft/settings_validation.py
@@ -82,7 +82,7 @@
 )
 
 # By protocol name: the kind, and the default for a setting that is missing or null.
-TOP: Mapping[str, tuple[Kind, Any]] = {
+SETTINGS: Mapping[str, tuple[Kind, Any]] = {
     "balancers": (POSITIVE_COUNT, REQUIRED),
     "classes": (OBJECTS, REQUIRED),
     "granularityNs": (DURATION, REQUIRED),
@@ -97,7 +97,7 @@
     "obligations": (OBJECT, REQUIRED),
     "weightSource": (TEXT, "silent"),
 }
-CLASS: Mapping[str, tuple[Kind, Any]] = {
+CLASS_SETTINGS: Mapping[str, tuple[Kind, Any]] = {
     "name": (TEXT, REQUIRED_ON_SOCKETS),
     "promiseNs": (POSITIVE_DURATION, REQUIRED),
     "deadlineNs": (POSITIVE_DURATION, REQUIRED),
@@ -108,7 +108,7 @@
     "dedupScope": (one_of("all", "zone", "cell"), "cell"),
     "repeatWindowNs": (DURATION, 0),
 }
-INNER: Mapping[str, Mapping[str, tuple[Kind, Any]]] = {
+NESTED_SETTINGS: Mapping[str, Mapping[str, tuple[Kind, Any]]] = {
     "stats": {"names": (NAMES, REQUIRED)},
     "familyInfo": {
         "zoneBalancers": (COUNTS, REQUIRED),
@@ -173,11 +173,11 @@
     with the path of an invalid setting, in protocol names."""
     if not isinstance(value, dict):
         raise ValueError(f"settings: an object is wanted, not {value!r:.60}")
-    out = _checked(value, TOP, "settings", sockets)
-    for name, kinds in INNER.items():
+    out = _checked(value, SETTINGS, "settings", sockets)
+    for name, kinds in NESTED_SETTINGS.items():
         out[name] = _checked(out[name], kinds, f"settings.{name}", sockets)
     out["classes"] = [
-        _checked(one, CLASS, f"settings.classes[{index}]", sockets)
+        _checked(one, CLASS_SETTINGS, f"settings.classes[{index}]", sockets)
         for index, one in enumerate(out["classes"])
     ]
     for problem in _conflicts(out):
--- a/rigs/broken.py
+++ b/rigs/broken.py
@@ -69,7 +69,7 @@
 def disable_own_checks() -> None:
     """Make the gateway's own checks pass everything."""
     Invariants.may_send = lambda self, history, backend, source, work, now: True
-    Invariants.may_begin = lambda self, begun: True
+    Invariants.may_send_first_byte = lambda self, begun: True
 
 
 if __name__ == "__main__":
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -491,7 +491,7 @@
             "work": router.averages.transfer_time,
             "unit": router.averages.load,
             "arrivals": router.load_reports.request_count,
-            "caught_up": router.caught_up_at,
+            "caught_up": router.lagging_until,
             "borne": router.slow_start.learned_capacity,
         },
         "vhosts": [
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -27,7 +27,7 @@
     Location,
     detect_faults,
 )
-from lilacloft.failover.hash_slices import SLICE_COUNT, is_away, return_positions, slice_index
+from lilacloft.failover.hash_slices import SLICE_COUNT, is_failed_over, return_positions, slice_index
 from lilacloft.failover.local_failover import MIN_CANARY_INTERVAL, LocalFailover, SliceFailover
 from lilacloft.failover.outcome_counts import OutcomeCounts
 from lilacloft.failover.recovery_ramp import (
@@ -64,7 +64,9 @@
 def test_returning_more_slices_never_removes_one():
     for number in range(300):
         placement_key = f"o{number} 0"
-        states = [is_away(placement_key, 2, returned_slices) for returned_slices in range(SLICE_COUNT + 1)]
+        states = [
+            is_failed_over(placement_key, 2, returned_slices) for returned_slices in range(SLICE_COUNT + 1)
+        ]
         assert states == sorted(states, reverse=True) and states[0] and not states[-1]
 
 
@@ -742,7 +744,7 @@
             failover = gateway.update(None, offset + now).get(0)
             slices = failover.returned_slices if failover else SLICE_COUNT
             returned.append(slices)
-            if failover is None or slices or not failover.is_away("k 0", True, offset + now):
+            if failover is None or slices or not failover.is_failed_over("k 0", True, offset + now):
                 gateway.attempt_ended(0, "well", True, offset + now, offset + now)
         history.append((now, max(returned)))
         if min(returned) == SLICE_COUNT and all_returned_at is None:
@@ -769,14 +771,16 @@
 
 def test_canaries_are_sent_one_at_a_time_and_only_if_safe_to_repeat():
     failover = SliceFailover(0, 0, True)
-    assert failover.is_away("a 0", False, 10)
-    assert not failover.is_away("a 0", True, 10) and failover.is_away("b 0", True, 11)
-    assert not failover.is_away("b 0", True, 10 + CANARY_TURN)
+    assert failover.is_failed_over("a 0", False, 10)
+    assert not failover.is_failed_over("a 0", True, 10) and failover.is_failed_over("b 0", True, 11)
+    assert not failover.is_failed_over("b 0", True, 10 + CANARY_TURN)
     gateway = LocalFailover("f0", 1, 150_000)
     own_turn = gateway.update({0: FailoverDirective(0, canary_gateway="f0")}, 0)[0]
-    assert not own_turn.is_away("a 0", True, 0) and own_turn.is_away("a 0", True, 500)
+    assert not own_turn.is_failed_over("a 0", True, 0) and own_turn.is_failed_over("a 0", True, 500)
     gateway.attempt_ended(0, "well", True, 600, 600)
-    assert own_turn.is_away("a 0", True, 600) and not own_turn.is_away("a 0", True, 600 + MIN_CANARY_INTERVAL)
+    assert own_turn.is_failed_over("a 0", True, 600) and not own_turn.is_failed_over(
+        "a 0", True, 600 + MIN_CANARY_INTERVAL
+    )
 
 
 def test_objects_of_returned_slices_use_their_own_location():
@@ -784,7 +788,7 @@
     returned = [
         placement_key
         for placement_key in (f"o{number} 0" for number in range(1000))
-        if not failover.is_away(placement_key, True, 0)
+        if not failover.is_failed_over(placement_key, True, 0)
     ]
     assert 230 < len(returned) < 400 and all(
         return_positions(3)[slice_index(placement_key)] < 20 for placement_key in returned
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -57,7 +57,7 @@
         assert queue.client_count == sum(client is not None for _, client, _ in model.waiting)
     while queue:
         assert queue.next(5) == model.next(5)
-    assert queue.next(5) is None and queue.next_of_clients(5) is None
+    assert queue.next(5) is None and queue.next_client_item(5) is None
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.none() | TIMES), max_size=40))
@@ -109,7 +109,7 @@
     queue.add("over", "b", due_at=1)
     queue.add("over too", "b", due_at=1)
     assert queue.next_overdue(1) == "over"
-    assert [queue.next_of_clients(1) for _ in range(2)] == ["in time", "over too"]
+    assert [queue.next_client_item(1) for _ in range(2)] == ["in time", "over too"]
 
 
 def test_replies_are_dequeued_before_other_internal_items():
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -3,7 +3,14 @@
 import pytest
 from loguru import logger
 
-from lilacloft.invariants import Effect, FirstByte, History, Invariants, Promise, allowed_excess
+from lilacloft.invariants import (
+    FirstByte,
+    IdempotencyRule,
+    Invariant,
+    Invariants,
+    RequestHistory,
+    allowed_excess,
+)
 from lilacloft.protocol_settings import from_protocol
 from lilacloft.routing.model import Backend
 from rigs.inprocess import until
@@ -11,7 +18,7 @@
 
 NOW = 10**9
 SECOND = 10_000
-KEYED = Effect("uniqued", "cell", 2 * SECOND)
+KEYED = IdempotencyRule("uniqued", "cell", 2 * SECOND)
 
 
 @pytest.fixture
@@ -29,8 +36,8 @@
     return Backend(name, cell=cell, status=1, capacity=5.0, **more)
 
 
-def history(effect=Effect("replayable")):
-    return History("r", effect, NOW + SECOND)
+def history(effect=IdempotencyRule("replayable")):
+    return RequestHistory("r", effect, NOW + SECOND)
 
 
 def first_byte(**more):
@@ -47,7 +54,7 @@
 def test_a_valid_history_violates_nothing(checks, violated):
     one, cache, parent = history(KEYED), backend(), backend("p", kind=2)
     assert checks.may_send(one, cache, parent, 1_000, NOW)
-    assert checks.may_begin(first_byte())
+    assert checks.may_send_first_byte(first_byte())
     checks.attempt_ended(one, "reset")
     assert checks.may_send(one, backend("b"), parent, 1_000, NOW + SECOND)
     checks.attempt_ended(one, "done")
@@ -59,13 +66,13 @@
 @pytest.mark.parametrize(
     "effect, outcome, other, after, invariant",
     [
-        (Effect("non-replayable"), "reset", backend("b"), 0, Promise.SENT_AGAIN),
-        (Effect("non-replayable"), "unsent", backend("b"), 0, None),
-        (Effect("replayable"), "timeout", backend("b"), 0, None),
-        (KEYED, "timeout", backend("b", cell=2), 0, Promise.SENT_AGAIN),
+        (IdempotencyRule("non-replayable"), "reset", backend("b"), 0, Invariant.SENT_AGAIN),
+        (IdempotencyRule("non-replayable"), "unsent", backend("b"), 0, None),
+        (IdempotencyRule("replayable"), "timeout", backend("b"), 0, None),
+        (KEYED, "timeout", backend("b", cell=2), 0, Invariant.SENT_AGAIN),
         (KEYED, "unreached", backend("b", cell=2), 0, None),
         (KEYED, "error", backend("b"), 2 * SECOND - 1, None),
-        (KEYED, "error", backend("b"), 2 * SECOND, Promise.WINDOW_OVER),
+        (KEYED, "error", backend("b"), 2 * SECOND, Invariant.WINDOW_OVER),
     ],
 )
 def test_retries(checks, violated, effect, outcome, other, after, invariant):
@@ -82,24 +89,24 @@
     assert not checks.may_send(one, backend("b"), backend("b"), 1_000, NOW)
     checks.client_left(other)
     assert not checks.may_send(other, backend(), backend(), 1_000, NOW)
-    assert violated == [Promise.TWO_OUT, Promise.SETTLED]
+    assert violated == [Invariant.TWO_OUT, Invariant.SETTLED]
 
 
 @pytest.mark.parametrize(
     "fields, invariant",
     [
         ({"client_left_at": NOW - 1_000}, None),
-        ({"client_left_at": NOW - 1_001}, Promise.CLIENT_HAD_LEFT),
+        ({"client_left_at": NOW - 1_001}, Invariant.CLIENT_HAD_LEFT),
         ({"time_limit": 6_500}, None),
-        ({"time_limit": 6_510}, Promise.TIME_LEFT),
+        ({"time_limit": 6_510}, Invariant.TIME_LEFT),
         ({"window_ends_at": NOW}, None),
-        ({"window_ends_at": NOW - 1}, Promise.WINDOW_OVER),
+        ({"window_ends_at": NOW - 1}, Invariant.WINDOW_OVER),
         ({"draining_since": NOW - 10_500}, None),
-        ({"draining_since": NOW - 10_501}, Promise.DRAIN),
+        ({"draining_since": NOW - 10_501}, Invariant.DRAIN),
     ],
 )
 def test_first_bytes(checks, violated, fields, invariant):
-    assert checks.may_begin(first_byte(**fields)) == (invariant is None)
+    assert checks.may_send_first_byte(first_byte(**fields)) == (invariant is None)
     assert violated == ([invariant] if invariant else [])
 
 
@@ -111,8 +118,8 @@
     checks.endpoint_changed(draining.name, status, NOW, 7)
     assert checks.may_send(history(), cache, parent, 1_000, NOW + 10_000)
     assert not checks.may_send(history(), cache, parent, 1_000, NOW + 10_001)
-    assert violated == [Promise.DRAIN]
-    assert checks.drained[draining.name].steady == 7
+    assert violated == [Invariant.DRAIN]
+    assert checks.drained[draining.name].monotonic_time == 7
     checks.endpoint_changed(draining.name, 1, NOW, 8)
     assert checks.may_send(history(), cache, parent, 1_000, NOW + 10_001)
 
@@ -124,7 +131,7 @@
     while checks.may_send(history(), cold, cold, 1_000, NOW):
         sent += 1
     assert sent == int(20 + allowed_excess(20))
-    assert violated == [Promise.SLOW_START]
+    assert violated == [Invariant.SLOW_START]
     assert checks.may_send(history(), cold, cold, 1_000, NOW + SECOND + 1)  # the window has moved on
     assert checks.may_send(history(), backend("w", started=NOW - 15 * SECOND), cold, 1_000, NOW + SECOND + 1)
 
@@ -134,11 +141,11 @@
     checks.answered(one, NOW)
     checks.answered(one, NOW)
     checks.answered(late, late.deadline + 580)
-    assert violated == [Promise.ANSWERED_TWICE]
+    assert violated == [Invariant.ANSWERED_TWICE]
     checks.answered(late := history(), late.deadline + 581)
-    assert violated[1:] == [Promise.ANSWERED_LATE]
-    checks.closed_with_open(["r", "s"])
-    assert violated[2:] == [Promise.UNANSWERED] * 2
+    assert violated[1:] == [Invariant.ANSWERED_LATE]
+    checks.report_unanswered(["r", "s"])
+    assert violated[2:] == [Invariant.UNANSWERED] * 2
     assert checks.violations()["unanswered"] == 2
 
 
@@ -150,7 +157,7 @@
     (step, *_) = world.owner.trace.steps
     handler = logger.add(lambda line: lines.append(str(line)), level="ERROR")
     try:
-        world.does(lambda: world.owner.invariants.closed_with_open([step.name]))
+        world.does(lambda: world.owner.invariants.report_unanswered([step.name]))
         until(lambda: lines)
     finally:
         logger.remove(handler)
--- a/tests/test_read_barrier.py
+++ b/tests/test_read_barrier.py
@@ -17,7 +17,7 @@
 
 from lilacloft.net.discovery_watch import MAX_END_QUERIES, MAX_SILENCE, MAX_SILENCE_JITTER
 from lilacloft.net.read_barrier import BARRIER_DELAY_MS, RESUME, answering_connection, query_end
-from lilacloft.routing.catch_up import MAX_LIMITED_TIME, MAX_UNTOLD_TIME, CatchUp
+from lilacloft.routing.catch_up import MAX_LIMITED_TIME, MAX_LIMITED_TIME_AFTER_ANSWER, CatchUp
 from rigs.inprocess import until
 from rigs.model import SEC
 from rigs.named_numbers import MAX_HOLD_BACK
@@ -154,10 +154,10 @@
     asker = world.asker()
     world.log.__class__ = HeartbeatAtEnd
     reconnect(world, LISTED)
-    assert world.log.since.get(timeout=MAX_UNTOLD_TIME / SEC / 2) == 2, (
+    assert world.log.since.get(timeout=MAX_LIMITED_TIME_AFTER_ANSWER / SEC / 2) == 2, (
         "the end is queried after the new event"
     )
-    until(lambda: fetch(asker) == OLD, wait=MAX_UNTOLD_TIME / SEC / 2)
+    until(lambda: fetch(asker) == OLD, wait=MAX_LIMITED_TIME_AFTER_ANSWER / SEC / 2)
     assert copies.asked_ages[-1] == FULL_AGE and world.owner.feed.status.current
     world.log.add(*purge(3))
     until(lambda: world.owner.feed.last == 3, what=lambda: "the connection that answered is followed")
@@ -319,7 +319,7 @@
 def test_no_copy_older_than_an_unread_purge_is_accepted_until_the_log_answers(seed):
     """Ages are limited from an interruption for at most the bound, and briefly after the log has answered."""
     rng, catching_up, now = random.Random(seed), CatchUp(GRACE), 0
-    interrupted_at, answered_at, unread, checked = None, -MAX_UNTOLD_TIME, [], 0
+    interrupted_at, answered_at, unread, checked = None, -MAX_LIMITED_TIME_AFTER_ANSWER, [], 0
     for _ in range(2_000):
         now += rng.randrange(1, 1_000)
         event = rng.choice(("disconnected", "connected", "answered", "end", *["purge", "pass"] * 4))
@@ -332,12 +332,12 @@
             interrupted_at, answered_at = None, now
         elif event == "end":
             catching_up.end()
-            interrupted_at, answered_at = None, -MAX_UNTOLD_TIME
+            interrupted_at, answered_at = None, -MAX_LIMITED_TIME_AFTER_ANSWER
         elif event == "purge":
             unread.append(now)
         age = catching_up.max_age(now)
         if interrupted_at is None:
-            assert age == 0 or now - answered_at < MAX_UNTOLD_TIME
+            assert age == 0 or now - answered_at < MAX_LIMITED_TIME_AFTER_ANSWER
         elif now - interrupted_at >= MAX_LIMITED_TIME:
             assert age == 0
         else:
@@ -353,14 +353,17 @@
     catching_up.end()
     assert catching_up.max_age(SEC) == 0
     catching_up.connected(SEC)
-    assert catching_up.max_age(SEC + MAX_UNTOLD_TIME) == LIMIT
+    assert catching_up.max_age(SEC + MAX_LIMITED_TIME_AFTER_ANSWER) == LIMIT
     catching_up.answered(2 * SEC)
-    assert catching_up.max_age(2 * SEC) == LIMIT and catching_up.max_age(2 * SEC + MAX_UNTOLD_TIME) == 0
+    assert (
+        catching_up.max_age(2 * SEC) == LIMIT
+        and catching_up.max_age(2 * SEC + MAX_LIMITED_TIME_AFTER_ANSWER) == 0
+    )
 
 
 def test_ages_are_limited_after_an_answer_for_as_long_as_a_silent_connection_is_kept():
     """Events that wait behind the answer may still arrive on it."""
-    assert MAX_UNTOLD_TIME / SEC >= MAX_SILENCE * (1 + MAX_SILENCE_JITTER)
+    assert MAX_LIMITED_TIME_AFTER_ANSWER / SEC >= MAX_SILENCE * (1 + MAX_SILENCE_JITTER)
 
 
 def test_a_repeated_event_does_not_extend_the_limit_at_the_next_interruption():
@@ -368,7 +371,7 @@
     catching_up = CatchUp(GRACE)
     catching_up.disconnected(0)
     catching_up.repeated(SEC // 10)
-    limited_until = SEC // 10 + MAX_UNTOLD_TIME
+    limited_until = SEC // 10 + MAX_LIMITED_TIME_AFTER_ANSWER
     catching_up.disconnected(2 * SEC)
     catching_up.connected(2 * SEC)
     assert catching_up.max_age(limited_until - 1) == LIMIT and catching_up.max_age(limited_until) == 0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -194,9 +194,9 @@
 
 def paths():
     """Yield each known setting as (path, name, form, default)."""
-    yield from (((), name, *told) for name, told in settings_validation.TOP.items())
-    yield from ((("classes", 1), name, *told) for name, told in settings_validation.CLASS.items())
-    for part, table in settings_validation.INNER.items():
+    yield from (((), name, *told) for name, told in settings_validation.SETTINGS.items())
+    yield from ((("classes", 1), name, *told) for name, told in settings_validation.CLASS_SETTINGS.items())
+    for part, table in settings_validation.NESTED_SETTINGS.items():
         yield from (((part,), name, *told) for name, told in table.items())
 
 
