--- a/lilacloft/control/gateway_agent.py
+++ b/lilacloft/control/gateway_agent.py
@@ -105,18 +105,20 @@
 
     # --- called by the gateway ---
 
-    def attempt_ended(self, call: Any, backend: Any, outcome: str, duration: Ticks, note: int) -> None:
+    def attempt_ended(
+        self, client_request: Any, backend: Any, outcome: str, duration: Ticks, note: int
+    ) -> None:
         """Count a completed attempt."""
-        request = call.request
+        request = client_request.request
         self.observer.attempt_ended(
             EndedAttempt(
                 backend,
-                call.vhost,
+                client_request.vhost,
                 outcome,
                 duration,
                 request.transfer_time,
                 note,
-                call.kbytes,
+                client_request.kbytes,
                 request.source,
             )
         )
@@ -124,15 +126,20 @@
     def backends_changed(self, names: Iterable[str]) -> None:
         """Record the backends that the change log has changed."""
         gateway = self.gateway
-        self.observer.backends_changed(names, gateway.feed.last, gateway.time, gateway.monotonic_time)
+        self.observer.backends_changed(
+            names, gateway.discovery_watch.last, gateway.time, gateway.monotonic_time
+        )
 
     # --- once per report interval ---
 
     def _report(self) -> None:
         gateway = self.gateway
-        requests = gateway.front.counts["reqs"]
+        requests = gateway.downstream.counts["reqs"]
         self.observer.observe(
-            requests - self.reported_requests, gateway.feed.last, gateway.time, gateway.monotonic_time
+            requests - self.reported_requests,
+            gateway.discovery_watch.last,
+            gateway.time,
+            gateway.monotonic_time,
         )
         self.reported_requests = requests
         for name, client in self.clients.items():
--- a/lilacloft/control/planner_server.py
+++ b/lilacloft/control/planner_server.py
@@ -72,7 +72,7 @@
             config["known"]["results"], settings["zones"], settings["kinds"]
         ):
             self._on_list_event(event, number)
-        self.feed = DiscoveryWatch(
+        self.discovery_watch = DiscoveryWatch(
             address(config["changelog"]),
             self.list_version,
             lambda event, number: self._post(self._on_list_event, event, number),
@@ -123,7 +123,7 @@
 
     def run(self) -> None:
         """Run until `is_closed` is set."""
-        self.feed.start()
+        self.discovery_watch.start()
         next_tick = time.monotonic()
         logger.info("planner {} is listening; {} backends listed", self.name, len(self.backends))
         while not self.is_closed:
--- a/lilacloft/gateway/answers.py
+++ b/lilacloft/gateway/answers.py
@@ -32,7 +32,7 @@
     ) -> None:
         """Send a request's final answer, unless it was answered already or its client has disconnected."""
         gateway = self.gateway
-        if not gateway.front.close_request(client_request):
+        if not gateway.downstream.close_request(client_request):
             return
         gateway.counters.answers[kind] += 1
         gateway.invariants.answered(client_request.history, gateway.clock.time)
@@ -42,6 +42,6 @@
         gateway.trace.add(gateway.clock.monotonic_time, client_request.name, kind, reason)
         if gateway.recorder:
             gateway.recorder.answered(client_request, kind.value)
-        gateway.front.answer(client_request.client, client_request.tag, STATUS[kind], fields, body)
+        gateway.downstream.answer(client_request.client, client_request.tag, STATUS[kind], fields, body)
         client_request.client.used = time.monotonic()
         client_request.client.settled += 1  # last: from here on the connection may be closed
--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -136,7 +136,7 @@
     def client_disconnected(self, client: ClientConnection) -> None:
         """Handle the end of a client's connection."""
         for client_request in list(client.open.values()):
-            if self.gateway.front.close_request(client_request):
+            if self.gateway.downstream.close_request(client_request):
                 self.cancelled(client_request)
 
     # --- calls from the router ---
--- a/lilacloft/gateway/context.py
+++ b/lilacloft/gateway/context.py
@@ -25,9 +25,9 @@
 class GatewayContext:
     """The shared components. All but the queue and the trace are used by the event loop's thread only."""
 
-    front: Downstream  # the clients' connections
-    back: Upstream  # the connections to caches, parents and the origin
-    feed: DiscoveryWatch  # the change log
+    downstream: Downstream  # the clients' connections
+    upstream: Upstream  # the connections to caches, parents and the origin
+    discovery_watch: DiscoveryWatch  # the change log
     router: Router  # decides where requests are sent
     invariants: Invariants
     budgets: Budgets
--- a/lilacloft/gateway/discovery.py
+++ b/lilacloft/gateway/discovery.py
@@ -29,7 +29,7 @@
         self.gateway = gateway
         self.clock_offset = ClockOffset()
         self.last_applied_event = configuration.last_applied_event
-        gateway.feed = DiscoveryWatch(
+        gateway.discovery_watch = DiscoveryWatch(
             parse_address(configuration.changelog),
             self.last_applied_event,
             self._event_received,
@@ -40,7 +40,7 @@
     def start(self) -> None:
         """Start to follow the change log. Its events after those in the configuration are not known yet."""
         self.gateway.router.discovery_begins()
-        self.gateway.feed.start()
+        self.gateway.discovery_watch.start()
 
     def apply_configured_events(self, events: list[DiscoveryEvent]) -> None:
         """Apply the events that the configuration includes: purges first, as they show the offset of the
@@ -57,7 +57,7 @@
         endpoint list must not be in effect even briefly."""
         gateway = self.gateway
         if event[0] == PURGE or number > self.last_applied_event:
-            gateway.loop.post(self.apply_event, event, None, gateway.feed.status)
+            gateway.loop.post(self.apply_event, event, None, gateway.discovery_watch.status)
         if gateway.store:
             gateway.loop.post(gateway.store.event_received, event, number)
         if gateway.recorder:
@@ -71,7 +71,7 @@
         """Report to the router how far the change log was read. Changes reported for a log that is no longer
         followed are ignored: they say nothing about the current one."""
         gateway = self.gateway
-        if target != gateway.feed.target:
+        if target != gateway.discovery_watch.target:
             return
         router = gateway.router
         match change:
@@ -84,7 +84,7 @@
             case WatchChange.ANSWERED:
                 router.discovery_answered()
             case WatchChange.CAUGHT_UP:
-                logger.info("change log: read to its end, event {}", gateway.feed.last)
+                logger.info("change log: read to its end, event {}", gateway.discovery_watch.last)
                 router.discovery_caught_up()
             case WatchChange.UNREACHABLE:
                 router.discovery_caught_up()
@@ -140,7 +140,7 @@
             gateway.agent.backends_changed([endpoint.backend.name for endpoint in endpoints])
         for backend, address in addresses:
             if backend.status:
-                gateway.back.add_backend(backend, address)
+                gateway.upstream.add_backend(backend, address)
         self._drop_unlisted()
 
     def _drop_unlisted(self) -> None:
@@ -148,7 +148,7 @@
         gateway = self.gateway
         for name, backend in list(gateway.backends.items()):
             if not backend.status:
-                gateway.back.remove_backend(backend)
+                gateway.upstream.remove_backend(backend)
                 if not backend.requests:
                     del gateway.backends[name]
                     self.clock_offset.forget(name)
@@ -157,7 +157,7 @@
         """Correct backends' start times to the improved estimate of the change log's clock offset."""
         for name, started in self.clock_offset.corrected_starts().items():
             backend = self.gateway.backends.get(name)
-            pool = self.gateway.back.pools.get(backend) if backend else None
+            pool = self.gateway.upstream.pools.get(backend) if backend else None
             if backend:
                 backend.started = started
             if pool:
--- a/lilacloft/gateway/dispatcher.py
+++ b/lilacloft/gateway/dispatcher.py
@@ -55,7 +55,7 @@
         self._trace(client_request, "sent", f"{backend.name} {attempt.seq}")
         if gateway.recorder:
             gateway.recorder.dispatched(client_request, backend)
-        end = gateway.store.dispatch(attempt, until) if gateway.store else gateway.back.dispatch(attempt)
+        end = gateway.store.dispatch(attempt, until) if gateway.store else gateway.upstream.dispatch(attempt)
         if end is not None:
             self.report_end(attempt, end)
             return
@@ -91,12 +91,12 @@
 
     def check_health(self, backend: Backend) -> None:
         """Send a health check."""
-        attempt, end = self.gateway.back.check(backend)
+        attempt, end = self.gateway.upstream.check(backend)
         if end is not None:
             self.report_end(attempt, end)
         else:
             self.loop.call_at(
-                self.clock.time + self.gateway.back.connect_timeout, self.attempt_timed_out, attempt
+                self.clock.time + self.gateway.upstream.connect_timeout, self.attempt_timed_out, attempt
             )
 
     # --- withdrawing and cancelling ---
@@ -109,7 +109,7 @@
         if self._withdraw_from_store(found):
             self.report_end(found, CloseReason.UNWRITTEN)
         elif found.connection is not None:
-            confirmed_at = self.gateway.back.cancel(found, confirm=not request.finished)
+            confirmed_at = self.gateway.upstream.cancel(found, confirm=not request.finished)
             if found.confirmation is not None:
                 self.loop.call_at(confirmed_at, self.attempt_timed_out, found.confirmation)
             self.loop.defer(self.attempt_cancelled, found, CloseReason.CALLED_OFF, confirmed_at)
@@ -128,7 +128,7 @@
 
     def _withdraw_unsent(self, attempt: Attempt) -> bool:
         """Withdraw an attempt that has not been sent, and report its end; False if it may have been sent."""
-        withdrawn = self._withdraw_from_store(attempt) or self.gateway.back.withdraw(attempt)
+        withdrawn = self._withdraw_from_store(attempt) or self.gateway.upstream.withdraw(attempt)
         if withdrawn:
             self.report_end(attempt, CloseReason.UNWRITTEN)
         return withdrawn
@@ -164,7 +164,7 @@
         """Handle the end of an attempt or a health check. The time for which its reply waited in the event
         loop's queue after it was read is not attributed to the backend."""
         self.gateway.counters.ends[end.name] += 1
-        outcome, client_request = OUTCOMES[end], attempt.call
+        outcome, client_request = OUTCOMES[end], attempt.client_request
         if client_request is None:
             if attempt.confirms is None:
                 self._health_check_ended(attempt.backend, outcome, reply)
@@ -194,7 +194,7 @@
 
     def _notify_end(self, attempt: Attempt, end: CloseReason, duration: Ticks, reply: Reply) -> None:
         """Notify the store, the recorder and the planners' agent of an attempt's end."""
-        gateway, client_request = self.gateway, attempt.call
+        gateway, client_request = self.gateway, attempt.client_request
         if gateway.store:
             gateway.store.attempt_ended(attempt, end)
         if gateway.recorder:
@@ -212,7 +212,11 @@
         """Handle an attempt that this gateway ended. Its request may be sent again only once the backend is
         certain to know, else two attempts could be in flight at once; so its end is reported at
         `confirmed_at`, or now if the request is finished."""
-        if attempt.call is None or attempt.call.request.finished or confirmed_at <= self.clock.time:
+        if (
+            attempt.client_request is None
+            or attempt.client_request.request.finished
+            or confirmed_at <= self.clock.time
+        ):
             self.attempt_ended(attempt, end)
         else:
             self.loop.call_at(confirmed_at, self.attempt_ended, attempt, end)
@@ -226,7 +230,7 @@
     def attempt_timed_out(self, attempt: Attempt) -> None:
         """Handle the time-out of an attempt or a health check."""
         if attempt.connection is not None:
-            self.gateway.back.cancel(attempt)
+            self.gateway.upstream.cancel(attempt)
             self.attempt_ended(attempt, CloseReason.TIME_UP)
 
     def is_obsolete(self, timer: ScheduledCall) -> bool:
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -53,7 +53,7 @@
         config: dict[str, Any],
         unix_clock: Callable[[], int] = time.time_ns,
         sock: socket.socket | None = None,
-        follows: bool = False,
+        is_successor: bool = False,
     ) -> None:
         """Bind to the address in `config`, the platform's JSON, or use `sock`, which is bound already.
 
@@ -69,7 +69,7 @@
         self.dispatcher = AttemptDispatcher(self, self.answers)
         self._connect_backends()
         self.requests = ClientRequests(self, self.lifecycle, self.answers, self.dispatcher)
-        self.front = Downstream(
+        self.downstream = Downstream(
             self.loop.post,
             self,
             self.vhosts,
@@ -81,9 +81,9 @@
         self.clock.update()
         self.router = Router(self, self.settings)
         self.loop.report_lag = self.router.loop_lagged
-        self.loop.has_unread_answers = self.back.has_unread_answers
+        self.loop.has_unread_answers = self.upstream.has_unread_answers
         self.loop.is_obsolete = self.dispatcher.is_obsolete
-        if not follows:
+        if not is_successor:
             self.discovery.apply_configured_events(initial_events)
 
     def _connect_backends(self) -> None:
@@ -95,11 +95,11 @@
             self.dispatcher.attempt_cancelled,
             self.loop.post_reply,
         )
-        self.back = Upstream(callbacks, self.settings, self.budgets.caches)
-        self.back.write_soon = self.write_soon
-        self.invariants = self.back.invariants = Invariants(self.settings, self.reporter.report_violation)
+        self.upstream = Upstream(callbacks, self.settings, self.budgets.caches)
+        self.upstream.write_soon = self.write_soon
+        self.invariants = self.upstream.invariants = Invariants(self.settings, self.reporter.report_violation)
         longest = int(MAX_MAINTENANCE_INTERVAL * TICKS_PER_SECOND)
-        self.maintenance_interval = min(self.back.connect_timeout, longest)
+        self.maintenance_interval = min(self.upstream.connect_timeout, longest)
 
     def _bind_interface(self) -> None:
         """Expose what the store, the handover, the planners' agent and the recorder use of the components."""
@@ -124,7 +124,7 @@
         """Serve until the process was told to stop and no request is outstanding."""
         self.lifecycle.enter(Phase.SERVING)
         self.discovery.start()
-        self.front.start()
+        self.downstream.start()
         logger.info("serving on {} with {} backends listed", self.configuration.listen, len(self.backends))
         self.run_maintenance()
         self.heartbeat()
@@ -173,8 +173,8 @@
     def run_maintenance(self) -> None:
         """Close connections that are idle or stalled within a message."""
         self.call_at(self.time + self.maintenance_interval, self.run_maintenance)
-        self.back.close_stalled()
-        self.front.close_stalled(
+        self.upstream.close_stalled()
+        self.downstream.close_stalled(
             self.max_client_timeout / TICKS_PER_SECOND,
             self.budgets.unwritten,
             self.maintenance_interval / TICKS_PER_SECOND,
--- a/lilacloft/gateway/lifecycle.py
+++ b/lilacloft/gateway/lifecycle.py
@@ -74,7 +74,7 @@
         last_moment = self.shutdown_deadline + self.gateway.maintenance_interval // 2
         if not is_settled and self.gateway.clock.time <= last_moment:
             return False
-        self.gateway.front.close_remaining()  # the process may run on, but answers nothing more
+        self.gateway.downstream.close_remaining()  # the process may run on, but answers nothing more
         return True
 
     def _is_busy(self) -> bool:
@@ -82,7 +82,7 @@
         not be in `open_requests` yet."""
         gateway = self.gateway
         return bool(gateway.open_requests) or any(
-            client.open or client.unsent_bytes() for client in list(gateway.front.clients)
+            client.open or client.unsent_bytes() for client in list(gateway.downstream.clients)
         )
 
     def _arrivals_are_over(self) -> bool:
@@ -98,21 +98,23 @@
     def _close_listener(self, is_busy: bool) -> None:
         """Stop accepting clients once arrivals are over and no connection or message is unread. Clients that
         keep sending do not delay this: their connections are closed when idle."""
-        front = self.gateway.front
-        is_quiet = self._arrivals_are_over() and not is_busy and not front.has_unread()
-        if is_quiet or (self._is_overdue() and not front.has_unaccepted()):
+        downstream = self.gateway.downstream
+        is_quiet = self._arrivals_are_over() and not is_busy and not downstream.has_unread()
+        if is_quiet or (self._is_overdue() and not downstream.has_unaccepted()):
             self.enter(Phase.CLOSING)
             self.listener_closed_at = self.gateway.clock.time
-            front.stop_accepting()
+            downstream.stop_accepting()
 
     def _clients_are_closed(self, is_busy: bool) -> bool:
         """Close our halves of idle connections; return whether all are closed and clients had time to close
         theirs. Requests that cross our close are sent again elsewhere by their clients, and answers already
         sent still arrive."""
         gateway = self.gateway
-        connections_remain = gateway.front.close_idle()
+        connections_remain = gateway.downstream.close_idle()
         grace_is_over = gateway.clock.time > self.listener_closed_at + CLIENT_CLOSE_GRACE * TICKS_PER_SECOND
-        if not is_busy and (not connections_remain or (grace_is_over and not gateway.front.has_unread())):
+        if not is_busy and (
+            not connections_remain or (grace_is_over and not gateway.downstream.has_unread())
+        ):
             return True
         next_check = gateway.clock.time + max(gateway.granularity, MIN_CLOSING_INTERVAL)
         gateway.loop.call_at(next_check, lambda: None)  # wakes the loop, which checks again
--- a/lilacloft/gateway/reload.py
+++ b/lilacloft/gateway/reload.py
@@ -30,9 +30,9 @@
         logger.error("the old configuration stays: it cannot be used: {!r}", error)
         return
     gateway.budgets = new_budgets
-    gateway.front.max_clients, gateway.back.max_connections = new_budgets.clients, new_budgets.caches
+    gateway.downstream.max_clients, gateway.upstream.max_connections = new_budgets.clients, new_budgets.caches
     gateway.limits = config["limits"]
-    if gateway.feed.move(changelog):
+    if gateway.discovery_watch.move(changelog):
         gateway.router.discovery_begins()
     logger.info(
         "the configuration was read again{}",
--- a/lilacloft/gateway/reporting.py
+++ b/lilacloft/gateway/reporting.py
@@ -37,15 +37,15 @@
     def _counts(self) -> Iterator[tuple[str, Mapping[str, int]]]:
         gateway, counters = self.gateway, self.gateway.counters
         yield "answers", counters.answers
-        yield "front", gateway.front.counts
-        yield "back", gateway.back.counts
+        yield "front", gateway.downstream.counts
+        yield "back", gateway.upstream.counts
         yield "ends", counters.ends
         yield "refused", counters.rejects
         yield "retried after", counters.retries
-        yield "closed clients", dict(gateway.front.closes)
-        yield "closed caches", dict(gateway.back.closes)
+        yield "closed clients", dict(gateway.downstream.closes)
+        yield "closed caches", dict(gateway.upstream.closes)
         yield "violations", gateway.invariants.violations()
-        yield "log", {"connects": gateway.feed.connects, "events": gateway.feed.events}
+        yield "log", {"connects": gateway.discovery_watch.connects, "events": gateway.discovery_watch.events}
         yield "held", self.open_resources()
         for kind in fields(GatewayLags):
             yield f"lag of {kind.name}", getattr(gateway.lags, kind.name).summary()
@@ -85,12 +85,12 @@
         limits = [backend.concurrency_limit for backend in backends if backend.concurrency_limit]
         return {
             "calls": len(gateway.open_requests),
-            "names": len(gateway.front.requests_by_name),
-            "clients": len(gateway.front.clients),
-            "parting": len(gateway.front.draining),
-            "unwritten": sum(client.unsent_bytes() for client in list(gateway.front.clients)),
-            "out": sum(attempt.call is not None for attempt in in_flight),
-            "checks": sum(attempt.call is None for attempt in in_flight),
+            "names": len(gateway.downstream.requests_by_name),
+            "clients": len(gateway.downstream.clients),
+            "parting": len(gateway.downstream.draining),
+            "unwritten": sum(client.unsent_bytes() for client in list(gateway.downstream.clients)),
+            "out": sum(attempt.client_request is not None for attempt in in_flight),
+            "checks": sum(attempt.client_request is None for attempt in in_flight),
             "reqs": sum(len(backend.requests) for backend in backends),
             "trials": sum(backend.canary is not None for backend in backends),
             "limits": gateway.router.link_limit.in_flight + sum(limit.in_flight for limit in limits),
@@ -99,6 +99,6 @@
     def _in_flight(self) -> list[Attempt]:
         """Return the attempts and health checks in flight on connections."""
         connections = [
-            connection for pool in self.gateway.back.pools.values() for connection in pool.connections
+            connection for pool in self.gateway.upstream.pools.values() for connection in pool.connections
         ]
         return [attempt for connection in connections for attempt in connection.in_flight.values()]
--- a/lilacloft/handover/connections.py
+++ b/lilacloft/handover/connections.py
@@ -32,7 +32,9 @@
 
 def backend_connections(gateway: Gateway) -> list[UpstreamConnection]:
     """Return all connections to backends, including unlisted backends with attempts in flight."""
-    found = dict.fromkeys(upstream for pool in gateway.back.pools.values() for upstream in pool.connections)
+    found = dict.fromkeys(
+        upstream for pool in gateway.upstream.pools.values() for upstream in pool.connections
+    )
     for client_request in gateway.open_requests.values():
         if client_request.attempt and client_request.attempt.connection:
             found[client_request.attempt.connection] = None
@@ -41,7 +43,7 @@
 
 def all_connections(gateway: Gateway) -> list[Connection]:
     """Return all client and backend connections."""
-    clients = list(gateway.front.clients)  # a copy, because other threads add to it
+    clients = list(gateway.downstream.clients)  # a copy, because other threads add to it
     return [*clients, *backend_connections(gateway)]
 
 
--- a/lilacloft/handover/counters.py
+++ b/lilacloft/handover/counters.py
@@ -15,8 +15,8 @@
     """Return the gateway's counters by group, without those of discovery."""
     return {
         "answers": gateway.answer_counts,
-        "front": gateway.front.counts,
-        "back": gateway.back.counts,
+        "front": gateway.downstream.counts,
+        "back": gateway.upstream.counts,
         "ends": gateway.end_counts,
     }
 
@@ -24,7 +24,10 @@
 def export_counters(gateway: Gateway) -> GroupedCounts:
     """Return all counters by group and name."""
     counts = {group: dict(own) for group, own in _groups(gateway).items()}
-    counts[DISCOVERY_GROUP] = {"connects": gateway.feed.connects, "events": gateway.feed.events}
+    counts[DISCOVERY_GROUP] = {
+        "connects": gateway.discovery_watch.connects,
+        "events": gateway.discovery_watch.events,
+    }
     return counts
 
 
@@ -35,8 +38,8 @@
             if name in own:
                 own[name] += count
     discovery = exported.get(DISCOVERY_GROUP, {})
-    gateway.feed.connects += discovery.get("connects", 0)
-    gateway.feed.events += discovery.get("events", 0)
+    gateway.discovery_watch.connects += discovery.get("connects", 0)
+    gateway.discovery_watch.events += discovery.get("events", 0)
 
 
 def counted_since(gateway: Gateway, exported: GroupedCounts) -> GroupedCounts:
--- a/lilacloft/handover/quiesce.py
+++ b/lilacloft/handover/quiesce.py
@@ -91,8 +91,8 @@
         abort the handover. Returns why it failed, or an empty string.
         """
         gateway = self.gateway
-        gateway.front.gate.acquire()
-        gateway.feed.gate.acquire()
+        gateway.downstream.gate.acquire()
+        gateway.discovery_watch.gate.acquire()
         self.is_accepting_paused = True
         while True:
             self._pause_readers()
@@ -166,8 +166,8 @@
             self.resume_connection(conn)
         if accept and self.is_accepting_paused:
             self.is_accepting_paused = False
-            self.gateway.feed.gate.release()
-            self.gateway.front.gate.release()
+            self.gateway.discovery_watch.gate.release()
+            self.gateway.downstream.gate.release()
 
     # --- after the transfer ---
 
@@ -177,7 +177,7 @@
         for conn in connections:
             self.quiesced.pop(conn, None)
             if isinstance(conn, ClientConnection):
-                gateway.front.clients.pop(conn, None)
+                gateway.downstream.clients.pop(conn, None)
             elif conn in conn.pool.connections:
                 conn.pool.connections.remove(conn)
         self.transferred += connections
@@ -189,7 +189,7 @@
         for request, client_request in list(gateway.open_requests.items()):
             if client_request.client in transferred:
                 del gateway.open_requests[request]
-                gateway.front.requests_by_name.pop(client_request.name, None)
+                gateway.downstream.requests_by_name.pop(client_request.name, None)
         gateway.timers = [
             entry for entry in gateway.timers if entry[2] in (gateway.run_maintenance, gateway.heartbeat)
         ]
@@ -217,7 +217,7 @@
     def quiesce_idle_clients(self) -> list[IdleClient]:
         """Quiesce and return the clients' connections that have become idle."""
         idle_clients = []
-        for client in list(self.gateway.front.clients):
+        for client in list(self.gateway.downstream.clients):
             if not is_idle(client):
                 continue
             was_quiesced = client in self.quiesced  # its reading has been paused for good
--- a/lilacloft/handover/sender.py
+++ b/lilacloft/handover/sender.py
@@ -175,7 +175,7 @@
         receiver.send(
             MessageKind.WARM_UP,
             messages.WarmUp(os.getpid(), mode=self.state_machine.mode, backends=backends),
-            (gateway.front.sock.fileno(), self.upgrade_socket.fileno()),
+            (gateway.downstream.sock.fileno(), self.upgrade_socket.fileno()),
         )
         part_keys = self._run_on_event_loop(self.quiescer.list_object_parts)
         for start in range(0, len(part_keys), OBJECT_PARTS_PER_MESSAGE):
@@ -278,7 +278,9 @@
                 self.quiescer.mark_transferred([client.connection])
         except HANDOVER_ERRORS as error:
             return self._receiver_failed(str(error))
-        machine.check_drained(self.receiver_is_serving, not (gateway.open_requests or gateway.front.clients))
+        machine.check_drained(
+            self.receiver_is_serving, not (gateway.open_requests or gateway.downstream.clients)
+        )
         if repeat and machine.phase == Phase.DRAINING:
             gateway.call_at(gateway.time + int(DRAIN_POLL_SECONDS * TICKS_PER_SECOND), self._check_drained)
 
@@ -376,7 +378,7 @@
         """Reject the requests that are still open here, and stop reading from clients."""
         for client_request in list(self.gateway.open_requests.values()):
             self.gateway.router.reject(client_request.request, RejectReason.ENDING)
-        for client in list(self.gateway.front.clients):
+        for client in list(self.gateway.downstream.clients):
             client.pause_reading()  # unread data is transferred with the connection
             self.quiescer.quiesced[client] = False
 
--- a/lilacloft/handover/state_export.py
+++ b/lilacloft/handover/state_export.py
@@ -91,14 +91,14 @@
         time=gateway.time,
         monotonic_time=gateway.monotonic_time,
         vhosts=[vhost["name"] for vhost in gateway.vhosts],
-        last_event=gateway.feed.last,
+        last_event=gateway.discovery_watch.last,
         backends=list(export_backends(gateway)),
         clock_offset=_export_clock_offset(gateway),
         router=export_state(
             gateway.router, [client_request.request for client_request in client_requests], part_keys
         ),
         counts=export_counters(gateway),
-        health_check_count=gateway.back.checks,
+        health_check_count=gateway.upstream.checks,
         clients=[export_client(client, selected.descriptors[client]) for client in selected.clients],
         backend_connections=[
             _export_backend_connection(upstream, selected.descriptors[upstream])
@@ -115,7 +115,7 @@
 def export_backends(gateway: Gateway) -> Iterator[messages.ListedBackend]:
     """Export the endpoint list, including unlisted backends that still have attempts in flight."""
     for name, backend in gateway.backends.items():
-        pool = gateway.back.pools.get(backend)
+        pool = gateway.upstream.pools.get(backend)
         host, port = pool.address if pool else ("", 0)
         yield messages.ListedBackend(
             name,
@@ -140,7 +140,7 @@
     """Select the connections and requests to transfer: all of them, or only idle connections."""
     clients = [
         client
-        for client in gateway.front.clients
+        for client in gateway.downstream.clients
         if client.state is not ConnectionState.UNREADABLE and (is_whole or is_idle(client))
     ]
     upstreams = [
@@ -239,13 +239,13 @@
         attempt
         for upstream in selected.upstreams
         for attempt in upstream.in_flight.values()
-        if attempt.call is None
+        if attempt.client_request is None
     ]
     for attempt in attempts:
         if attempt.connection is None and attempt not in timers.pending_ends and attempt not in withdrawn:
             continue  # its end was reported in this iteration of the event loop
         yield messages.AttemptState(
-            request=selected.client_requests.get(attempt.call) if attempt.call else None,
+            request=selected.client_requests.get(attempt.client_request) if attempt.client_request else None,
             backend=attempt.backend.name,
             seq=attempt.seq,
             name=attempt.name,
--- a/lilacloft/handover/state_restore.py
+++ b/lilacloft/handover/state_restore.py
@@ -81,8 +81,8 @@
         try:
             requests = self._restore_decisions(state, configured_vhosts)
             add_counters(gateway, state.counts)
-            gateway.feed.last = max(gateway.feed.last, state.last_event)
-            gateway.back.checks = state.health_check_count
+            gateway.discovery_watch.last = max(gateway.discovery_watch.last, state.last_event)
+            gateway.upstream.checks = state.health_check_count
             self._restore_open(state, requests, socket_at)
         except (KeyError, IndexError, ValueError, TypeError, AttributeError) as error:
             raise FormatError(f"inconsistent state: {error!r}") from error
@@ -153,29 +153,29 @@
 
     def restore_client(self, state: messages.ClientConnectionState, sock: socket.socket) -> ClientConnection:
         """Restore a client's connection without starting it."""
-        front = self.gateway.front
-        client = ClientConnection(front, sock)
+        downstream = self.gateway.downstream
+        client = ClientConnection(downstream, sock)
         for field, attribute in CLIENT_ATTRIBUTES.items():
             setattr(client, attribute, getattr(state, field))
         self._restore_connection(client, state)
-        front.clients[client] = None
+        downstream.clients[client] = None
         return client
 
     def _restore_backend_connection(
         self, state: messages.BackendConnectionState, sock: socket.socket
     ) -> UpstreamConnection:
-        back, backend = self.gateway.back, self.gateway.backends[state.backend]
-        pool = back.pools.get(backend)
+        upstream, backend = self.gateway.upstream, self.gateway.backends[state.backend]
+        pool = upstream.pools.get(backend)
         address = (state.host, state.port)
         if pool is None or (pool.address, pool.backend_started) != (address, state.backend_started):
             # the backend has restarted or is unlisted: this pool gets no new attempts
-            pool = UpstreamPool(backend, address, back)
-        upstream = UpstreamConnection(pool, back.read_answer, back.connection_closed, sock=sock)
+            pool = UpstreamPool(backend, address, upstream)
+        upstream = UpstreamConnection(pool, upstream.read_answer, upstream.connection_closed, sock=sock)
         pool.connections.append(upstream)
         upstream.last_read_at = state.last_answer_at
         upstream.last_used_at = state.last_used_at
         upstream.created_at = state.created_at
-        upstream.retiring = state.is_retired or back.pools.get(backend) is not pool
+        upstream.retiring = state.is_retired or upstream.pools.get(backend) is not pool
         self._restore_connection(upstream, state)
         return upstream
 
@@ -216,7 +216,7 @@
         ]
         if state.is_open:
             client.open[client_request.tag] = client_request
-            self.gateway.front.requests_by_name[client_request.name] = client_request
+            self.gateway.downstream.requests_by_name[client_request.name] = client_request
         else:
             request.finished = True
         self.gateway.open_requests[request] = client_request
@@ -300,8 +300,8 @@
         if attempt.expired():
             end: CloseReason | None = CloseReason.UNWRITTEN
         elif gateway.store:
-            end = gateway.store.dispatch(attempt, attempt.call.request.deadline)
+            end = gateway.store.dispatch(attempt, attempt.client_request.request.deadline)
         else:
-            end = gateway.back.dispatch(attempt)
+            end = gateway.upstream.dispatch(attempt)
         if end is not None:
             gateway.report_end(attempt, end)
--- a/lilacloft/net/attempt.py
+++ b/lilacloft/net/attempt.py
@@ -32,7 +32,7 @@
     """A dispatch of a request, or a health check. Times, except `at` and `passed_on_at`, are by the monotonic
     clock; 0: none."""
 
-    call: Any  # the `ClientRequest`; None: a health check
+    client_request: Any  # the `ClientRequest`; None: a health check
     backend: Backend
     seq: int  # number of the attempt within its request
     name: bytes  # the id that the backend's answer carries
@@ -65,7 +65,7 @@
 
     def first_byte(self, drained: Ticks) -> FirstByte:
         """Return the data for checking its first byte; `drained`: since when its backend drains."""
-        client_left_at = self.call.cancelled_at or self.call.client.input_ended or 0
+        client_left_at = self.client_request.cancelled_at or self.client_request.client.input_ended or 0
         return FirstByte(
             self.name.decode(),
             time.monotonic_ns() // NS_PER_TICK,
@@ -80,10 +80,10 @@
         """Return whether it must not be sent: its deadline has passed, or its client may have disconnected.
 
         Any thread may call this."""
-        if self.call is None:
+        if self.client_request is None:
             return False
         now = time.monotonic_ns() // NS_PER_TICK
         if (self.send_by and now >= self.send_by) or (self.deadline and now >= self.deadline):
             return True
-        disconnected_at = self.call.disconnected_since()
+        disconnected_at = self.client_request.disconnected_since()
         return disconnected_at is not None and now >= last_send_time(disconnected_at)
--- a/lilacloft/net/upstream.py
+++ b/lilacloft/net/upstream.py
@@ -117,7 +117,7 @@
     def may_send(self, attempt: Attempt) -> bool:
         """Check an attempt just before its first byte is sent, and update its time limit: it may have waited
         for a processor since it was decided on. Any thread may call this."""
-        if attempt.call is None or not attempt.deadline:
+        if attempt.client_request is None or not attempt.deadline:
             return True
         if attempt.has_waited(time.monotonic_ns() // NS_PER_TICK) and attempt.expired():
             return False
@@ -143,10 +143,10 @@
         attempt.connection = connection
         connection.in_flight[attempt.name] = attempt
         connection.last_used_at = attempt.passed_on_at = self.now()
-        if attempt.call:
-            attempt.call.connections.append(connection)
+        if attempt.client_request:
+            attempt.client_request.connections.append(connection)
         attempt.position = connection.send(attempt.data)
-        self.counts["dispatches" if attempt.call else "checks"] += 1
+        self.counts["dispatches" if attempt.client_request else "checks"] += 1
 
     def check(self, backend: Backend) -> tuple[Attempt, CloseReason | None]:
         """Send a health check, which requests a load report if the settings name load values.
@@ -168,8 +168,8 @@
         if connection is None or not (connection.withdraw(attempt.position) or attempt.expired_unsent):
             return False
         self._detach(connection, attempt)
-        if attempt.call and connection in attempt.call.connections:
-            attempt.call.connections.remove(connection)  # it did not carry this request
+        if attempt.client_request and connection in attempt.client_request.connections:
+            attempt.client_request.connections.remove(connection)  # it did not carry this request
         return True
 
     def expired_in_backlog(self, attempt: Attempt) -> None:
@@ -195,7 +195,7 @@
             confirmed_at = max(confirmed_at, connection.created_at + self.connect_timeout)
         if connection.close_reason is not None:
             return confirmed_at
-        if attempt.call:
+        if attempt.client_request:
             self._send_cancellation(connection, attempt)
         if confirm and self._is_slow(connection):
             self._send_confirmation(connection, attempt)
@@ -257,8 +257,8 @@
         if attempt is None:
             self.counts["unknown"] += 1
             return
-        reason = (ANSWER_STATUS if attempt.call else HEALTH_STATUS).get(word)
-        if reason is None or (reason is CloseReason.UNCHANGED and not attempt.call.got):
+        reason = (ANSWER_STATUS if attempt.client_request else HEALTH_STATUS).get(word)
+        if reason is None or (reason is CloseReason.UNCHANGED and not attempt.client_request.got):
             connection.close(CloseReason.GARBLED)  # not a valid answer; ends all attempts in flight there
             return
         self.counts["answers"] += 1
@@ -270,7 +270,9 @@
     def _record_link_delay(self, connection: UpstreamConnection, attempt: Attempt, reply: Reply) -> None:
         """Record the link delay that an answer shows, without its wait in this process since it was read."""
         waited_here = max(0, time.monotonic_ns() // NS_PER_TICK - reply.read_at)
-        work = reply.queued + int(attempt.call.request.transfer_time) if attempt.call else 0
+        work = (
+            reply.queued + int(attempt.client_request.request.transfer_time) if attempt.client_request else 0
+        )
         now = self.now()
         connection.pool.link_delay.record(now - attempt.passed_on_at - waited_here - work, now)
 
--- a/lilacloft/net/upstream_pool.py
+++ b/lilacloft/net/upstream_pool.py
@@ -89,7 +89,7 @@
 
         If the request's previous connection broke, a new one is preferred: idle ones may be broken too."""
         best = self._least_loaded(attempt)
-        client_request = attempt.call
+        client_request = attempt.client_request
         previous_broke = (
             client_request
             and client_request.connections
@@ -122,7 +122,7 @@
             and not connection.retiring
             and connection.close_reason is None
             and attempt.name not in connection.in_flight
-            and not (attempt.call and connection in attempt.call.connections)
+            and not (attempt.client_request and connection in attempt.client_request.connections)
         ]
         return min(
             candidates,
--- a/lilacloft/record/recorder.py
+++ b/lilacloft/record/recorder.py
@@ -29,9 +29,9 @@
 
 if TYPE_CHECKING:
     from lilacloft.gateway.gateway import Gateway
-    from lilacloft.net.back import Reply, Sent
     from lilacloft.net.discovery_events import DiscoveryEvent, EndpointEntry
-    from lilacloft.net.front import Call
+    from lilacloft.net.downstream import Call
+    from lilacloft.net.upstream import Reply, Sent
     from lilacloft.record.metrics import Metrics
     from lilacloft.routing.model import Backend
 
@@ -115,22 +115,22 @@
 
     # --- requests and attempts ---
 
-    def request_arrived(self, call: Call) -> None:
+    def request_arrived(self, client_request: Call) -> None:
         """A client's request has arrived."""
-        self.summary.request_arrived(self.vhost_names[call.vhost])
+        self.summary.request_arrived(self.vhost_names[client_request.vhost])
 
-    def dispatched(self, call: Call, backend: Backend) -> None:
+    def dispatched(self, client_request: Call, backend: Backend) -> None:
         """An attempt was sent to a backend."""
-        self.summary.dispatched(self.vhost_names[call.vhost], backend.name)
+        self.summary.dispatched(self.vhost_names[client_request.vhost], backend.name)
 
     def attempt_ended(self, sent: Sent, end: CloseReason, duration: Ticks, reply: Reply) -> None:
         """An attempt has ended."""
-        call = sent.call
-        request = call.request
+        client_request = sent.client_request
+        request = client_request.request
         source = request.source.name if request.expects_fill and request.source is not None else None
         objective = self.gateway.router.virtual_hosts[request.vhost].latency_objective(request.transfer_time)
         attempt = EndedAttempt(
-            vhost=self.vhost_names[call.vhost],
+            vhost=self.vhost_names[client_request.vhost],
             backend=sent.backend.name,
             source=source,
             end=end.name,
@@ -142,16 +142,16 @@
         )
         self.summary.attempt_ended(attempt)
 
-    def answered(self, call: Call, kind: str) -> None:
+    def answered(self, client_request: Call, kind: str) -> None:
         """A request has its final answer. `kind`: a value of `AnswerKind`."""
-        request = call.request
+        request = client_request.request
         duration = self.gateway.time - request.arrived_at if request else 0
         attempts = request.attempts if request else 0
-        self.summary.answered(self.vhost_names[call.vhost], kind, duration, attempts)
+        self.summary.answered(self.vhost_names[client_request.vhost], kind, duration, attempts)
 
-    def client_disconnected(self, call: Call) -> None:
+    def client_disconnected(self, client_request: Call) -> None:
         """A client has disconnected before it was answered."""
-        self.summary.client_disconnected(self.vhost_names[call.vhost])
+        self.summary.client_disconnected(self.vhost_names[client_request.vhost])
 
     # --- backends, plans and upgrades ---
 
@@ -246,11 +246,11 @@
 
     def _each_second(self) -> None:
         gateway = self.gateway
-        refused = {name: gateway.front.counts[name] for name in REFUSED}
+        refused = {name: gateway.downstream.counts[name] for name in REFUSED}
         self.summary.count_refused({**refused, "faults": gateway.answer_counts["faults"]})
-        if gateway.feed.connects != self.change_log_connects:
-            self.change_log_connects = gateway.feed.connects
-            self.note(record_types.ChangeLogConnection(connected=True, event=gateway.feed.last))
+        if gateway.discovery_watch.connects != self.change_log_connects:
+            self.change_log_connects = gateway.discovery_watch.connects
+            self.note(record_types.ChangeLogConnection(connected=True, event=gateway.discovery_watch.last))
         if self.summary.is_due(gateway.monotonic_time):
             summary = self._take_summary()
             self.note(summary)
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -47,14 +47,16 @@
     return config
 
 
-def make_gateway(config: dict[str, Any], sock: socket.socket | None = None, follows: bool = False) -> Gateway:
+def make_gateway(
+    config: dict[str, Any], sock: socket.socket | None = None, is_successor: bool = False
+) -> Gateway:
     """Create a gateway from a configuration. It listens on `sock`, or else on the configured address.
     `follows`: the rest of its state comes from the previous process. Raises UnusableError if the
     configuration cannot be used."""
     from lilacloft.gateway.gateway import Gateway
 
     try:
-        return Gateway(config, sock=sock, follows=follows)
+        return Gateway(config, sock=sock, is_successor=is_successor)
     except KeyError as error:
         platform_names = {internal_name: name for name, internal_name in NAMES.items()}
         missing = platform_names.get(error.args[0], error.args[0])
--- a/lilacloft/store/crash_recovery.py
+++ b/lilacloft/store/crash_recovery.py
@@ -28,8 +28,8 @@
 
 
 def _restore_endpoints(gateway: Any, endpoint_rows: EndpointRows, recovered: RecoveredState) -> None:
-    start = endpoint_rows.starting_point(gateway.feed.last, recovered.last_event)
-    gateway.feed.last = start.read_after
+    start = endpoint_rows.starting_point(gateway.discovery_watch.last, recovered.last_event)
+    gateway.discovery_watch.last = start.read_after
     for event in start.events:
         gateway.apply_event(event)
     if recovered.last_event > gateway.discovery.last_applied_event:
--- a/lilacloft/store/gateway_store.py
+++ b/lilacloft/store/gateway_store.py
@@ -175,7 +175,7 @@
         self.relay = relay
         withdrawn, self.withdrawn = self.withdrawn, []
         for attempt in withdrawn:
-            if attempt.call.client in self.gateway.front.clients:
+            if attempt.client_request.client in self.gateway.downstream.clients:
                 self.gateway.report_end(attempt, CloseReason.UNWRITTEN)
 
     def resume(self, other_may_have_written: bool) -> None:
@@ -204,11 +204,11 @@
         without an attempt has lost its connection during the handover and may have been executed.
         """
         for attempt in attempts:
-            token, call = self._token(attempt), attempt.call
+            token, client_request = self._token(attempt), attempt.client_request
             if token not in self.gate.in_flight:
-                idempotency = Idempotency(self.gateway.vhosts[call.vhost]["effect"])
-                sent_at = call.request.sent_at
-                self.gate.adopt(token, self._key(call), idempotency, sent_at, attempt.backend.cell)
+                idempotency = Idempotency(self.gateway.vhosts[client_request.vhost]["effect"])
+                sent_at = client_request.request.sent_at
+                self.gate.adopt(token, self._key(client_request), idempotency, sent_at, attempt.backend.cell)
             if token in self.gate.in_flight:
                 self.tokens[attempt] = token
         for token in set(self.gate.in_flight) - set(self.tokens.values()):
@@ -236,9 +236,9 @@
 
     # --- hooks of the event loop ---
 
-    def note_earlier_execution(self, call: Any, request: Request) -> None:
+    def note_earlier_execution(self, client_request: Any, request: Request) -> None:
         """Record in a request that an earlier process may have had it, or another attempt of it, executed."""
-        key = self._key(call)
+        key = self._key(client_request)
         intent = self.gate.intents.get(key)
         if intent and key in self.gate.earlier_keys and not intent.not_executed:
             request.first_executed_at = intent.sent_at
@@ -253,21 +253,21 @@
         token = self._token(attempt)
         verdict = self.gate.admit(
             token,
-            self._key(attempt.call),
-            self._policy(attempt.call.vhost),
+            self._key(attempt.client_request),
+            self._policy(attempt.client_request.vhost),
             attempt.backend.cell,
             deadline - 2 * self.gateway.granularity,
         )
         if verdict == Verdict.SEND:
             self.tokens[attempt] = token
-            return self.gateway.back.dispatch(attempt)
+            return self.gateway.upstream.dispatch(attempt)
         if verdict == Verdict.WAIT:
             self.tokens[attempt] = token
             self.pending[token] = PendingAttempt(attempt, deadline)
             self.gateway.call_at(self.gateway.time + (self.gate.next_expiry() or 0), self.gate.expire_pending)
             return None
         # an earlier execution may have become known after the request arrived
-        self.note_earlier_execution(attempt.call, attempt.call.request)
+        self.note_earlier_execution(attempt.client_request, attempt.client_request.request)
         return CloseReason.UNWRITTEN
 
     def withdraw(self, attempt: Attempt) -> bool:
@@ -298,11 +298,11 @@
 
     @staticmethod
     def _token(attempt: Attempt) -> str:
-        return f"{attempt.call.name} {attempt.seq}"
+        return f"{attempt.client_request.name} {attempt.seq}"
 
     @staticmethod
-    def _key(call: Any) -> bytes:
-        return (call.replay or call.name).encode()
+    def _key(client_request: Any) -> bytes:
+        return (client_request.replay or client_request.name).encode()
 
     def _policy(self, vhost: int) -> IdempotencyPolicy:
         config = self.gateway.vhosts[vhost]
@@ -331,14 +331,16 @@
     def release(self, token: str) -> None:
         """Send a pending attempt, unless it has become obsolete."""
         attempt, deadline = self.pending.pop(token)
-        request = attempt.call.request
-        obsolete = attempt.call.attempt is not attempt or request.finished or self.gateway.time >= deadline
+        request = attempt.client_request.request
+        obsolete = (
+            attempt.client_request.attempt is not attempt or request.finished or self.gateway.time >= deadline
+        )
         if obsolete or attempt.expired():
             return self.gateway.report_end(attempt, CloseReason.UNWRITTEN)
         attempt.at = self.gateway.time  # the wait for the disk is not counted as the backend's response time
         # the event loop drops timers of attempts without a connection, so the timer may no longer exist
         self.gateway.call_at(deadline, self.gateway.attempt_timed_out, attempt)
-        end = self.gateway.back.dispatch(attempt)
+        end = self.gateway.upstream.dispatch(attempt)
         if end is not None:
             self.gateway.report_end(attempt, end)
         return None
@@ -347,5 +349,5 @@
         """Report a pending attempt as not sent."""
         attempt = self.pending.pop(token).attempt
         # an earlier execution may have become known; the client must not be told that there was none
-        self.note_earlier_execution(attempt.call, attempt.call.request)
+        self.note_earlier_execution(attempt.client_request, attempt.client_request.request)
         self.gateway.report_end(attempt, CloseReason.UNWRITTEN)
--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -67,12 +67,12 @@
 
     def start(self):
         self.owner = Gateway({**self.config, "listen": "127.0.0.1:0"})
-        self.port = self.owner.front.sock.getsockname()[1]
+        self.port = self.owner.downstream.sock.getsockname()[1]
         self.thread = threading.Thread(target=self.owner.run, daemon=True)
         self.thread.start()
         self.log.since.get(timeout=5)
         if self.log.released.is_set():
-            until(lambda: self.owner.feed.status.current)
+            until(lambda: self.owner.discovery_watch.status.current)
         self.does(lambda: None)  # clients can connect, and the events of the change log are applied
 
     def does(self, what):
@@ -103,11 +103,11 @@
         self.owner.post(self.owner.end)
         self.thread.join(5)
         # the thread of the feed outlives the test, and a later test may use the port
-        self.owner.feed.move(("127.0.0.1", 1))
-        for client in [*self.owner.front.clients, *self.owner.front.draining]:
+        self.owner.discovery_watch.move(("127.0.0.1", 1))
+        for client in [*self.owner.downstream.clients, *self.owner.downstream.draining]:
             client.close(CloseReason.RETIRED)
-        self.owner.front.stop_accepting()
-        self.owner.front.sock.close()
+        self.owner.downstream.stop_accepting()
+        self.owner.downstream.sock.close()
         for stand in [*self.caches, self.parent, self.origin, self.log]:
             stand.break_off()
             stand.close()
@@ -120,7 +120,7 @@
     quiescer = Quiescer(world.owner)
     assert world.does(lambda: quiescer.quiesce(time.monotonic() + 4, lambda: True)) == ""
     exported = world.does(lambda: export_gateway(world.owner, "whole", []))
-    successor = Gateway({**world.config, "listen": "127.0.0.1:0"}, follows=True)
+    successor = Gateway({**world.config, "listen": "127.0.0.1:0"}, is_successor=True)
     restorer = GatewayRestorer(successor)
     restorer.restore(
         exported.state, lambda index: socket.socket(fileno=os.dup(exported.connections[index].sock.fileno()))
@@ -131,4 +131,4 @@
         world.does(quiescer.resume_all)
         for conn in restorer.connections:
             conn.close(CloseReason.RETIRED)
-        successor.front.sock.close()
+        successor.downstream.sock.close()
--- a/rigs/stored_forms.py
+++ b/rigs/stored_forms.py
@@ -244,7 +244,7 @@
     """A head, and what a gateway writes down of one thing of each kind, by the hooks that it calls; without
     numbers and times."""
     owner = Gateway({**config, "listen": "127.0.0.1:0"})
-    owner.front.sock.close()
+    owner.downstream.sock.close()
     recorder = Recorder(owner, RecorderOptions(str(folder), "n0"))
     backend = owner.backends["s-00000001"]
     (
@@ -525,13 +525,13 @@
     """A state that a whole gateway has taken, connections and all, and tells again: its values, and its frame
     with the moment of the frame that was taken. The gateway does not run; its sockets lead nowhere."""
     before = _state(data)
-    owner = Gateway({**config, "listen": "127.0.0.1:0"}, follows=True)
+    owner = Gateway({**config, "listen": "127.0.0.1:0"}, is_successor=True)
     restorer, pairs = GatewayRestorer(owner), [socket.socketpair() for _ in range(before.descriptor_count)]
     try:
         restorer.restore(before, lambda number: pairs[number][0])
         after = export_gateway(owner, before.mode, list(owner.router.freshness.object_parts)).state
     finally:
-        owner.front.sock.close()
+        owner.downstream.sock.close()
         for one in (one for pair in pairs for one in pair):
             one.close()
     after.time, after.monotonic_time = before.time, before.monotonic_time
--- a/tests/test_cancelled_attempts.py
+++ b/tests/test_cancelled_attempts.py
@@ -118,18 +118,18 @@
     links.received.clear()
     asker.ask(key=1, room=4)
     until(lambda: world.held()["out"] == 1)
-    (call,) = world.does(lambda: list(world.owner.open_requests.values()))
-    return call
+    (client_request,) = world.does(lambda: list(world.owner.open_requests.values()))
+    return client_request
 
 
-def cancel_attempt(world, call):
+def cancel_attempt(world, client_request):
     """Have the router cancel an attempt, as when its cache is ejected."""
-    world.does(lambda: world.owner.router.cancel_if_safe(call.request))
+    world.does(lambda: world.owner.router.cancel_if_safe(client_request.request))
 
 
-def close_connection(world, call):
+def close_connection(world, client_request):
     """Close an attempt's connection from the gateway's side."""
-    world.does(lambda: call.attempt.connection.close(CloseReason.SILENT))
+    world.does(lambda: client_request.attempt.connection.close(CloseReason.SILENT))
 
 
 @pytest.mark.parametrize("when", ["under way", "whole"])
@@ -142,10 +142,10 @@
     asker = patient_client(world)
     home, _ = measure_link(links, asker, DELAY)
     (other,) = [cache for cache in world.caches if cache is not home]
-    call = send_unanswered(world, links, asker, home)
+    client_request = send_unanswered(world, links, asker, home)
     if when == "whole":
         until(lambda: links.first(b"do", home))
-    end_attempt(world, call)
+    end_attempt(world, client_request)
     until(lambda: all((links.first(b"do", home), links.first(verb, home), links.first(b"do", other))))
     assert links.first(b"do", home)[0] < links.first(verb, home)[0] < links.first(b"do", other)[0]
     assert asker.answer()[1] == b"200"
@@ -157,12 +157,12 @@
     world = made(in_process, links)
     asker = patient_client(world)
     home, _ = measure_link(links, asker, DELAY)
-    call = send_unanswered(world, links, asker, home)
+    client_request = send_unanswered(world, links, asker, home)
     until(lambda: links.first(b"do", home))
-    pool = world.does(lambda: world.owner.back.pools[call.request.backend])
+    pool = world.does(lambda: world.owner.upstream.pools[client_request.request.backend])
     for _ in range(ANSWERS_COUNTED):
         world.does(lambda: pool.link_delay.record(HOUR, world.owner.time))
-    cancel_attempt(world, call)
+    cancel_attempt(world, client_request)
     assert asker.answer()[1] == b"200", "long before the recorded delay of an hour"
     world.rests()
 
@@ -172,24 +172,24 @@
     world = made(in_process, links)
     asker = patient_client(world)
     home, _ = measure_link(links, asker, DELAY)
-    call = send_unanswered(world, links, asker, home)
+    client_request = send_unanswered(world, links, asker, home)
     links.unresponsive.add(home)
-    pool = world.does(lambda: world.owner.back.pools[call.request.backend])
+    pool = world.does(lambda: world.owner.upstream.pools[client_request.request.backend])
     for _ in range(ANSWERS_COUNTED):
         world.does(lambda: pool.link_delay.record(HOUR, world.owner.time))
-    cancel_attempt(world, call)
+    cancel_attempt(world, client_request)
     with handed_over(world) as restorer:
         gateway = restorer.gateway
         (end,) = [timer for timer in gateway.timers if timer.callback == gateway.attempt_ended]
         assert end.arguments[1] is CloseReason.CALLED_OFF and end.at > gateway.time + HOUR // 2
 
 
-def wait_after_cancel(world, call):
+def wait_after_cancel(world, client_request):
     """Cancel a request's attempt; return how long its next attempt waits, in ticks."""
     owner = world.owner
 
     def cancelled():
-        owner.router.cancel_if_safe(call.request)
+        owner.router.cancel_if_safe(client_request.request)
         return owner.time
 
     at = world.does(cancelled)
@@ -203,11 +203,11 @@
     world = made(in_process, links, probes=probes)
     asker = patient_client(world)
     home, shortest = measure_link(links, asker, 0.0)
-    call = send_unanswered(world, links, asker, home)
+    client_request = send_unanswered(world, links, asker, home)
     links.unresponsive.add(home)
     until(lambda: links.first(b"do", home))
-    slack = world.owner.back.answer_slack
-    assert wait_after_cancel(world, call) <= max(slack, shortest * TICKS_PER_SECOND)
+    slack = world.owner.upstream.answer_slack
+    assert wait_after_cancel(world, client_request) <= max(slack, shortest * TICKS_PER_SECOND)
     assert asker.answer()[1] == b"200"
     world.rests()
 
@@ -216,9 +216,13 @@
     world = made(in_process, links)
     asker = patient_client(world)
     home, shortest = measure_link(links, asker, DELAY)
-    call = send_unanswered(world, links, asker, home)
+    client_request = send_unanswered(world, links, asker, home)
     links.unresponsive.add(home)
-    assert 2 * DELAY * TICKS_PER_SECOND * 0.9 <= wait_after_cancel(world, call) <= shortest * TICKS_PER_SECOND
+    assert (
+        2 * DELAY * TICKS_PER_SECOND * 0.9
+        <= wait_after_cancel(world, client_request)
+        <= shortest * TICKS_PER_SECOND
+    )
     assert asker.answer()[1] == b"200"
     world.rests(but=("clients", "checks"))
 
@@ -227,8 +231,8 @@
     world = made(in_process, links, probes=False)
     asker = patient_client(world)
     home, _ = measure_link(links, asker, DELAY)
-    call = send_unanswered(world, links, asker, home)
-    cancel_attempt(world, call)
+    client_request = send_unanswered(world, links, asker, home)
+    cancel_attempt(world, client_request)
     assert asker.answer()[1] == b"200"
     assert not links.first(b"ping") and not links.first(b"top")
     allowed = made(in_process, links)
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -79,7 +79,7 @@
     `number`: the purge's event number."""
     asker, answers = world.asker(), set()
     threading.Timer(HELD, log.released.set).start()
-    while world.owner.feed.last < number:
+    while world.owner.discovery_watch.last < number:
         answers.add(fetch(asker))
     world.does(lambda: None)  # until the purge is applied
     answers.add(fetch(asker))
@@ -149,12 +149,12 @@
     world = in_process(copies)
     asker, config = world.asker(), {**world.config, "listen": "127.0.0.1:0"}
     other = Log()
-    before = world.owner.feed.target
+    before = world.owner.discovery_watch.target
     world.log.hold()
     world.does(lambda: world.owner.reload({**config, "changelog": f"127.0.0.1:{other.port}"}))
     world.does(lambda: world.owner.reload(config))
-    assert world.owner.feed.target.address == before.address
-    world.owner.feed.on_change(WatchChange.CAUGHT_UP, before)
+    assert world.owner.discovery_watch.target.address == before.address
+    world.owner.discovery_watch.on_change(WatchChange.CAUGHT_UP, before)
     assert fetch(asker) == NEW
     other.close()
 
@@ -224,7 +224,7 @@
     asker = world.asker()
     assert fetch(asker) == NEW and copies.asked_ages[-1] == LIMIT / SEC
     world.log.released.set()
-    until(lambda: world.owner.feed.status.current)
+    until(lambda: world.owner.discovery_watch.status.current)
     world.does(lambda: None)
     assert_only_purged_copies_are_limited(asker, copies)
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -103,7 +103,7 @@
     now = int(time.time() * 1000)
     world.log.add(2, 3, struct.pack(">QQ", 5, now))
     world.log.add(3, 2, record(1, world.caches[0].port, started=now - int(HOUR * 1000)))
-    until(lambda: world.owner.feed.last == 3)
+    until(lambda: world.owner.discovery_watch.last == 3)
     assert request_objects(world) < 1.0
     assert received_dispatches(world.caches[0]) <= max_dispatches(world)
 
@@ -119,10 +119,10 @@
     now = int(time.time() * 1000)
     world.log.add(2, 3, struct.pack(">QQ", 4, now))
     world.log.add(2, 0)  # nothing new: all that it held back is told
-    until(lambda: world.owner.feed.status.current)
+    until(lambda: world.owner.discovery_watch.status.current)
     purged = time.monotonic()
     world.log.add(3, 3, struct.pack(">QQ", 5, int(time.time() * 1000) - int(back * 1000)))
-    until(lambda: world.owner.feed.last == 3)
+    until(lambda: world.owner.discovery_watch.last == 3)
     client.ask(key=5)
     told = int(parse_fields(world.caches[0].next()[2][2])["agelim"]) / 1000
     assert told <= time.monotonic() - purged
@@ -155,7 +155,7 @@
     world.log.add(3, 2, record(1, world.caches[0].port, started=now - 300))
     until(lambda: world.does(lambda: world.owner.backends["s-00000001"].started))
     state = world.does(lambda: export_gateway(world.owner, "drain", [])).state
-    successor = Gateway({**world.config, "listen": "127.0.0.1:0"}, follows=True)
+    successor = Gateway({**world.config, "listen": "127.0.0.1:0"}, is_successor=True)
     try:
         GatewayRestorer(successor).restore(
             decode(msgspec.msgpack.encode(state), GatewayState), [].__getitem__
@@ -165,4 +165,4 @@
         successor.apply_event(("delta", [row]), None, WatchStatus(successor.monotonic_time, current=False))
         assert successor.backends["s-00000001"].started == started
     finally:
-        successor.front.sock.close()
+        successor.downstream.sock.close()
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -103,7 +103,9 @@
     tag = asker.ask()
     halves(asker)
     until(
-        lambda: any(client.state is ConnectionState.HALF_CLOSED for client in list(world.owner.front.clients))
+        lambda: any(
+            client.state is ConnectionState.HALF_CLOSED for client in list(world.owner.downstream.clients)
+        )
     )
     late.set()
     assert asker.answer() == [tag, b"200", b"", CLIP] and asker.answer() is None
@@ -129,7 +131,7 @@
     world = in_process(silent, silent)
     asker, go = world.asker(), world.stall()
     tag = asker.ask(allow=3000)
-    until(lambda: world.owner.front.counts["reqs"])
+    until(lambda: world.owner.downstream.counts["reqs"])
     make_leave(leaves, asker)
     go.set()
     assert_given_up(world, leaves, asker, tag)
@@ -173,8 +175,8 @@
 
 def only_client(world):
     """Return the gateway's connection of the only client."""
-    until(lambda: world.owner.front.clients)
-    return next(iter(world.owner.front.clients))
+    until(lambda: world.owner.downstream.clients)
+    return next(iter(world.owner.downstream.clients))
 
 
 def block_within_message(world, asker):
@@ -341,7 +343,7 @@
         cache.break_off()  # so that new connections are needed
     until(
         lambda: not any(
-            pool.connections for pool in world.does(lambda: list(world.owner.back.pools.values()))
+            pool.connections for pool in world.does(lambda: list(world.owner.upstream.pools.values()))
         )
     )
     asker.ask(key=1, allow=3000)
@@ -359,7 +361,7 @@
     asker, go = world.asker(), world.stall()
     asker.ask(key=1)
     forgets(asker)
-    until(lambda: world.owner.front.counts["forgotten"])
+    until(lambda: world.owner.downstream.counts["forgotten"])
     go.set()
     world.rests()
     asker.ask(key=2)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -47,8 +47,8 @@
 
 def waiting_attempt(world):
     """Return the attempt that waits for its connection to be established."""
-    (call,) = world.does(lambda: list(world.owner.open_requests.values()))
-    return call.attempt
+    (client_request,) = world.does(lambda: list(world.owner.open_requests.values()))
+    return client_request.attempt
 
 
 @pytest.mark.parametrize("draining", ["cache", "source"])
@@ -132,9 +132,9 @@
     """A request read after the close is not forwarded, and its name is free for the client's next try."""
     world, accept_request = in_process(silent), ClientConnection.accept_request
 
-    def close_first(self, call):
+    def close_first(self, client_request):
         assert self.downstream._close_if_idle(self)
-        return accept_request(self, call)
+        return accept_request(self, client_request)
 
     asker = world.asker()
     asker.send(b"ALIVE", b"1", b"")
@@ -160,11 +160,11 @@
     intervals, became negative, so that clients without a request were closed at once."""
     world = in_process(serves(b"ok"), changes=LONG_CONNECT_TIMEOUT)
     asker = world.asker()
-    until(lambda: world.owner.front.counts["connections"])
+    until(lambda: world.owner.downstream.counts["connections"])
     world.does(world.owner.run_maintenance)
     tag = asker.ask()
     assert asker.answer() == [tag, b"200", b"", b"ok"]
-    assert world.owner.front.counts["closed_idle"] == 0
+    assert world.owner.downstream.counts["closed_idle"] == 0
 
 
 def test_a_long_connect_time_out_does_not_shorten_the_shutdown(in_process):
@@ -184,7 +184,7 @@
 
 
 def test_idle_connections_are_closed_before_the_cache_would_despite_a_long_connect_time_out(in_process):
-    assert in_process(silent, changes=LONG_CONNECT_TIMEOUT).owner.back.idle_timeout <= 10_000 / 2
+    assert in_process(silent, changes=LONG_CONNECT_TIMEOUT).owner.upstream.idle_timeout <= 10_000 / 2
 
 
 @pytest.mark.parametrize("how", [socket.SHUT_WR, socket.SHUT_RDWR])
@@ -207,13 +207,13 @@
     asker = world.asker()
     asker.send(b"ALIVE", b"99", b"")
     assert is_blocked.wait(5)
-    client = next(iter(world.owner.front.clients))
+    client = next(iter(world.owner.downstream.clients))
     tag = asker.ask()
     until(lambda: unread(client))
-    assert not world.owner.front._close_if_idle(client, how)
+    assert not world.owner.downstream._close_if_idle(client, how)
     go.set()
     assert asker.answer() == [b"99", b"serving"] and asker.answer() == [tag, b"200", b"", b"ok"]
-    until(lambda: world.owner.front._close_if_idle(client, how))
+    until(lambda: world.owner.downstream._close_if_idle(client, how))
     assert asker.answer() is None
     asker.sock.close()
     world.rests(but=("checks",))
@@ -225,8 +225,8 @@
     asker = Asker(world.port)
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
     tags = [asker.ask(key=number, allow=3000) for number in range(8)]
-    until(lambda: world.owner.front.clients)
-    client = next(iter(world.owner.front.clients))
+    until(lambda: world.owner.downstream.clients)
+    client = next(iter(world.owner.downstream.clients))
     until(lambda: client.settled == 8)
     asker.sock.sendall(b"*5\r\n$4\r\nEX")
     until(lambda: client.buffer.has_partial())
@@ -267,8 +267,8 @@
     asker = world.asker()
     asker.ask()
     assert asker.answer()[1] == b"200"
-    client = next(iter(world.owner.front.clients))
-    assert world.owner.front._close_if_idle(client) and asker.answer() is None
+    client = next(iter(world.owner.downstream.clients))
+    assert world.owner.downstream._close_if_idle(client) and asker.answer() is None
     until(lambda: client.state is ConnectionState.CLOSED)
     world.rests(but=("checks",))
     asker.sock.close()
@@ -323,7 +323,7 @@
     asker.send(b"ALIVE", b"99", b"")
     assert is_blocked.wait(5)
     tag = asker.ask()
-    until(lambda: unread(next(iter(world.owner.front.clients))))
+    until(lambda: unread(next(iter(world.owner.downstream.clients))))
     world.owner.post(world.owner.stop)
     wait_past_arrivals(world)
     assert world.thread.is_alive() and world.owner.lifecycle.phase is Phase.DRAINING
@@ -385,7 +385,7 @@
     asker = world.asker()
     message = encode(b"EXEC", b"1", b"clip", ASKED % (7, 7), b"")
     asker.sock.sendall(message[:30])
-    until(lambda: any(client.buffer.has_partial() for client in world.owner.front.clients))
+    until(lambda: any(client.buffer.has_partial() for client in world.owner.downstream.clients))
     world.owner.post(world.owner.stop)
     until(lambda: world.owner.lifecycle.phase is Phase.DRAINING)
     asker.sock.sendall(message[30:])
@@ -413,7 +413,7 @@
     slow_reader.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     in_flight, waiting, read = (world.asker() for _ in range(3))
     tags = {slow_reader: slow_reader.ask(key=2)}
-    until(lambda: any(client.settled for client in world.owner.front.clients))
+    until(lambda: any(client.settled for client in world.owner.downstream.clients))
     tags[in_flight] = in_flight.ask(key=1, allow=3000)
     until(lambda: world.held()["out"] == 1)
     late.clear()  # from here on no connection is established
@@ -422,7 +422,7 @@
     go = world.stall()
     world.owner.post(world.owner.stop)
     tags[read] = read.ask(key=4, allow=3000)
-    until(lambda: world.owner.front.counts["reqs"] == 4)
+    until(lambda: world.owner.downstream.counts["reqs"] == 4)
     go.set()
     until(lambda: world.owner.lifecycle.phase is Phase.DRAINING)
     gate.set()
@@ -452,7 +452,7 @@
         assert answer[0] == tag
         time.sleep(0.03)
     assert answer is None and time.monotonic() - started_at < 3
-    assert world.owner.front.counts["reqs"] == len(answered), "all accepted requests are answered"
+    assert world.owner.downstream.counts["reqs"] == len(answered), "all accepted requests are answered"
     assert set(answered) == {b"200"} and len(answered) > 5
     asker.sock.close()
     world.thread.join(3)
@@ -528,13 +528,13 @@
         lambda attempt, end, *_: ends.update({attempt.name: end}),
         lambda attempt, end, confirmed_at: ends.update({attempt.name: end}),
     )
-    back = Upstream(callbacks, config, 2)
+    upstream = Upstream(callbacks, config, 2)
     backend = Backend("s-1", status=1)
-    back.add_backend(backend, server.getsockname())
+    upstream.add_backend(backend, server.getsockname())
     attempts = [
         Attempt(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)
     ]
-    assert not any(back.dispatch(attempt) for attempt in attempts)
+    assert not any(upstream.dispatch(attempt) for attempt in attempts)
     peers = [server.accept()[0] for _ in range(2)]
     connection = attempts[0].connection
     on_connection = [attempt for attempt in attempts if attempt.connection is connection]
@@ -542,7 +542,7 @@
     unsent = [attempt for attempt in on_connection if not connection.has_sent(attempt.position)]
     assert len(unsent) > 4
     for attempt in unsent[3:]:
-        assert back.withdraw(attempt)
+        assert upstream.withdraw(attempt)
     assert connection.unsent_bytes() > 0
     for peer in peers:
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -562,7 +562,7 @@
     asker.ask(key=1)
     _, sock, items = world.caches[0].next()
     go = world.stall()
-    counts = world.owner.front.counts
+    counts = world.owner.downstream.counts
 
     def leave():
         asker.send(b"FORGET", b"1")
@@ -690,7 +690,7 @@
     attempt = waiting_attempt(world)
     connection, queued, go = attempt.connection, world.owner.queue.qsize(), world.stall()
     world.log.add(2, 2, record(number, world.caches[number - 1].port, state=2))
-    until(lambda: world.owner.feed.last == 2)
+    until(lambda: world.owner.discovery_watch.last == 2)
     sock = world.caches[number - 1].socks[0]
     sock.sendall(encode(attempt.name, b"data", b"remark=TCP_HIT", b"bytes"))
     until(lambda: world.owner.queue.qsize() >= queued + 2)
@@ -795,7 +795,7 @@
     if when in ("accepted", "begun"):  # the first connection is broken under what is written to it
         server, stand = socket.create_server(("127.0.0.1", 0)), world.caches[0]
         world.log.add(2, 2, record(1, server.getsockname()[1]))
-        until(lambda: world.owner.feed.last == 2)
+        until(lambda: world.owner.discovery_watch.last == 2)
         world.rests()
     asker = world.asker()
     tag = asker.ask(vhost, body=b"x" * 48_000, allow=3000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
@@ -805,7 +805,7 @@
         if when == "begun":
             assert sock.recv(100)
         world.log.add(3, 2, record(1, stand.port, started=0))
-        until(lambda: world.owner.feed.last == 3)
+        until(lambda: world.owner.discovery_watch.last == 3)
         world.does(lambda: None)
         broken(sock)
         server.close()
@@ -841,12 +841,12 @@
         ]
         world.log = ReplayingLog(frames, world.log.port)
         assert world.log.since.get(timeout=5) == 1
-        until(lambda: world.owner.feed.last == 3)
+        until(lambda: world.owner.discovery_watch.last == 3)
         tag = asker.ask(key=1)
         assert asker.answer() == [tag, b"200", b"", b"ok"]
         fields = world.caches[2 - number].next()[2][2]
         assert int(fields.split(b"agelim=")[1].split(b",")[0]) <= time.time_ns() // 10**6 - purged_at
-        assert not waits_for(world.caches[number - 1], 0.05) and world.owner.feed.events == 2
+        assert not waits_for(world.caches[number - 1], 0.05) and world.owner.discovery_watch.events == 2
         assert len(world.does(lambda: world.owner.router.pools.caches)) == 1
         world.rests()
     finally:
@@ -859,7 +859,7 @@
     def start(self):
         self.log.close()
         self.owner = Gateway({**self.config, "listen": "127.0.0.1:0"})
-        self.port = self.owner.front.sock.getsockname()[1]
+        self.port = self.owner.downstream.sock.getsockname()[1]
         self.thread = threading.Thread(target=self.owner.run, daemon=True)
         self.thread.start()
         until(lambda: self.owner.lifecycle.phase is Phase.SERVING and self.does(lambda: True))
@@ -888,16 +888,16 @@
     tag = answered.ask(key=1)
     _, sock, items = world.caches[0].next()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", CLIP))
-    until(lambda: any(client.settled for client in list(world.owner.front.clients)))
+    until(lambda: any(client.settled for client in list(world.owner.downstream.clients)))
     tag_in_flight = asker.ask(key=2)
     _, sock, items = world.caches[0].next()
-    until(lambda: len(world.owner.front.clients) == 3)
-    by_address = {client.sock.getpeername(): client for client in list(world.owner.front.clients)}
+    until(lambda: len(world.owner.downstream.clients) == 3)
+    by_address = {client.sock.getpeername(): client for client in list(world.owner.downstream.clients)}
     reader = by_address[crossing.sock.getsockname()]
     go = world.stall()
     tag_accepted = crossing.ask(key=3)
     until(lambda: reader.open)  # accepted, and not handled by the event loop yet
-    world.owner.front.max_clients = 3
+    world.owner.downstream.max_clients = 3
     newcomer = world.asker()
     assert answered.answer() == [tag, b"200", b"", CLIP] and answered.answer() is None, (
         "a complete answer, then the close"
@@ -965,7 +965,7 @@
         answer = other.answer()
         assert answer[0] == tag and answer[1] in (b"200", b"503") and int(tag) < 500
     world.rests(but=("checks", "clients"))
-    until(lambda: len(world.owner.front.clients) == 1)
+    until(lambda: len(world.owner.downstream.clients) == 1)
 
 
 # --- startup with many waiting clients ---
@@ -1031,7 +1031,7 @@
     monkeypatch.setattr(downstream, "DRAIN_TIME", 60.0)
     monkeypatch.setattr(connections, "DRAIN_TIME", 60.0)
     world = in_process(serves(b"ok"))
-    client_side = world.owner.front
+    client_side = world.owner.downstream
     client_side.max_clients = 4
     askers = []
     for number in range(12):
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -62,7 +62,7 @@
 
     for error in BROKEN:
         world = in_process(silent, changes=changes)
-        world.owner.back.connections_per_pool = lambda: 1
+        world.owner.upstream.connections_per_pool = lambda: 1
         asker = world.asker()
         asker.ask(key=1, allow=3000)
         _, sock, items = world.caches[0].next()
@@ -119,7 +119,7 @@
     for asker, key in ((newcomer, 1), (idle, 2)):
         tag = asker.ask(key=key)
         assert asker.answer() == [tag, b"200", b"", b"ok"]
-    assert world.owner.front.counts["closed_idle"] == 0
+    assert world.owner.downstream.counts["closed_idle"] == 0
 
 
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENOBUFS], ids=errno.errorcode.get)
@@ -148,7 +148,7 @@
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
     asker.send(b"ALIVE", b"99", b"")
     assert asker.answer() == [b"99", b"serving"]
-    (client,) = world.owner.front.clients
+    (client,) = world.owner.downstream.clients
     asker.ask(key=1)
     world.caches[0].next()
     failing.next("thread that writes", *[errno.EAGAIN] * 2)
@@ -195,7 +195,7 @@
         tag = asker.ask()
         assert asker.answer() == [tag, b"200", b"", b"ok"]
         asker.sock.close()
-    until(lambda: not world.owner.front.unclosed)
+    until(lambda: not world.owner.downstream.unclosed)
     assert not failing.due["close"]
     world.rests(but=("checks",))
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -279,17 +279,27 @@
     """A client that had closed its half lost the answer if the request was settled before it was written."""
     owner, unsettled = Gateway({**world().config, "listen": "127.0.0.1:0"}), []
     server_side, client_side = socket.socketpair()
-    client = ClientConnection(owner.front, server_side)
-    monkeypatch.setattr(owner.front, "answer", lambda *_: unsettled.append(client.taken - client.settled))
-    owner.front.handle_message(
+    client = ClientConnection(owner.downstream, server_side)
+    monkeypatch.setattr(
+        owner.downstream, "answer", lambda *_: unsettled.append(client.taken - client.settled)
+    )
+    owner.downstream.handle_message(
         client, [b"EXEC", b"1", b"clip", b"ref=%016x,allow=9,lookup=%016x,nth=0,batch=7,room=4" % (1, 1), b""]
     )
-    call = client.open[b"1"]
-    call.request = Request(call.key, call.part, call.group, call.kbytes, 0, owner.time + 90, call.vhost)
-    call.history = owner.request_history(call, call.request)
-    owner.answers.send(call, AnswerKind.REJECTED)
+    client_request = client.open[b"1"]
+    client_request.request = Request(
+        client_request.key,
+        client_request.part,
+        client_request.group,
+        client_request.kbytes,
+        0,
+        owner.time + 90,
+        client_request.vhost,
+    )
+    client_request.history = owner.request_history(client_request, client_request.request)
+    owner.answers.send(client_request, AnswerKind.REJECTED)
     assert unsettled == [1] and client.taken == client.settled
-    owner.answers.send(call, AnswerKind.REJECTED)
+    owner.answers.send(client_request, AnswerKind.REJECTED)
     assert unsettled == [1], "one answer only"
     server_side.close()
     client_side.close()
@@ -358,25 +368,25 @@
     events, server = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0))
     config = from_protocol(ENV)
     record_end = lambda *arguments: ends.append(arguments[:2])  # noqa: E731
-    back = Upstream(
+    upstream = Upstream(
         UpstreamCallbacks(lambda *event: events.put(event), lambda: 0, record_end, record_end), config, 2
     )
     backend, ends = Backend("s-1", status=1), []
-    back.add_backend(backend, server.getsockname())
+    upstream.add_backend(backend, server.getsockname())
     in_flight = [
         Attempt(None, backend, 0, b"%d" % number, encode(b"do", b"x" * 240_000), 0) for number in range(60)
     ]
-    assert not any(back.dispatch(attempt) for attempt in in_flight)
+    assert not any(upstream.dispatch(attempt) for attempt in in_flight)
     connection = in_flight[0].connection
     in_flight = [attempt for attempt in in_flight if attempt.connection is connection]
     peer, _ = server.accept()
     until = time.monotonic() + 5
     while not connection.writing and time.monotonic() < until:
         time.sleep(0.005)
-    back.cancel(in_flight[-1])
+    upstream.cancel(in_flight[-1])
     assert connection.close_reason is None, "an unsent attempt is withdrawn"
-    in_flight[0].call = in_flight[1].call = types.SimpleNamespace(connections=[])
-    back.cancel(in_flight[0])
+    in_flight[0].client_request = in_flight[1].client_request = types.SimpleNamespace(connections=[])
+    upstream.cancel(in_flight[0])
     assert connection.close_reason is CloseReason.CHOKED
     callback, *arguments = events.get(timeout=5)
     callback(*arguments)
@@ -414,26 +424,27 @@
     events, server, time_now = queue.SimpleQueue(), socket.create_server(("127.0.0.1", 0)), [0]
     cancelled, config, backend = [], from_protocol(ENV), Backend("s-1", status=1)
     post, now = (lambda *event: events.put(event)), (lambda: time_now[0])
-    back = Upstream(
+    upstream = Upstream(
         UpstreamCallbacks(post, now, print, lambda *callback: cancelled.append(callback)), config, 2
     )
     slack, connect_timeout = config["rules"]["answer_slack"], config["limits"]["connect_timeout"]
-    back.add_backend(backend, server.getsockname())
-    call = types.SimpleNamespace(connections=[], disconnected_since=lambda: None)
+    upstream.add_backend(backend, server.getsockname())
+    client_request = types.SimpleNamespace(connections=[], disconnected_since=lambda: None)
     first, second, third = (
-        Attempt(call, backend, 0, b"%d" % number, encode(b"do", b"%d" % number), 0) for number in range(3)
+        Attempt(client_request, backend, 0, b"%d" % number, encode(b"do", b"%d" % number), 0)
+        for number in range(3)
     )
-    back.dispatch(first)
+    upstream.dispatch(first)
     peer, _ = server.accept()
     peer.recv(100)
-    assert back.cancel(first) == connect_timeout, "nothing was received on the connection yet"
-    call.connections.clear()
-    back.dispatch(second)
+    assert upstream.cancel(first) == connect_timeout, "nothing was received on the connection yet"
+    client_request.connections.clear()
+    upstream.dispatch(second)
     connection = second.connection
     connection.last_read_at, time_now[0] = 1, 50
-    assert back.cancel(second) == 50 + slack
-    call.connections.clear()
-    back.dispatch(third)
+    assert upstream.cancel(second) == 50 + slack
+    client_request.connections.clear()
+    upstream.dispatch(third)
     third.connection.close(CloseReason.GARBLED)
     callback, *args = events.get(timeout=5)
     callback(*args)
@@ -602,12 +613,12 @@
     monkeypatch.setattr(
         owner.router, "attempt_ended", lambda request, backend, result: durations.append(result.duration)
     )
-    call = types.SimpleNamespace(
+    client_request = types.SimpleNamespace(
         request=types.SimpleNamespace(finished=True), tag=b"1", client=None, name="1", history=None
     )
-    monkeypatch.setattr(owner.front, "close_request", lambda _: False)
+    monkeypatch.setattr(owner.downstream, "close_request", lambda _: False)
     owner.update_clock()
-    attempt = Attempt(call, backend, 0, b"1", b"", owner.time - 3000)
+    attempt = Attempt(client_request, backend, 0, b"1", b"", owner.time - 3000)
     owner.attempt_ended(attempt, CloseReason.DATA, Reply(note=1, read_at=owner.monotonic_time - 2000))
     owner.attempt_ended(attempt, CloseReason.TIME_UP)
     assert durations == [1000, 3000]
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -86,8 +86,8 @@
 
 
 def only_client(world):
-    until(lambda: len(world.owner.front.clients) == 1)
-    return next(iter(world.owner.front.clients))
+    until(lambda: len(world.owner.downstream.clients) == 1)
+    return next(iter(world.owner.downstream.clients))
 
 
 def close_stalled(downstream):
@@ -109,13 +109,13 @@
     def close_connection():
         client.used -= 10
         client.message_started_at -= 10
-        close(world.owner.front)
+        close(world.owner.downstream)
 
     world.does(close_connection)
     reader.go.set()
     answer = asker.answer()
     asker.sock.close()
-    until(lambda: not world.owner.front.clients)
+    until(lambda: not world.owner.downstream.clients)
     return answer and answer[:2]
 
 
@@ -158,7 +158,7 @@
 
     def close_connection():
         client.message_started_at -= 10
-        world.owner.front.close_stalled(10.0, 1 << 30, 0.5)
+        world.owner.downstream.close_stalled(10.0, 1 << 30, 0.5)
 
     world.does(close_connection)
     assert is_closed(asker)
@@ -175,7 +175,7 @@
 
     def close_connection():
         client.used -= 10
-        close_stalled(world.owner.front)
+        close_stalled(world.owner.downstream)
 
     world.does(close_connection)
     assert is_closed(asker)
@@ -237,7 +237,7 @@
     time.sleep(waits)
     client.half_close(CloseReason.RETIRED)
     reader.go.set()
-    until(lambda: world.owner.front.counts["crossed"] == 1)
+    until(lambda: world.owner.downstream.counts["crossed"] == 1)
     assert world.owner.invariants.violations()["unanswered"] == lost
     asker.sock.close()
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -179,4 +179,4 @@
     assert asker.answer()[1] == b"503"
     assert sum(world.owner.counters.rejects.values()) == 1
     assert world.owner.counters.retries["unreached"] >= 1
-    assert world.owner.back.closes["REFUSED"] >= 1
+    assert world.owner.upstream.closes["REFUSED"] >= 1
--- a/tests/test_lag_margin.py
+++ b/tests/test_lag_margin.py
@@ -51,8 +51,8 @@
     asker = world.asker()
     tag = asker.ask(b"pay", body=b"x", allow=2000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     until(lambda: world.owner.open_requests)
-    (call,) = world.owner.open_requests.values()
-    assert 2000 <= call.history.deadline - call.request.deadline <= 10_000
+    (client_request,) = world.owner.open_requests.values()
+    assert 2000 <= client_request.history.deadline - client_request.request.deadline <= 10_000
     assert asker.answer()[:2] == [tag, b"503"]
     world.rests()
 
@@ -64,8 +64,8 @@
     world = in_process(silent)
     stall_event_loop(world)
     asker, resume, is_blocked = world.asker(), threading.Event(), threading.Event()
-    until(lambda: world.owner.front.clients)
-    client = next(iter(world.owner.front.clients))
+    until(lambda: world.owner.downstream.clients)
+    client = next(iter(world.owner.downstream.clients))
     on_message = client.on_message
 
     def delayed(connection, items):
@@ -97,7 +97,7 @@
     decided, resume = threading.Event(), threading.Event()
 
     def late(self, attempt):
-        if attempt.call:
+        if attempt.client_request:
             decided.set()
             assert resume.wait(5)
         return dispatch(self, attempt)
@@ -108,9 +108,9 @@
     asker.ask(allow=3000)
     assert decided.wait(5)
     forgets(asker)
-    until(lambda: world.owner.front.counts["forgotten"])
+    until(lambda: world.owner.downstream.counts["forgotten"])
     time.sleep(0.15)
     resume.set()
     world.rests()
-    assert world.owner.back.counts["dispatches"] == 0
+    assert world.owner.upstream.counts["dispatches"] == 0
     assert not any(world.owner.invariants.violations().values())
--- a/tests/test_lags.py
+++ b/tests/test_lags.py
@@ -54,7 +54,7 @@
     world = in_process(serves(b"x"))
     asker, go = world.asker(), world.stall()
     asker.ask()
-    until(lambda: world.owner.front.counts["reqs"])
+    until(lambda: world.owner.downstream.counts["reqs"])
     time.sleep(0.06)
     go.set()
     assert asker.answer()[1] == b"200"
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -274,8 +274,8 @@
     pool.connections = [
         UpstreamConnection(pool, print, print, target=ConnectTarget(pool.address, 0.0)) for _ in range(2)
     ]
-    call = SimpleNamespace(connections=list(pool.connections))
-    assert upstream.dispatch(Attempt(call, backend, 2, b"r", b"", 0)) is CloseReason.NO_LINE
+    client_request = SimpleNamespace(connections=list(pool.connections))
+    assert upstream.dispatch(Attempt(client_request, backend, 2, b"r", b"", 0)) is CloseReason.NO_LINE
     assert OUTCOMES[CloseReason.NO_LINE] == "unsent"
     assert upstream.dispatch(Attempt(SimpleNamespace(connections=[]), backend, 0, b"s", b"", 0)) is None
 
--- a/tests/test_read_barrier.py
+++ b/tests/test_read_barrier.py
@@ -42,7 +42,7 @@
 def test_a_healthy_log_limits_ages_briefly_and_its_repeated_list_is_ignored(in_process):
     copies = AgedCopies()
     world = in_process(copies)
-    watch, asker = world.owner.feed, world.asker()
+    watch, asker = world.owner.discovery_watch, world.asker()
     at, listed = watch.status.at, set(world.owner.backends)
     reconnect(world)
     assert world.log.since.get(timeout=5) == 0, "the last event is requested again"
@@ -94,7 +94,7 @@
 
 def test_a_waiting_purge_is_read_after_the_repeated_event(in_process):
     world = in_process(AgedCopies())
-    watch, asker = world.owner.feed, world.asker()
+    watch, asker = world.owner.discovery_watch, world.asker()
     world.log.__class__ = HoldsNew
     reconnect(world, purge())
     until(lambda: watch.last == 2)
@@ -158,9 +158,11 @@
         "the end is queried after the new event"
     )
     until(lambda: fetch(asker) == OLD, wait=MAX_LIMITED_TIME_AFTER_ANSWER / SEC / 2)
-    assert copies.asked_ages[-1] == FULL_AGE and world.owner.feed.status.current
+    assert copies.asked_ages[-1] == FULL_AGE and world.owner.discovery_watch.status.current
     world.log.add(*purge(3))
-    until(lambda: world.owner.feed.last == 3, what=lambda: "the connection that answered is followed")
+    until(
+        lambda: world.owner.discovery_watch.last == 3, what=lambda: "the connection that answered is followed"
+    )
 
 
 class AlwaysOneMore(Log):
@@ -181,7 +183,7 @@
     assert asked_for == list(range(2, MAX_END_QUERIES + 2))
     with pytest.raises(queue.Empty):
         world.log.since.get(timeout=0.3)
-    assert world.owner.feed.last == MAX_END_QUERIES + 2
+    assert world.owner.discovery_watch.last == MAX_END_QUERIES + 2
 
 
 def test_discovery_can_move_while_neither_connection_is_answered(in_process):
--- a/tests/test_state_transfer.py
+++ b/tests/test_state_transfer.py
@@ -288,14 +288,14 @@
     waiting = world.asker()  # keeps a reference, as otherwise the connection is closed at once
     waiting.ask(b"pay", replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     until(lambda: world.held()["out"] == 1)
-    (call,) = world.does(lambda: list(world.owner.open_requests.values()))
-    call.request.first_executed_at, call.request.first_executed_by = (
-        call.request.sent_at - 1_000,
-        call.request.backend,
+    (client_request,) = world.does(lambda: list(world.owner.open_requests.values()))
+    client_request.request.first_executed_at, client_request.request.first_executed_by = (
+        client_request.request.sent_at - 1_000,
+        client_request.request.backend,
     )  # an attempt that may have been executed
     with handed_over(world) as restorer:
         (sent,) = restorer.unsent_attempts
-        window = world.owner.requests.effects[call.vhost].window
+        window = world.owner.requests.effects[client_request.vhost].window
         assert window and sent.window_over == restorer.gateway.to_monotonic(
-            call.request.first_executed_at + window
+            client_request.request.first_executed_at + window
         )
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -60,7 +60,7 @@
         settings["classes"][0]["promiseNs"] = 3 * 10**9  # so that no attempt is cancelled meanwhile
 
     world = in_process(silent, changes=changes)
-    world.owner.back.connections_per_pool = lambda: 1
+    world.owner.upstream.connections_per_pool = lambda: 1
     asker = world.asker()
     asked = time.monotonic()
     tags = [asker.ask(key=key, allow=ALLOW) for key in range(1, 5)]
@@ -72,7 +72,9 @@
     for _, sock, items in dispatches:
         assert_limit_in_time(items, asked)
     (connection,) = world.does(
-        lambda: [connection for pool in world.owner.back.pools.values() for connection in pool.connections]
+        lambda: [
+            connection for pool in world.owner.upstream.pools.values() for connection in pool.connections
+        ]
     )
     assert connection.unsent_bytes() == 0
     assert connection.has_sent(connection.queued)
@@ -85,12 +87,14 @@
 def test_after_a_cache_did_not_read(in_process):
     """The socket is full, and accepts bytes again half a second later."""
     world = in_process(silent)
-    world.owner.back.connections_per_pool = lambda: 1
+    world.owner.upstream.connections_per_pool = lambda: 1
     first = world.asker()
     first.ask(allow=ALLOW)
     _, sock, items = world.caches[0].next()
     (connection,) = world.does(
-        lambda: [connection for pool in world.owner.back.pools.values() for connection in pool.connections]
+        lambda: [
+            connection for pool in world.owner.upstream.pools.values() for connection in pool.connections
+        ]
     )
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     with connection.lock:  # as if the socket accepted nothing: messages wait until the writing thread runs
@@ -200,7 +204,7 @@
     assert_limit_in_time(next(items for items in dispatches if b"thing=%016x" % 1 in items[2]), asked)
     again = asker.ask(key=3, allow=ALLOW)
     assert asker.answer()[:2] == [again, b"200"]
-    (client,) = world.owner.front.clients
+    (client,) = world.owner.downstream.clients
     assert not client.accepted_late, "once all early input was read, the time of the last byte is used"
     world.rests()
 
@@ -212,8 +216,8 @@
     monkeypatch.setattr(world.owner, "paused_since", lambda: None)
     monkeypatch.setattr(world.owner.lag_margin, "current", lambda now: 0)
     asker = world.asker()
-    until(lambda: world.owner.front.clients)
-    (client,) = world.owner.front.clients
+    until(lambda: world.owner.downstream.clients)
+    (client,) = world.owner.downstream.clients
     assert client.connected_at == 0 and not client.accepted_late
     asker.sock.close()
 
@@ -265,8 +269,8 @@
     """Once all input was read, input found after another pause arrived no earlier than that."""
     world = in_process(serves())
     asker = world.asker()
-    until(lambda: world.owner.front.clients)
-    (client,) = world.owner.front.clients
+    until(lambda: world.owner.downstream.clients)
+    (client,) = world.owner.downstream.clients
     client.buffer.append(b"*")  # more input follows the message
     paused_at = time.monotonic_ns() // NS_PER_TICK - 2_000
     monkeypatch.setattr(world.owner, "paused_since", lambda: paused_at)
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -47,9 +47,9 @@
             handle(request)
             self.on_handled()
 
-        def answered(call, *rest):
-            self.steps.append(("answered", int(call.key, 16)))
-            send(call, *rest)
+        def answered(client_request, *rest):
+            self.steps.append(("answered", int(client_request.key, 16)))
+            send(client_request, *rest)
 
         owner.router.request_arrived, owner.answers.send = handled, answered
 
@@ -90,7 +90,9 @@
 
 def reply_from_cache(world, sock, items):
     """Answer as a cache, and wait until the reply is posted."""
-    connections = [connection for pool in world.owner.back.pools.values() for connection in pool.connections]
+    connections = [
+        connection for pool in world.owner.upstream.pools.values() for connection in pool.connections
+    ]
     before = sum(connection.received for connection in connections)
     reply = encode(items[1], b"data", b"remark=TCP_HIT", b"bytes")
     sock.sendall(reply)
@@ -278,8 +280,10 @@
     until(lambda: time.monotonic() > since + QUEUED / 1000)
     go.set()
     until(lambda: world.owner.open_requests)
-    (call,) = world.owner.open_requests.values()
-    assert call.history.deadline - call.request.deadline >= QUEUED * TICKS_PER_SECOND // 2000
+    (client_request,) = world.owner.open_requests.values()
+    assert (
+        client_request.history.deadline - client_request.request.deadline >= QUEUED * TICKS_PER_SECOND // 2000
+    )
 
 
 # --- order of one client's own events ---
@@ -312,12 +316,19 @@
     batch(batch_client)
     asker.ask(key=SINGLE_KEY, allow=3000)
     halves(asker)
-    until(lambda: any(client.input_ended is not None for client in world.owner.front.clients))
+    until(lambda: any(client.input_ended is not None for client in world.owner.downstream.clients))
     go.set()
-    until(lambda: f"{SINGLE_KEY:016x}" in [call.key for call in world.owner.open_requests.values()])
+    until(
+        lambda: f"{SINGLE_KEY:016x}"
+        in [client_request.key for client_request in world.owner.open_requests.values()]
+    )
     world.does(lambda: None)
-    (call,) = [call for call in world.owner.open_requests.values() if call.key == f"{SINGLE_KEY:016x}"]
-    until(lambda: call.request.send_by)
+    (client_request,) = [
+        client_request
+        for client_request in world.owner.open_requests.values()
+        if client_request.key == f"{SINGLE_KEY:016x}"
+    ]
+    until(lambda: client_request.request.send_by)
 
 
 def test_the_loop_survives_a_handover_that_takes_all_events_before_a_reply(in_process, monkeypatch):
@@ -438,7 +449,9 @@
 
     monkeypatch.setattr(polling.select, "poll", counting_poll)
     assert not world.does(lambda: (polls.clear(), has_unread())[1] or len(polls) != 1)
-    connections = [connection for pool in world.owner.back.pools.values() for connection in pool.connections]
+    connections = [
+        connection for pool in world.owner.upstream.pools.values() for connection in pool.connections
+    ]
     is_blocked, go = threading.Event(), threading.Event()
     for connection in connections:
         on_message = connection.on_message
@@ -465,7 +478,9 @@
     batch(batch_client)
     reply_from_cache(world, sock, items)
     world.caches[0].break_off(reset=False)
-    connections = [connection for pool in world.owner.back.pools.values() for connection in pool.connections]
+    connections = [
+        connection for pool in world.owner.upstream.pools.values() for connection in pool.connections
+    ]
     until(lambda: all(connection.close_reason is not None for connection in connections))
     go.set()
     assert asker.answer()[:2] == [tag, b"200"]
