--- a/lilacloft/control/explanation.py
+++ b/lilacloft/control/explanation.py
@@ -24,12 +24,12 @@
 
 
 def _explain_location(planner: Planner, number: str, now: Ticks) -> list[str]:
-    decider = planner.locations.decider
-    if decider is None:
+    failover_controller = planner.locations.failover_controller
+    if failover_controller is None:
         return ["location failover is not enabled, or this planner has just started"]
     if not number.lstrip("-").isdigit():
         return [f"{number!r} is not the number of a location"]
-    return decider.explain(int(number), now)
+    return failover_controller.explain(int(number), now)
 
 
 def _explain_backend(planner: Planner, backend: ListedBackend, now: Ticks) -> list[str]:
--- a/lilacloft/control/follower.py
+++ b/lilacloft/control/follower.py
@@ -71,11 +71,11 @@
         settings: FollowerSettings,
         now: Ticks,
         restarted: bool = False,
-        keeper: LocalFailover | None = None,
+        local_failover: LocalFailover | None = None,
     ) -> None:
         """`restarted`: a previous process under this name may have lent shares, which are usable only once
         they have certainly returned. `keeper`: handles location failover, if that is enabled."""
-        self.settings, self.now, self.keeper = settings, now, keeper
+        self.settings, self.now, self.local_failover = settings, now, local_failover
         self.planners = sorted(settings.planners)
         usable_from = now + MAX_LEASE + 2 * settings.quota_window if restarted else now
         self.quota = QuotaClient(settings.own_share, settings.quota_window, usable_from)
@@ -142,8 +142,8 @@
             plan_id=self.lease.plan_id if self.lease.is_valid(now) else PlanId(),
             requested_rate=self.load.requested_rate,
             uncached_rate=self.load.uncached_rate,
-            tallies=dict(self.keeper.counts) if self.keeper else {},
-            location_states=self.keeper.statuses() if self.keeper else {},
+            tallies=dict(self.local_failover.counts) if self.local_failover else {},
+            location_states=self.local_failover.statuses() if self.local_failover else {},
         )
 
     def preferred_planner(self, now: Ticks) -> str:
@@ -194,7 +194,7 @@
         budget_factors = self.quota.budget_factors(now)
         is_valid = self.lease.is_valid(now)
         locations = self.plan.locations if is_valid else None
-        failovers = self.keeper.update(locations, now) if self.keeper else {}
+        failovers = self.local_failover.update(locations, now) if self.local_failover else {}
         if not is_valid:
             return PlanEffect(budget_factors=budget_factors, failovers=failovers)
         share = self.plan.gateway_shares.get(self.settings.name, 0.0)
--- a/lilacloft/control/gateway_agent.py
+++ b/lilacloft/control/gateway_agent.py
@@ -51,7 +51,7 @@
 
     def _make_follower(self, name: str, planners: Mapping[str, Address], failover_mode: str) -> Follower:
         settings = self.gateway.router.settings
-        keeper = LocalFailover(name, settings.zone_gateways, settings.cache_slow_start.duration)
+        local_failover = LocalFailover(name, settings.zone_gateways, settings.cache_slow_start.duration)
         return Follower(
             FollowerSettings(
                 name=name,
@@ -63,7 +63,7 @@
             ),
             self.gateway.monotonic_time,
             restarted=True,
-            keeper=None if failover_mode == "never" else keeper,
+            local_failover=None if failover_mode == "never" else local_failover,
         )
 
     def _enable_cross_location(self) -> None:
@@ -156,12 +156,12 @@
         if plan_id != self.plan_id and self.gateway.recorder:
             self.gateway.recorder.plan_changed(effect)
         self.plan_id = plan_id
-        self._note_locations()
+        self._log_location_changes()
 
-    def _note_locations(self) -> None:
+    def _log_location_changes(self) -> None:
         """Log and record changes in the use of locations."""
-        keeper = self.follower.keeper
-        current = keeper.statuses() if keeper else {}
+        local_failover = self.follower.local_failover
+        current = local_failover.statuses() if local_failover else {}
         for zone in sorted(current.keys() | self.slices_in_use.keys()):
             in_use, failed_returns = current.get(zone, (SLICE_COUNT, 0))
             before = self.slices_in_use.get(zone, SLICE_COUNT)
--- a/lilacloft/control/gateway_observer.py
+++ b/lilacloft/control/gateway_observer.py
@@ -73,15 +73,17 @@
         return attempt.duration > vhost.latency_objective(attempt.transfer_time)
 
     def _count_for_location(self, attempt: EndedAttempt, result: str) -> None:
-        keeper = self.follower.keeper
-        if not keeper:
+        local_failover = self.follower.local_failover
+        if not local_failover:
             return
         if attempt.outcome == "cancelled" and self._is_late(attempt):
             result = FAILED  # a canary request, cancelled after its latency objective
         if not result or self.router.pools.is_origin(attempt.backend):
             return
         is_hit = attempt.outcome == "done" and attempt.note not in FILLED_NOTES
-        keeper.attempt_ended(attempt.backend.zone, result, is_hit, self.follower.now, self.router.host.now())
+        local_failover.attempt_ended(
+            attempt.backend.zone, result, is_hit, self.follower.now, self.router.host.now()
+        )
 
     def _count_answer(self, attempt: EndedAttempt, result: str) -> None:
         weight = SIZE_WEIGHT if self._mean_kbytes else 1
@@ -122,7 +124,7 @@
         self._update_rates(requests)
         for backend in router.pools.backends:
             # the origin's answers distinguish a bad path of this gateway from a failing location
-            if not router.pools.is_origin(backend) or follower.keeper:
+            if not router.pools.is_origin(backend) or follower.local_failover:
                 follower.update_state(backend.name, self._state(backend, time))
         self.backends_changed((), list_version, time, monotonic_time)
         follower.quota.update_used(
--- a/lilacloft/control/location_planning.py
+++ b/lilacloft/control/location_planning.py
@@ -39,36 +39,36 @@
     ) -> None:
         """`table`, `health`, `gateways`: owned and updated by the planner."""
         self.site, self.table, self.health, self.gateways = site, table, health, gateways
-        self.decider: FailoverController | None = None  # None until the first update
+        self.failover_controller: FailoverController | None = None  # None until the first update
         # of locations with caches, as of the last update
         self.cache_loads: dict[int, recovery_ramp.LocationCapacity] = {}
 
     def record_tallies(self, report: LoadReport) -> None:
         """Record the answers that a gateway has counted, by location."""
-        if self.decider:
+        if self.failover_controller:
             for zone, tally in report.tallies.items():
-                self.decider.record_counts(report.name, report.incarnation, zone, tally)
+                self.failover_controller.record_counts(report.name, report.incarnation, zone, tally)
 
     def forget_gateway(self, name: str) -> None:
         """Discard the counts of a gateway that has stopped or restarted."""
-        if self.decider:
-            self.decider.forget_gateway(name)
+        if self.failover_controller:
+            self.failover_controller.forget_gateway(name)
 
     def update(self, backends: Backends, is_leader: bool, now: Ticks) -> None:
         """Decide on all locations. A planner that is not the leader, or has just started, adopts the states
         that the gateways apply instead."""
-        if self.decider is None:
-            self.decider = FailoverController(now)
+        if self.failover_controller is None:
+            self.failover_controller = FailoverController(now)
         recent_reports = {
             name: gateway.report
             for name, gateway in sorted(self.gateways.items())
             if now - gateway.received_at <= MAX_REPORT_AGE
         }
-        if not is_leader or self.decider.is_listening(now):
-            self.decider.adopt(_applied_states(recent_reports.values()), now)
+        if not is_leader or self.failover_controller.is_listening(now):
+            self.failover_controller.adopt(_applied_states(recent_reports.values()), now)
             return
         locations = self._list_locations(backends)
-        self.decider.slow_starts = {
+        self.failover_controller.slow_starts = {
             zone: self.site.parent_warming if location.is_hub else self.site.cache_warming
             for zone, location in locations.items()
         }
@@ -81,7 +81,7 @@
             zone: capacity for zone, capacity in capacities.items() if not locations[zone].is_hub
         }
         request_rates = {zone: loads[zone].request_rate for zone in locations}
-        self.decider.update(fault_detection.detect_faults(view), request_rates, capacities, now)
+        self.failover_controller.update(fault_detection.detect_faults(view), request_rates, capacities, now)
 
     def plan(
         self,
@@ -92,13 +92,15 @@
     ) -> dict[int, FailoverDirective]:
         """Return the plan's section on locations that are not completely in use. `by_zone`: the gateways of
         each location; `previous`: the section of the last plan."""
-        if self.decider is None:
+        if self.failover_controller is None:
             return {}
         all_gateways = tuple(sorted(name for names in by_zone.values() for name in names))
         canary_senders = dict.fromkeys(parent_zones(backends.values()), all_gateways)
         canary_senders.update((zone, tuple(names)) for zone, names in by_zone.items())
-        substitutes = self._substitutes(self.decider, previous) if self.site.cross_location else {}
-        return self.decider.directives(canary_senders, now, substitutes)
+        substitutes = (
+            self._substitutes(self.failover_controller, previous) if self.site.cross_location else {}
+        )
+        return self.failover_controller.directives(canary_senders, now, substitutes)
 
     def _list_locations(self, backends: Backends) -> dict[int, fault_detection.Location]:
         """Return all locations with their ready backends and their gateways."""
@@ -208,11 +210,11 @@
         )
 
     def _substitutes(
-        self, decider: FailoverController, previous: Mapping[int, FailoverDirective]
+        self, failover_controller: FailoverController, previous: Mapping[int, FailoverDirective]
     ) -> dict[int, LocationWeights]:
         """Return for each location that is not completely in use the locations that serve in its place,
         weighted by their spare capacity."""
-        states, loads = decider.states, self.cache_loads
+        states, loads = failover_controller.states, self.cache_loads
         failed_over = [
             zone for zone in loads if zone in states and states[zone].returned_slices < SLICE_COUNT
         ]
--- a/rigs/failover.py
+++ b/rigs/failover.py
@@ -230,7 +230,7 @@
     """Return the planners' decisions on locations, with times on the fleet's clock."""
     lines = []
     for plane in fleet.planners:
-        zones = plane.planner.locations.decider
+        zones = plane.planner.locations.failover_controller
         for zone, state in (zones.states if zones else {}).items():
             offset = fleet.events.now - START - plane.now()
             lines += [
@@ -291,8 +291,8 @@
     decided = [
         f"{plane.name} {zone}: {text}"
         for plane in fleet.planners
-        if plane.planner.locations.decider
-        for zone, state in plane.planner.locations.decider.states.items()
+        if plane.planner.locations.failover_controller
+        for zone, state in plane.planner.locations.failover_controller.states.items()
         for _, text in state.history
     ]
     return [*decided, *(str(breach) for breach in result.breaches)]
--- a/tests/test_failover_world.py
+++ b/tests/test_failover_world.py
@@ -69,9 +69,9 @@
     """The number of returned slices of location 1, at each of its gateways where it is not completely in
     use."""
     return [
-        gateway.follower.keeper.states[1].failover.returned_slices
+        gateway.follower.local_failover.states[1].failover.returned_slices
         for gateway in fleet.gateways
-        if gateway.zone == 1 and 1 in gateway.follower.keeper.states
+        if gateway.zone == 1 and 1 in gateway.follower.local_failover.states
     ]
 
 
@@ -143,7 +143,7 @@
     assert all(
         not state.history
         for emulated in fleet.planners
-        for state in emulated.planner.locations.decider.states.values()
+        for state in emulated.planner.locations.failover_controller.states.values()
     )
 
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -408,7 +408,7 @@
     agent.gateway = SimpleNamespace(recorder=recorder, time=0, monotonic_time=0)
     agent.observer = SimpleNamespace(apply=lambda time, steady: next(effects))
     agent.plan_id, agent.slices_in_use = PlanId(), {}
-    agent.follower = SimpleNamespace(keeper=None)
+    agent.follower = SimpleNamespace(local_failover=None)
     for _ in range(5):
         agent._apply()
     plans = [(one.planner, one.epoch, one.plan_number) for one in recorded]
@@ -438,13 +438,13 @@
     agent = GatewayAgent.__new__(GatewayAgent)
     agent.gateway = SimpleNamespace(recorder=recorder, settings={"zones": ["here", "there"]})
     agent.follower = SimpleNamespace(
-        keeper=SimpleNamespace(statuses=lambda: next(statuses)),
+        local_failover=SimpleNamespace(statuses=lambda: next(statuses)),
         plan=SimpleNamespace(locations={1: FailoverDirective(0, reason="its caches fail")}),
     )
     agent.slices_in_use = {}
     for planner in ("p1", "p1", "", "p1", "p1"):
         agent.plan_id = PlanId(1, 1, planner)
-        agent._note_locations()
+        agent._log_location_changes()
     assert [
         (one.zone, one.returned_slices, one.failed_returns, one.reason, one.without_plan) for one in recorded
     ] == [
