--- a/lilacloft/gateway/client_requests.py
+++ b/lilacloft/gateway/client_requests.py
@@ -48,7 +48,7 @@
         gateway = self.gateway
         client_timeout = gateway.vhosts[client_request.vhost]["client_timeout"]
         arrived_at = self.clock.time - max(0, self.clock.monotonic_time - client_request.at)
-        client_deadline = arrived_at + min(client_request.allow * TICKS_PER_MILLISECOND, client_timeout)
+        client_deadline = arrived_at + min(client_request.timeout_ms * TICKS_PER_MILLISECOND, client_timeout)
         client_request.request = request = self._make_request(client_request, arrived_at, client_deadline)
         gateway.open_requests[request] = client_request
         client_request.history = self.request_history(client_request, request)
--- a/lilacloft/gateway/wire_messages.py
+++ b/lilacloft/gateway/wire_messages.py
@@ -22,12 +22,12 @@
         ("thing", request.key),
         ("nth", request.part),
         ("max", attempt_milliseconds(dispatch)),
-        ("replay", client_request.replay),
+        ("replay", client_request.idempotency_key),
         ("next", source.name if source else None),
         ("admit", dispatch.cache_rank or None),
         ("agelim", _max_age_milliseconds(dispatch)),
         ("ways", _fill_flags(dispatch)),
-        ("cached", client_request.got),
+        ("cached", client_request.cached_version),
     )
     return encode(DISPATCH, client_request.name.encode(), encode_fields(fields), client_request.body)
 
--- a/lilacloft/handover/process.py
+++ b/lilacloft/handover/process.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from lilacloft.errors import NotWantedError, UnusableError
+from lilacloft.errors import TakeoverAbortedError, UnusableError
 from lilacloft.handover.channel import ChannelError
 from lilacloft.handover.framing import FormatError, to_plain
 from lilacloft.handover.receiver import NO_DESCRIPTOR, HandoverReceiver
@@ -208,11 +208,11 @@
         receiver.receive_state()
         store = _restore_store(receiver, factory, reader)
         receiver.send_state_restored()
-    except NotWantedError:
+    except TakeoverAbortedError:
         raise
     except (FormatError, ChannelError) as error:
         receiver.refuse(str(error))
-        raise NotWantedError(str(error)) from error
+        raise TakeoverAbortedError(str(error)) from error
     except Exception as error:
         receiver.refuse(f"{type(error).__name__}: {error}")
         raise
--- a/lilacloft/handover/receiver.py
+++ b/lilacloft/handover/receiver.py
@@ -17,7 +17,7 @@
 from loguru import logger
 
 from lilacloft import __version__
-from lilacloft.errors import NotWantedError
+from lilacloft.errors import TakeoverAbortedError
 from lilacloft.handover import messages
 from lilacloft.handover.channel import Channel, ChannelError, Frame
 from lilacloft.handover.counters import add_counters
@@ -120,11 +120,11 @@
             self._receive(MessageKind.COMMIT)
         except ChannelError as error:
             if not self.state_machine.channel_broken(self._sender_is_running()):
-                raise NotWantedError(f"{error}; {self.state_machine.reason}") from error
+                raise TakeoverAbortedError(f"{error}; {self.state_machine.reason}") from error
             logger.warning("upgrade: {}: this process goes on", self.state_machine.reason)
             return
         if not self.state_machine.commit_received():
-            raise NotWantedError(self.state_machine.reason)
+            raise TakeoverAbortedError(self.state_machine.reason)
         try:
             self.channel.send(MessageKind.COMMIT_ACKNOWLEDGED)
         except ChannelError:
@@ -151,7 +151,7 @@
         if frame.kind is MessageKind.DISMISS:
             reason = frame.decode(messages.Reason).reason
             self.state_machine.dismissed(reason)
-            raise NotWantedError(reason)
+            raise TakeoverAbortedError(reason)
         return frame
 
     def _sender_is_running(self) -> bool:
--- a/lilacloft/handover/state_export.py
+++ b/lilacloft/handover/state_export.py
@@ -34,12 +34,12 @@
 
 # Values that are transferred unchanged: attribute of the gateway's object by field of the message.
 CLIENT_ATTRIBUTES = {
-    "message_count": "said",
-    "useless_message_count": "offences",
+    "message_count": "message_count",
+    "useless_message_count": "useless_message_count",
     "request_count": "taken",
     "settled_request_count": "settled",
     "last_used_at": "used",
-    "write_progress": "moved",
+    "write_progress": "write_progress",
 }
 REQUEST_ATTRIBUTES = {
     "tag": "tag",
@@ -49,10 +49,10 @@
     "part": "part",
     "purge_group": "group",
     "kbytes": "kbytes",
-    "timeout_ms": "allow",
+    "timeout_ms": "timeout_ms",
     "received_at": "at",
-    "idempotency_key": "replay",
-    "cached_version": "got",
+    "idempotency_key": "idempotency_key",
+    "cached_version": "cached_version",
     "body": "body",
 }
 NO_CONNECTION = -1  # index of a connection that has ended
--- a/lilacloft/net/client_connection.py
+++ b/lilacloft/net/client_connection.py
@@ -101,11 +101,13 @@
             buffer=MessageBuffer(CLIENT_MESSAGE_SIZES, SMALL_BUFFER),
         )
         self.downstream = downstream
-        self.said = self.offences = 0  # messages received; invalid ones since the last request
+        self.message_count = self.useless_message_count = (
+            0  # messages received; invalid ones since the last request
+        )
         self.taken = self.settled = 0  # requests accepted by the reader, and settled by the event loop
         self.open: dict[bytes, ClientRequest] = {}  # by tag: the reader adds, the event loop removes
         self.used = time.monotonic()  # when a message was last received or an answer sent
-        self.moved = (0, self.used)  # bytes written, and since when this count is unchanged
+        self.write_progress = (0, self.used)  # bytes written, and since when this count is unchanged
         self.input_ended: Ticks | None = None  # the earliest possible time, by the monotonic clock
         self.connected_at: Ticks = 0  # by the monotonic clock; 0: unknown
         self.accepted_late = False  # may there be input that arrived before it was accepted?
--- a/lilacloft/net/client_request.py
+++ b/lilacloft/net/client_request.py
@@ -40,9 +40,9 @@
         "part",
         "group",
         "kbytes",
-        "allow",
-        "replay",
-        "got",
+        "timeout_ms",
+        "idempotency_key",
+        "cached_version",
         "body",
         "at",
         "request",
@@ -61,7 +61,7 @@
         pairs, body = parse_fields(items[3]), items[4] if len(items) > 4 else b""
         self.client, self.tag, self.vhost, self.body, self.at = client, items[1], vhost, body, at
         self.name = parse_hex(pairs["ref"], NAME_DIGITS)
-        self.allow = parse_integer(pairs["allow"], 1, MAX_NUMBER)
+        self.timeout_ms = parse_integer(pairs["allow"], 1, MAX_NUMBER)
         self.key = parse_hex(pairs["lookup"], KEY_DIGITS)
         self.part = parse_integer(pairs["nth"], 0, MAX_NUMBER)
         self.group = parse_integer(pairs["batch"], 0, MAX_GROUP)
@@ -69,8 +69,10 @@
         if set(size) - DECIMAL_CHARACTERS:
             raise ValueError("size is not a decimal number")
         self.kbytes = float(size)
-        self.replay = parse_hex(pairs["replay"], IDEMPOTENCY_KEY_DIGITS) if "replay" in pairs else None
-        self.got = parse_hex(pairs["got"], VERSION_DIGITS) if "got" in pairs else None
+        self.idempotency_key = (
+            parse_hex(pairs["replay"], IDEMPOTENCY_KEY_DIGITS) if "replay" in pairs else None
+        )
+        self.cached_version = parse_hex(pairs["got"], VERSION_DIGITS) if "got" in pairs else None
         self.request: Any = None  # the router's Request, once the gateway has created it
         self.attempt: Any = None  # the Attempt in flight
         self.connections: list[Any] = []  # the upstream connections used by its attempts
--- a/lilacloft/net/downstream.py
+++ b/lilacloft/net/downstream.py
@@ -234,7 +234,7 @@
         """Handle one message, which may have waited unread. Raises GarbledError."""
         at = client.arrived_at()
         client.used = time.monotonic()
-        client.said += 1
+        client.message_count += 1
         verb, tag = items[0], items[1] if len(items) > 1 else b""
         if not tag.isdigit() or tag.startswith(b"0"):
             raise GarbledError("missing or invalid tag")
@@ -270,11 +270,11 @@
         except OverflowError:
             self._reject(client, tag, OVERLOADED)
         else:
-            client.offences = 0
+            client.useless_message_count = 0
             if accepted:
                 self.counts["reqs"] += 1
                 client.mark_passed_on()  # before posting: the event loop may handle it at once
-                due_at = request.at + request.allow * TICKS_PER_MILLISECOND
+                due_at = request.at + request.timeout_ms * TICKS_PER_MILLISECOND
                 self.post(self.gateway.requests.arrived, request, client=client, due_at=due_at)
 
     def _parse_request(self, client: ClientConnection, items: list[bytes], at: Ticks) -> ClientRequest:
@@ -286,7 +286,7 @@
             raise OverflowError("too many open requests")
         vhost = self.vhosts[items[2]]
         request = ClientRequest(client, items, vhost, at)
-        if vhost in self.vhosts_with_keys and request.replay is None:
+        if vhost in self.vhosts_with_keys and request.idempotency_key is None:
             raise ValueError("missing idempotency key")
         if not request.kbytes <= self.max_kbytes:
             raise ValueError("object too large to be sent in time")
@@ -303,9 +303,9 @@
     def _reject(self, client: ClientConnection, tag: bytes, status: bytes) -> None:
         """Answer an invalid message. Raises GarbledError after `MAX_OPEN_REQUESTS` of them in a row."""
         self.counts["unusable"] += 1
-        client.offences += 1
+        client.useless_message_count += 1
         self.answer(client, tag, status)
-        if client.offences >= MAX_OPEN_REQUESTS:
+        if client.useless_message_count >= MAX_OPEN_REQUESTS:
             raise GarbledError("too many invalid messages")
 
     # --- requests and answers, in any thread ---
@@ -351,7 +351,7 @@
     def _close_idle_or_partial(self, now: float, interval: float) -> None:
         """Close connections that are idle, or stalled within a message with no more of it received."""
         for client in list(self.clients):
-            stalled = not client.said or client.buffer.has_partial()
+            stalled = not client.message_count or client.buffer.has_partial()
             idle_time = now - (client.message_started_at if stalled else client.used)
             limit = STALL_TIMEOUT - 2 * interval if stalled else IDLE_TIMEOUT + interval
             if client.close_reason is None and not client.open and idle_time > limit:
@@ -362,11 +362,11 @@
         unsent = {client: client.unsent_bytes() for client in list(self.clients)}
         total = sum(unsent.values())
         for client in sorted(unsent, key=lambda client: -unsent[client]):
-            if not unsent[client] or client.written != client.moved[0]:
-                client.moved = (client.written, now)
+            if not unsent[client] or client.written != client.write_progress[0]:
+                client.write_progress = (client.written, now)
             if unsent[client]:
                 client.resume_writing()
-            if now - client.moved[1] > write_timeout or total > max_unsent:
+            if now - client.write_progress[1] > write_timeout or total > max_unsent:
                 total -= unsent[client]
                 self.counts["choked"] += client.close_reason is None
                 client.close(CloseReason.CHOKED)
--- a/lilacloft/net/upstream.py
+++ b/lilacloft/net/upstream.py
@@ -258,7 +258,7 @@
             self.counts["unknown"] += 1
             return
         reason = (ANSWER_STATUS if attempt.client_request else HEALTH_STATUS).get(word)
-        if reason is None or (reason is CloseReason.UNCHANGED and not attempt.client_request.got):
+        if reason is None or (reason is CloseReason.UNCHANGED and not attempt.client_request.cached_version):
             connection.close(CloseReason.GARBLED)  # not a valid answer; ends all attempts in flight there
             return
         self.counts["answers"] += 1
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from lilacloft.errors import NOT_WANTED, NotWantedError, UnusableError
+from lilacloft.errors import TAKEOVER_ABORTED, TakeoverAbortedError, UnusableError
 from lilacloft.net import socket_errors
 from lilacloft.protocol_settings import NAMES
 
@@ -87,7 +87,7 @@
     signal.signal(signal.SIGHUP, lambda *_: reloads.put(True))
     gateway, begin = prepare(path, **options) if options else (make_gateway(read_config(path)), None)
     if gateway is None:
-        return NOT_WANTED
+        return TAKEOVER_ABORTED
     threading.Thread(target=reload_on_request, args=(path, reloads, gateway), daemon=True).start()
     signal.signal(signal.SIGTERM, lambda *_: gateway.post(gateway.stop))
     signal.signal(signal.SIGUSR1, lambda *_: gateway.post(gateway.inspect))
@@ -95,11 +95,11 @@
         if begin:
             begin()
         gateway.run()
-    except NotWantedError as error:
+    except TakeoverAbortedError as error:
         gateway.end()
         gateway.recorder = None
         logger.error("upgrade: this process exits: {}", error)
-        return NOT_WANTED
+        return TAKEOVER_ABORTED
     except Exception:
         logger.exception("the event loop failed")
         return FAILED
@@ -129,7 +129,7 @@
 
     try:
         return process.prepare(read_config(path), make_gateway, process.ProcessOptions(**options))
-    except NotWantedError as error:
+    except TakeoverAbortedError as error:
         logger.error("upgrade: this process exits: {}", error)
         return None, None
     except OSError as error:
--- a/lilacloft/store/gateway_store.py
+++ b/lilacloft/store/gateway_store.py
@@ -302,7 +302,7 @@
 
     @staticmethod
     def _key(client_request: Any) -> bytes:
-        return (client_request.replay or client_request.name).encode()
+        return (client_request.idempotency_key or client_request.name).encode()
 
     def _policy(self, vhost: int) -> IdempotencyPolicy:
         config = self.gateway.vhosts[vhost]
