--- a/rigs/stands.py
+++ b/rigs/stands.py
@@ -427,7 +427,7 @@
         if not before:
             self.log.since.get(timeout=5)
 
-    def killed(self):
+    def kill_and_restart(self):
         """Kill the gateway and start it again."""
         self.process.kill()
         self.process.wait()
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -39,7 +39,7 @@
     first_client = world.asker()  # kept in a variable: it would be closed at once otherwise
     first_client.ask(b"book", body=b"seat", ref=ref)
     world.caches[0].next()
-    world.killed()
+    world.kill_and_restart()
     client = world.asker()
     tag = client.ask(b"book", body=b"seat", ref=ref)  # sent again, as its connection ended without an answer
     assert client.answer()[:2] == [tag, b"500"]
@@ -56,7 +56,7 @@
     first_client.ask(b"pay", body=b"fare", replay=KEY)
     world.caches[0].next()
     began = time.monotonic()
-    world.killed()
+    world.kill_and_restart()
     client = world.asker()
     tag = client.ask(b"pay", body=b"fare", replay=KEY)
     if time.monotonic() - began < 1.5:  # still within the window; a slow machine may miss it
@@ -67,7 +67,7 @@
     time.sleep(max(0.0, began + 2.2 - time.monotonic()))
     while not world.caches[0].seen.empty():  # sent within the window but not read above, on a slow machine
         world.caches[0].seen.get()
-    world.killed()
+    world.kill_and_restart()
     client = world.asker()
     tag = client.ask(b"pay", body=b"fare", replay=KEY)
     assert client.answer()[:2] == [tag, b"503"]
@@ -81,7 +81,7 @@
     tag = client.ask(b"book", body=b"seat", ref=ref)
     assert client.answer()[:2] == [tag, b"503"]
     time.sleep(0.2)
-    world.killed()
+    world.kill_and_restart()
     while not world.caches[0].seen.empty():
         world.caches[0].seen.get()
     first_client = world.asker()  # kept in a variable: it would be closed at once otherwise
@@ -95,7 +95,7 @@
     time.sleep(0.3)
     world.log.close()  # so that the purge is not sent again
     world.log.break_off()
-    world.killed()
+    world.kill_and_restart()
     client = world.asker()
     client.ask(key=9)
     assert client.answer()[1] == b"200"
@@ -316,7 +316,7 @@
     time.sleep(0.5)
     world.log.close()
     world.log.break_off()
-    world.killed()  # the configuration does not have the drain
+    world.kill_and_restart()  # the configuration does not have the drain
     client = world.asker()
     for key in range(12):
         client.ask(key=key)
@@ -335,7 +335,7 @@
         b"be s-00000001" in path.read_bytes() for path in store.glob("log-*")
     ):
         time.sleep(0.05)
-    world.killed()
+    world.kill_and_restart()
     result = subprocess.run(
         [sys.executable, "-m", "lilacloft", "store", "dump", str(store)],
         capture_output=True,
