--- a/lilacloft/cli/experiment.py
+++ b/lilacloft/cli/experiment.py
@@ -17,16 +17,18 @@
     """Read the experiment in a file. Raises SettingsError."""
     from pathlib import Path
 
-    from lilacloft.config.nodes import Place
+    from lilacloft.config.nodes import Position
     from lilacloft.config.reader import SettingsError, parse
     from lilacloft.experiment.plan import Reader
 
     try:
         nodes = parse(Path(path).read_text(encoding="utf-8"), path)
     except (OSError, UnicodeDecodeError) as error:
-        raise SettingsError([(Place(path, 1, 1), f"cannot be read: {error}")]) from error
+        raise SettingsError([(Position(path, 1, 1), f"cannot be read: {error}")]) from error
     if len(nodes) != 1:
-        raise SettingsError([(Place(path, 1, 1), "expected one list (experiment NAME ...) and nothing else")])
+        raise SettingsError(
+            [(Position(path, 1, 1), "expected one list (experiment NAME ...) and nothing else")]
+        )
     return Reader().read(nodes[0])
 
 
--- a/lilacloft/cli/plan.py
+++ b/lilacloft/cli/plan.py
@@ -36,12 +36,12 @@
 )
 def serve(config: str | None, name: str, planners: str, folder: str, leave: str) -> int:
     """Run one planner until SIGTERM."""
-    from lilacloft.config.addresses import named
+    from lilacloft.config.addresses import parse_named_addresses
     from lilacloft.control.planner_server import PlannerServer
     from lilacloft.store.errors import StoreError
 
     try:
-        addresses = named(planners)
+        addresses = parse_named_addresses(planners)
     except ValueError as error:
         raise click.UsageError(str(error)) from error
     if name not in addresses:
--- a/lilacloft/config/addresses.py
+++ b/lilacloft/config/addresses.py
@@ -11,7 +11,7 @@
     return host, int(port)
 
 
-def named(text: str) -> dict[str, tuple[str, int]]:
+def parse_named_addresses(text: str) -> dict[str, tuple[str, int]]:
     """Parse NAME=HOST:PORT,... into addresses by name. Raises ValueError with a message for the operator."""
     out = {}
     for entry in text.split(","):
--- a/lilacloft/config/forms.py
+++ b/lilacloft/config/forms.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 from typing import Any
 
-from lilacloft.config.addresses import named
-from lilacloft.config.nodes import Node, Place, parse_quantity
+from lilacloft.config.addresses import parse_named_addresses
+from lilacloft.config.nodes import Node, Position, parse_quantity
 
-Faults = list[tuple[Place, str]]
+Faults = list[tuple[Position, str]]
 
 
 @dataclass(frozen=True)
@@ -70,7 +70,7 @@
         try:
             if node.kind != "string":
                 raise ValueError
-            return named(",".join(part.strip() for part in node.text.split(",")))
+            return parse_named_addresses(",".join(part.strip() for part in node.text.split(",")))
         except ValueError:
             raise ValueError(f'found {node}, expected "NAME=HOST:PORT,...", each name once') from None
 
--- a/lilacloft/config/nodes.py
+++ b/lilacloft/config/nodes.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class Position:
     """A position in a file."""
 
     file: str
@@ -31,7 +31,7 @@
 class Node:
     """A word, a string or a list, with its position."""
 
-    place: Place
+    place: Position
     kind: str  # word, string, list
     text: str = ""
     items: tuple[Node, ...] = ()
--- a/lilacloft/experiment/plan.py
+++ b/lilacloft/experiment/plan.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from lilacloft.config.nodes import Node, Place
+from lilacloft.config.nodes import Node, Position
 from lilacloft.config.reader import SettingsError
 from lilacloft.emulator import faults as language
 from lilacloft.emulator.chance import Chance
@@ -108,7 +108,7 @@
     """Parser for one experiment; collects all errors of the file."""
 
     def __init__(self) -> None:
-        self.errors: list[tuple[Place, str]] = []
+        self.errors: list[tuple[Position, str]] = []
 
     def fail(self, node: Node, text: str) -> None:
         self.errors.append((node.place, text))
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lilacloft.__main__ import main
-from lilacloft.config.addresses import address, named
+from lilacloft.config.addresses import address, parse_named_addresses
 from lilacloft.config.reader import SettingsError, load
 from lilacloft.control import codec
 from lilacloft.control.codec import FRAME, HEAD, WireError
@@ -115,10 +115,10 @@
 
 
 def test_addresses_are_checked():
-    assert named("a=h:1,b=127.0.0.1:65535") == {"a": ("h", 1), "b": ("127.0.0.1", 65535)}
+    assert parse_named_addresses("a=h:1,b=127.0.0.1:65535") == {"a": ("h", 1), "b": ("127.0.0.1", 65535)}
     for invalid in ("", "a", "a=h", "=h:1", "a=h:0", "a=h:1,a=h:2", "a=h:x"):
         with pytest.raises(ValueError):
-            named(invalid)
+            parse_named_addresses(invalid)
     with pytest.raises(ValueError):
         address("h")
 
