--- a/lilacloft/cli/experiment.py
+++ b/lilacloft/cli/experiment.py
@@ -165,7 +165,7 @@
 )
 def search(against: str, policy: str, tries: int, seeds: int, seed: int, worlds: str, explain: int) -> int:
     """Search for the worlds and faults in which a policy loses most against another."""
-    from lilacloft.emulator.chance import Chance
+    from lilacloft.emulator.chance import RandomStreams
     from lilacloft.emulator.worlds import WORLDS
     from lilacloft.experiment import runner
     from lilacloft.experiment.search import Search, Spot, ablations
@@ -175,7 +175,7 @@
     if unknown:
         raise click.UsageError(f"no world {unknown[0]}: {', '.join(WORLDS)}")
     start_worlds = [WORLDS[name].lasting(4) for name in names]
-    search_state = Search(Chance(seed).stream("search"), start_worlds)
+    search_state = Search(RandomStreams(seed).stream("search"), start_worlds)
     batch = 16
 
     def losses(spots: list[Spot], first: int, count: int) -> list[float]:
--- a/lilacloft/emulator/boxes.py
+++ b/lilacloft/emulator/boxes.py
@@ -35,11 +35,11 @@
     request: Any
     backend: Any
     seq: int
-    box: Box
+    box: EmulatedServer
     place: Place
     group: int
     kbytes: float
-    source: Box | None = None
+    source: EmulatedServer | None = None
     rank: int = 0
     oldest: int = 0  # copies born before are not acceptable
     fresh: int = 0  # copies born before are stale
@@ -61,9 +61,9 @@
 class Fill:
     """A transfer of a part from a source into a server's cache."""
 
-    box: Box
+    box: EmulatedServer
     place: Place
-    source: Box
+    source: EmulatedServer
     group: int
     kbytes: float
     rank: int
@@ -80,7 +80,7 @@
     from_origin: bool = False  # fetched from the origin
 
 
-class Box:
+class EmulatedServer:
     """A cache, a parent or an origin."""
 
     def __init__(
@@ -256,7 +256,7 @@
             return
         self._fill(dispatch, source)
 
-    def _fill(self, dispatch: Dispatch, source: Box, renews: bool = False) -> None:
+    def _fill(self, dispatch: Dispatch, source: EmulatedServer, renews: bool = False) -> None:
         """Start a fill, or a revalidation in the background."""
         self.counts["fill"] += 1
         oldest = max(dispatch.oldest, dispatch.fresh + 1) if renews else dispatch.oldest
--- a/lilacloft/emulator/chance.py
+++ b/lilacloft/emulator/chance.py
@@ -55,7 +55,7 @@
         return median * float(np.exp(sigma * self.generator.standard_normal()))
 
 
-class Chance:
+class RandomStreams:
     """All random number streams of one seed."""
 
     def __init__(self, seed: int) -> None:
--- a/lilacloft/emulator/clients.py
+++ b/lilacloft/emulator/clients.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.chance import RandomStreams
 
 SECOND = 10_000
 
@@ -71,7 +71,7 @@
 class Clients:
     """All clients of one run."""
 
-    def __init__(self, chance: Chance, habits: Habits, effects: list[str]) -> None:
+    def __init__(self, chance: RandomStreams, habits: Habits, effects: list[str]) -> None:
         self.habits, self.effects = habits, effects
         self.when, self.what = chance.stream("clients when"), chance.stream("clients what")
         self.how = chance.stream("clients how")
--- a/lilacloft/emulator/fleet.py
+++ b/lilacloft/emulator/fleet.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lilacloft.emulator.boxes import ACTIVE, CACHE, LEAVING, ORIGIN, PARENT, Box, Dispatch
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.boxes import ACTIVE, CACHE, LEAVING, ORIGIN, PARENT, Dispatch, EmulatedServer
+from lilacloft.emulator.chance import RandomStreams
 from lilacloft.emulator.clients import Ask, Clients
 from lilacloft.emulator.events import CHECK, CLIENT, FAULT, LOG, NET, TIMER, Events
 from lilacloft.emulator.faults import Fault
@@ -69,7 +69,7 @@
         from lilacloft.routing.router import Router
 
         self.world, self.seed = world, seed
-        self.events, self.net, self.chance = Events(START), Network(), Chance(seed)
+        self.events, self.net, self.chance = Events(START), Network(), RandomStreams(seed)
         self.pace = world.pace / SECOND
         self.cold_cache, self.cold_parent, self.fall = world.cold_cache, world.cold_parent, world.fall
         self.begin, self.fill_patience, self.hands = world.begin, world.fill_patience, world.hands
@@ -89,30 +89,30 @@
         self.served_kb = 0.0
         self.rush = 1.0
         self.hot: list[tuple[str, float]] = []
-        self._boxes()
+        self._make_servers()
         self.log: list[tuple[Any, ...]] = []
         self.purges: list[tuple[str, int, int]] = []
         self.gateways = [
-            self._gateway(number, policy or Router) for number in range(world.zones * world.gateways)
+            self._make_gateway(number, policy or Router) for number in range(world.zones * world.gateways)
         ]
         # by gateway: events delivered, earliest next delivery, added delay, whether the watch is broken
         self.log_at = {gateway.name: [0, 0, 0, 0] for gateway in self.gateways}
         self._warm_caches()
         for fault in faults:
             self.events.at(START + fault.at, FAULT, self.apply_fault, fault)
-        self._arrive(self.clients.after(0))
+        self._schedule_arrival(self.clients.after(0))
 
-    def _gateway(self, number: int, policy: Policy) -> Any:
+    def _make_gateway(self, number: int, policy: Policy) -> Any:
         return Gateway(self, number, number // self.world.gateways, policy)
 
-    def _boxes(self) -> None:
+    def _make_servers(self) -> None:
         world = self.world
-        self.boxes: list[Box] = []
+        self.boxes: list[EmulatedServer] = []
         self.ingress_links = [Link(f"in {zone}", world.way_in / SECOND) for zone in range(world.zones)]
         for zone in range(world.zones):
             for number in range(world.caches):
                 self.boxes.append(
-                    Box(
+                    EmulatedServer(
                         self,
                         f"c{zone}-{number}",
                         CACHE,
@@ -125,7 +125,7 @@
                 )
         self.caches = list(self.boxes)
         self.parents = [
-            Box(
+            EmulatedServer(
                 self,
                 f"p{number}",
                 PARENT,
@@ -137,7 +137,7 @@
             )
             for number in range(world.parents)
         ]
-        self.origin = Box(self, "origin", ORIGIN, -1, 0, world.origin_size, 1e12, 1 << 30)
+        self.origin = EmulatedServer(self, "origin", ORIGIN, -1, 0, world.origin_size, 1e12, 1 << 30)
         self.boxes += [*self.parents, self.origin]
 
     def _warm_caches(self) -> None:
@@ -232,7 +232,9 @@
             return True
         return sender.zone != receiver.zone and bool(self.apart & {sender.zone, receiver.zone})
 
-    def message(self, sender: Box, receiver: Box, callback: Callable[..., None], *args: Any) -> None:
+    def message(
+        self, sender: EmulatedServer, receiver: EmulatedServer, callback: Callable[..., None], *args: Any
+    ) -> None:
         """Send a message from one server to another."""
         if not self.cut(sender, receiver):
             self.events.at(self.events.now + self.hop(sender, receiver), NET, callback, *args)
@@ -255,9 +257,9 @@
             if one.kind != ORIGIN and one.started and gateway.known_starts.get(one.name) == one.started:
                 self._check_cold_load(one, work, now)
         if not self.cut(gateway, box):
-            self.events.at(now + self.hop(gateway, box), NET, self._comes, dispatch, work)
+            self.events.at(now + self.hop(gateway, box), NET, self._dispatch_arrives, dispatch, work)
 
-    def _check_cold_load(self, box: Box, work: float, now: int) -> None:
+    def _check_cold_load(self, box: EmulatedServer, work: float, now: int) -> None:
         """Check rule 4: the recent work sent to a cold server by all gateways that know it is cold."""
         capacity_fraction = box.capacity_fraction()
         if capacity_fraction >= 1.0:
@@ -270,7 +272,7 @@
         if load > most:
             self.checker.fell(box.name, load, most, now)
 
-    def _comes(self, dispatch: Dispatch, work: float) -> None:
+    def _dispatch_arrives(self, dispatch: Dispatch, work: float) -> None:
         for one in dict.fromkeys((dispatch.box, dispatch.source or dispatch.box)):
             if not (one.dead or one.withstands(work / COLD_TOLERANCE)):
                 self.result.fell += 1
@@ -302,7 +304,7 @@
             load if word == "done" else [],
         )
 
-    def check(self, gateway: Gateway, backend: Any, box: Box, life: int) -> None:
+    def check(self, gateway: Gateway, backend: Any, box: EmulatedServer, life: int) -> None:
         """Run a health check, answered with the server's load or not at all."""
         now = self.events.now
         there = now + self.hop(gateway, box)
@@ -320,7 +322,7 @@
         """Draw the origin's processing time for one part or write."""
         return max(1, int(self.chance.stream("origin").heavy(self.world.service, self.world.tail)))
 
-    def effect(self, dispatch: Dispatch, origin: Box) -> None:
+    def effect(self, dispatch: Dispatch, origin: EmulatedServer) -> None:
         """Apply a write at the origin. A write with an idempotency key takes effect only once."""
         if (
             dispatch.gateway.router.virtual_hosts[dispatch.request.vhost].idempotency is Idempotency.KEYED
@@ -331,10 +333,10 @@
 
     # --- clients ---
 
-    def _arrive(self, after: int) -> None:
-        self.events.at(START + after, CLIENT, self._comes_in)
+    def _schedule_arrival(self, after: int) -> None:
+        self.events.at(START + after, CLIENT, self._client_arrives)
 
-    def _comes_in(self) -> None:
+    def _client_arrives(self) -> None:
         now = self.events.now - START
         if now >= self.world.span:
             return
@@ -348,7 +350,7 @@
         self.result.asked += 1
         self.ask(ask)
         gap = self.clients.after(now) - now
-        self._arrive(now + max(1, int(gap / self.rush)) if self.rush != 1.0 else now + gap)
+        self._schedule_arrival(now + max(1, int(gap / self.rush)) if self.rush != 1.0 else now + gap)
 
     def ask(self, ask: Ask, gateway: Gateway | None = None) -> None:
         """Send a client request to a random gateway; a session stays with one gateway."""
@@ -426,11 +428,11 @@
 
     # --- the change log ---
 
-    def rows(self, zone: int) -> list[Box]:
+    def rows(self, zone: int) -> list[EmulatedServer]:
         """Return the endpoint list for the gateways of a location."""
         return [box for box in self.boxes if self.tells(box, zone) and box.status]
 
-    def tells(self, box: Box, zone: int) -> bool:
+    def tells(self, box: EmulatedServer, zone: int) -> bool:
         """Return whether a server is listed to the gateways of a location."""
         return box.zone == zone or box.zone < 0
 
@@ -465,7 +467,7 @@
         else:
             gateway.purged(*event[1:])
 
-    def _announce(self, box: Box) -> None:
+    def _announce(self, box: EmulatedServer) -> None:
         self.tell("boxes", [(box, box.status, box.started)])
 
     # --- faults ---
@@ -552,22 +554,22 @@
             self.rush = fault.hard
             self.events.at(end, FAULT, setattr, self, "rush", 1.0)
 
-    def _set_factor(self, box: Box, kind: str, hard: float) -> None:
+    def _set_factor(self, box: EmulatedServer, kind: str, hard: float) -> None:
         setattr(box, kind, hard)
         box.resize()
 
-    def _crash(self, box: Box, after: int = RESTART_TIME) -> None:
+    def _crash(self, box: EmulatedServer, after: int = RESTART_TIME) -> None:
         """Crash a server; it restarts a while later."""
         if not box.dead:
             box.die()
             self.events.at(self.events.now + after, FAULT, self._restart, box)
 
-    def _restart(self, box: Box) -> None:
+    def _restart(self, box: EmulatedServer) -> None:
         if box.dead:
             box.start()
             self._announce(box)
 
-    def _undrain(self, box: Box) -> None:
+    def _undrain(self, box: EmulatedServer) -> None:
         """Return a drained server to service, cold."""
         if box.status == LEAVING:
             box.status = ACTIVE
@@ -623,7 +625,7 @@
 
     __slots__ = ("name", "zone", "kind", "cell", "status", "size", "started", "box")
 
-    def __init__(self, box: Box, status: int, started: int) -> None:
+    def __init__(self, box: EmulatedServer, status: int, started: int) -> None:
         self.name, self.zone, self.kind, self.cell = box.name, box.zone, box.kind, box.cell
         self.size = box.size
         self.status, self.started, self.box = status, started, box
--- a/lilacloft/emulator/gateway.py
+++ b/lilacloft/emulator/gateway.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lilacloft.clock_offset import ClockOffset, WatchContext
-from lilacloft.emulator.boxes import ORIGIN, Box, Dispatch
+from lilacloft.emulator.boxes import ORIGIN, Dispatch, EmulatedServer
 from lilacloft.emulator.clients import Ask
 from lilacloft.emulator.environment import GatewayEnvironment
 from lilacloft.emulator.events import CHECK, CLIENT, NET, TIMER
@@ -44,7 +44,7 @@
     def begin(self) -> None:
         """Start a new process, which knows only its configuration: the present endpoint list."""
         self.backends: dict[str, Backend] = {}
-        self.boxes: dict[Backend, Box] = {}
+        self.boxes: dict[Backend, EmulatedServer] = {}
         self.known_starts: dict[str, int] = {}  # start times of servers, as received
         self.asks: dict[Request, tuple[int, Ask]] = {}
         self.out: dict[tuple[Request, int], Dispatch] = {}
@@ -166,7 +166,7 @@
 
     # --- the change log ---
 
-    def told(self, rows: list[Box], mode: str = "delta") -> None:
+    def told(self, rows: list[EmulatedServer], mode: str = "delta") -> None:
         """Handle an endpoint list, whole or changes."""
         context, entries = self._watch_context(), []
         if context is None:
--- a/lilacloft/emulator/planes.py
+++ b/lilacloft/emulator/planes.py
@@ -17,7 +17,7 @@
 from lilacloft.control.gateway_observer import EndedAttempt, GatewayObserver
 from lilacloft.control.messages import GossipMessage, LoadReport, PlanReply
 from lilacloft.control.planner import Planner
-from lilacloft.emulator.boxes import CACHE, ORIGIN, PARENT, Box
+from lilacloft.emulator.boxes import CACHE, ORIGIN, PARENT, EmulatedServer
 from lilacloft.emulator.events import FAULT, LOG, NET, TIMER
 from lilacloft.emulator.faults import Fault
 from lilacloft.emulator.fleet import START, Fleet
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
+class PlannerFault:
     """A fault of a planner: `kill` (down for a while, then restarted), `cut` (partitioned from gateways),
     `split` (from other planners), `old` (receives no change log events)."""
 
@@ -127,7 +127,7 @@
 class EmulatedPlanner:
     """One planner and its connectivity."""
 
-    def __init__(self, fleet: Planes, number: int) -> None:
+    def __init__(self, fleet: PlannedFleet, number: int) -> None:
         self.fleet, self.number, self.name = fleet, number, f"p{number}"
         self.life, self.dead, self.old = 0, False, False
         self.cut: set[str] = set()  # partitioned peers
@@ -190,7 +190,7 @@
             self.planner.receive_gossip(gossip, self.now())
 
 
-class Planes(Fleet):
+class PlannedFleet(Fleet):
     """A fleet with planners."""
 
     def __init__(
@@ -200,7 +200,7 @@
         faults: Iterable[Fault] = (),
         policy: Policy | None = None,
         planners: int = 3,
-        troubles: Iterable[Trouble] = (),
+        troubles: Iterable[PlannerFault] = (),
         leave: str = "never",
     ) -> None:
         """`leave`: how traffic may fail over from a location: `past` its caches, or `across` to others."""
@@ -228,10 +228,10 @@
         for trouble in troubles:
             self.events.at(START + trouble.at, FAULT, self._apply_planner_fault, trouble)
 
-    def _gateway(self, number: int, policy: Policy) -> PlannedGateway:
+    def _make_gateway(self, number: int, policy: Policy) -> PlannedGateway:
         return PlannedGateway(self, number, number // self.world.gateways, policy)
 
-    def tells(self, box: Box, zone: int) -> bool:
+    def tells(self, box: EmulatedServer, zone: int) -> bool:
         return self.leave == "across" or super().tells(box, zone)
 
     def apply_fault(self, fault: Fault) -> None:
@@ -275,7 +275,7 @@
 
     # --- planner faults ---
 
-    def _apply_planner_fault(self, trouble: Trouble) -> None:
+    def _apply_planner_fault(self, trouble: PlannerFault) -> None:
         if trouble.planner >= len(self.planners):
             return
         plane, end = self.planners[trouble.planner], self.events.now + trouble.span
@@ -298,11 +298,11 @@
         plane.cut -= names
 
 
-def troubles(stream: Any, planners: int, horizon: int, count: int) -> list[Trouble]:
+def troubles(stream: Any, planners: int, horizon: int, count: int) -> list[PlannerFault]:
     """Draw random planner faults."""
     kinds = ("kill", "kill", "cut", "split", "old")
     return [
-        Trouble(
+        PlannerFault(
             kinds[stream.below(len(kinds))],
             stream.below(planners),
             stream.below(horizon),
--- a/lilacloft/experiment/plan.py
+++ b/lilacloft/experiment/plan.py
@@ -24,7 +24,7 @@
 from lilacloft.config.nodes import Node, Position
 from lilacloft.config.reader import SettingsError
 from lilacloft.emulator import faults as language
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.chance import RandomStreams
 from lilacloft.emulator.clients import Habits
 from lilacloft.emulator.faults import Fault, FaultError
 from lilacloft.emulator.policies import POLICIES
@@ -62,7 +62,7 @@
         """Return the faults of one run."""
         if not self.drawn:
             return list(self.written)
-        return language.draw(Chance(seed).stream("faults"), world.sizes(), world.span, self.drawn)
+        return language.draw(RandomStreams(seed).stream("faults"), world.sizes(), world.span, self.drawn)
 
 
 @dataclass(frozen=True)
--- a/lilacloft/experiment/runner.py
+++ b/lilacloft/experiment/runner.py
@@ -9,9 +9,9 @@
 from datetime import UTC, datetime
 from typing import Any
 
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.chance import RandomStreams
 from lilacloft.emulator.fleet import Fleet
-from lilacloft.emulator.planes import Planes, troubles
+from lilacloft.emulator.planes import PlannedFleet, troubles
 from lilacloft.experiment import revisions
 from lilacloft.experiment.plan import LEVELS, Experiment, Run
 from lilacloft.experiment.results import Results
@@ -25,8 +25,8 @@
     started = time.process_time()
     faults = run.trouble.faults(run.world, run.seed)
     if run.policy in LEVELS:
-        drawn = troubles(Chance(run.seed).stream("troubles"), 3, run.world.span, 4)
-        fleet: Fleet = Planes(
+        drawn = troubles(RandomStreams(run.seed).stream("troubles"), 3, run.world.span, 4)
+        fleet: Fleet = PlannedFleet(
             run.world, run.seed, faults, troubles=drawn if run.policy == "planes-troubled" else ()
         )
     else:
--- a/lilacloft/load/schedule.py
+++ b/lilacloft/load/schedule.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.chance import RandomStreams
 from lilacloft.emulator.clients import Ask, Clients
 from lilacloft.emulator.worlds import SECOND, World
 
@@ -34,7 +34,7 @@
 
 def schedule(world: World, seed: int, gateways: int) -> Iterator[Due]:
     """Yield all requests of a world in order of time. A session stays with one gateway."""
-    chance = Chance(seed)
+    chance = RandomStreams(seed)
     clients = Clients(chance, world.habits, [one.effect for one in world.vhosts])
     doors = chance.stream("doors")
     later: list[tuple[int, int, Due]] = []
--- a/rigs/bridge.py
+++ b/rigs/bridge.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from lilacloft.emulator import faults as language
-from lilacloft.emulator.boxes import ACTIVE, CACHE, LEAVING, PARENT, Box, Dispatch
+from lilacloft.emulator.boxes import ACTIVE, CACHE, LEAVING, PARENT, Dispatch, EmulatedServer
 from lilacloft.emulator.events import NET
 from lilacloft.emulator.fleet import START, Fleet
 from lilacloft.emulator.gateway import Gateway
@@ -93,12 +93,12 @@
         self.number = 1
         self.began = 0.0
 
-    def _gateway(self, number: int, policy: Any) -> Gateway:
+    def _make_gateway(self, number: int, policy: Any) -> Gateway:
         # used only to order the homes of a part
         return Gateway(self, number, number // self.world.gateways, policy)
 
-    def _boxes(self) -> None:
-        super()._boxes()
+    def _make_servers(self) -> None:
+        super()._make_servers()
         for place, box in enumerate(self.boxes, 1):
             box.name = f"s-{place:08x}"  # the name that the gateways know, so that the homes are the same
 
@@ -106,7 +106,7 @@
         object_, _, part = key.partition(" ")
         return super()._homes(router, pool, f"{name(object_)} {part}".strip())
 
-    def _arrive(self, after: int) -> None:
+    def _schedule_arrival(self, after: int) -> None:
         """Not used: clients connect over sockets."""
 
     def tell(self, *event: Any) -> None:
@@ -121,7 +121,7 @@
             payload = struct.pack(">QQ", int(name(key), 16), at) if key else struct.pack(">HQ", group, at)
             self.change.add(self.number, 3 if key else 4, payload)
 
-    def _record(self, box: Box) -> bytes:
+    def _record(self, box: EmulatedServer) -> bytes:
         uid = next(uid for uid, one in self.numbered.items() if one is box)
         started = int((self.began + (box.started - START) / SECOND) * 1000) if box.started else 0
         kind = {CACHE: 0, PARENT: 2}.get(box.kind, 3)
@@ -140,13 +140,13 @@
 
     # --- sockets ---
 
-    def _handler(self, box: Box) -> Any:
+    def _handler(self, box: EmulatedServer) -> Any:
         def handle(stand: Stand, sock: socket.socket, items: list[bytes]) -> None:
             self.queue.put((box, sock, items))
 
         return handle
 
-    def _handle_message(self, box: Box, sock: socket.socket, items: list[bytes]) -> None:
+    def _handle_message(self, box: EmulatedServer, sock: socket.socket, items: list[bytes]) -> None:
         verb, ref = items[0], items[1]
         if verb in (b"top", b"ping"):
             if not (box.silent or box.dead):
@@ -190,10 +190,14 @@
             )
             self.out[sock, ref] = dispatch
             self.events.at(
-                now + self.hop(self.remote, box), NET, self._comes, dispatch, dispatch.kbytes / self.pace
+                now + self.hop(self.remote, box),
+                NET,
+                self._dispatch_arrives,
+                dispatch,
+                dispatch.kbytes / self.pace,
             )
 
-    def effect(self, dispatch: Dispatch, origin: Box) -> None:
+    def effect(self, dispatch: Dispatch, origin: EmulatedServer) -> None:
         """Effects are not counted here."""
 
     # --- real time ---
--- a/rigs/failover.py
+++ b/rigs/failover.py
@@ -20,10 +20,10 @@
 from typing import Any
 
 from lilacloft.emulator import faults as language
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.chance import RandomStreams
 from lilacloft.emulator.faults import Fault, parse
 from lilacloft.emulator.fleet import START, Fleet
-from lilacloft.emulator.planes import Planes, Trouble, troubles
+from lilacloft.emulator.planes import PlannedFleet, PlannerFault, troubles
 from lilacloft.emulator.policies import POLICIES
 from lilacloft.emulator.worlds import READS, SECOND, World
 from lilacloft.failover.failover_state import FailoverPhase
@@ -36,7 +36,7 @@
     """Faults of the fleet and of planners, and the time span in seconds in which the faults act."""
 
     faults: str
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[PlannerFault, ...] = ()
     begin: float = 4.0
     end: float = 9.0
     span: float = 30.0
@@ -73,11 +73,11 @@
     "turns": Script(alternating(60.0, 3.0), end=60.0, span=80.0),
     "turns-long": Script(alternating(600.0, 3.0), end=600.0, span=620.0),
     "half": Script(f"{SILENT} (at 8.9s (cold (version 1)))"),  # every second cache is empty at the return
-    "issuer": Script(f"{SILENT} (at 8.9s (cold (zone 1)))", (Trouble("kill", 0, 45_000, 120_000),)),
-    "issuer-back": Script(f"{SILENT} (at 8.9s (cold (zone 1)))", (Trouble("kill", 0, 115_000, 60_000),)),
+    "issuer": Script(f"{SILENT} (at 8.9s (cold (zone 1)))", (PlannerFault("kill", 0, 45_000, 120_000),)),
+    "issuer-back": Script(f"{SILENT} (at 8.9s (cold (zone 1)))", (PlannerFault("kill", 0, 115_000, 60_000),)),
     "nobody": Script(
         f"{SILENT} (at 8.9s (cold (zone 1)))",
-        tuple(Trouble("kill", number, 60_000, 400_000) for number in range(3)),
+        tuple(PlannerFault("kill", number, 60_000, 400_000) for number in range(3)),
         span=40.0,
     ),
     "drain": Script(
@@ -139,9 +139,9 @@
         earned = sum(self.earned_at.get(at, 0.0) for at in seconds)
         return earned / could if could else 1.0
 
-    def _comes_in(self) -> None:
+    def _client_arrives(self) -> None:
         before = self.could
-        super()._comes_in()
+        super()._client_arrives()
         at = (self.events.now - START) // SECOND
         self.could_at[at] = self.could_at.get(at, 0.0) + self.could - before
 
@@ -166,7 +166,7 @@
     """A fleet without planners, observed."""
 
 
-class WatchedPlanes(FleetObserver, Planes):
+class WatchedPlanes(FleetObserver, PlannedFleet):
     """A fleet with planners, observed."""
 
 
@@ -176,7 +176,7 @@
     world = replace(build_world(size, script.span), parent_size=script.parent)
     faults: list[Fault] = parse(script.faults)
     if script_name == "drawn":
-        faults = language.draw(Chance(seed).stream("faults"), world.sizes(), 8 * SECOND, 4)
+        faults = language.draw(RandomStreams(seed).stream("faults"), world.sizes(), 8 * SECOND, 4)
     fleet = _fleet(world, way, seed, faults, script.troubles)
     fleet.watch()
     result = fleet.run()
@@ -208,7 +208,7 @@
 
 
 def _fleet(
-    world: World, way: str, seed: int, faults: list[Fault], planner_troubles: tuple[Trouble, ...]
+    world: World, way: str, seed: int, faults: list[Fault], planner_troubles: tuple[PlannerFault, ...]
 ) -> Any:
     """Return the fleet with a policy."""
     if way in ("alone", "oracle"):
@@ -284,9 +284,9 @@
     """Run a small scenario with random faults of gateways and planners only. Return all decisions on
     locations and all breaches of rules; none are expected."""
     world = build_world(OBSERVERS_SIZE, span=8.0)
-    stream = Chance(seed).stream("hurt")
+    stream = RandomStreams(seed).stream("hurt")
     faults = language.draw(stream, {"gateway": 12}, 6 * SECOND, 4, dict(OBSERVER_FAULTS))
-    fleet = Planes(world, seed, faults, troubles=troubles(stream, 3, 6 * SECOND, 2), leave="past")
+    fleet = PlannedFleet(world, seed, faults, troubles=troubles(stream, 3, 6 * SECOND, 2), leave="past")
     result = fleet.run()
     decided = [
         f"{plane.name} {zone}: {text}"
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -35,10 +35,10 @@
 from typing import Any
 
 from lilacloft.emulator import faults as language
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.chance import RandomStreams
 from lilacloft.emulator.clients import Habits
 from lilacloft.emulator.faults import Fault
-from lilacloft.emulator.planes import Planes, Trouble
+from lilacloft.emulator.planes import PlannedFleet, PlannerFault
 from lilacloft.emulator.worlds import SECOND, World
 from rigs.account import Account
 from rigs.checker import Breach, check, received
@@ -595,7 +595,7 @@
             if gateway.process is not None and gateway.process.poll() is None:
                 gateway.process.send_signal(number)
 
-    def planner_actions(self, trouble: Trouble) -> list[tuple[float, Callable[[], None]]]:
+    def planner_actions(self, trouble: PlannerFault) -> list[tuple[float, Callable[[], None]]]:
         if trouble.planner >= len(self.planner_names):
             return []
         name, at, end = (
@@ -680,7 +680,7 @@
 
 def drawn(seed: int, seconds: float, count: int, sizes: dict[str, int]) -> list[Fault]:
     """Draw faults from a seed, of the kinds that can be applied to processes."""
-    stream = Chance(seed).stream("fleet")
+    stream = RandomStreams(seed).stream("fleet")
     return [
         fault
         for fault in language.draw(stream, sizes, int(seconds * SECOND), count, dict(FAULT_WEIGHTS))
@@ -800,7 +800,7 @@
         service=300.0,
     )
     scripted = None if script == "drawn" else SCRIPTS.get(script)
-    result = Planes(
+    result = PlannedFleet(
         place, seed, faults, planners=planners, troubles=scripted.troubles if scripted else (), leave=leave
     ).run()
     answered = result.done + result.denied + result.aborted
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -34,10 +34,10 @@
 from lilacloft.control.planner import PLAN_DURATION, Planner
 from lilacloft.control.quota import MAX_LEASE
 from lilacloft.control.quota_client import REQUEST_TIMEOUT
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.chance import RandomStreams
 from lilacloft.emulator.faults import draw, parse
 from lilacloft.emulator.fleet import run
-from lilacloft.emulator.planes import Planes, Trouble, troubles
+from lilacloft.emulator.planes import PlannedFleet, PlannerFault, troubles
 from lilacloft.emulator.worlds import READS, SECOND, World
 from lilacloft.membership import table as members
 from lilacloft.membership.table import (
@@ -546,13 +546,15 @@
     "(at 1500ms (silent (cache 3)) (for 2s)) (at 2s (purge (group 1) 3))"
 )
 PLANNER_FAULTS = {
-    "one planner stops": [Trouble("kill", 0, SECOND, 2 * SECOND)],
-    "all planners stop": [Trouble("kill", number, SECOND, 3 * SECOND) for number in range(3)],
-    "all planners stop for good": [Trouble("kill", number, SECOND // 2, 90 * SECOND) for number in range(3)],
-    "planners are partitioned": [Trouble("split", 0, SECOND, 3 * SECOND)],
-    "one planner is cut off from gateways": [Trouble("cut", 0, SECOND, 3 * SECOND)],
-    "one planner has an outdated list": [Trouble("old", 0, SECOND // 2, 4 * SECOND)],
-    "all planners restart at once": [Trouble("kill", number, 500, SECOND) for number in range(3)],
+    "one planner stops": [PlannerFault("kill", 0, SECOND, 2 * SECOND)],
+    "all planners stop": [PlannerFault("kill", number, SECOND, 3 * SECOND) for number in range(3)],
+    "all planners stop for good": [
+        PlannerFault("kill", number, SECOND // 2, 90 * SECOND) for number in range(3)
+    ],
+    "planners are partitioned": [PlannerFault("split", 0, SECOND, 3 * SECOND)],
+    "one planner is cut off from gateways": [PlannerFault("cut", 0, SECOND, 3 * SECOND)],
+    "one planner has an outdated list": [PlannerFault("old", 0, SECOND // 2, 4 * SECOND)],
+    "all planners restart at once": [PlannerFault("kill", number, 500, SECOND) for number in range(3)],
 }
 
 
@@ -560,7 +562,7 @@
 def test_planner_faults_break_no_rule_and_cost_little_value(case):
     for seed in (1, 2):
         without_planners = run(WORLD, seed, parse(FAULTS))
-        fleet = Planes(WORLD, seed, parse(FAULTS), troubles=PLANNER_FAULTS[case])
+        fleet = PlannedFleet(WORLD, seed, parse(FAULTS), troubles=PLANNER_FAULTS[case])
         result = fleet.run()
         assert not result.breaches and fleet.issued
         assert result.worth > without_planners.worth - 0.02
@@ -574,7 +576,7 @@
     )
     for seed in range(3):
         assert (
-            not Planes(WORLD, seed, faults, troubles=PLANNER_FAULTS["planners are partitioned"])
+            not PlannedFleet(WORLD, seed, faults, troubles=PLANNER_FAULTS["planners are partitioned"])
             .run()
             .breaches
         )
@@ -584,9 +586,9 @@
 def test_random_faults_of_backends_and_planners_break_no_rule(block):
     world = dataclasses.replace(WORLD, span=3 * SECOND, habits=dataclasses.replace(WORLD.habits, rate=100.0))
     for seed in range(block * 6, block * 6 + 6):
-        faults = draw(Chance(seed).stream("faults"), world.sizes(), world.span, 4)
-        planner_faults = troubles(Chance(seed).stream("troubles"), 3, world.span, 4)
-        result = Planes(world, seed, faults, troubles=planner_faults).run()
+        faults = draw(RandomStreams(seed).stream("faults"), world.sizes(), world.span, 4)
+        planner_faults = troubles(RandomStreams(seed).stream("troubles"), 3, world.span, 4)
+        result = PlannedFleet(world, seed, faults, troubles=planner_faults).run()
         assert not result.breaches, (
             seed,
             [str(fault) for fault in faults],
@@ -597,7 +599,8 @@
 
 def test_same_seed_gives_the_same_run_with_planners():
     first, second = (
-        Planes(WORLD, 4, parse(FAULTS), troubles=PLANNER_FAULTS["planners are partitioned"]) for _ in range(2)
+        PlannedFleet(WORLD, 4, parse(FAULTS), troubles=PLANNER_FAULTS["planners are partitioned"])
+        for _ in range(2)
     )
     assert first.run() == second.run() and first.issued == second.issued
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lilacloft.emulator import faults
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.chance import RandomStreams
 from lilacloft.emulator.clients import Ask, Clients, Flash, Habits
 from lilacloft.emulator.copies import Copies
 from lilacloft.emulator.faults import KINDS, Fault, FaultError, draw, parse, shrink
@@ -24,7 +24,7 @@
 
 
 def drawn(seed, count=4, world=BRIEF):
-    return draw(Chance(seed).stream("faults"), world.sizes(), world.span, count)
+    return draw(RandomStreams(seed).stream("faults"), world.sizes(), world.span, count)
 
 
 # --- reproducibility ---
@@ -224,9 +224,9 @@
             assert parse(str(fault)) == [fault]
             assert fault.kind in KINDS and fault.at <= BRIEF.span
     assert {fault.kind for seed in range(300) for fault in drawn(seed)} == set(faults.WEIGHTS)
-    some = draw(Chance(1).stream("x"), BRIEF.sizes(), 100, 5, {"silent": 1})
+    some = draw(RandomStreams(1).stream("x"), BRIEF.sizes(), 100, 5, {"silent": 1})
     assert {fault.kind for fault in some} == {"silent"}
-    assert not draw(Chance(1).stream("x"), {}, 100, 5, {"cold": 1})
+    assert not draw(RandomStreams(1).stream("x"), {}, 100, 5, {"cold": 1})
 
 
 @pytest.mark.parametrize(
@@ -312,7 +312,7 @@
 
 
 def clients(**more):
-    return Clients(Chance(1), Habits(**{"mix": (0.5, 0.5), **more}), ["replayable", "uniqued"])
+    return Clients(RandomStreams(1), Habits(**{"mix": (0.5, 0.5), **more}), ["replayable", "uniqued"])
 
 
 def test_arrivals_follow_the_daily_cycle_and_flash_crowds():
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -9,7 +9,7 @@
 
 from lilacloft.__main__ import main
 from lilacloft.config.reader import SettingsError, parse
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.chance import RandomStreams
 from lilacloft.emulator.faults import Fault
 from lilacloft.emulator.fleet import run as emulated
 from lilacloft.emulator.policies import POLICIES
@@ -298,7 +298,7 @@
         slow = sum(one.kind == "slow" for one in spot.faults)
         return min(1.0, spot.world.habits.rate / 600) * 0.5 + 0.2 * min(slow, 2) + chance.gauss(0, 0.05)
 
-    search = Search(Chance(3).stream("search"), [WORLDS["small"], WORLDS["thin"]])
+    search = Search(RandomStreams(3).stream("search"), [WORLDS["small"], WORLDS["thin"]])
     for _ in range(1500):
         spot = search.next()
         for name, (low, high) in FIELDS.items():
@@ -341,7 +341,7 @@
     def lost(faults):  # the slow origin causes the loss; the others are noise
         return 0.3 * any(one.kind == "slow" for one in faults) + 0.01 * len(faults)
 
-    search = Search(Chance(1).stream("search"), [WORLDS["small"]], keep=4)
+    search = Search(RandomStreams(1).stream("search"), [WORLDS["small"]], keep=4)
     for other in others:
         spot = Spot(WORLDS["small"], (slow, other))
         search.found(spot, lost(spot.faults), 16)
--- a/tests/test_failover_world.py
+++ b/tests/test_failover_world.py
@@ -5,7 +5,7 @@
 
 from lilacloft.emulator.faults import parse
 from lilacloft.emulator.fleet import START
-from lilacloft.emulator.planes import Trouble
+from lilacloft.emulator.planes import PlannerFault
 from lilacloft.emulator.worlds import SECOND
 from lilacloft.failover.hash_slices import SLICE_COUNT
 from rigs.failover import SCRIPTS, WatchedPlanes, WorldSize, build_world, run_world
@@ -79,7 +79,7 @@
     """All planners stop for good during the return of a cold location."""
     world = build_world(SIZE, span=34.0)
     faults = parse(SCRIPTS["silent-cold"].faults)
-    planner_faults = tuple(Trouble("kill", number, 114_000, 1_000_000) for number in range(3))
+    planner_faults = tuple(PlannerFault("kill", number, 114_000, 1_000_000) for number in range(3))
     fleet = WatchedPlanes(world, 4, faults, troubles=planner_faults, leave="past")
     fleet.watch()
     samples = []
@@ -110,9 +110,9 @@
     Another planner leads, and the first one rejoins before the location returns."""
     faults = parse(SCRIPTS["silent-cold"].faults)
     planner_faults = (
-        Trouble("split", 0, 60_000, 30_000),
-        Trouble("cut", 0, 60_000, 30_000),
-        Trouble("kill", 1, 100_000, 5_000),
+        PlannerFault("split", 0, 60_000, 30_000),
+        PlannerFault("cut", 0, 60_000, 30_000),
+        PlannerFault("kill", 1, 100_000, 5_000),
     )
     fleet = WatchedPlanes(build_world(SIZE, span=30.0), 6, faults, troubles=planner_faults, leave="past")
     fleet.watch()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -2,7 +2,7 @@
 
 import json
 
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.chance import RandomStreams
 from lilacloft.emulator.faults import draw, parse
 from lilacloft.emulator.worlds import WORLDS
 from rigs import gate
@@ -14,7 +14,7 @@
     refusal_count = 0
     for seed in range(1, 7):
         world = WORLDS["brief"].lasting(2)
-        faults = tuple(draw(Chance(seed).stream("faults"), world.sizes(), world.span, 4))
+        faults = tuple(draw(RandomStreams(seed).stream("faults"), world.sizes(), world.span, 4))
         run = gate.observed_run((world, faults, seed))
         assert run["disagreed"] == {}, (seed, faults)
         refusal_count += sum(run["refused"].values())
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from lilacloft.emulator.chance import Chance
+from lilacloft.emulator.chance import RandomStreams
 from lilacloft.emulator.events import CLIENT, FAULT, NET, Events
 
 
 def test_streams_are_independent_of_each_other():
-    one, two = Chance(7), Chance(7)
+    one, two = RandomStreams(7), RandomStreams(7)
     two.stream("other").random()
     first = [one.stream("clients").random() for _ in range(2000)]
     mixed = []
@@ -18,7 +18,7 @@
         mixed.append(two.stream("clients").random())
         if number % 3:
             two.stream("other").expo(2.0)
-    assert first == mixed and Chance(8).stream("clients").random() != first[0]
+    assert first == mixed and RandomStreams(8).stream("clients").random() != first[0]
     assert first != [one.stream("client").random() for _ in range(2000)]
 
 
@@ -41,7 +41,7 @@
 
 
 def test_draws_have_the_stated_distributions():
-    stream = Chance(1).stream("shape")
+    stream = RandomStreams(1).stream("shape")
     waits = [stream.expo(4.0) for _ in range(20_000)]
     assert sum(waits) / len(waits) == pytest.approx(4.0, rel=0.05)
     assert {stream.below(3) for _ in range(200)} == {0, 1, 2}
