--- a/rigs/bridge.py
+++ b/rigs/bridge.py
@@ -319,7 +319,7 @@
             stand.close()
 
 
-def emulated(world: World, seed: int, faults: list[language.Fault]) -> dict[str, Any]:
+def run_in_emulator(world: World, seed: int, faults: list[language.Fault]) -> dict[str, Any]:
     """Run the same world in the emulator, without client retries, as the clients on sockets send none."""
     alone = replace(world, habits=replace(world.habits, retries=0))
     fleet = Fleet(alone, seed, faults)
@@ -354,7 +354,7 @@
             "world": given.world,
             "seed": given.seed,
             "rate": world.habits.rate,
-            "emulator": emulated(world, given.seed, faults),
+            "emulator": run_in_emulator(world, given.seed, faults),
             "sockets": sockets(world, given.seed, faults, Path(folder), given.size),
         }
     text = json.dumps(both, indent=1)
--- a/rigs/failing.py
+++ b/rigs/failing.py
@@ -35,7 +35,7 @@
     "thread that writes": (errno.EAGAIN,),
 }
 # errors by which a connection shows that its network path has failed
-BROKEN = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
+PATH_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 
 class Failures:
@@ -135,7 +135,7 @@
 
 
 @contextlib.contextmanager
-def put_under(failures: Failures) -> Iterator[Failures]:
+def inject_failures(failures: Failures) -> Iterator[Failures]:
     """Let the connections that are created from now on, and the related calls, consult `failures` before each
     call."""
     connection_init, downstream_init = connection.Connection.__init__, downstream.Downstream.__init__
--- a/rigs/failing_disk.py
+++ b/rigs/failing_disk.py
@@ -55,7 +55,7 @@
         return OSError(self.chance.choice(ERRORS), "injected disk failure")
 
 
-def put_under(disk: FailingDisk) -> None:
+def inject_failures(disk: FailingDisk) -> None:
     """Let the store use a failing disk for the rest of this process."""
     changed = {"write": disk.write, "fdatasync": disk.fdatasync, "fsync": disk.fsync}
     files.os = SimpleNamespace(**{**vars(os), **changed})  # type: ignore[attr-defined]
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -51,7 +51,7 @@
 
 KINDS = ("small", "large", "parent", "origin")
 ORIGIN = "s-00000fff"
-TOLD = 0.5  # seconds until all reachable parties know of an event
+PROPAGATION_SECONDS = 0.5  # seconds until all reachable parties know of an event
 MAX_START_SECONDS = 2.0  # seconds; the longest start of a process of backends
 RESTART_DELAY = 0.3  # seconds from the end of a backend to its restart
 FAULT_WEIGHTS = {
@@ -73,7 +73,7 @@
 
 
 @dataclass
-class Meta:
+class BackendInfo:
     """A backend as the script knows it."""
 
     name: str
@@ -132,7 +132,7 @@
         self.ports = ports
         super().__init__()
 
-    def tell(self, number: int, backend: Meta) -> None:
+    def tell(self, number: int, backend: BackendInfo) -> None:
         """Send the state of a backend, unless the party does not reach it."""
         if backend.name in self.ports:
             payload = bytearray(
@@ -175,7 +175,7 @@
         self.zones, self.hubs = zones, hubs
         self.number = 1
         self.sockets, self.memory_mb = 1024, 192
-        self.backends: dict[str, Meta] = {}
+        self.backends: dict[str, BackendInfo] = {}
         for number in range(zones * caches):
             self._add_backend(number + 1, "small", number // caches)
         for number in range(parents):
@@ -203,7 +203,7 @@
 
     def _add_backend(self, number: int, kind: str, zone: int) -> None:
         name = f"s-{number:08x}"
-        self.backends[name] = Meta(name, kind, zone, unused())
+        self.backends[name] = BackendInfo(name, kind, zone, unused())
 
     # --- links ---
 
@@ -267,7 +267,7 @@
 
     # --- backends ---
 
-    def of(self, site: int) -> list[Meta]:
+    def of(self, site: int) -> list[BackendInfo]:
         """The backends of a process: those of a location or hub; the last process has the origin."""
         if site == self.zones + self.hubs:
             return [self.backends[ORIGIN]]
@@ -317,7 +317,7 @@
 
     # --- the change log ---
 
-    def listed(self, backend: Meta) -> None:
+    def listed(self, backend: BackendInfo) -> None:
         self.account.write(
             "log",
             "listed",
@@ -328,7 +328,7 @@
             kind=backend.kind,
         )
 
-    def tell(self, backends: Iterable[Meta]) -> None:
+    def tell(self, backends: Iterable[BackendInfo]) -> None:
         """Publish the changed states of backends."""
         for backend in backends:
             self.number += 1
@@ -475,7 +475,7 @@
 
     # --- the script ---
 
-    def affected_backends(self, fault: Fault) -> list[Meta]:
+    def affected_backends(self, fault: Fault) -> list[BackendInfo]:
         number = int(fault.which) if fault.which.isdigit() else 0
         return {
             "cache": self.caches[number : number + 1],
@@ -534,7 +534,7 @@
             place = int(fault.which) + (self.zones if fault.whom == "hub" else 0)
             return [
                 (at, lambda: self.kill_site(place)),
-                (max(end, at + RESTART_DELAY), lambda: self._born(place)),
+                (max(end, at + RESTART_DELAY), lambda: self._restart_site(place)),
             ]
         if fault.kind == "drain":
             return [(at, lambda: self._state(names, "leaving")), (end, lambda: self._state(names, "active"))]
@@ -542,10 +542,10 @@
             key = f"{int(fault.which[1:]):016x}"
             return [(at + 0.1 * nth, lambda: self.purge(key)) for nth in range(int(fault.hard))]
         if fault.kind == "restart":
-            return [(at, lambda: [self._again(one) for one in gateways] and None)]
+            return [(at, lambda: [self._restart_gateway(one) for one in gateways] and None)]
         if fault.kind == "stop":
             return [
-                (at, lambda: self._halted(gateways, span + 1)),
+                (at, lambda: self._record_halt(gateways, span + 1)),
                 (at, lambda: self._signal(gateways, signal.SIGSTOP)),
                 (end, lambda: self._signal(gateways, signal.SIGCONT)),
             ]
@@ -564,7 +564,7 @@
             ]
         return []
 
-    def _born(self, place: int) -> None:
+    def _restart_site(self, place: int) -> None:
         now = time.time()
         for backend in self.of(place):
             backend.started = now
@@ -578,12 +578,12 @@
             backend.state = state
         self.tell(backends)
 
-    def _halted(self, gateways: list[Gateway], seconds: float) -> None:
+    def _record_halt(self, gateways: list[Gateway], seconds: float) -> None:
         now = time.time()
         self.halted += [(gateway.port, now, now + seconds) for gateway in gateways]
 
-    def _again(self, gateway: Gateway) -> None:
-        self._halted([gateway], 3.0)
+    def _restart_gateway(self, gateway: Gateway) -> None:
+        self._record_halt([gateway], 3.0)
         assert gateway.process is not None
         gateway.process.kill()
         gateway.process.wait()
@@ -633,7 +633,7 @@
             or not self._was_uninformed(entry, names.get(requests.get(entry["ref"], {}).get("gateway")))
         ]
         all_ = check(entries, self.limits())
-        real = [one for one in all_ if one.rule != 4 and not self._excused(one, requests, names)]
+        real = [one for one in all_ if one.rule != 4 and not self._is_caused_by_script(one, requests, names)]
         real += [one for one in check(informed, self.limits()) if one.rule == 4]
         return sorted(real, key=lambda one: one.at), len(all_) - len(real)
 
@@ -652,12 +652,13 @@
                 at for other, at in self.births if other == backend and at - MAX_START_SECONDS <= sent_at
             ]
             if births and (
-                sent_at <= births[-1] + TOLD or self._was_cut_from_log(name, sent_at - TOLD, sent_at)
+                sent_at <= births[-1] + PROPAGATION_SECONDS
+                or self._was_cut_from_log(name, sent_at - PROPAGATION_SECONDS, sent_at)
             ):
                 return True
         return False
 
-    def _excused(self, breach: Breach, requests: dict[str, Any], names: dict[int, str]) -> bool:
+    def _is_caused_by_script(self, breach: Breach, requests: dict[str, Any], names: dict[int, str]) -> bool:
         words = breach.text.split()
         if breach.rule == 2 and "out twice" in breach.text:
             return any(whom == words[-1] and begin <= breach.at <= end for _, whom, begin, end in self.cuts)
--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -24,7 +24,7 @@
         time.sleep(0.002)
 
 
-def waits_for(stand, wait=1.0):
+def next_dispatch(stand, wait=1.0):
     """The next dispatch that reaches a stand-in cache within `wait` seconds; None if there is none."""
     try:
         return stand.next(wait=wait)
@@ -40,23 +40,23 @@
 # --- ways in which a client leaves ---
 
 
-def forgets(asker):
+def cancel_all(asker):
     """Cancel all requests of a client."""
     for tag in range(1, asker.tag + 1):
         asker.send(b"FORGET", b"%d" % tag)
 
 
-def closes(asker):
+def close_client(asker):
     """Close the connection of a client."""
     asker.sock.close()
 
 
-def halves(asker):
+def half_close(asker):
     """Close the sending direction only; the client may still read."""
     asker.sock.shutdown(socket.SHUT_WR)
 
 
-def resets(asker):
+def reset_client(asker):
     """Reset the connection of a client."""
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     asker.sock.close()
@@ -73,16 +73,16 @@
         self.log.since.get(timeout=5)
         if self.log.released.is_set():
             until(lambda: self.owner.discovery_watch.status.current)
-        self.does(lambda: None)  # clients can connect, and the events of the change log are applied
+        self.run_on_owner(lambda: None)  # clients can connect, and the events of the change log are applied
 
-    def does(self, what):
+    def run_on_owner(self, what):
         """The result of a function run in the owner's thread, after all earlier internal events."""
         told = queue.SimpleQueue()
         self.owner.post(lambda: told.put(what()))
         return told.get(timeout=5)
 
     def held(self):
-        return self.does(self.owner.open_resources)
+        return self.run_on_owner(self.owner.open_resources)
 
     def stall(self):
         """Block the owner thread; returns the event that lets it continue."""
@@ -91,7 +91,7 @@
         assert blocked.wait(5)
         return go
 
-    def rests(self, wait=5.0, but=("clients", "checks")):
+    def wait_until_idle(self, wait=5.0, but=("clients", "checks")):
         """Wait until no resource is open or counted, other than the open connections named in `but`."""
         until(
             lambda: not any(many for name, many in self.held().items() if name not in but),
@@ -114,12 +114,12 @@
 
 
 @contextlib.contextmanager
-def handed_over(world):
+def restored_successor(world):
     """Yields the restorer of a successor, in this process, to which the state of an idle gateway was
     transferred; the owner of the successor is not started. Connections must be `movable`."""
     quiescer = Quiescer(world.owner)
-    assert world.does(lambda: quiescer.quiesce(time.monotonic() + 4, lambda: True)) == ""
-    exported = world.does(lambda: export_gateway(world.owner, "whole", []))
+    assert world.run_on_owner(lambda: quiescer.quiesce(time.monotonic() + 4, lambda: True)) == ""
+    exported = world.run_on_owner(lambda: export_gateway(world.owner, "whole", []))
     successor = Gateway({**world.config, "listen": "127.0.0.1:0"}, is_successor=True)
     restorer = GatewayRestorer(successor)
     restorer.restore(
@@ -128,7 +128,7 @@
     try:
         yield restorer
     finally:
-        world.does(quiescer.resume_all)
+        world.run_on_owner(quiescer.resume_all)
         for conn in restorer.connections:
             conn.close(CloseReason.RETIRED)
         successor.downstream.sock.close()
--- a/rigs/load.py
+++ b/rigs/load.py
@@ -117,7 +117,7 @@
                 continue
             # a client cannot tell a close that crossed its request from a crash: bookings are not resent
             crossed = not asked.again and ended - asked.sent < CROSSING_SECONDS and not self.load.over
-            if crossed and (self.load.bold or EFFECTS[asked.vhost] != "non-replayable"):
+            if crossed and (self.load.resends_bookings or EFFECTS[asked.vhost] != "non-replayable"):
                 asked.again, asked.crossed = True, max(0.0, ended - asked.sent)
                 self.load.again += 1
                 self.load.link(asked, fresh=True)
@@ -177,7 +177,9 @@
         self.over = False
         self.allows: tuple[int, ...] = (2500,)  # client timeouts in milliseconds, one drawn per request
         self.forgets = 0.01  # fraction of the requests that their clients cancel
-        self.bold = False  # resends bookings too, for gateways that remember what they have dispatched
+        self.resends_bookings = (
+            False  # resends bookings too, for gateways that remember what they have dispatched
+        )
         self.heard: Callable[[str], None] = lambda word: None
         self.number = 0
         self.thread = threading.Thread(target=self._run, daemon=True)
--- a/rigs/ramp.py
+++ b/rigs/ramp.py
@@ -22,7 +22,7 @@
 from random import Random
 from typing import Any
 
-from rigs.fleet import Fleet, Meta
+from rigs.fleet import BackendInfo, Fleet
 from rigs.load import Load
 from rigs.scene import Gateway
 from rigs.told import tell
@@ -113,7 +113,7 @@
             CAPACITY * pace / KBYTES,
         )
 
-    def begin(self, backends: list[Meta], delays: dict[str, float]) -> None:
+    def begin(self, backends: list[BackendInfo], delays: dict[str, float]) -> None:
         """List caches as just started; each gateway gets the update after its delay."""
         now, first = time.time(), self.number + 1
         for backend in backends:
@@ -125,16 +125,16 @@
                 delays[gateway.name], lambda name=gateway.name: self._send_update(name, first, backends)
             )
 
-    def _send_update(self, name: str, first: int, backends: list[Meta]) -> None:
+    def _send_update(self, name: str, first: int, backends: list[BackendInfo]) -> None:
         for number, backend in enumerate(backends):
             self.updated_at.setdefault((name, backend.name), time.time())
             self.feeds[name].tell(first + number, backend)
 
-    def restart(self, gateway: Gateway, backends: list[Meta]) -> None:
+    def restart(self, gateway: Gateway, backends: list[BackendInfo]) -> None:
         """Kill and restart a gateway; its new configuration holds all starts so far."""
         for backend in backends:
             self.updated_at.setdefault((gateway.name, backend.name), time.time())
-        self._again(gateway)
+        self._restart_gateway(gateway)
 
     def trial(self, number: int, load: Load) -> dict[str, float]:
         """Run one slow start, or two at once; return the start times by cache."""
--- a/rigs/scene.py
+++ b/rigs/scene.py
@@ -31,7 +31,7 @@
 from rigs.account import Account
 from rigs.checker import Limits
 from rigs.kernel_times import TimestampedBuffer, closed_by_peer_at, timestamp_received_bytes
-from rigs.stands import ENV, Log, Replaced, Stand, processes, record, unused
+from rigs.stands import ENV, Log, Stand, UpgradableWorld, processes, record, unused
 
 KINDS = ["small", "large", "parent", "origin"]
 STATES = {"active": 0, "leaving": 1, "left": 2}
@@ -525,7 +525,7 @@
             stand.close()
 
 
-class WriteWorld(Replaced):
+class WriteWorld(UpgradableWorld):
     """A world with virtual hosts for writes. Its clients have a long timeout: where processes start slowly,
     an upgrade outlasted a shorter one, and the timed-out answers showed nothing about the upgrade."""
 
@@ -541,7 +541,7 @@
 
 
 @contextlib.contextmanager
-def booked(folder: Path, **usual: Any) -> Iterator[Callable[..., WriteWorld]]:
+def write_worlds(folder: Path, **usual: Any) -> Iterator[Callable[..., WriteWorld]]:
     """Yields a function that creates such worlds, with `usual` as default arguments; closes them all at the
     end."""
     worlds: list[WriteWorld] = []
--- a/rigs/shim.py
+++ b/rigs/shim.py
@@ -35,11 +35,11 @@
     """Run the gateway with the failures that the specification describes."""
     from lilacloft.__main__ import main
     from rigs import failing_disk
-    from rigs.failing import Failures, put_under
+    from rigs.failing import Failures, inject_failures
 
     if "disk" in SPEC:
         rate, seconds = SPEC["disk"]
-        failing_disk.put_under(failing_disk.FailingDisk(rate, seconds, SPEC.get("seed", 0)))
+        failing_disk.inject_failures(failing_disk.FailingDisk(rate, seconds, SPEC.get("seed", 0)))
     failures = Failures(SPEC.get("rates"), SPEC.get("seed", 0), SPEC.get("short", 0.0))
     connect = socket.create_connection
 
@@ -48,7 +48,7 @@
         return connect(*args, **more)
 
     socket.create_connection = connect_or_fail  # the connection to the change log is made with it
-    with put_under(failures):
+    with inject_failures(failures):
         return main(sys.argv[2:])
 
 
--- a/rigs/soak.py
+++ b/rigs/soak.py
@@ -39,7 +39,7 @@
 from typing import Any
 
 from rigs.checker import Limits
-from rigs.fleet import TOLD, Fleet, Meta
+from rigs.fleet import PROPAGATION_SECONDS, BackendInfo, Fleet
 from rigs.lateness import lateness, relay_entries, who_was_late
 from rigs.load import Load
 from rigs.rude import Rude
@@ -256,7 +256,7 @@
         self.timers.after(span, end_spike)
 
     def _kill(self, gateway: Gateway, *_: Any) -> None:
-        self._halted([gateway], 3.0)
+        self._record_halt([gateway], 3.0)
         assert gateway.process is not None
         gateway.process.kill()
         gateway.process.wait()
@@ -301,7 +301,7 @@
         self.cut(pairs, seconds=span + 1, **fault)
         self.timers.after(span, lambda: self.cut(pairs, **cleared))
 
-    def _inject_backend_fault(self, kind: str, backend: Meta, span: float) -> None:
+    def _inject_backend_fault(self, kind: str, backend: BackendInfo, span: float) -> None:
         names = [backend.name]
         if kind == "drain":
             if backend.state == "active":
@@ -320,16 +320,16 @@
         """Restart all caches of a location with empty storage."""
         zone = chance.randrange(self.zones)
         self.kill_site(zone)
-        self.timers.after(0.3, lambda: self._born(zone))
+        self.timers.after(0.3, lambda: self._restart_site(zone))
 
     def purge(self, key: str) -> None:
         self.purged.append((self.number + 1, key, time.time()))
         super().purge(key)
 
-    def _excused(self, breach: Any, requests: dict[str, Any], names: dict[int, str]) -> bool:
+    def _is_caused_by_script(self, breach: Any, requests: dict[str, Any], names: dict[int, str]) -> bool:
         """Also excuse repeated requests of clients whose gateway was killed, as it may have executed them,
         and late answers of gateways that were paused."""
-        if super()._excused(breach, requests, names):
+        if super()._is_caused_by_script(breach, requests, names):
             return True
         ref = re.search(r"\b[0-9a-f]{16}\b", breach.text)
         request = requests.get(ref[0]) if ref else None
@@ -341,7 +341,7 @@
                 begin <= breach.at and request["at"] <= end for begin, end in spans
             )
         return breach.rule == 2 and any(
-            port == request["gateway"] and begin - TOLD <= request["at"] <= end
+            port == request["gateway"] and begin - PROPAGATION_SECONDS <= request["at"] <= end
             for port, begin, end in self.halted
         )
 
@@ -386,7 +386,7 @@
         try:
             fleet.start()
             load = Load(fleet, rate, held=2)  # type: ignore[arg-type]
-            load.allows, load.forgets, load.bold = (2500, 2500, 1500, 600, 120), 0.05, True
+            load.allows, load.forgets, load.resends_bookings = (2500, 2500, 1500, 600, 120), 0.05, True
             fleet.load = load
             rude = Rude([gateway.port for gateway in fleet.gateways], fleet.chance("rude"))
             load.start()
--- a/rigs/stands.py
+++ b/rigs/stands.py
@@ -254,7 +254,7 @@
     return None
 
 
-class Asker:
+class StandInClient:
     """A client's connection."""
 
     def __init__(self, port, allow=1500):
@@ -363,7 +363,7 @@
         return ["change log: "] if self.log.released.is_set() else []
 
     def asker(self):
-        return Asker(self.port, self.allow)
+        return StandInClient(self.port, self.allow)
 
     def stop(self):
         """Send SIGTERM; returns the exit code and the rest of the log."""
@@ -390,7 +390,7 @@
     return found
 
 
-class Replaced(World):
+class UpgradableWorld(World):
     """A world whose gateway can be upgraded: it logs to a file, as its successors log there too."""
 
     def __init__(
--- a/rigs/store_kill.py
+++ b/rigs/store_kill.py
@@ -38,7 +38,7 @@
         try:
             gateway.start(*settings)
             load = Load(scene, rate)
-            load.bold = True
+            load.resends_bookings = True
             load.start()
             restart_seconds = _kill_and_restart(scene, times, scene.chance("kills"), settings)
             time.sleep(0.5)
--- a/rigs/upgrade_kills.py
+++ b/rigs/upgrade_kills.py
@@ -48,7 +48,7 @@
         arguments = ["--handover", self.gateway.handover, "--supervised"]
         if self.args.store:  # then clients retry non-idempotent writes too, as the listener stays open
             arguments += self.gateway.settings('(store (folder "store"))')
-            self.load.bold = True
+            self.load.resends_bookings = True
         self.gateway.start(*arguments)
         supervisor = self.gateway.process
         self.load.start()
--- a/tests/test_cancelled_attempts.py
+++ b/tests/test_cancelled_attempts.py
@@ -15,7 +15,7 @@
 from lilacloft.net.resp import encode
 from lilacloft.routing.link_delay import ANSWERS_COUNTED, LINK_DELAY_MEMORY, MIN_ANSWERS, LinkDelay
 from lilacloft.routing.units import TICKS_PER_SECOND
-from rigs.inprocess import forgets, handed_over, until
+from rigs.inprocess import cancel_all, restored_successor, until
 from rigs.scene import Timers
 
 DELAY = 0.15  # seconds that a message takes, in each direction
@@ -118,18 +118,18 @@
     links.received.clear()
     asker.ask(key=1, room=4)
     until(lambda: world.held()["out"] == 1)
-    (client_request,) = world.does(lambda: list(world.owner.open_requests.values()))
+    (client_request,) = world.run_on_owner(lambda: list(world.owner.open_requests.values()))
     return client_request
 
 
 def cancel_attempt(world, client_request):
     """Have the router cancel an attempt, as when its cache is ejected."""
-    world.does(lambda: world.owner.router.cancel_if_safe(client_request.request))
+    world.run_on_owner(lambda: world.owner.router.cancel_if_safe(client_request.request))
 
 
 def close_connection(world, client_request):
     """Close an attempt's connection from the gateway's side."""
-    world.does(lambda: client_request.attempt.connection.close(CloseReason.SILENT))
+    world.run_on_owner(lambda: client_request.attempt.connection.close(CloseReason.SILENT))
 
 
 @pytest.mark.parametrize("when", ["under way", "whole"])
@@ -149,7 +149,7 @@
     until(lambda: all((links.first(b"do", home), links.first(verb, home), links.first(b"do", other))))
     assert links.first(b"do", home)[0] < links.first(verb, home)[0] < links.first(b"do", other)[0]
     assert asker.answer()[1] == b"200"
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_an_answered_health_check_after_the_cancellation_ends_the_wait(in_process, links):
@@ -159,12 +159,12 @@
     home, _ = measure_link(links, asker, DELAY)
     client_request = send_unanswered(world, links, asker, home)
     until(lambda: links.first(b"do", home))
-    pool = world.does(lambda: world.owner.upstream.pools[client_request.request.backend])
+    pool = world.run_on_owner(lambda: world.owner.upstream.pools[client_request.request.backend])
     for _ in range(ANSWERS_COUNTED):
-        world.does(lambda: pool.link_delay.record(HOUR, world.owner.time))
+        world.run_on_owner(lambda: pool.link_delay.record(HOUR, world.owner.time))
     cancel_attempt(world, client_request)
     assert asker.answer()[1] == b"200", "long before the recorded delay of an hour"
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_cancelled_attempt_is_handed_over_with_its_wait(in_process, links, monkeypatch):
@@ -174,11 +174,11 @@
     home, _ = measure_link(links, asker, DELAY)
     client_request = send_unanswered(world, links, asker, home)
     links.unresponsive.add(home)
-    pool = world.does(lambda: world.owner.upstream.pools[client_request.request.backend])
+    pool = world.run_on_owner(lambda: world.owner.upstream.pools[client_request.request.backend])
     for _ in range(ANSWERS_COUNTED):
-        world.does(lambda: pool.link_delay.record(HOUR, world.owner.time))
+        world.run_on_owner(lambda: pool.link_delay.record(HOUR, world.owner.time))
     cancel_attempt(world, client_request)
-    with handed_over(world) as restorer:
+    with restored_successor(world) as restorer:
         gateway = restorer.gateway
         (end,) = [timer for timer in gateway.timers if timer.callback == gateway.attempt_ended]
         assert end.arguments[1] is CloseReason.CALLED_OFF and end.at > gateway.time + HOUR // 2
@@ -192,8 +192,10 @@
         owner.router.cancel_if_safe(client_request.request)
         return owner.time
 
-    at = world.does(cancelled)
-    ends = world.does(lambda: [timer.at for timer in owner.timers if timer.callback == owner.attempt_ended])
+    at = world.run_on_owner(cancelled)
+    ends = world.run_on_owner(
+        lambda: [timer.at for timer in owner.timers if timer.callback == owner.attempt_ended]
+    )
     return ends[0] - at if ends else 0
 
 
@@ -209,7 +211,7 @@
     slack = world.owner.upstream.answer_slack
     assert wait_after_cancel(world, client_request) <= max(slack, shortest * TICKS_PER_SECOND)
     assert asker.answer()[1] == b"200"
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_cut_slow_link_delays_the_next_attempt_by_at_most_its_answer_time(in_process, links):
@@ -224,7 +226,7 @@
         <= shortest * TICKS_PER_SECOND
     )
     assert asker.answer()[1] == b"200"
-    world.rests(but=("clients", "checks"))
+    world.wait_until_idle(but=("clients", "checks"))
 
 
 def test_no_health_check_is_sent_without_a_next_attempt_or_if_health_checks_are_off(in_process, links):
@@ -241,9 +243,9 @@
     links.received.clear()
     home, _ = measure_link(links, other, DELAY)
     send_unanswered(allowed, links, other, home)
-    forgets(other)
+    cancel_all(other)
     until(lambda: links.first(b"undo", home))
-    allowed.rests()
+    allowed.wait_until_idle()
     assert not links.first(b"ping")
 
 
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -18,7 +18,7 @@
 from lilacloft.routing.catch_up import MAX_LIMITED_TIME, CatchUp
 from rigs.inprocess import InProcessWorld, until
 from rigs.model import SEC, Model, settings
-from rigs.stands import Log, Replaced, made
+from rigs.stands import Log, UpgradableWorld, made
 
 KEY = 5
 OLD, NEW = b"from before the purge", b"filled anew"
@@ -81,7 +81,7 @@
     threading.Timer(HELD, log.released.set).start()
     while world.owner.discovery_watch.last < number:
         answers.add(fetch(asker))
-    world.does(lambda: None)  # until the purge is applied
+    world.run_on_owner(lambda: None)  # until the purge is applied
     answers.add(fetch(asker))
     return answers
 
@@ -110,7 +110,7 @@
     world.log.frames.append(purge())
     world.log.break_off()
     assert world.log.since.get(timeout=5) == 1
-    world.does(lambda: None)  # until the end of the connection is handled
+    world.run_on_owner(lambda: None)  # until the end of the connection is handled
     assert fetch_while_held(world, world.log) == {NEW}
 
 
@@ -122,7 +122,7 @@
     world.log.hold()
     world.log.frames.append(purge())  # not sent on existing connections
     assert world.log.since.get(timeout=5) == 1, "reconnects after too long a silence"
-    world.does(lambda: None)
+    world.run_on_owner(lambda: None)
     assert fetch(asker) == NEW
     assert fetch_while_held(world, world.log) == {NEW}
 
@@ -135,7 +135,7 @@
     other = Log([purge()])
     other.hold()
     moved = {**world.config, "listen": "127.0.0.1:0", "changelog": f"127.0.0.1:{other.port}"}
-    world.does(lambda: world.owner.reload(moved))
+    world.run_on_owner(lambda: world.owner.reload(moved))
     asker = world.asker()
     assert fetch(asker) == NEW, "at once, whatever the previous log has sent"
     assert other.since.get(timeout=5) == 1
@@ -151,8 +151,8 @@
     other = Log()
     before = world.owner.discovery_watch.target
     world.log.hold()
-    world.does(lambda: world.owner.reload({**config, "changelog": f"127.0.0.1:{other.port}"}))
-    world.does(lambda: world.owner.reload(config))
+    world.run_on_owner(lambda: world.owner.reload({**config, "changelog": f"127.0.0.1:{other.port}"}))
+    world.run_on_owner(lambda: world.owner.reload(config))
     assert world.owner.discovery_watch.target.address == before.address
     world.owner.discovery_watch.on_change(WatchChange.CAUGHT_UP, before)
     assert fetch(asker) == NEW
@@ -176,7 +176,7 @@
     world.log.close()
     world.log.break_off()
     until(lambda: len(refusals) > 1)
-    world.does(lambda: None)  # until the first refusal is handled
+    world.run_on_owner(lambda: None)  # until the first refusal is handled
     assert fetch(asker) == OLD
     assert copies.asked_ages[-1] == FULL_AGE, (
         "purges that cannot be read now do not justify filling every copy again"
@@ -185,7 +185,7 @@
     back.hold()
     world.log = back
     assert back.since.get(timeout=5) == 1
-    world.does(lambda: None)
+    world.run_on_owner(lambda: None)
     assert fetch_while_held(world, back) == {NEW}
 
 
@@ -225,13 +225,13 @@
     assert fetch(asker) == NEW and copies.asked_ages[-1] == LIMIT / SEC
     world.log.released.set()
     until(lambda: world.owner.discovery_watch.status.current)
-    world.does(lambda: None)
+    world.run_on_owner(lambda: None)
     assert_only_purged_copies_are_limited(asker, copies)
 
 
 @pytest.fixture
 def replaced(tmp_path):
-    yield from made(Replaced, tmp_path)
+    yield from made(UpgradableWorld, tmp_path)
 
 
 def test_the_receiver_of_a_handover_serves_no_copy_older_than_a_purge_sent_to_nobody(replaced):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -20,8 +20,8 @@
 from lilacloft.handover.state_restore import GatewayRestorer
 from lilacloft.net.discovery_watch import WatchStatus
 from lilacloft.net.resp import parse_fields
-from rigs.inprocess import forgets, until
-from rigs.scene import booked
+from rigs.inprocess import cancel_all, until
+from rigs.scene import write_worlds
 from rigs.stands import World, record, serves, silent
 
 HOUR = 3600.0
@@ -115,7 +115,7 @@
     client = world.asker()
     client.ask(key=5)
     assert int(parse_fields(world.caches[0].next()[2][2])["agelim"]) == 10_000
-    forgets(client)
+    cancel_all(client)
     now = int(time.time() * 1000)
     world.log.add(2, 3, struct.pack(">QQ", 4, now))
     world.log.add(2, 0)  # nothing new: all that it held back is told
@@ -126,13 +126,13 @@
     client.ask(key=5)
     told = int(parse_fields(world.caches[0].next()[2][2])["agelim"]) / 1000
     assert told <= time.monotonic() - purged
-    forgets(client)
-    world.rests()
+    cancel_all(client)
+    world.wait_until_idle()
 
 
 def test_a_slow_start_continues_in_a_next_process_whose_clock_is_set_back(tmp_path):
     """The start times that are handed over do not depend on the wall clock of the next process."""
-    with booked(tmp_path) as make:
+    with write_worlds(tmp_path) as make:
         world = make(serves())
         world.log.add(2, 2, record(1, world.caches[0].port, started=int(time.time() * 1000)))
         time.sleep(0.3)
@@ -153,8 +153,8 @@
     world.log.add(2, 3, struct.pack(">QQ", 4, now))
     row = ("s-00000001", ("127.0.0.1", world.caches[0].port), 0, 0, 0, 1, 5.0, now - 300)
     world.log.add(3, 2, record(1, world.caches[0].port, started=now - 300))
-    until(lambda: world.does(lambda: world.owner.backends["s-00000001"].started))
-    state = world.does(lambda: export_gateway(world.owner, "drain", [])).state
+    until(lambda: world.run_on_owner(lambda: world.owner.backends["s-00000001"].started))
+    state = world.run_on_owner(lambda: export_gateway(world.owner, "drain", [])).state
     successor = Gateway({**world.config, "listen": "127.0.0.1:0"}, is_successor=True)
     try:
         GatewayRestorer(successor).restore(
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -14,14 +14,23 @@
 from lilacloft.routing import retries
 from lilacloft.routing.units import TICKS_PER_SECOND
 from lilacloft.store.gateway_store import GatewayStore
-from rigs.inprocess import closes, forgets, halves, handed_over, limits, resets, until, waits_for
-from rigs.stands import Asker, serves, silent
+from rigs.inprocess import (
+    cancel_all,
+    close_client,
+    half_close,
+    limits,
+    next_dispatch,
+    reset_client,
+    restored_successor,
+    until,
+)
+from rigs.stands import StandInClient, serves, silent
 
 CLIP = b"x" * 200_000
 MAX_SEND_DELAY = (
     0.1  # seconds; by the operators' terms, no attempt may start this long after its client has left
 )
-WAYS = [forgets, closes, halves, resets]
+WAYS = [cancel_all, close_client, half_close, reset_client]
 
 
 def wait_until(when):
@@ -41,7 +50,7 @@
 def first_cache(world):
     """Return the cache that received a request's first attempt."""
     found = []
-    until(lambda: found or found.extend(cache for cache in world.caches if waits_for(cache, 0.01)))
+    until(lambda: found or found.extend(cache for cache in world.caches if next_dispatch(cache, 0.01)))
     return found[0]
 
 
@@ -57,9 +66,9 @@
     """Check that no attempt starts, a client that may still read gets an answer, and no resource stays in
     use."""
     assert_no_attempt(world)
-    if leaves is halves:
+    if leaves is half_close:
         assert asker.answer()[:2] == [tag, b"503"]
-    world.rests(but=("clients", "checks"))
+    world.wait_until_idle(but=("clients", "checks"))
 
 
 def discard_messages(world):
@@ -84,14 +93,14 @@
     until(lambda: world.held()["calls"] == many)
     left = make_leave(leaves, *askers)
     late.set()
-    world.rests(0.3 - (time.monotonic() - left))
-    if leaves is halves:
+    world.wait_until_idle(0.3 - (time.monotonic() - left))
+    if leaves is half_close:
         assert {asker.answer()[1] for asker in askers} == {b"503"}
     other = world.asker()
     other.ask(key=99)
     assert world.caches[0].next()[2][2].find(b"thing=%016x" % 99) > 0, "the first that comes through"
-    forgets(other)
-    world.rests()
+    cancel_all(other)
+    world.wait_until_idle()
 
 
 def test_after_a_half_close_a_pending_dispatch_is_sent_within_the_grace(in_process, late, monkeypatch):
@@ -101,7 +110,7 @@
     world = in_process(serves(CLIP))
     asker = world.asker()
     tag = asker.ask()
-    halves(asker)
+    half_close(asker)
     until(
         lambda: any(
             client.state is ConnectionState.HALF_CLOSED for client in list(world.owner.downstream.clients)
@@ -109,7 +118,7 @@
     )
     late.set()
     assert asker.answer() == [tag, b"200", b"", CLIP] and asker.answer() is None
-    world.rests(but=("checks",))
+    world.wait_until_idle(but=("checks",))
 
 
 def test_after_a_half_close_nothing_is_retried(in_process):
@@ -118,11 +127,11 @@
     asker = world.asker()
     tag = asker.ask(allow=3000)
     cache = first_cache(world)
-    make_leave(halves, asker)
+    make_leave(half_close, asker)
     cache.break_off()  # a reset, after which the request would otherwise be retried
     assert asker.answer()[:2] == [tag, b"503"] and asker.answer() is None
     assert_no_attempt(world)
-    world.rests(but=("checks",))
+    world.wait_until_idle(but=("checks",))
 
 
 @pytest.mark.parametrize("leaves", WAYS)
@@ -169,8 +178,8 @@
     assert b"thing=%016x" % 2 in world.caches[0].next()[2][2]
     assert_no_attempt(world)
     go.set()
-    forgets(stayer)
-    world.rests(but=("clients", "checks"))
+    cancel_all(stayer)
+    world.wait_until_idle(but=("clients", "checks"))
 
 
 def only_client(world):
@@ -231,7 +240,7 @@
 def test_no_retry_for_a_client_that_left_while_its_reader_is_blocked(in_process, leaves, block_reader):
     """The close, the reset or the cancellation is in the kernel, and no thread reads it."""
     world = in_process(serve_all_but_first(240_000), serve_all_but_first(240_000))
-    asker = Asker(world.port)
+    asker = StandInClient(world.port)
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
     asker.ask(key=1, allow=3000)
     cache = first_cache(world)
@@ -242,17 +251,17 @@
     assert_no_attempt(world)
     release()
     asker.sock.close()
-    world.rests(but=("clients", "checks"))
+    world.wait_until_idle(but=("clients", "checks"))
 
 
 @pytest.mark.parametrize("leaves", WAYS)
 def test_what_waits_for_the_disk_is_not_sent_on_for_who_has_left(in_process, tmp_path, leaves):
     """The news that its intent is down lies in the owner's queue before that of its leaving."""
     world, down = in_process(silent), queue.SimpleQueue()
-    guard = world.does(
+    guard = world.run_on_owner(
         lambda: GatewayStore(world.owner, str(tmp_path / "store"), durability_timeout=5 * TICKS_PER_SECOND)
     )
-    world.does(guard.start)
+    world.run_on_owner(guard.start)
     guard.committer.on_durable = down.put
     asker = world.asker()
     tag = asker.ask(b"pay", body=b"x", allow=3000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
@@ -265,10 +274,10 @@
     make_leave(leaves, asker)
     go.set()
     assert_given_up(world, leaves, asker, tag)
-    world.does(guard.close)
+    world.run_on_owner(guard.close)
 
 
-@pytest.mark.parametrize("leaves", [closes, halves, resets])
+@pytest.mark.parametrize("leaves", [close_client, half_close, reset_client])
 def test_a_handed_over_request_is_not_sent_if_its_client_has_left(in_process, late, leaves, monkeypatch):
     """The request waits for its connection at the handover; an idle one exists when the next process
     starts."""
@@ -283,7 +292,7 @@
     until(lambda: world.held()["out"] == 2)
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"ok"))
     assert stayer.answer()[1] == b"200"
-    with handed_over(world) as restorer:
+    with restored_successor(world) as restorer:
         make_leave(leaves, leaver)
         restorer.start()
         assert_no_attempt(world)
@@ -306,9 +315,9 @@
         wait_until(started_at + 0.04)
         return owner.time - owner.client_left_at(request)
 
-    assert world.does(within_a_long_event) >= 400
-    forgets(asker)
-    world.rests()
+    assert world.run_on_owner(within_a_long_event) >= 400
+    cancel_all(asker)
+    world.wait_until_idle()
 
 
 def test_a_retry_for_a_client_that_stays_is_sent(in_process):
@@ -319,9 +328,9 @@
     cache, sent_at = first_cache(world), time.monotonic()
     wait_until(sent_at + MAX_SEND_DELAY)
     cache.break_off()
-    assert any(waits_for(other, 0.5) for other in world.caches)
-    forgets(asker)
-    world.rests()
+    assert any(next_dispatch(other, 0.5) for other in world.caches)
+    cancel_all(asker)
+    world.wait_until_idle()
 
 
 @pytest.mark.parametrize("leaves", WAYS)
@@ -330,7 +339,7 @@
     cache = serve_all_but_first(60_000)
     world = in_process(cache, cache, changes=limits(connectTimeoutNs=10**10))
     late.set()
-    asker = Asker(world.port)
+    asker = StandInClient(world.port)
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client, number = only_client(world), 0
     # one by one until an answer has to wait, far below the limit at which the reader stops
@@ -343,7 +352,7 @@
         cache.break_off()  # so that new connections are needed
     until(
         lambda: not any(
-            pool.connections for pool in world.does(lambda: list(world.owner.upstream.pools.values()))
+            pool.connections for pool in world.run_on_owner(lambda: list(world.owner.upstream.pools.values()))
         )
     )
     asker.ask(key=1, allow=3000)
@@ -353,21 +362,21 @@
     late.set()
     assert_no_attempt(world)
     asker.sock.close()
-    world.rests(but=("clients", "checks"))
+    world.wait_until_idle(but=("clients", "checks"))
 
 
 def test_a_request_cancelled_before_it_is_handled_is_not_sent(in_process):
     world = in_process(silent)
     asker, go = world.asker(), world.stall()
     asker.ask(key=1)
-    forgets(asker)
+    cancel_all(asker)
     until(lambda: world.owner.downstream.counts["forgotten"])
     go.set()
-    world.rests()
+    world.wait_until_idle()
     asker.ask(key=2)
     assert world.caches[0].next()[2][2].find(b"thing=%016x" % 2) > 0
-    forgets(asker)
-    world.rests()
+    cancel_all(asker)
+    world.wait_until_idle()
 
 
 def test_a_collapsed_request_continues_when_the_other_client_leaves(in_process):
@@ -378,8 +387,8 @@
     _, sock, items = world.caches[0].next()
     tag = second.ask(key=5)
     _, other, more = world.caches[0].next()
-    resets(first)
+    reset_client(first)
     assert world.caches[0].next(b"undo")[2][1] == items[1]
     other.sendall(encode(more[1], b"data", b"remark=TCP_JOIN", b"bytes"))
     assert second.answer() == [tag, b"200", b"", b"bytes"]
-    world.rests()
+    world.wait_until_idle()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,8 +18,8 @@
 from lilacloft.net.upstream_pool import UpstreamConnection
 from lilacloft.protocol_settings import from_protocol
 from lilacloft.routing.model import Backend
-from rigs.inprocess import waits_for
-from rigs.stands import ENV, Asker, Log, record, serves
+from rigs.inprocess import next_dispatch
+from rigs.stands import ENV, Log, StandInClient, record, serves
 
 
 @pytest.mark.parametrize("sockets", [1, 8, 11, 32, 64, 512, 4096])
@@ -73,7 +73,7 @@
     """Return the answer to a client that retries on a new connection if one was closed without an answer."""
     for _ in range(100):
         try:
-            asker = Asker(port)
+            asker = StandInClient(port)
             asker.sock.settimeout(5)
             asker.ask(key=key)
             if answer := asker.answer():
@@ -112,11 +112,11 @@
         if "was read again" in line:
             break
     assert ask_until_answered(world.port, 1) == b"200"  # the drain has been taken in by now
-    while waits_for(drained, 0.05):
+    while next_dispatch(drained, 0.05):
         pass
     for key in range(4 * caches):
         assert ask_until_answered(world.port, key) in (b"200", b"503")
-    assert not waits_for(drained, 0.05), "the drain is kept"
+    assert not next_dispatch(drained, 0.05), "the drain is kept"
     over.set()
     watcher.join()
     code, told = world.stop()
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -35,8 +35,17 @@
 from lilacloft.net.upstream_pool import UpstreamConnection
 from lilacloft.protocol_settings import from_protocol
 from lilacloft.routing.model import Backend
-from rigs.inprocess import InProcessWorld, closes, forgets, halves, limits, resets, until, waits_for
-from rigs.stands import ENV, Asker, Log, World, framed, record, serves, silent, unused
+from rigs.inprocess import (
+    InProcessWorld,
+    cancel_all,
+    close_client,
+    half_close,
+    limits,
+    next_dispatch,
+    reset_client,
+    until,
+)
+from rigs.stands import ENV, Log, StandInClient, World, framed, record, serves, silent, unused
 
 CLIP = b"x" * 200_000
 ASKED = b"ref=%016x,allow=3000,lookup=%016x,nth=0,batch=7,room=400"
@@ -47,7 +56,7 @@
 
 def waiting_attempt(world):
     """Return the attempt that waits for its connection to be established."""
-    (client_request,) = world.does(lambda: list(world.owner.open_requests.values()))
+    (client_request,) = world.run_on_owner(lambda: list(world.owner.open_requests.values()))
     return client_request.attempt
 
 
@@ -65,19 +74,19 @@
     if draining == "cache":
         number = int(attempt.backend.name[2:], 16)
         world.log.add(2, 2, record(number, world.caches[number - 1].port, state=1))
-        until(lambda: world.does(lambda: attempt.backend.status) == 2)
+        until(lambda: world.run_on_owner(lambda: attempt.backend.status) == 2)
     else:
         assert b"next=s-00000003" in attempt.data
         world.log.add(2, 2, record(3, world.parent.port, state=1, kind=2))
-        until(lambda: not world.does(lambda: world.owner.router.pools.parents))
+        until(lambda: not world.run_on_owner(lambda: world.owner.router.pools.parents))
     late.set()
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     if draining == "cache":
-        assert not waits_for(world.caches[number - 1], 0.1)
+        assert not next_dispatch(world.caches[number - 1], 0.1)
     else:
         number = int(attempt.backend.name[2:], 16)
         assert b"next=s-00000003" not in world.caches[number - 1].next()[2][2]
-    world.rests()
+    world.wait_until_idle()
 
 
 @pytest.mark.parametrize("kind", [3, 4])
@@ -90,12 +99,12 @@
     assert b"agelim=10000" in waiting_attempt(world).data
     at = time.time_ns() // 10**6
     world.log.add(2, kind, struct.pack(">QQ", 5, at) if kind == 3 else struct.pack(">HQ", 7, at))
-    until(lambda: world.does(lambda: world.owner.router.freshness.purges))
+    until(lambda: world.run_on_owner(lambda: world.owner.router.freshness.purges))
     late.set()
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     told = world.caches[0].next()[2][2]
     assert int(told.split(b"agelim=")[1].split(b",")[0]) <= time.time_ns() // 10**6 - at
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_second_attempt_does_not_wait_for_its_connection_past_the_idempotency_window(in_process, late):
@@ -111,7 +120,7 @@
     asker = world.asker()
     started_at = time.monotonic()
     tag = asker.ask(b"pay", body=b"x", allow=3000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
-    first = next(cache for cache in world.caches if waits_for(cache, 0.2))
+    first = next(cache for cache in world.caches if next_dispatch(cache, 0.2))
     late.clear()
     first.break_off()
     until(
@@ -121,8 +130,8 @@
     assert asker.answer()[:2] == [tag, b"503"]
     assert time.monotonic() - started_at < 0.6
     late.set()
-    assert not any(waits_for(cache, 0.1) for cache in world.caches)
-    world.rests()
+    assert not any(next_dispatch(cache, 0.1) for cache in world.caches)
+    world.wait_until_idle()
 
 
 # --- closes by the gateway ---
@@ -146,9 +155,9 @@
     again = world.asker()
     again.ask(key=2, ref="9b1f03aa5c7e2d41")
     assert world.caches[0].next()[2][2].find(b"thing=%016x" % 2) > 0
-    forgets(again)
+    cancel_all(again)
     asker.sock.close()
-    world.rests()
+    world.wait_until_idle()
     assert world.owner.answer_counts["denied"] == world.owner.answer_counts["aborted"] == 0
 
 
@@ -161,7 +170,7 @@
     world = in_process(serves(b"ok"), changes=LONG_CONNECT_TIMEOUT)
     asker = world.asker()
     until(lambda: world.owner.downstream.counts["connections"])
-    world.does(world.owner.run_maintenance)
+    world.run_on_owner(world.owner.run_maintenance)
     tag = asker.ask()
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     assert world.owner.downstream.counts["closed_idle"] == 0
@@ -173,12 +182,14 @@
     asker = world.asker()
     tag = asker.ask(allow=3000)
     _, sock, items = world.caches[0].next()
-    world.does(world.owner.stop)
+    world.run_on_owner(world.owner.stop)
     assert (
         world.owner.lifecycle.shutdown_deadline - world.owner.lifecycle.shutdown_started
         > 3 * lifecycle.TICKS_PER_SECOND
     )
-    until(lambda: world.does(lambda: world.owner.time) > world.owner.lifecycle.shutdown_started + 2000)
+    until(
+        lambda: world.run_on_owner(lambda: world.owner.time) > world.owner.lifecycle.shutdown_started + 2000
+    )
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
 
@@ -216,13 +227,13 @@
     until(lambda: world.owner.downstream._close_if_idle(client, how))
     assert asker.answer() is None
     asker.sock.close()
-    world.rests(but=("checks",))
+    world.wait_until_idle(but=("checks",))
 
 
 def test_who_stands_still_within_a_message_gets_its_answers_whole_before_its_end(in_process):
     """It reads slowly and has begun another message: it was closed over what had not gone out."""
     world = in_process(serves(b"x" * 240_000))
-    asker = Asker(world.port)
+    asker = StandInClient(world.port)
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
     tags = [asker.ask(key=number, allow=3000) for number in range(8)]
     until(lambda: world.owner.downstream.clients)
@@ -232,15 +243,15 @@
     until(lambda: client.buffer.has_partial())
     assert client.unsent_bytes() > 0
     client.message_started_at -= 60  # seconds ago
-    world.does(world.owner.run_maintenance)
+    world.run_on_owner(world.owner.run_maintenance)
     answers = [asker.answer() for _ in tags]
     assert {answer[0] for answer in answers} == set(tags)
     assert all(answer[1] == b"200" and len(answer[3]) == 240_000 for answer in answers)
     until(lambda: not client.unsent_bytes())
-    world.does(world.owner.run_maintenance)
+    world.run_on_owner(world.owner.run_maintenance)
     assert asker.answer() is None, "in order, once all has gone out"
     asker.sock.close()
-    world.rests(but=("checks",))
+    world.wait_until_idle(but=("checks",))
 
 
 def unread(client):
@@ -259,7 +270,7 @@
     got = list(iter(asker.answer, None))  # a reset would raise here
     assert {items[0] for items in got} == tags and {items[1] for items in got} == {b"503"}
     asker.sock.close()
-    world.rests(but=("checks",))
+    world.wait_until_idle(but=("checks",))
 
 
 def test_a_client_that_does_not_close_after_our_half_close_is_closed(in_process):
@@ -270,7 +281,7 @@
     client = next(iter(world.owner.downstream.clients))
     assert world.owner.downstream._close_if_idle(client) and asker.answer() is None
     until(lambda: client.state is ConnectionState.CLOSED)
-    world.rests(but=("checks",))
+    world.wait_until_idle(but=("checks",))
     asker.sock.close()
 
 
@@ -375,7 +386,7 @@
     other.sock.close()
     world.thread.join(3)
     assert not world.thread.is_alive() and world.owner.time - world.owner.lifecycle.listener_closed_at < 5000
-    assert not waits_for(world.caches[0], 0.1)
+    assert not next_dispatch(world.caches[0], 0.1)
     with pytest.raises(ConnectionRefusedError):
         world.asker()
 
@@ -409,7 +420,7 @@
 
     world = in_process(answer)
     late.set()
-    slow_reader = Asker(world.port)
+    slow_reader = StandInClient(world.port)
     slow_reader.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     in_flight, waiting, read = (world.asker() for _ in range(3))
     tags = {slow_reader: slow_reader.ask(key=2)}
@@ -576,12 +587,12 @@
     for step in (leave, answers) if first == "left" else (answers, leave):
         step()
     go.set()
-    world.rests()
+    world.wait_until_idle()
     tag = asker.ask(key=2)
     _, sock, items = world.caches[0].next()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
     assert asker.answer() == [tag, b"200", b"", b"bytes"], "nothing of the first one before it"
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_request_ends_once_if_its_answer_and_its_time_out_coincide(in_process):
@@ -596,7 +607,7 @@
     until(lambda: time.monotonic() > sent + 0.35)  # its deadline passes while the event loop is blocked
     go.set()
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
-    world.rests()
+    world.wait_until_idle()
     assert not waits_for_undo(world.caches[0])
 
 
@@ -627,7 +638,7 @@
         tag = asker.ask(key=key)
         assert asker.answer() == [tag, b"200", b"", b"bytes"]
     assert turns[0] is turns[1] and len(turns) == 3 and turns[2] is not turns[1]
-    world.rests()
+    world.wait_until_idle()
 
 
 # --- the change log ---
@@ -686,7 +697,7 @@
     world = in_process(silent, silent)
     asker = world.asker()
     tag = asker.ask(key=1)
-    number = next(index for index, cache in enumerate(world.caches, 1) if waits_for(cache))
+    number = next(index for index, cache in enumerate(world.caches, 1) if next_dispatch(cache))
     attempt = waiting_attempt(world)
     connection, queued, go = attempt.connection, world.owner.queue.qsize(), world.stall()
     world.log.add(2, 2, record(number, world.caches[number - 1].port, state=2))
@@ -701,7 +712,7 @@
     _, sock, items = world.caches[2 - number].next()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"more"))
     assert asker.answer() == [other, b"200", b"", b"more"]
-    world.rests()
+    world.wait_until_idle()
 
 
 @pytest.mark.parametrize("whole", [True, False])
@@ -722,8 +733,10 @@
         _, sock, items = world.caches[0].next()
         sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
     assert asker.answer() == [tag, b"200", b"", b"bytes"]
-    world.rests()
-    assert sum(waits_for(world.caches[0], 0.05) is not None for _ in range(2)) == 0, "no further dispatches"
+    world.wait_until_idle()
+    assert sum(next_dispatch(world.caches[0], 0.05) is not None for _ in range(2)) == 0, (
+        "no further dispatches"
+    )
 
 
 def test_an_answer_that_arrives_byte_by_byte_is_given_up_in_time(in_process):
@@ -757,7 +770,7 @@
     assert asker.answer()[:2] == [tag, b"503"] and time.monotonic() - started_at < 0.65
     until(lambda: first.state is ConnectionState.CLOSED)
     done.set()
-    world.rests()
+    world.wait_until_idle()
     asker.send(b"ALIVE", b"9", b"")
     assert asker.answer() == [b"9", b"serving"], "nothing else before it"
 
@@ -796,7 +809,7 @@
         server, stand = socket.create_server(("127.0.0.1", 0)), world.caches[0]
         world.log.add(2, 2, record(1, server.getsockname()[1]))
         until(lambda: world.owner.discovery_watch.last == 2)
-        world.rests()
+        world.wait_until_idle()
     asker = world.asker()
     tag = asker.ask(vhost, body=b"x" * 48_000, allow=3000, replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     if when in ("accepted", "begun"):
@@ -806,12 +819,12 @@
             assert sock.recv(100)
         world.log.add(3, 2, record(1, stand.port, started=0))
         until(lambda: world.owner.discovery_watch.last == 3)
-        world.does(lambda: None)
+        world.run_on_owner(lambda: None)
         broken(sock)
         server.close()
     if when == "long after":
         until(lambda: held)
-        world.rests(but=("clients", "checks", "calls", "names", "out", "reqs", "limits"))
+        world.wait_until_idle(but=("clients", "checks", "calls", "names", "out", "reqs", "limits"))
         broken(held[0])
     told = asker.answer()
     assert told[0] == tag and told[1] == (b"200" if again else b"500")
@@ -819,7 +832,7 @@
         assert len(turns) == again, "the first attempt never came to a cache that reads"
     else:
         assert len(turns) == 1 + again
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_change_log_down_at_startup_comes_back_with_a_drain_and_a_purge(tmp_path):
@@ -830,7 +843,7 @@
         asker = world.asker()
         tag = asker.ask(key=1)
         assert asker.answer() == [tag, b"200", b"", b"ok"]
-        number = next(index for index, cache in enumerate(world.caches, 1) if waits_for(cache, 0.2))
+        number = next(index for index, cache in enumerate(world.caches, 1) if next_dispatch(cache, 0.2))
         purged_at = time.time_ns() // 10**6
         frames = [
             (1, 1, b""),
@@ -846,9 +859,9 @@
         assert asker.answer() == [tag, b"200", b"", b"ok"]
         fields = world.caches[2 - number].next()[2][2]
         assert int(fields.split(b"agelim=")[1].split(b",")[0]) <= time.time_ns() // 10**6 - purged_at
-        assert not waits_for(world.caches[number - 1], 0.05) and world.owner.discovery_watch.events == 2
-        assert len(world.does(lambda: world.owner.router.pools.caches)) == 1
-        world.rests()
+        assert not next_dispatch(world.caches[number - 1], 0.05) and world.owner.discovery_watch.events == 2
+        assert len(world.run_on_owner(lambda: world.owner.router.pools.caches)) == 1
+        world.wait_until_idle()
     finally:
         world.close()
 
@@ -862,7 +875,7 @@
         self.port = self.owner.downstream.sock.getsockname()[1]
         self.thread = threading.Thread(target=self.owner.run, daemon=True)
         self.thread.start()
-        until(lambda: self.owner.lifecycle.phase is Phase.SERVING and self.does(lambda: True))
+        until(lambda: self.owner.lifecycle.phase is Phase.SERVING and self.run_on_owner(lambda: True))
 
 
 class ReplayingLog(Log):
@@ -912,7 +925,7 @@
     for client_asker, expected_tag in ((asker, tag_in_flight), (crossing, tag_accepted), (newcomer, tag_new)):
         answers[expected_tag] = client_asker.answer()
         assert answers[expected_tag][:2] == [expected_tag, b"200"]
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_connection_without_a_thread_ends_alone(in_process, monkeypatch):
@@ -947,10 +960,10 @@
     )
     tag = other.ask(key=2)
     assert other.answer() == [tag, b"200", b"", b"ok"]
-    world.rests()
+    world.wait_until_idle()
 
 
-@pytest.mark.parametrize("leave", [closes, resets])
+@pytest.mark.parametrize("leave", [close_client, reset_client])
 def test_clients_that_send_many_requests_and_leave_do_not_affect_others(in_process, leave):
     world = in_process(serves(b"ok"))
     other = world.asker()
@@ -964,7 +977,7 @@
         tag = other.ask(key=99)
         answer = other.answer()
         assert answer[0] == tag and answer[1] in (b"200", b"503") and int(tag) < 500
-    world.rests(but=("checks", "clients"))
+    world.wait_until_idle(but=("checks", "clients"))
     until(lambda: len(world.owner.downstream.clients) == 1)
 
 
@@ -1016,7 +1029,7 @@
     """Connect as soon as possible, send a request and report the answer."""
     while True:
         try:
-            asker = Asker(port)
+            asker = StandInClient(port)
         except OSError:
             time.sleep(0.01)
             continue
@@ -1046,7 +1059,7 @@
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     for asker in askers:
         asker.sock.close()
-    world.rests(but=("checks",))
+    world.wait_until_idle(but=("checks",))
 
 
 # --- resources of processes, and several processes ---
@@ -1060,14 +1073,14 @@
 def test_threads_and_descriptors_are_released_however_clients_and_caches_end(world):
     """A real process has as many as before once its connections have ended in every way at the same time."""
     world = world(silent, serves(CLIP))
-    pid, ways = world.process.pid, [forgets, closes, halves, resets]
+    pid, ways = world.process.pid, [cancel_all, close_client, half_close, reset_client]
     before = count_resources(pid)
     askers = [world.asker() for _ in range(48)]
     for number, asker in enumerate(askers):
         asker.ask(key=number, allow=3000)
         if number % 8 == 7:
             asker.sock.sendall(b"*3\r\n$4\r\nEX")  # a partial message after it
-    until(lambda: waits_for(world.caches[0], 0.1))
+    until(lambda: next_dispatch(world.caches[0], 0.1))
     for number, asker in enumerate(askers):
         ways[number % 4](asker)
     for asker in askers:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -14,15 +14,15 @@
 from lilacloft.net import downstream
 from lilacloft.net.resp import encode
 from lilacloft.routing.model import RejectReason
-from rigs.failing import BROKEN, Failures, put_under
-from rigs.inprocess import forgets, until
+from rigs.failing import PATH_ERRORS, Failures, inject_failures
+from rigs.inprocess import cancel_all, until
 from rigs.stands import serves, silent
 
 
 @pytest.fixture
 def failing():
     """Makes system calls of the gateways in this process fail as a test specifies."""
-    with put_under(Failures()) as failures:
+    with inject_failures(Failures()) as failures:
         yield failures
 
 
@@ -37,7 +37,7 @@
     until(lambda: not failing.due["recv"])
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"ok"))
     assert asker.answer() == [tag, b"200", b"", b"ok"]
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_transient_write_failure_loses_no_answer(in_process, failing):
@@ -46,10 +46,12 @@
     tag = asker.ask()
     world.caches[0].next()
     failing.next("send", errno.ENOBUFS, errno.ENOMEM, errno.ENOBUFS)
-    world.does(lambda: world.owner.router.reject(next(iter(world.owner.open_requests)), RejectReason.ENDING))
+    world.run_on_owner(
+        lambda: world.owner.router.reject(next(iter(world.owner.open_requests)), RejectReason.ENDING)
+    )
     assert asker.answer()[:2] == [tag, b"503"]
     until(lambda: not failing.due["send"])
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_after_a_broken_network_path_the_next_attempt_waits_until_the_cache_must_know(in_process, failing):
@@ -60,7 +62,7 @@
     def changes(settings):
         settings["obligations"]["answerSlackNs"] = slack * 1e9
 
-    for error in BROKEN:
+    for error in PATH_ERRORS:
         world = in_process(silent, changes=changes)
         world.owner.upstream.connections_per_pool = lambda: 1
         asker = world.asker()
@@ -74,8 +76,8 @@
         at, _, again = world.caches[0].next()
         assert again[1] == second[1]
         assert at >= broken_at + slack - 0.01
-        forgets(asker)
-        world.rests()
+        cancel_all(asker)
+        world.wait_until_idle()
 
 
 def test_a_transient_poll_failure_ends_no_request(in_process, failing):
@@ -87,7 +89,7 @@
         tag = asker.ask(key=key)
         assert asker.answer()[:2] in ([tag, b"200"], [tag, b"503"])
     assert world.owner.answer_counts["faults"] == 0
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_shutdown_completes_despite_failing_polls(in_process, failing):
@@ -132,12 +134,12 @@
     word = asker.answer()[:2]
     failing.due["connect"].clear()
     assert word == [tag, b"200" if times == 1 else b"503"]
-    (backend,) = world.does(lambda: world.owner.router.pools.caches)
+    (backend,) = world.run_on_owner(lambda: world.owner.router.pools.caches)
     assert not backend.ejected
     assert backend.consecutive_failures == 0
     tag = asker.ask(key=2)
     assert asker.answer() == [tag, b"200", b"", b"ok"]
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_an_answer_is_written_later_if_no_writing_thread_can_be_started(in_process, failing):
@@ -157,7 +159,7 @@
     answers = [asker.answer() for _ in tags]
     assert sorted(answer[0] for answer in answers) == sorted(tags)
     assert all(answer[1] == b"200" and answer[3] == body for answer in answers)
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_an_answer_is_not_late_if_the_first_thread_start_fails(in_process, failing):
@@ -173,7 +175,7 @@
     assert asker.answer() == [tag, b"200", b"", b"ok"]
     assert time.monotonic() - started_at < 0.08
     assert not failing.due["thread that writes"]
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_client_is_read_later_if_no_reading_thread_can_be_started(in_process, failing):
@@ -184,7 +186,7 @@
     answer = asker.answer()
     assert not failing.due["thread"]
     assert answer == [tag, b"200", b"", b"ok"]
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_descriptors_count_as_released_if_their_close_fails(in_process, failing):
@@ -197,7 +199,7 @@
         asker.sock.close()
     until(lambda: not world.owner.downstream.unclosed)
     assert not failing.due["close"]
-    world.rests(but=("checks",))
+    world.wait_until_idle(but=("checks",))
 
 
 def test_a_configuration_is_read_despite_transient_open_failures(tmp_path, monkeypatch):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -26,7 +26,7 @@
 from lilacloft.protocol_settings import from_protocol
 from lilacloft.routing.lag_margin import LagMargin
 from lilacloft.routing.model import Backend, Request
-from rigs.stands import ENV, Asker, Log, Stand, World, encode, made, record, serves
+from rigs.stands import ENV, Log, Stand, StandInClient, World, encode, made, record, serves
 
 CLIP = b"x" * 200_000
 
@@ -652,7 +652,7 @@
     for _ in range(1000):
         socket.create_connection(("127.0.0.1", world.port), 5).close()
     idle = [world.asker() for _ in range(100)]  # more than allowed: the longest idle are closed
-    unreading = [Asker(world.port) for _ in range(5)]
+    unreading = [StandInClient(world.port) for _ in range(5)]
     for asker in unreading:
         asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         for _ in range(31):
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -11,7 +11,7 @@
 import pytest
 
 from lilacloft.net.resp import parse_fields
-from rigs.scene import booked
+from rigs.scene import write_worlds
 from rigs.stands import encode, processes, record, serves, silent
 
 STORE = '(store (folder "store") (patience 1s))'  # far longer than a commit takes on a busy machine
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def world(tmp_path):
-    with booked(tmp_path, forms=STORE) as make:
+    with write_worlds(tmp_path, forms=STORE) as make:
         yield make
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,7 +19,7 @@
 from lilacloft.handover.upgrade_listener import UpgradeListener
 from lilacloft.net.resp import encode_fields, parse_fields
 from rigs.crash import STEPS
-from rigs.scene import booked
+from rigs.scene import write_worlds
 from rigs.stands import World, encode, record, serves, silent
 
 CLIP = bytes(range(256)) * 800
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def world(tmp_path):
-    with booked(tmp_path, limits=LIMITS) as make:
+    with write_worlds(tmp_path, limits=LIMITS) as make:
         yield make
 
 
--- a/tests/test_in_hand.py
+++ b/tests/test_in_hand.py
@@ -16,7 +16,7 @@
 from lilacloft.net.polling import poll_events
 from lilacloft.net.resp import CLIENT_MESSAGE_SIZES, MessageBuffer, encode, encode_fields
 from lilacloft.protocol_settings import NS_PER_TICK
-from rigs.inprocess import forgets, limits, until, waits_for
+from rigs.inprocess import cancel_all, limits, next_dispatch, until
 from rigs.stands import serves, silent
 
 FIELDS = {
@@ -111,7 +111,7 @@
         client.message_started_at -= 10
         close(world.owner.downstream)
 
-    world.does(close_connection)
+    world.run_on_owner(close_connection)
     reader.go.set()
     answer = asker.answer()
     asker.sock.close()
@@ -135,7 +135,7 @@
     world, reader.when = in_process(serves()), when
     for way in (close_stalled, Downstream._make_room, Downstream.close_idle):
         assert answer_across_close(world, reader, way, ask_and_check, REQUEST) == [b"99", b"200"], way
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_stalled_message_that_is_completed_is_answered(in_process, reader):
@@ -146,7 +146,7 @@
             world, reader, close_stalled, lambda asker: asker.sock.sendall(REQUEST[:40]), REQUEST[40:]
         )
         assert found == [b"99", b"200"], reader.when
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_client_stalled_within_a_message_is_closed(in_process):
@@ -160,7 +160,7 @@
         client.message_started_at -= 10
         world.owner.downstream.close_stalled(10.0, 1 << 30, 0.5)
 
-    world.does(close_connection)
+    world.run_on_owner(close_connection)
     assert is_closed(asker)
 
 
@@ -177,7 +177,7 @@
         client.used -= 10
         close_stalled(world.owner.downstream)
 
-    world.does(close_connection)
+    world.run_on_owner(close_connection)
     assert is_closed(asker)
 
 
@@ -194,11 +194,11 @@
     go = world.stall()
     time.sleep(0.2)
     go.set()
-    world.does(lambda: None)
+    world.run_on_owner(lambda: None)
     late.set()
-    assert waits_for(world.caches[0], 0.5) is None
+    assert next_dispatch(world.caches[0], 0.5) is None
     reader.go.set()
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_shutdown_waits_for_input_held_by_a_reader(in_process, reader):
@@ -209,7 +209,7 @@
         asker = world.asker()
         asker.sock.sendall(REQUEST[:40])
         until(only_client(world).buffer.has_partial)
-        world.does(world.owner.stop)
+        world.run_on_owner(world.owner.stop)
         until(lambda world=world: world.owner.lifecycle.phase is Phase.CLOSING)
         reader.at.clear()
         reader.hold()
@@ -253,7 +253,7 @@
     reader.hold()
     asker.ask(key=1)
     assert reader.at.wait(5)
-    assert waits_for(world.caches[0]) is not None
+    assert next_dispatch(world.caches[0]) is not None
     reader.go.set()
-    forgets(asker)
-    world.rests()
+    cancel_all(asker)
+    world.wait_until_idle()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -157,7 +157,7 @@
     (step, *_) = world.owner.trace.steps
     handler = logger.add(lambda line: lines.append(str(line)), level="ERROR")
     try:
-        world.does(lambda: world.owner.invariants.report_unanswered([step.name]))
+        world.run_on_owner(lambda: world.owner.invariants.report_unanswered([step.name]))
         until(lambda: lines)
     finally:
         logger.remove(handler)
--- a/tests/test_lag_margin.py
+++ b/tests/test_lag_margin.py
@@ -10,7 +10,7 @@
 from lilacloft.net.resp import parse_fields
 from lilacloft.net.upstream import Upstream
 from lilacloft.routing.lag_margin import LAG_MEMORY, LagMargin
-from rigs.inprocess import forgets, until
+from rigs.inprocess import cancel_all, until
 from rigs.stands import silent
 
 STALL = 0.3  # seconds
@@ -54,7 +54,7 @@
     (client_request,) = world.owner.open_requests.values()
     assert 2000 <= client_request.history.deadline - client_request.request.deadline <= 10_000
     assert asker.answer()[:2] == [tag, b"503"]
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_the_age_of_requests_that_were_read_late_is_not_underestimated(in_process, monkeypatch):
@@ -84,8 +84,8 @@
     received, _, items = world.caches[0].next()
     time_limit = int(parse_fields(items[2])["max"]) / 1000
     assert time_limit <= written + 3.0 - received + 0.15
-    forgets(asker)
-    world.rests()
+    cancel_all(asker)
+    world.wait_until_idle()
 
 
 def test_a_cancellation_between_decision_and_first_byte_drops_the_attempt_without_a_violation(
@@ -107,10 +107,10 @@
     asker = world.asker()
     asker.ask(allow=3000)
     assert decided.wait(5)
-    forgets(asker)
+    cancel_all(asker)
     until(lambda: world.owner.downstream.counts["forgotten"])
     time.sleep(0.15)
     resume.set()
-    world.rests()
+    world.wait_until_idle()
     assert world.owner.upstream.counts["dispatches"] == 0
     assert not any(world.owner.invariants.violations().values())
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -13,7 +13,7 @@
 from lilacloft.emulator.worlds import CLIP, SECOND, WORLDS
 from lilacloft.load.driver import quantiles
 from lilacloft.load.schedule import Due, Tally, name, schedule
-from rigs.bridge import emulated, sockets
+from rigs.bridge import run_in_emulator, sockets
 
 SMALL = WORLDS["small"].lasting(3.0)
 
@@ -71,7 +71,7 @@
 )
 def test_sockets_and_emulator_give_similar_results_for_the_same_world(tmp_path, faults):
     world = SMALL.at(60.0)
-    real, model = sockets(world, 2, parse(faults), tmp_path), emulated(world, 2, parse(faults))
+    real, model = sockets(world, 2, parse(faults), tmp_path), run_in_emulator(world, 2, parse(faults))
     assert real["unanswered"] == real["lost"] == real["unsent"] == 0
     assert real["asked"] == model["asked"] and abs(real["worth"] - model["worth"]) < 0.15
     assert real["all_ms"]["p50"] > 0.5 * model["all_ms"]["p50"]
--- a/tests/test_read_barrier.py
+++ b/tests/test_read_barrier.py
@@ -98,7 +98,7 @@
     world.log.__class__ = HoldsNew
     reconnect(world, purge())
     until(lambda: watch.last == 2)
-    world.does(lambda: None)
+    world.run_on_owner(lambda: None)
     assert fetch(asker) == NEW and watch.events == 1
     world.log.add(3, 3, purge()[2])
     until(lambda: watch.last == 3, what=lambda: "the connection that answered is followed")
@@ -192,7 +192,7 @@
     world.log.break_off()
     assert [world.log.since.get(timeout=5) for _ in range(2)] == [1, 0]
     moved = {**world.config, "listen": "127.0.0.1:0", "changelog": f"127.0.0.1:{other.port}"}
-    world.does(lambda: world.owner.reload(moved))
+    world.run_on_owner(lambda: world.owner.reload(moved))
     assert other.since.get(timeout=1) == 1
     other.close()
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -24,7 +24,7 @@
     Summary,
     VhostTargets,
 )
-from rigs.stands import Replaced, serves
+from rigs.stands import UpgradableWorld, serves
 
 HEAD = b"head\n"
 
@@ -245,7 +245,7 @@
 
     def make(record, **more):
         forms = f'(record {record}) (upgrade (handover "h.sock"))'
-        worlds.append(Replaced(tmp_path, (serves(),), forms=forms, **more))
+        worlds.append(UpgradableWorld(tmp_path, (serves(),), forms=forms, **more))
         return worlds[-1]
 
     yield make
@@ -371,7 +371,7 @@
 
 
 def test_without_settings_nothing_is_written(tmp_path):
-    world = Replaced(tmp_path, (serves(),))
+    world = UpgradableWorld(tmp_path, (serves(),))
     try:
         asker = world.asker()
         asker.ask()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -56,7 +56,7 @@
         fleet.halted = [(fleet.gateways[0].port, 10.0, 13.0)]
         for number, excused in ((0, True), (1, False)):
             request = {"gateway": fleet.gateways[number].port, "at": 9.9}
-            assert fleet._excused(Breach(2, 10.1, "b", text), {ref: request}, {}) is excused
+            assert fleet._is_caused_by_script(Breach(2, 10.1, "b", text), {ref: request}, {}) is excused
     finally:
         fleet.close()
 
@@ -71,9 +71,11 @@
         paused, other = fleet.gateways
         fleet.paused = {paused.name: [(10.0, 13.0)]}
         breach = Breach(1, 12.0, "clients", f"{ref} {text}")
-        assert fleet._excused(breach, {ref: {"gateway": paused.port, "at": 9.0}}, names) is excused
-        assert not fleet._excused(breach, {ref: {"gateway": other.port, "at": 9.0}}, names)
-        assert not fleet._excused(breach, {ref: {"gateway": paused.port, "at": 13.5}}, names)
+        assert (
+            fleet._is_caused_by_script(breach, {ref: {"gateway": paused.port, "at": 9.0}}, names) is excused
+        )
+        assert not fleet._is_caused_by_script(breach, {ref: {"gateway": other.port, "at": 9.0}}, names)
+        assert not fleet._is_caused_by_script(breach, {ref: {"gateway": paused.port, "at": 13.5}}, names)
     finally:
         fleet.close()
 
--- a/tests/test_state_transfer.py
+++ b/tests/test_state_transfer.py
@@ -15,7 +15,7 @@
 from lilacloft.routing.router import Router
 from lilacloft.routing.snapshot import export_state, restore_state
 from lilacloft.routing.virtual_host import VirtualHost
-from rigs.inprocess import handed_over, limits, until
+from rigs.inprocess import limits, restored_successor, until
 from rigs.model import SEC, Model, settings, vhost
 from rigs.stands import silent
 
@@ -288,12 +288,12 @@
     waiting = world.asker()  # keeps a reference, as otherwise the connection is closed at once
     waiting.ask(b"pay", replay="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     until(lambda: world.held()["out"] == 1)
-    (client_request,) = world.does(lambda: list(world.owner.open_requests.values()))
+    (client_request,) = world.run_on_owner(lambda: list(world.owner.open_requests.values()))
     client_request.request.first_executed_at, client_request.request.first_executed_by = (
         client_request.request.sent_at - 1_000,
         client_request.request.backend,
     )  # an attempt that may have been executed
-    with handed_over(world) as restorer:
+    with restored_successor(world) as restorer:
         (sent,) = restorer.unsent_attempts
         window = world.owner.requests.effects[client_request.vhost].window
         assert window and sent.window_over == restorer.gateway.to_monotonic(
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -11,7 +11,7 @@
 from lilacloft.net.downstream import Downstream
 from lilacloft.net.resp import parse_fields
 from lilacloft.protocol_settings import NS_PER_TICK
-from rigs.inprocess import forgets, limits, until
+from rigs.inprocess import cancel_all, limits, until
 from rigs.stands import serves, silent
 
 SLACK = 0.15  # seconds
@@ -48,8 +48,8 @@
     time.sleep(0.5)
     late.set()
     assert_limit_in_time(world.caches[0].next()[2], asked)
-    forgets(asker)
-    world.rests()
+    cancel_all(asker)
+    world.wait_until_idle()
 
 
 def test_messages_after_a_dispatch_with_a_lowered_limit_stay_intact(in_process, late):
@@ -71,7 +71,7 @@
     dispatches = [world.caches[0].next() for _ in tags]
     for _, sock, items in dispatches:
         assert_limit_in_time(items, asked)
-    (connection,) = world.does(
+    (connection,) = world.run_on_owner(
         lambda: [
             connection for pool in world.owner.upstream.pools.values() for connection in pool.connections
         ]
@@ -80,8 +80,8 @@
     assert connection.has_sent(connection.queued)
     asker.send(b"FORGET", tags[0])
     assert world.caches[0].next(b"undo")[2][1] in [items[1] for _, _, items in dispatches]
-    forgets(asker)
-    world.rests()
+    cancel_all(asker)
+    world.wait_until_idle()
 
 
 def test_after_a_cache_did_not_read(in_process):
@@ -91,7 +91,7 @@
     first = world.asker()
     first.ask(allow=ALLOW)
     _, sock, items = world.caches[0].next()
-    (connection,) = world.does(
+    (connection,) = world.run_on_owner(
         lambda: [
             connection for pool in world.owner.upstream.pools.values() for connection in pool.connections
         ]
@@ -108,9 +108,9 @@
         connection.writing = False
         connection._start_writer()
     assert_limit_in_time(world.caches[0].next()[2], asked)
-    forgets(asker)
-    forgets(first)
-    world.rests()
+    cancel_all(asker)
+    cancel_all(first)
+    world.wait_until_idle()
 
 
 def test_of_the_first_of_two_unread_requests_on_one_connection(world):
@@ -171,7 +171,7 @@
     first = asker.ask(key=1, allow=ALLOW)
     time.sleep(0.6)
     asker.ask(key=2, allow=ALLOW)
-    world.does(lambda: owner.record_pause(time.monotonic_ns() // NS_PER_TICK - 300))
+    world.run_on_owner(lambda: owner.record_pause(time.monotonic_ns() // NS_PER_TICK - 300))
     may_accept.set()
     answers = dict(asker.answer()[:2] for _ in range(2))
     if answers[first] == b"200":
@@ -179,7 +179,7 @@
         assert_limit_in_time(next(items for items in dispatches if b"thing=%016x" % 1 in items[2]), asked)
     else:
         assert answers[first] == b"503"
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_of_requests_accepted_late_without_a_recorded_pause(in_process, monkeypatch):
@@ -206,7 +206,7 @@
     assert asker.answer()[:2] == [again, b"200"]
     (client,) = world.owner.downstream.clients
     assert not client.accepted_late, "once all early input was read, the time of the last byte is used"
-    world.rests()
+    world.wait_until_idle()
 
 
 def test_a_connection_accepted_at_once_has_no_connect_time(in_process, monkeypatch):
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -20,7 +20,7 @@
 from lilacloft.net.connection import Connection
 from lilacloft.net.resp import encode, encode_fields, parse_fields
 from lilacloft.routing.units import TICKS_PER_SECOND
-from rigs.inprocess import halves, until
+from rigs.inprocess import half_close, until
 from rigs.stands import silent
 
 BATCH = 32  # the limit of open requests per connection
@@ -191,7 +191,7 @@
     # guards rule 1: requests of a client that may have left must not delay those of one that waits
     def send():
         batch(busy.clients[0])
-        halves(busy.clients[0])
+        half_close(busy.clients[0])
 
     assert_both_are_handled_after(busy, send)
 
@@ -315,14 +315,14 @@
     go = world.stall()
     batch(batch_client)
     asker.ask(key=SINGLE_KEY, allow=3000)
-    halves(asker)
+    half_close(asker)
     until(lambda: any(client.input_ended is not None for client in world.owner.downstream.clients))
     go.set()
     until(
         lambda: f"{SINGLE_KEY:016x}"
         in [client_request.key for client_request in world.owner.open_requests.values()]
     )
-    world.does(lambda: None)
+    world.run_on_owner(lambda: None)
     (client_request,) = [
         client_request
         for client_request in world.owner.open_requests.values()
@@ -440,7 +440,7 @@
     world = in_process(silent)
     askers = [request_in_flight(world, REPLY_KEY + number) for number in range(4)]
     has_unread, polls = world.owner.loop.has_unread_answers, []
-    assert not world.does(has_unread)
+    assert not world.run_on_owner(has_unread)
     make_poll = select.poll
 
     def counting_poll():
@@ -448,7 +448,7 @@
         return make_poll()
 
     monkeypatch.setattr(polling.select, "poll", counting_poll)
-    assert not world.does(lambda: (polls.clear(), has_unread())[1] or len(polls) != 1)
+    assert not world.run_on_owner(lambda: (polls.clear(), has_unread())[1] or len(polls) != 1)
     connections = [
         connection for pool in world.owner.upstream.pools.values() for connection in pool.connections
     ]
@@ -463,10 +463,10 @@
     _, tag, sock, items = askers[0]
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"bytes"))
     assert is_blocked.wait(5)
-    assert world.does(has_unread), "read by its reader, and not passed on"
+    assert world.run_on_owner(has_unread), "read by its reader, and not passed on"
     go.set()
     assert askers[0][0].answer()[:2] == [tag, b"200"]
-    until(lambda: not world.does(has_unread))
+    until(lambda: not world.run_on_owner(has_unread))
 
 
 def test_a_reply_is_handled_before_the_end_of_its_connection(in_process):
