--- a/rigs/checker.py
+++ b/rigs/checker.py
@@ -20,8 +20,8 @@
 from typing import Any
 
 SLACK = 0.05  # seconds by which the protocol extends every limit on sockets
-GONE = 0.1  # seconds after the client's disconnect in which an attempt may still begin
-TIME_SLACK = 0.15  # seconds by which an attempt's timeout may exceed the client's remaining time
+DISCONNECT_GRACE = 0.1  # seconds after the client's disconnect in which an attempt may still begin
+TIMEOUT_SLACK = 0.15  # seconds by which an attempt's timeout may exceed the client's remaining time
 DRAIN_GRACE = 1.0  # seconds after the listing in which a draining backend may still receive dispatches
 NEVER_RAN = frozenset(("absent", "full", "moot"))
 
@@ -175,13 +175,13 @@
     for entry in entries:
         if entry["what"] == "do" and entry["ref"] in requests:
             ref, at, request = entry["ref"], received(entry), requests[entry["ref"]]
-            if ref in disconnected and at > disconnected[ref] + GONE + SLACK:
+            if ref in disconnected and at > disconnected[ref] + DISCONNECT_GRACE + SLACK:
                 late = at - disconnected[ref]
                 breaches.append(
                     Breach(1, at, entry["who"], f"{ref} begun {late:.3f} s after its client left")
                 )
             excess = entry.get("limit", 0.0) - (written.get(ref, request)["at"] + request["allow"] - at)
-            if "limit" in entry and excess > TIME_SLACK:
+            if "limit" in entry and excess > TIMEOUT_SLACK:
                 breaches.append(
                     Breach(1, at, entry["who"], f"{ref} told {excess:.3f} s more than its client has")
                 )
--- a/rigs/failover.py
+++ b/rigs/failover.py
@@ -166,7 +166,7 @@
     """A fleet without planners, observed."""
 
 
-class WatchedPlanes(FleetObserver, PlannedFleet):
+class ObservedPlanes(FleetObserver, PlannedFleet):
     """A fleet with planners, observed."""
 
 
@@ -214,7 +214,7 @@
     if way in ("alone", "oracle"):
         return ObservedFleet(world, seed, faults, POLICIES["module" if way == "alone" else "oracle"])
     leave = {"planes": "never", "leaves": "past"}.get(way, way)
-    return WatchedPlanes(world, seed, faults, troubles=planner_troubles, leave=leave)
+    return ObservedPlanes(world, seed, faults, troubles=planner_troubles, leave=leave)
 
 
 def _p99_elsewhere(fleet: Any, faults: list[Fault]) -> float:
--- a/tests/test_failover_world.py
+++ b/tests/test_failover_world.py
@@ -8,7 +8,7 @@
 from lilacloft.emulator.planes import PlannerFault
 from lilacloft.emulator.worlds import SECOND
 from lilacloft.failover.hash_slices import SLICE_COUNT
-from rigs.failover import SCRIPTS, WatchedPlanes, WorldSize, build_world, run_world
+from rigs.failover import SCRIPTS, ObservedPlanes, WorldSize, build_world, run_world
 
 SIZE = WorldSize(24, 12, 110.0, 4)
 
@@ -80,7 +80,7 @@
     world = build_world(SIZE, span=34.0)
     faults = parse(SCRIPTS["silent-cold"].faults)
     planner_faults = tuple(PlannerFault("kill", number, 114_000, 1_000_000) for number in range(3))
-    fleet = WatchedPlanes(world, 4, faults, troubles=planner_faults, leave="past")
+    fleet = ObservedPlanes(world, 4, faults, troubles=planner_faults, leave="past")
     fleet.watch()
     samples = []
 
@@ -114,7 +114,7 @@
         PlannerFault("cut", 0, 60_000, 30_000),
         PlannerFault("kill", 1, 100_000, 5_000),
     )
-    fleet = WatchedPlanes(build_world(SIZE, span=30.0), 6, faults, troubles=planner_faults, leave="past")
+    fleet = ObservedPlanes(build_world(SIZE, span=30.0), 6, faults, troubles=planner_faults, leave="past")
     fleet.watch()
     samples = []
 
@@ -137,7 +137,7 @@
         "(at 3s (mute (gateway 3)) (for 8s)) (at 3s (deaf (gateway 7)) (for 8s)) "
         "(at 4s (stop (gateway 1)) (for 2s))"
     )
-    fleet = WatchedPlanes(build_world(SIZE, span=14.0), 2, faults, leave="past")
+    fleet = ObservedPlanes(build_world(SIZE, span=14.0), 2, faults, leave="past")
     fleet.watch()
     assert not fleet.run().breaches
     assert all(
@@ -150,7 +150,7 @@
 def test_same_seed_gives_the_same_run():
     fingerprints = []
     for _ in range(2):
-        fleet = WatchedPlanes(
+        fleet = ObservedPlanes(
             build_world(SIZE, span=12.0), 9, parse(SCRIPTS["silent-cold"].faults), leave="past"
         )
         fleet.watch()
@@ -161,7 +161,7 @@
 def test_each_object_has_one_substitute_cache_at_all_gateways():
     """While location 1 has failed over, its gateways send requests to other locations' caches: for each
     object to one cache, the same that the gateways of that location use."""
-    fleet = WatchedPlanes(
+    fleet = ObservedPlanes(
         build_world(SIZE, span=10.0), 3, parse(SCRIPTS["silent-cold"].faults), leave="across"
     )
     fleet.watch()
@@ -205,7 +205,7 @@
 
 def test_caches_of_other_locations_are_divided_among_all_gateways_but_not_the_origin():
     """The origin, which belongs to no location, was once divided like the caches of other locations."""
-    router = WatchedPlanes(build_world(SIZE, span=1.0), 1, leave="across").gateways[0].router
+    router = ObservedPlanes(build_world(SIZE, span=1.0), 1, leave="across").gateways[0].router
     own, other, origin = router.pools.caches[0], router.pools.caches_by_zone[2][0], router.pools.origins[0]
     assert (router.settings.zone_gateways, router.settings.gateways) == (3, 12)
     assert router.slow_start.capacity_share(own) == pytest.approx(4 * router.slow_start.capacity_share(other))
--- a/tests/test_kernel_times.py
+++ b/tests/test_kernel_times.py
@@ -15,7 +15,7 @@
 from lilacloft.net.resp import CLIENT_MESSAGE_SIZES, encode, encode_fields, parse_fields
 from rigs import load as load_module
 from rigs import scene as scene_module
-from rigs.checker import GONE, SLACK, TIME_SLACK, Limits, check
+from rigs.checker import DISCONNECT_GRACE, SLACK, TIMEOUT_SLACK, Limits, check
 from rigs.inprocess import until
 from rigs.kernel_times import (
     JIFFY,
@@ -72,9 +72,9 @@
         }
         sock.sendall(encode(b"do", self.ref, encode_fields(fields.items())))
         self.gateway.sent["do"] += 1
-        self.note_lateness(computed_at + TIME_SLACK)
+        self.note_lateness(computed_at + TIMEOUT_SLACK)
         if self.forgotten_at:
-            self.note_lateness(self.forgotten_at + GONE + SLACK)
+            self.note_lateness(self.forgotten_at + DISCONNECT_GRACE + SLACK)
 
     def note_lateness(self, limit):
         """Record whether this gateway was late itself, as on a machine with more work than cores."""
@@ -202,7 +202,7 @@
 
 
 def dispatch_with_excess_time(received):
-    received.dispatch(received.gateway.box(0), more=TIME_SLACK + 0.01 + 0.001)
+    received.dispatch(received.gateway.box(0), more=TIMEOUT_SLACK + 0.01 + 0.001)
     received.answer()
 
 
@@ -234,7 +234,7 @@
 
 def dispatch_after_forget(received):
     assert received.forgotten.wait(5)
-    wait_for_time(received.forgotten_at + GONE + SLACK + 0.01)
+    wait_for_time(received.forgotten_at + DISCONNECT_GRACE + SLACK + 0.01)
     received.dispatch(received.gateway.box(0), more=-ALLOW)
 
 
@@ -538,13 +538,15 @@
 
     def test_limit_of_a_dispatch(self, late, beyond, is_breach):
         fields, lag = self.lag(late)
-        limit = 1.0 - 0.4 + TIME_SLACK + beyond
+        limit = 1.0 - 0.4 + TIMEOUT_SLACK + beyond
         texts = found(entry(0.1, "written"), do(0.5 + lag, limit=limit, **fields), answer(0.9))
         assert any("told" in text for text in texts) == is_breach
 
     def test_attempt_after_forget(self, late, beyond, is_breach):
         fields, lag = self.lag(late)
-        texts = found(entry(0.2, "left"), do(0.2 + GONE + SLACK + beyond + lag, limit=0.1, **fields))
+        texts = found(
+            entry(0.2, "left"), do(0.2 + DISCONNECT_GRACE + SLACK + beyond + lag, limit=0.1, **fields)
+        )
         assert any("begun" in text for text in texts) == is_breach
 
     @pytest.mark.parametrize("what", ["undo", "closed"])
