--- a/lilacloft/control/follower.py
+++ b/lilacloft/control/follower.py
@@ -74,7 +74,7 @@
         local_failover: LocalFailover | None = None,
     ) -> None:
         """`restarted`: a previous process under this name may have lent shares, which are usable only once
-        they have certainly returned. `keeper`: handles location failover, if that is enabled."""
+        they have certainly returned. `local_failover`: handles location failover, if that is enabled."""
         self.settings, self.now, self.local_failover = settings, now, local_failover
         self.planners = sorted(settings.planners)
         usable_from = now + MAX_LEASE + 2 * settings.quota_window if restarted else now
--- a/lilacloft/gateway/gateway.py
+++ b/lilacloft/gateway/gateway.py
@@ -57,8 +57,9 @@
     ) -> None:
         """Bind to the address in `config`, the platform's JSON, or use `sock`, which is bound already.
 
-        `follows`: the endpoint list and the purges are received from the previous process. Raises OSError if
-        the address cannot be bound, and the errors of `configuration` if the configuration is invalid."""
+        `is_successor`: the endpoint list and the purges are received from the previous process. Raises
+        OSError if the address cannot be bound, and the errors of `configuration` if the configuration is
+        invalid."""
         configuration = read_configuration(config)
         super().__init__(configuration, unix_clock)
         initial_events = read_initial_events(config, configuration.settings)
--- a/lilacloft/handover/process.py
+++ b/lilacloft/handover/process.py
@@ -119,8 +119,8 @@
     """Prepare a gateway: one that takes over if the options give a channel to a sender, else a fresh one.
 
     `make_gateway`: makes a gateway from a configuration, a listening socket (None: it binds its own), and
-    whether it takes over. Raises NotWantedError if the sender remains the gateway, OSError if the socket for
-    upgrade requests cannot be bound, UnusableError if the store cannot be used.
+    whether it takes over. Raises TakeoverAbortedError if the sender remains the gateway, OSError if the
+    socket for upgrade requests cannot be bound, UnusableError if the store cannot be used.
     """
     Connection.movable = bool(options.handover) or options.takeover >= 0
     factory = _ComponentFactory(config, options)
@@ -167,7 +167,7 @@
     agent = factory.make_agent(gateway)
 
     def begin() -> None:
-        """Take over; raises NotWantedError if the sender remains the gateway."""
+        """Take over; raises TakeoverAbortedError if the sender remains the gateway."""
         # everything else is ready, so nothing can fail between the acknowledgement and the first read
         receiver.receive_commit()
         if store:
--- a/lilacloft/handover/receiver.py
+++ b/lilacloft/handover/receiver.py
@@ -112,7 +112,8 @@
             self.channel.send(MessageKind.STATE_RESTORED)
 
     def receive_commit(self) -> None:
-        """Wait for the commit, and acknowledge it; raises NotWantedError if this process must not serve.
+        """Wait for the commit, and acknowledge it; raises TakeoverAbortedError if this process must not
+        serve.
 
         If the sender has crashed after it sent the state, this process becomes the gateway without a commit.
         """
@@ -146,7 +147,8 @@
             logger.error("upgrade: {}", reason)
 
     def _receive(self, kind: MessageKind) -> Frame:
-        """Return the next frame, which must be of a kind; raises NotWantedError if it is a dismissal."""
+        """Return the next frame, which must be of a kind; raises TakeoverAbortedError if it is a
+        dismissal."""
         frame = self.channel.receive(SENDER_TIMEOUT, (kind, MessageKind.DISMISS))
         if frame.kind is MessageKind.DISMISS:
             reason = frame.decode(messages.Reason).reason
--- a/lilacloft/invariants.py
+++ b/lilacloft/invariants.py
@@ -100,8 +100,8 @@
 
 
 class Invariants:
-    """The checks of one gateway. `may_begin` and `closed_with_open` may be called from any thread, the other
-    methods only from one."""
+    """The checks of one gateway. `may_send_first_byte` and `report_unanswered` may be called from any
+    thread, the other methods only from one."""
 
     def __init__(
         self,
@@ -210,8 +210,8 @@
     # --- backends ---
 
     def endpoint_changed(self, name: str, status: int, now: int, monotonic_time: int) -> None:
-        """Record the status of a backend from discovery (1: ready, 2: draining, 0: gone). `now` and `steady`:
-        the gateway's time and the monotonic clock."""
+        """Record the status of a backend from discovery (1: ready, 2: draining, 0: gone). `now` and
+        `monotonic_time`: the gateway's time and the monotonic clock."""
         if status == 1:
             self.drained.pop(name, None)
         else:
--- a/lilacloft/routing/catch_up.py
+++ b/lilacloft/routing/catch_up.py
@@ -6,10 +6,10 @@
 the grace period within which a purge must be applied: unread purges need not apply to those.
 
 The limit costs fills, so it is lifted: at once when a heartbeat shows that the log was read to its end, or
-when a connection to the log is refused or times out, as the log cannot be read then; `MAX_UNTOLD_TIME` after
-the log has answered, by which time a silent connection has been closed; otherwise after `MAX_LIMITED_TIME`.
-An established connection does not count as an answer, as the operating system also accepts it for a log that
-is stalled.
+when a connection to the log is refused or times out, as the log cannot be read then;
+`MAX_LIMITED_TIME_AFTER_ANSWER` after the log has answered, by which time a silent connection has been
+closed; otherwise after `MAX_LIMITED_TIME`. An established connection does not count as an answer, as the
+operating system also accepts it for a log that is stalled.
 """
 
 from __future__ import annotations
--- a/lilacloft/serving.py
+++ b/lilacloft/serving.py
@@ -51,7 +51,7 @@
     config: dict[str, Any], sock: socket.socket | None = None, is_successor: bool = False
 ) -> Gateway:
     """Create a gateway from a configuration. It listens on `sock`, or else on the configured address.
-    `follows`: the rest of its state comes from the previous process. Raises UnusableError if the
+    `is_successor`: the rest of its state comes from the previous process. Raises UnusableError if the
     configuration cannot be used."""
     from lilacloft.gateway.gateway import Gateway
 
--- a/rigs/failing.py
+++ b/rigs/failing.py
@@ -1,8 +1,8 @@
 """Fault injection for the system calls of a gateway: sockets, polls and threads fail as Linux documents.
 
-A `Failures` decides which call fails with which error, and how often. `put_under` makes the connections,
-the listening socket, polls and threads of this process consult it before each call. The failures are
-seeded, so that a run can be repeated as far as threads allow; reads and writes may be short as well.
+A `Failures` decides which call fails with which error, and how often. `inject_failures` makes the
+connections, the listening socket, polls and threads of this process consult it before each call. The
+failures are seeded, so that a run can be repeated as far as threads allow; reads and writes may be short as well.
 """
 
 from __future__ import annotations
--- a/rigs/failing_disk.py
+++ b/rigs/failing_disk.py
@@ -1,7 +1,7 @@
 """A disk that fails for a while: writes and syncs of the store raise errors that Linux documents, some writes
 partially done.
 
-`put_under` makes the store directory (lilacloft/store/files.py) of this process fail for a span from the
+`inject_failures` makes the store directory (lilacloft/store/files.py) of this process fail for a span from the
 call on. The failures are seeded, so that a run can be repeated as far as threads allow.
 """
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -33,8 +33,8 @@
 def test_runs_are_reproducible_across_processes_and_differ_by_seed():
     script = (
         "from lilacloft.emulator.fleet import run; from lilacloft.emulator.worlds import WORLDS;"
-        "from lilacloft.emulator.chance import Chance; from lilacloft.emulator.faults import draw;"
-        "w = WORLDS['brief']; r = run(w, 5, draw(Chance(5).stream('faults'), w.sizes(), w.span, 4));"
+        "from lilacloft.emulator.chance import RandomStreams; from lilacloft.emulator.faults import draw;"
+        "w = WORLDS['brief']; r = run(w, 5, draw(RandomStreams(5).stream('faults'), w.sizes(), w.span, 4));"
         "print(r.mark, r.events, r.worth)"
     )
     outputs = {
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -24,7 +24,7 @@
 
 def test_random_numbers_are_the_same_in_every_process_and_under_every_hash_seed():
     script = (
-        "from lilacloft.emulator.chance import Chance; s = Chance(3).stream('x');"
+        "from lilacloft.emulator.chance import RandomStreams; s = RandomStreams(3).stream('x');"
         "print([s.random(), s.expo(2.0), s.below(9), s.heavy(5.0, 1.0), s.sample(list('abc'), 2)])"
     )
     outputs = {
