--- a/rigs/failing.py
+++ b/rigs/failing.py
@@ -2,7 +2,8 @@
 
 A `Failures` decides which call fails with which error, and how often. `inject_failures` makes the
 connections, the listening socket, polls and threads of this process consult it before each call. The
-failures are seeded, so that a run can be repeated as far as threads allow; reads and writes may be short as well.
+failures are seeded, so that a run can be repeated as far as threads allow; reads and writes may be short as
+well.
 """
 
 from __future__ import annotations
--- a/rigs/failing_disk.py
+++ b/rigs/failing_disk.py
@@ -1,8 +1,8 @@
 """A disk that fails for a while: writes and syncs of the store raise errors that Linux documents, some writes
 partially done.
 
-`inject_failures` makes the store directory (lilacloft/store/files.py) of this process fail for a span from the
-call on. The failures are seeded, so that a run can be repeated as far as threads allow.
+`inject_failures` makes the store directory (lilacloft/store/files.py) of this process fail for a span from
+the call on. The failures are seeded, so that a run can be repeated as far as threads allow.
 """
 
 from __future__ import annotations
