--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -46,17 +46,17 @@
         asker.send(b"FORGET", b"%d" % tag)
 
 
-def close_client(asker):
+def closes(asker):
     """Close the connection of a client."""
     asker.sock.close()
 
 
-def half_close(asker):
+def halves(asker):
     """Close the sending direction only; the client may still read."""
     asker.sock.shutdown(socket.SHUT_WR)
 
 
-def reset_client(asker):
+def resets(asker):
     """Reset the connection of a client."""
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     asker.sock.close()
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -16,11 +16,11 @@
 from lilacloft.store.gateway_store import GatewayStore
 from rigs.inprocess import (
     cancel_all,
-    close_client,
-    half_close,
+    closes,
+    halves,
     limits,
     next_dispatch,
-    reset_client,
+    resets,
     restored_successor,
     until,
 )
@@ -30,7 +30,7 @@
 MAX_SEND_DELAY = (
     0.1  # seconds; by the operators' terms, no attempt may start this long after its client has left
 )
-WAYS = [cancel_all, close_client, half_close, reset_client]
+WAYS = [cancel_all, closes, halves, resets]
 
 
 def wait_until(when):
@@ -66,7 +66,7 @@
     """Check that no attempt starts, a client that may still read gets an answer, and no resource stays in
     use."""
     assert_no_attempt(world)
-    if leaves is half_close:
+    if leaves is halves:
         assert asker.answer()[:2] == [tag, b"503"]
     world.wait_until_idle(but=("clients", "checks"))
 
@@ -94,7 +94,7 @@
     left = make_leave(leaves, *askers)
     late.set()
     world.wait_until_idle(0.3 - (time.monotonic() - left))
-    if leaves is half_close:
+    if leaves is halves:
         assert {asker.answer()[1] for asker in askers} == {b"503"}
     other = world.asker()
     other.ask(key=99)
@@ -110,7 +110,7 @@
     world = in_process(serves(CLIP))
     asker = world.asker()
     tag = asker.ask()
-    half_close(asker)
+    halves(asker)
     until(
         lambda: any(
             client.state is ConnectionState.HALF_CLOSED for client in list(world.owner.downstream.clients)
@@ -127,7 +127,7 @@
     asker = world.asker()
     tag = asker.ask(allow=3000)
     cache = first_cache(world)
-    make_leave(half_close, asker)
+    make_leave(halves, asker)
     cache.break_off()  # a reset, after which the request would otherwise be retried
     assert asker.answer()[:2] == [tag, b"503"] and asker.answer() is None
     assert_no_attempt(world)
@@ -277,7 +277,7 @@
     world.run_on_owner(guard.close)
 
 
-@pytest.mark.parametrize("leaves", [close_client, half_close, reset_client])
+@pytest.mark.parametrize("leaves", [closes, halves, resets])
 def test_a_handed_over_request_is_not_sent_if_its_client_has_left(in_process, late, leaves, monkeypatch):
     """The request waits for its connection at the handover; an idle one exists when the next process
     starts."""
@@ -387,7 +387,7 @@
     _, sock, items = world.caches[0].next()
     tag = second.ask(key=5)
     _, other, more = world.caches[0].next()
-    reset_client(first)
+    resets(first)
     assert world.caches[0].next(b"undo")[2][1] == items[1]
     other.sendall(encode(more[1], b"data", b"remark=TCP_JOIN", b"bytes"))
     assert second.answer() == [tag, b"200", b"", b"bytes"]
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -38,11 +38,11 @@
 from rigs.inprocess import (
     InProcessWorld,
     cancel_all,
-    close_client,
-    half_close,
+    closes,
+    halves,
     limits,
     next_dispatch,
-    reset_client,
+    resets,
     until,
 )
 from rigs.stands import ENV, Log, StandInClient, World, framed, record, serves, silent, unused
@@ -963,7 +963,7 @@
     world.wait_until_idle()
 
 
-@pytest.mark.parametrize("leave", [close_client, reset_client])
+@pytest.mark.parametrize("leave", [closes, resets])
 def test_clients_that_send_many_requests_and_leave_do_not_affect_others(in_process, leave):
     world = in_process(serves(b"ok"))
     other = world.asker()
@@ -1073,7 +1073,7 @@
 def test_threads_and_descriptors_are_released_however_clients_and_caches_end(world):
     """A real process has as many as before once its connections have ended in every way at the same time."""
     world = world(silent, serves(CLIP))
-    pid, ways = world.process.pid, [cancel_all, close_client, half_close, reset_client]
+    pid, ways = world.process.pid, [cancel_all, closes, halves, resets]
     before = count_resources(pid)
     askers = [world.asker() for _ in range(48)]
     for number, asker in enumerate(askers):
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -20,7 +20,7 @@
 from lilacloft.net.connection import Connection
 from lilacloft.net.resp import encode, encode_fields, parse_fields
 from lilacloft.routing.units import TICKS_PER_SECOND
-from rigs.inprocess import half_close, until
+from rigs.inprocess import halves, until
 from rigs.stands import silent
 
 BATCH = 32  # the limit of open requests per connection
@@ -191,7 +191,7 @@
     # guards rule 1: requests of a client that may have left must not delay those of one that waits
     def send():
         batch(busy.clients[0])
-        half_close(busy.clients[0])
+        halves(busy.clients[0])
 
     assert_both_are_handled_after(busy, send)
 
@@ -315,7 +315,7 @@
     go = world.stall()
     batch(batch_client)
     asker.ask(key=SINGLE_KEY, allow=3000)
-    half_close(asker)
+    halves(asker)
     until(lambda: any(client.input_ended is not None for client in world.owner.downstream.clients))
     go.set()
     until(
