--- a/lilacloft/handover/state_restore.py
+++ b/lilacloft/handover/state_restore.py
@@ -170,14 +170,14 @@
         if pool is None or (pool.address, pool.backend_started) != (address, state.backend_started):
             # the backend has restarted or is unlisted: this pool gets no new attempts
             pool = UpstreamPool(backend, address, upstream)
-        upstream = UpstreamConnection(pool, upstream.read_answer, upstream.connection_closed, sock=sock)
-        pool.connections.append(upstream)
-        upstream.last_read_at = state.last_answer_at
-        upstream.last_used_at = state.last_used_at
-        upstream.created_at = state.created_at
-        upstream.retiring = state.is_retired or upstream.pools.get(backend) is not pool
-        self._restore_connection(upstream, state)
-        return upstream
+        connection = UpstreamConnection(pool, upstream.read_answer, upstream.connection_closed, sock=sock)
+        pool.connections.append(connection)
+        connection.last_read_at = state.last_answer_at
+        connection.last_used_at = state.last_used_at
+        connection.created_at = state.created_at
+        connection.retiring = state.is_retired or upstream.pools.get(backend) is not pool
+        self._restore_connection(connection, state)
+        return connection
 
     def _restore_connection(self, conn: Connection, state: messages.ConnectionState) -> None:
         """Restore the fields that client and backend connections have in common."""
