--- a/lilacloft/cli/store.py
+++ b/lilacloft/cli/store.py
@@ -65,7 +65,8 @@
 
 
 def read_store(path: str) -> OpenStore:
-    """Read a store that another process may be writing; its directory is closed."""
+    """Read a store without locking it, as another process may be writing it. The directory of the returned
+    store is closed already."""
     opened = open_store(path, False)
     opened.directory.close()
     return opened
--- a/lilacloft/control/follower.py
+++ b/lilacloft/control/follower.py
@@ -58,7 +58,7 @@
     ejections: Mapping[str, Ticks] = field(default_factory=dict)  # end time; 0: canary requests allowed
     concurrency_limits: Mapping[str, float] = field(default_factory=dict)  # this gateway's share, by backend
     fill_limit: float = 0.0  # of likely fills in flight; 0: no limit
-    budget_factors: Mapping[str, float] = field(default_factory=dict)  # of start budgets, per own share
+    budget_factors: Mapping[str, float] = field(default_factory=dict)  # usable / own share of start budgets
     revalidation_turn: tuple[int, int] = (0, 1)  # index of this gateway, number of gateways
     failovers: Mapping[int, SliceFailover] = field(default_factory=dict)  # of locations not completely in use
 
--- a/lilacloft/control/gateway_observer.py
+++ b/lilacloft/control/gateway_observer.py
@@ -35,7 +35,7 @@
     vhost: int
     outcome: str
     duration: Ticks
-    transfer_time: float  # of the request
+    transfer_time: float  # expected for the request; the latency objective depends on it
     note: int  # of the answer
     kbytes: float
     source: Backend  # of the fill; the backend itself if there is none
--- a/lilacloft/control/quota_client.py
+++ b/lilacloft/control/quota_client.py
@@ -48,7 +48,8 @@
         self.used = dict(used)
 
     def cold_shares(self, now: Ticks) -> dict[str, tuple[float, float]]:
-        """Return the usable share and the share in use, by backend."""
+        """Return, by backend, the share of its slow-start budget that this gateway may use, and the
+        share that is in use."""
         shares = {}
         for backend, ledger in sorted(self.ledgers.items()):
             usable = ledger.usable(now)
--- a/lilacloft/emulator/faults.py
+++ b/lilacloft/emulator/faults.py
@@ -92,7 +92,9 @@
         if kind.lasts != bool(self.span):
             raise FaultError(f"{self.kind} " + ("needs a duration" if kind.lasts else "takes no duration"))
         if self.at < 0 or self.span < 0:
-            raise FaultError(f"{self.kind} at {self.at} for {self.span}: negative time")
+            raise FaultError(
+                f"{self.kind} at {self.at} for {self.span}: expected a time and duration of 0 or more"
+            )
         if (kind.hard is None) != (self.hard == 0.0) and self.kind != "clock":
             raise FaultError(f"{self.kind} " + ("takes no severity" if self.hard else "needs a severity"))
 
--- a/lilacloft/experiment/search.py
+++ b/lilacloft/experiment/search.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Spot:
-    """A world with faults, and the loss there."""
+    """A world with faults, and the mean loss over the `seeds` seeds that were run."""
 
     world: World
     faults: tuple[Fault, ...]
--- a/lilacloft/handover/channel.py
+++ b/lilacloft/handover/channel.py
@@ -74,7 +74,7 @@
         self._descriptors: deque[int] = deque()  # received, and not yet popped
 
     def peer(self) -> Peer:
-        """Return the process and the user of the peer."""
+        """Return the process id and the user id of the peer."""
         size = struct.calcsize(PEER_CREDENTIALS)
         data = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size)
         pid, uid, _ = struct.unpack(PEER_CREDENTIALS, data)
--- a/lilacloft/handover/receiver.py
+++ b/lilacloft/handover/receiver.py
@@ -144,7 +144,7 @@
         try:
             self.channel.send(MessageKind.REFUSE, messages.Reason(reason[: messages.MAX_REASON_CHARACTERS]))
         except (ChannelError, FormatError):
-            logger.error("upgrade: {}", reason)
+            logger.error("upgrade: cannot notify the old process of the refusal: {}", reason)
 
     def _receive(self, kind: MessageKind) -> Frame:
         """Return the next frame, which must be of a kind; raises TakeoverAbortedError if it is a
--- a/lilacloft/handover/state_restore.py
+++ b/lilacloft/handover/state_restore.py
@@ -74,7 +74,8 @@
         configured_vhosts = [vhost["name"] for vhost in gateway.vhosts]
         if state.requests and state.vhosts != configured_vhosts:
             raise FormatError(
-                f"open requests of virtual hosts {state.vhosts}, configured are {configured_vhosts}"
+                f"the state has open requests and virtual hosts {state.vhosts}, "
+                f"but {configured_vhosts} are configured"
             )
         # the gateway's time continues: both processes read the same monotonic clock
         gateway.resume_clock(state.time, state.monotonic_time)
--- a/lilacloft/handover/upgrade_listener.py
+++ b/lilacloft/handover/upgrade_listener.py
@@ -88,7 +88,7 @@
             except TimeoutError:
                 continue
             except (OSError, RuntimeError) as error:
-                logger.error("handover: {}", error)
+                logger.error("handover: cannot accept an upgrade request: {}", error)
                 time.sleep(PAUSE_AFTER_ERROR)
 
     def _serve(self, command_channel: Channel) -> None:
--- a/lilacloft/handover/watchdog.py
+++ b/lilacloft/handover/watchdog.py
@@ -22,7 +22,7 @@
     """The actions of a `WorkerWatchdog`."""
 
     def now(self) -> float:
-        """Return the time in seconds."""
+        """Return the monotonic time in seconds."""
 
     def start_worker(self) -> int:
         """Start a worker on the listener; returns its process id, or 0 if it cannot be started."""
@@ -57,7 +57,8 @@
         self._start_worker()
 
     def worker_serving(self, pid: int) -> None:
-        """A worker has reported that it is the gateway: at its start, or after an upgrade or a failed one."""
+        """Handle a worker's report that it serves as the gateway. A worker reports this after its start,
+        after it has taken over in an upgrade, and when it continues after a failed upgrade."""
         if pid != self.gateway or not self.is_serving:
             after = f" after {self.gateway}" if self.gateway not in (0, pid) else ""
             self.actions.log(f"worker {pid} is the gateway{after}")
--- a/lilacloft/net/client_connection.py
+++ b/lilacloft/net/client_connection.py
@@ -136,7 +136,7 @@
         while self.wait_for_backlog(MAX_PART_SIZE, POLL_INTERVAL):
             self.disconnected_since()
             if self.input_ended is not None and not reported:
-                reported = True  # its requests are rejected now, not after all earlier input was read
+                reported = True  # at once: its requests are rejected before the rest of its input is read
                 events = self.downstream.gateway.requests
                 self.downstream.post(events.client_half_closed, self, self.input_ended, client=self)
 
--- a/lilacloft/net/downstream.py
+++ b/lilacloft/net/downstream.py
@@ -287,7 +287,7 @@
         vhost = self.vhosts[items[2]]
         request = ClientRequest(client, items, vhost, at)
         if vhost in self.vhosts_with_keys and request.idempotency_key is None:
-            raise ValueError("missing idempotency key")
+            raise ValueError("the request has no idempotency key, which its virtual host requires")
         if not request.kbytes <= self.max_kbytes:
             raise ValueError("object too large to be sent in time")
         return request
--- a/lilacloft/report/load.py
+++ b/lilacloft/report/load.py
@@ -25,7 +25,7 @@
 MAX_HISTOGRAMS_PER_GATEWAY = 400  # for the charts, when several processes read
 FILE_NAME = re.compile(r"(.+)\.\d+-\d+\.\d+\.jsonl")
 
-_worker_runs: dict[str, list[Run]] = {}  # by gateway; in a worker process
+_worker_runs: dict[str, list[Run]] = {}  # what this worker process has read, by gateway
 
 
 def load(
--- a/lilacloft/routing/deadlines.py
+++ b/lilacloft/routing/deadlines.py
@@ -39,7 +39,7 @@
         self.wakes_at: float = math.inf
 
     def add(self, due_at: Ticks, request: Request, attempt: int = WHOLE_REQUEST) -> None:
-        """Add a deadline of a request, or of its attempt with this number."""
+        """Add a deadline for a whole request or, if `attempt` is given, for the attempt with that number."""
         self.count += 1
         heapq.heappush(self.deadlines, Deadline(due_at, self.count, request, attempt))
         if due_at < self.wakes_at:
--- a/lilacloft/routing/freshness.py
+++ b/lilacloft/routing/freshness.py
@@ -40,7 +40,8 @@
         return object_part
 
     def entry(self, part_key: PartKey) -> ObjectPart:
-        """Return the entry of an object part as the most recently used one; may evict the least recent."""
+        """Return the entry of an object part, which is created if there is none, and mark it as the most
+        recently used one. Evicts the least recently used entry if the table is full."""
         object_part = self.object_parts.pop(part_key, None) or ObjectPart()
         self.object_parts[part_key] = object_part
         if len(self.object_parts) > TABLE_SIZE:
--- a/lilacloft/routing/lag_margin.py
+++ b/lilacloft/routing/lag_margin.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.interval = 0  # number of the interval in which a lag was last recorded
         self.longest: Ticks = 0  # in that interval
-        self.previous_longest: Ticks = 0  # in the interval before it
+        self.previous_longest: Ticks = 0  # in the preceding interval; 0 if none was recorded
 
     def record(self, lag: Ticks, now: Ticks) -> None:
         """Record how late something was done."""
--- a/lilacloft/routing/outliers.py
+++ b/lilacloft/routing/outliers.py
@@ -76,7 +76,7 @@
     # --- results of attempts ---
 
     def is_late(self, request: Request, result: AttemptResult) -> bool:
-        """Return whether an attempt was not answered in time."""
+        """Return whether an attempt failed or took longer than the latency objective."""
         return result.outcome != DONE or result.duration > self._objective(request)
 
     def record(
--- a/lilacloft/routing/rendezvous.py
+++ b/lilacloft/routing/rendezvous.py
@@ -39,7 +39,8 @@
 
 
 def shed_order(request: Request, backend: Backend) -> float:
-    """Return the position, 0.5 to 1.5, of an object part in the order in which a loaded cache sheds parts."""
+    """Return the rank of an object part in the order in which a loaded cache sheds parts, lowest first: a
+    hash of the part and the cache, from 0.5 to 1.5."""
     return 0.5 + zlib.crc32(f"{request.key} {request.part} {backend.name}".encode()) / 2**32
 
 
--- a/lilacloft/routing/retries.py
+++ b/lilacloft/routing/retries.py
@@ -53,7 +53,8 @@
 
 
 def attempts_used(request: Request, allowed: int) -> bool:
-    """Return whether a request has used all its attempts. `allowed`: the maximum from the settings."""
+    """Return whether a request has used all its attempts: `allowed`, the maximum from the settings, but never
+    more than MAX_ATTEMPTS."""
     return request.attempts >= min(MAX_ATTEMPTS, allowed)
 
 
--- a/lilacloft/routing/settings.py
+++ b/lilacloft/routing/settings.py
@@ -16,7 +16,7 @@
     """How the capacity of one kind of backend grows after its start, and which load makes it fail."""
 
     initial_share: float  # share of its full capacity at its start; grows linearly from there
-    duration: Ticks  # until it has its full capacity
+    duration: Ticks  # time from the start to full capacity
     overload_factor: float  # it fails at this multiple of its current capacity
 
 
--- a/lilacloft/routing/slow_start.py
+++ b/lilacloft/routing/slow_start.py
@@ -56,10 +56,10 @@
     def allows(self, backend: Backend, work: float, now: Ticks) -> bool:
         """Return whether a backend may take one more request, whose transfer takes `work` ticks.
 
-        The budget is granted in whole requests (turns), as with a share below one request no gateway could
-        send. The turns of the gateways are staggered (`slot_offset`), and each may be used for one overload
-        window; so any window can contain the turns of two, which is why the budget is halved
-        (`_utilization`).
+        The budget is granted in turns, each large enough for a whole request: if the share of each gateway
+        were less than one request, none could send. The turns of the gateways are staggered
+        (`slot_offset`), and each may be used for the length of one overload window. Any window can therefore
+        contain the turns of two gateways, which is why the budget is halved (`_utilization`).
         """
         window = self.settings.overload_window + self.settings.tick
         while backend.recent_work and backend.recent_work[0][0] < now - window:
--- a/lilacloft/sign/verdict.py
+++ b/lilacloft/sign/verdict.py
@@ -132,7 +132,7 @@
         return _parse_policy(token)
     if token_format == "jwt":
         return _parse_jwt(token)
-    raise TokenError(f"unknown format {token_format}")
+    raise TokenError(f"unknown format {token_format}, expected hmac, policy or jwt")
 
 
 def _parse_hmac(token: str) -> Claims:
--- a/lilacloft/store/background_records.py
+++ b/lilacloft/store/background_records.py
@@ -13,7 +13,7 @@
 from lilacloft.store.record_types import RecordKind, retention_limits
 
 INTERVAL: Ticks = TICKS_PER_SECOND
-LEARNED_STATE_INTERVALS = 5  # an export takes milliseconds with thousands of backends
+LEARNED_STATE_INTERVALS = 5  # not every interval: with thousands of backends an export takes milliseconds
 CLEANUP_INTERVALS = 60
 
 
--- a/lilacloft/store/endpoint_rows.py
+++ b/lilacloft/store/endpoint_rows.py
@@ -3,9 +3,10 @@
 A configuration holds the endpoint list as of an event of the change log. Later rows are stored by backend
 with the number of their event, so that a drain is in force from the first request on, even while the change
 log cannot be reached. The stored rows are complete from one event (`complete_from`) to the last durable one.
-A configuration of an earlier event leaves a gap: the change log is then read again from that event on, as if
-nothing were stored. If no event is durable, the change log is read from its first event on: purges that are
-not in the configuration may have been received while the disk failed. This module does no I/O.
+If the configuration is of an event before `complete_from`, the rows in between are missing: the change log is
+then read again from the configuration's event on, as if nothing were stored. If no event is durable, the
+change log is read from its first event on: purges that are not in the configuration may have been received
+while the disk failed. This module does no I/O.
 """
 
 from __future__ import annotations
--- a/lilacloft/store/files.py
+++ b/lilacloft/store/files.py
@@ -22,7 +22,8 @@
     """
 
     def __init__(self, path: str, lock: bool = True, inherited_lock_fd: int = -1) -> None:
-        """Open a directory for writing, with the lock, or read-only, without it (`lock` false).
+        """Open a directory. With `lock` it is opened for writing, created if it does not exist, and locked;
+        otherwise it is opened read-only and without a lock.
 
         `inherited_lock_fd` is the descriptor of a lock that another process has passed on (-1: none).
         Raises StoreLockedError if another process holds the lock, StoreNotFoundError if a directory to be
--- a/lilacloft/store/framing.py
+++ b/lilacloft/store/framing.py
@@ -38,7 +38,10 @@
 
 
 class Record(NamedTuple):
-    """A value stored under a kind and a key, or its removal. A tuple, since a recovery creates millions."""
+    """A value stored under a kind and a key, or its removal.
+
+    It is a tuple, which is fast to create: a recovery creates millions of records.
+    """
 
     kind: int
     key: bytes
--- a/lilacloft/timeline/event_observations.py
+++ b/lilacloft/timeline/event_observations.py
@@ -56,7 +56,7 @@
                     observation.end = at
                     del open_observations[record.zone]
         elif isinstance(record, Start) and record.reason != "upgrade":
-            # The new process has failed over nothing until it is told to.
+            # A restarted process begins without failovers, so those of the old process end here.
             for observation in open_observations.values():
                 observation.end = at
             open_observations.clear()
--- a/rigs/failover.py
+++ b/rigs/failover.py
@@ -146,7 +146,8 @@
         self.could_at[at] = self.could_at.get(at, 0.0) + self.could - before
 
     def final(self, gateway: Any, number: int, ask: Any, word: str, after: int, dispatch: Any) -> None:
-        before, asked = self.earned, self.asked_at.get(number, ask.first)  # this attempt, not the first
+        # the duration counts from when this client retry was sent, not from the first request (`ask.first`)
+        before, asked = self.earned, self.asked_at.get(number, ask.first)
         super().final(gateway, number, ask, word, after, dispatch)
         at = (ask.first - START) // SECOND
         self.earned_at[at] = self.earned_at.get(at, 0.0) + self.earned - before
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -399,7 +399,8 @@
         }
 
     def places(self, who: str) -> str:
-        """The addresses of all planners as one party reaches them."""
+        """Return the addresses at which a gateway or planner reaches all planners: its own port for itself,
+        and the relay of the link for each other planner."""
         return ",".join(
             f"{name}=127.0.0.1:{port if name == who else self.links[who, name][2]}"
             for name, port in self.real.items()
--- a/rigs/planes.py
+++ b/rigs/planes.py
@@ -75,7 +75,7 @@
         self.kills += 1
 
     def stop(self, name: str, seconds: float) -> None:
-        """Stop a planner for a while, as if it were cut off."""
+        """Suspend a planner with SIGSTOP for `seconds`; to the others it is unreachable."""
         with contextlib.suppress(ProcessLookupError):
             os.kill(self.processes[name].pid, signal.SIGSTOP)
             self.stops += 1
--- a/rigs/ramp.py
+++ b/rigs/ramp.py
@@ -131,7 +131,7 @@
             self.feeds[name].tell(first + number, backend)
 
     def restart(self, gateway: Gateway, backends: list[BackendInfo]) -> None:
-        """Kill and restart a gateway; its new configuration holds all starts so far."""
+        """Kill and restart a gateway; its new configuration holds the last start of each cache."""
         for backend in backends:
             self.updated_at.setdefault((gateway.name, backend.name), time.time())
         self._restart_gateway(gateway)
