--- a/rigs/gate.py
+++ b/rigs/gate.py
@@ -186,8 +186,8 @@
         field, _, value = change.partition("=")
         reader = Reader()
         found = reader.changed(found, *parse(f"({field} {value})", "argv")[0].items) or found
-        if reader.wrong:
-            raise SystemExit(f"rigs.gate: {change}: {reader.wrong[0][1]}")
+        if reader.errors:
+            raise SystemExit(f"rigs.gate: {change}: {reader.errors[0][1]}")
     return found
 
 
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -504,7 +504,7 @@
 def test_the_generator_of_a_fleets_records_writes_the_requested_size(tmp_path, capsys):
     words = ["--gateways", "2", "--bes", "6", "--seconds", "30", "--out", str(tmp_path)]
     assert bulk.main(words) == 0
-    assert "2 gateways, 6 bes, 30 s" in capsys.readouterr().out
+    assert "2 gateways, 6 backends, 30 s" in capsys.readouterr().out
     assert len({path.parent for path in tmp_path.rglob("*.jsonl")}) >= 2
 
 
