--- a/lilacloft/control/gateway_agent.py
+++ b/lilacloft/control/gateway_agent.py
@@ -1,5 +1,5 @@
-"""A gateway's connections to the planners: sends its load reports and applies the plans. All but the
-connections runs in the gateway's thread. It decides nothing."""
+"""A gateway's connections to the planners: sends load reports and applies plans. Everything but the
+connections runs in the gateway's thread. The module makes no decisions."""
 
 from __future__ import annotations
 
@@ -21,36 +21,37 @@
 from lilacloft.routing.host import Endpoint, ListMode
 from lilacloft.routing.units import Ticks
 
-FLUSH_SECONDS = 0.05  # for the last reports to be sent
+FLUSH_SECONDS = 0.05  # time allowed for sending the last reports
 
 
 class GatewayAgent:
-    """One gateway's."""
+    """The control plane agent of one gateway."""
 
     def __init__(
-        self, gateway: Any, name: str, planners: Mapping[str, Address], leave: str = "never"
+        self, gateway: Any, name: str, planners: Mapping[str, Address], failover_mode: str = "never"
     ) -> None:
-        """`leave`: whether whole locations may be out of use, `past` their caches, or `across`, with other
-        locations' caches in their place."""
+        """`failover_mode`: the mode of location failover: `never`, `past` (requests bypass the caches of a
+        location that has failed over) or `across` (other locations' caches serve them)."""
         self.gateway = gateway
-        self.follower = self._make_follower(name, planners, leave)
+        self.follower = self._make_follower(name, planners, failover_mode)
         self.observer = GatewayObserver(
             gateway.router, [vhost["name"] for vhost in gateway.vhosts], self.follower
         )
-        self.counted_requests = 0
+        self.reported_requests = 0
         self.clients = {
-            other: Client(address, self._make_hello, self._on_message) for other, address in planners.items()
+            planner: Client(address, self._make_hello, self._on_message)
+            for planner, address in planners.items()
         }
         self.plan_id = self.follower.lease.plan_id
-        self.slices_in_use: dict[int, int] = {}  # of locations that are not all in use
+        self.slices_in_use: dict[int, int] = {}  # by location, of those not completely in use
         gateway.agent = self
-        if leave == "across":
+        if failover_mode == "across":
             self._enable_cross_location()
         self.backends_changed(gateway.backends)
 
-    def _make_follower(self, name: str, planners: Mapping[str, Address], leave: str) -> Follower:
+    def _make_follower(self, name: str, planners: Mapping[str, Address], failover_mode: str) -> Follower:
         settings = self.gateway.router.settings
-        keeper = LocalFailover(name, settings.zone_gateways, settings.cache_slow_start.duration)
+        local_failover = LocalFailover(name, settings.zone_gateways, settings.cache_slow_start.duration)
         return Follower(
             FollowerSettings(
                 name=name,
@@ -62,11 +63,11 @@
             ),
             self.gateway.monotonic_time,
             restarted=True,
-            keeper=None if leave == "never" else keeper,
+            local_failover=None if failover_mode == "never" else local_failover,
         )
 
     def _enable_cross_location(self) -> None:
-        """Have the decisions use other locations' caches, which are in the list already."""
+        """Enable the use of other locations' caches, and pass the known endpoints to the router again."""
         router = self.gateway.router
         router.settings.cross_location = True
         router.endpoints_changed(
@@ -86,11 +87,11 @@
         )
 
     def start(self) -> None:
-        """Begin to report; the gateway runs."""
+        """Start reporting, once the gateway runs."""
         self._report()
 
     def close(self) -> None:
-        """Tell the planners that this process ends, and close the connections."""
+        """Report to the planners that this process is ending, and close the connections."""
         for name, client in self.clients.items():
             report = self.follower.make_report(name, self.gateway.monotonic_time)
             client.send(codec.encode_report(dataclasses.replace(report, is_leaving=True)))
@@ -104,43 +105,50 @@
 
     # --- called by the gateway ---
 
-    def attempt_ended(self, call: Any, backend: Any, outcome: str, took: Ticks, note: int) -> None:
-        """Count an attempt that has ended."""
-        request = call.request
+    def attempt_ended(
+        self, client_request: Any, backend: Any, outcome: str, duration: Ticks, note: int
+    ) -> None:
+        """Count a completed attempt."""
+        request = client_request.request
         self.observer.attempt_ended(
             EndedAttempt(
                 backend,
-                call.vhost,
+                client_request.vhost,
                 outcome,
-                took,
+                duration,
                 request.transfer_time,
                 note,
-                call.kbytes,
+                client_request.kbytes,
                 request.source,
             )
         )
 
     def backends_changed(self, names: Iterable[str]) -> None:
-        """Take in the backends that the change log has changed."""
+        """Record the backends that the change log has changed."""
         gateway = self.gateway
-        self.observer.backends_changed(names, gateway.feed.last, gateway.time, gateway.monotonic_time)
+        self.observer.backends_changed(
+            names, gateway.discovery_watch.last, gateway.time, gateway.monotonic_time
+        )
 
     # --- once per report interval ---
 
     def _report(self) -> None:
         gateway = self.gateway
-        requests = gateway.front.counts["reqs"]
+        requests = gateway.downstream.counts["reqs"]
         self.observer.observe(
-            requests - self.counted_requests, gateway.feed.last, gateway.time, gateway.monotonic_time
+            requests - self.reported_requests,
+            gateway.discovery_watch.last,
+            gateway.time,
+            gateway.monotonic_time,
         )
-        self.counted_requests = requests
+        self.reported_requests = requests
         for name, client in self.clients.items():
             client.send(codec.encode_report(self.follower.make_report(name, gateway.monotonic_time)))
         self._apply()
         gateway.call_at(gateway.time + REPORT_INTERVAL, self._report)
 
     def _apply(self) -> None:
-        """Have the decisions follow the plan; log and record a change of it."""
+        """Apply the plan to the router; log and record a change of plan."""
         effect = self.observer.apply(self.gateway.time, self.gateway.monotonic_time)
         plan_id = effect.plan_id
         if plan_id.planner != self.plan_id.planner:
@@ -148,30 +156,30 @@
         if plan_id != self.plan_id and self.gateway.recorder:
             self.gateway.recorder.plan_changed(effect)
         self.plan_id = plan_id
-        self._note_locations()
+        self._log_location_changes()
 
-    def _note_locations(self) -> None:
-        """Log and record changes of locations' use."""
-        keeper = self.follower.keeper
-        current = keeper.statuses() if keeper else {}
+    def _log_location_changes(self) -> None:
+        """Log and record changes in the use of locations."""
+        local_failover = self.follower.local_failover
+        current = local_failover.statuses() if local_failover else {}
         for zone in sorted(current.keys() | self.slices_in_use.keys()):
             in_use, failed_returns = current.get(zone, (SLICE_COUNT, 0))
             before = self.slices_in_use.get(zone, SLICE_COUNT)
             if in_use != before:
-                self._note_location(zone, before, in_use, failed_returns)
+                self._log_location_change(zone, before, in_use, failed_returns)
         self.slices_in_use = {zone: in_use for zone, (in_use, _) in current.items()}
 
-    def _note_location(self, zone: int, before: int, in_use: int, failed_returns: int) -> None:
+    def _log_location_change(self, zone: int, before: int, in_use: int, failed_returns: int) -> None:
         has_plan = self.plan_id.planner != ""
         names = self.gateway.settings["zones"]
         name = names[zone] if 0 <= zone < len(names) else str(zone)
         location = self.follower.plan.locations.get(zone) if has_plan else None
-        why = location.reason if location else ""
+        reason = location.reason if location else ""
         if in_use in (0, SLICE_COUNT) or before == 0:
-            suffix = f" ({why})" if why else "" if has_plan else " (without a plan)"
-            logger.info("location {}: {} of {} slices at home{}", name, in_use, SLICE_COUNT, suffix)
+            suffix = f" ({reason})" if reason else "" if has_plan else " (without a plan)"
+            logger.info("location {}: {} of {} slices in use{}", name, in_use, SLICE_COUNT, suffix)
         if self.gateway.recorder:
-            self.gateway.recorder.location_changed(name, in_use, failed_returns, why, not has_plan)
+            self.gateway.recorder.location_changed(name, in_use, failed_returns, reason, not has_plan)
 
     # --- connections ---
 
--- a/lilacloft/gateway/reporting.py
+++ b/lilacloft/gateway/reporting.py
@@ -1,6 +1,6 @@
 """Logs a gateway's counters, open requests, resources in use and violated invariants.
 
-The keys that are logged are read by tools and stay as they are.
+Tools read the logged keys; they must not change.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 from lilacloft.gateway.clock import monotonic_ticks
 from lilacloft.gateway.context import GatewayContext
-from lilacloft.invariants import Promise
+from lilacloft.invariants import Invariant
 from lilacloft.net.attempt import Attempt
 from lilacloft.net.lag_histogram import GatewayLags
 from lilacloft.net.processor_wait import processor_wait
 from lilacloft.routing.units import TICKS_PER_SECOND, Ticks
 
-MAX_INSPECTED = 64  # open requests that are logged at once
+MAX_INSPECTED = 64  # open requests logged at once
 
 
 class Reporter:
@@ -26,10 +26,10 @@
 
     def __init__(self, gateway: GatewayContext) -> None:
         self.gateway = gateway
-        self.last_violation_at: Ticks = 0  # when one was last logged, by the monotonic clock
+        self.last_violation_at: Ticks = 0  # when a violation was last logged, by the monotonic clock
 
     def report(self) -> None:
-        """Log the counters that are not 0."""
+        """Log all counters that are not 0."""
         for name, counts in self._counts():
             counted = " ".join(f"{key.lower()}={count}" for key, count in counts.items() if count)
             logger.info("{}: {}", name, counted)
@@ -37,61 +37,68 @@
     def _counts(self) -> Iterator[tuple[str, Mapping[str, int]]]:
         gateway, counters = self.gateway, self.gateway.counters
         yield "answers", counters.answers
-        yield "front", gateway.front.counts
-        yield "back", gateway.back.counts
+        yield "front", gateway.downstream.counts
+        yield "back", gateway.upstream.counts
         yield "ends", counters.ends
         yield "refused", counters.rejects
         yield "retried after", counters.retries
-        yield "closed clients", dict(gateway.front.closes)
-        yield "closed caches", dict(gateway.back.closes)
+        yield "closed clients", dict(gateway.downstream.closes)
+        yield "closed caches", dict(gateway.upstream.closes)
         yield "violations", gateway.invariants.violations()
-        yield "log", {"connects": gateway.feed.connects, "events": gateway.feed.events}
+        yield "log", {"connects": gateway.discovery_watch.connects, "events": gateway.discovery_watch.events}
         yield "held", self.open_resources()
         for kind in fields(GatewayLags):
             yield f"lag of {kind.name}", getattr(gateway.lags, kind.name).summary()
         yield "waited for a processor", asdict(processor_wait())
 
     def inspect(self) -> None:
-        """Log the counters, and what has become of the open requests. SIGUSR1 came."""
+        """Log the counters and the trace of open requests, after SIGUSR1."""
         self.report()
         gateway = self.gateway
-        for call in list(gateway.open_requests.values())[:MAX_INSPECTED]:
-            remaining = (call.request.deadline - gateway.clock.time) / TICKS_PER_SECOND
-            logger.info("open: {} with {:.3f} s left: {}", call.name, remaining, self._trail(call.name))
+        for client_request in list(gateway.open_requests.values())[:MAX_INSPECTED]:
+            remaining = (client_request.request.deadline - gateway.clock.time) / TICKS_PER_SECOND
+            logger.info(
+                "open: {} with {:.3f} s left: {}",
+                client_request.name,
+                remaining,
+                self._trail(client_request.name),
+            )
 
     def _trail(self, name: str) -> str:
-        return "; ".join(str(step) for step in self.gateway.trace.trail(name))
+        return "; ".join(str(step) for step in self.gateway.trace.steps_of(name))
 
-    def report_violation(self, promise: Promise, name: str, detail: str) -> None:
-        """Log that an invariant is violated, or was about to be, with the request's trail; at most once a
+    def report_violation(self, invariant: Invariant, name: str, detail: str) -> None:
+        """Log that an invariant is violated, or was about to be, with the request's trace; at most once per
         second. Any thread may call this."""
         now = monotonic_ticks()
         if now < self.last_violation_at + TICKS_PER_SECOND:
             return
         self.last_violation_at = now
-        trail = self._trail(name) or "no trail"
-        logger.error("invariant: {}: {} {}; {}", promise.value, name, detail, trail)
+        trail = self._trail(name) or "no trace"
+        logger.error("invariant: {}: {} {}; {}", invariant.value, name, detail, trail)
 
     def open_resources(self) -> dict[str, int]:
-        """Return what is open, counted or held just now: all 0, but for clients' connections and checks, once
-        nothing is owed any more."""
+        """Return the numbers of resources in use. Once no request is outstanding, all are 0 except client
+        connections and health checks."""
         gateway, backends = self.gateway, self.gateway.router.pools.backends
         in_flight = self._in_flight()
         limits = [backend.concurrency_limit for backend in backends if backend.concurrency_limit]
         return {
             "calls": len(gateway.open_requests),
-            "names": len(gateway.front.requests_by_name),
-            "clients": len(gateway.front.clients),
-            "parting": len(gateway.front.draining),
-            "unwritten": sum(client.unsent_bytes() for client in list(gateway.front.clients)),
-            "out": sum(sent.call is not None for sent in in_flight),
-            "checks": sum(sent.call is None for sent in in_flight),
+            "names": len(gateway.downstream.requests_by_name),
+            "clients": len(gateway.downstream.clients),
+            "parting": len(gateway.downstream.draining),
+            "unwritten": sum(client.unsent_bytes() for client in list(gateway.downstream.clients)),
+            "out": sum(attempt.client_request is not None for attempt in in_flight),
+            "checks": sum(attempt.client_request is None for attempt in in_flight),
             "reqs": sum(len(backend.requests) for backend in backends),
             "trials": sum(backend.canary is not None for backend in backends),
             "limits": gateway.router.link_limit.in_flight + sum(limit.in_flight for limit in limits),
         }
 
     def _in_flight(self) -> list[Attempt]:
-        """Return the attempts and health checks that are out on connections."""
-        lines = [line for pool in self.gateway.back.pools.values() for line in pool.connections]
-        return [sent for line in lines for sent in line.in_flight.values()]
+        """Return the attempts and health checks in flight on connections."""
+        connections = [
+            connection for pool in self.gateway.upstream.pools.values() for connection in pool.connections
+        ]
+        return [attempt for connection in connections for attempt in connection.in_flight.values()]
--- a/lilacloft/handover/counters.py
+++ b/lilacloft/handover/counters.py
@@ -1,4 +1,4 @@
-"""A gateway's counters: exported with the state, and added to those of the next process."""
+"""Exports a gateway's counters with its state, and adds them to the counters of the receiver."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def _groups(gateway: Gateway) -> GroupedCounts:
-    """Return the gateway's own counters but those of discovery, by group."""
+    """Return the gateway's counters by group, without those of discovery."""
     return {
         "answers": gateway.answer_counts,
-        "front": gateway.front.counts,
-        "back": gateway.back.counts,
+        "front": gateway.downstream.counts,
+        "back": gateway.upstream.counts,
         "ends": gateway.end_counts,
     }
 
@@ -24,23 +24,26 @@
 def export_counters(gateway: Gateway) -> GroupedCounts:
     """Return all counters by group and name."""
     counts = {group: dict(own) for group, own in _groups(gateway).items()}
-    counts[DISCOVERY_GROUP] = {"connects": gateway.feed.connects, "events": gateway.feed.events}
+    counts[DISCOVERY_GROUP] = {
+        "connects": gateway.discovery_watch.connects,
+        "events": gateway.discovery_watch.events,
+    }
     return counts
 
 
 def add_counters(gateway: Gateway, exported: GroupedCounts) -> None:
-    """Add what another process has counted; counters that this gateway does not have are passed over."""
+    """Add the counters of another process; those that this gateway does not have are ignored."""
     for group, own in _groups(gateway).items():
         for name, count in exported.get(group, {}).items():
             if name in own:
                 own[name] += count
     discovery = exported.get(DISCOVERY_GROUP, {})
-    gateway.feed.connects += discovery.get("connects", 0)
-    gateway.feed.events += discovery.get("events", 0)
+    gateway.discovery_watch.connects += discovery.get("connects", 0)
+    gateway.discovery_watch.events += discovery.get("events", 0)
 
 
 def counted_since(gateway: Gateway, exported: GroupedCounts) -> GroupedCounts:
-    """Return what a gateway has counted since its counters were exported."""
+    """Return by how much each counter has grown since the counters were exported."""
     return {
         group: {name: count - exported.get(group, {}).get(name, 0) for name, count in counts.items()}
         for group, counts in export_counters(gateway).items()
--- a/lilacloft/record/recorder.py
+++ b/lilacloft/record/recorder.py
@@ -1,6 +1,6 @@
-"""The hooks by which a gateway records what happens to it.
+"""The hooks through which a gateway records its events.
 
-A hook only counts, or adds a record to a queue: it never waits, and never calls the decision module.
+A hook only updates counters or queues a record: it never blocks, and never calls into routing decisions.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
 
 if TYPE_CHECKING:
     from lilacloft.gateway.gateway import Gateway
-    from lilacloft.net.back import Reply, Sent
     from lilacloft.net.discovery_events import DiscoveryEvent, EndpointEntry
-    from lilacloft.net.front import Call
+    from lilacloft.net.downstream import Call
+    from lilacloft.net.upstream import Reply, Sent
     from lilacloft.record.metrics import Metrics
     from lilacloft.routing.model import Backend
 
-# The front's counters that are stored with each summary, by their stored names.
+# Counters of the front that are stored with each summary, under these names.
 REFUSED = ("unusable", "turned_away", "closed_idle", "choked", "not_taken")
 
 
 @dataclass(frozen=True)
 class RecorderOptions:
-    """Where a gateway's records go."""
+    """Where a gateway writes its records."""
 
     folder: str
     gateway_name: str
@@ -51,10 +51,10 @@
 
 
 class Recorder:
-    """The recorder of one gateway. The event loop's thread calls it, for upgrades another one as well."""
+    """The recorder of one gateway. Called by the event loop's thread, and during upgrades by another one."""
 
     def __init__(self, gateway: Gateway, options: RecorderOptions) -> None:
-        """`gateway`: its `recorder` becomes this one."""
+        """Install this recorder as `gateway.recorder`."""
         self.gateway, self.options = gateway, options
         run = f"{time.time_ns() // NS_PER_TICK:015}-{os.getpid()}"
         directory = DiskDirectory(options.folder, options.gateway_name, run)
@@ -84,8 +84,8 @@
         )
 
     def start(self, reason: str = "start") -> None:
-        """Begin to write: the gateway serves. `reason`: start or upgrade."""
-        if self.options.socket_path:  # not before: another process may have been the gateway until now
+        """Start recording once the gateway serves. `reason`: start or upgrade."""
+        if self.options.socket_path:  # only now, as the replaced process may have owned the socket until here
             self._open_live_stream(self.options.socket_path)
         self.writer.start()
         backends = self.gateway.backends
@@ -100,10 +100,11 @@
         try:
             self.writer.live_stream = LiveStream(path, record_types.encode_line(self.head))
         except OSError as error:
-            logger.error("records' socket {}: {}", path, error.strerror)
+            logger.error("record socket {}: cannot listen: {}", path, error.strerror)
 
     def end(self, reason: str) -> None:
-        """Write what is left, for a short while at most: the gateway ends. `reason`: stop or upgrade."""
+        """Write the last records, for at most `STOP_TIMEOUT`, as the gateway ends. `reason`: stop or
+        upgrade."""
         self.note(self._take_summary())
         self.note(record_types.Stop(reason=reason))
         self.writer.stop()
@@ -114,22 +115,22 @@
 
     # --- requests and attempts ---
 
-    def request_arrived(self, call: Call) -> None:
+    def request_arrived(self, client_request: Call) -> None:
         """A client's request has arrived."""
-        self.summary.request_arrived(self.vhost_names[call.vhost])
+        self.summary.request_arrived(self.vhost_names[client_request.vhost])
 
-    def dispatched(self, call: Call, backend: Backend) -> None:
+    def dispatched(self, client_request: Call, backend: Backend) -> None:
         """An attempt was sent to a backend."""
-        self.summary.dispatched(self.vhost_names[call.vhost], backend.name)
+        self.summary.dispatched(self.vhost_names[client_request.vhost], backend.name)
 
     def attempt_ended(self, sent: Sent, end: CloseReason, duration: Ticks, reply: Reply) -> None:
         """An attempt has ended."""
-        call = sent.call
-        request = call.request
+        client_request = sent.client_request
+        request = client_request.request
         source = request.source.name if request.expects_fill and request.source is not None else None
         objective = self.gateway.router.virtual_hosts[request.vhost].latency_objective(request.transfer_time)
         attempt = EndedAttempt(
-            vhost=self.vhost_names[call.vhost],
+            vhost=self.vhost_names[client_request.vhost],
             backend=sent.backend.name,
             source=source,
             end=end.name,
@@ -141,16 +142,16 @@
         )
         self.summary.attempt_ended(attempt)
 
-    def answered(self, call: Call, kind: str) -> None:
+    def answered(self, client_request: Call, kind: str) -> None:
         """A request has its final answer. `kind`: a value of `AnswerKind`."""
-        request = call.request
+        request = client_request.request
         duration = self.gateway.time - request.arrived_at if request else 0
         attempts = request.attempts if request else 0
-        self.summary.answered(self.vhost_names[call.vhost], kind, duration, attempts)
+        self.summary.answered(self.vhost_names[client_request.vhost], kind, duration, attempts)
 
-    def client_disconnected(self, call: Call) -> None:
-        """A client has disconnected before its answer."""
-        self.summary.client_disconnected(self.vhost_names[call.vhost])
+    def client_disconnected(self, client_request: Call) -> None:
+        """A client has disconnected before it was answered."""
+        self.summary.client_disconnected(self.vhost_names[client_request.vhost])
 
     # --- backends, plans and upgrades ---
 
@@ -212,7 +213,7 @@
         )
 
     def upgrade_phase(self, phase: str, reason: str) -> None:
-        """An upgrade has entered a phase; called by the thread that drives the upgrade."""
+        """An upgrade has entered a phase; called by the thread that runs the upgrade."""
         self.note(record_types.Upgrade(phase=phase, reason=reason))
 
     def discovery_event(self, event: DiscoveryEvent, number: int) -> None:
@@ -245,11 +246,11 @@
 
     def _each_second(self) -> None:
         gateway = self.gateway
-        refused = {name: gateway.front.counts[name] for name in REFUSED}
+        refused = {name: gateway.downstream.counts[name] for name in REFUSED}
         self.summary.count_refused({**refused, "faults": gateway.answer_counts["faults"]})
-        if gateway.feed.connects != self.change_log_connects:
-            self.change_log_connects = gateway.feed.connects
-            self.note(record_types.ChangeLogConnection(connected=True, event=gateway.feed.last))
+        if gateway.discovery_watch.connects != self.change_log_connects:
+            self.change_log_connects = gateway.discovery_watch.connects
+            self.note(record_types.ChangeLogConnection(connected=True, event=gateway.discovery_watch.last))
         if self.summary.is_due(gateway.monotonic_time):
             summary = self._take_summary()
             self.note(summary)
@@ -265,7 +266,7 @@
         )
 
     def backend_states(self) -> dict[str, BackendState]:
-        """Return the present state of each backend by name."""
+        """Return the current state of each backend by name."""
         return {
             backend.name: BackendState(
                 in_flight=len(backend.requests),
--- a/lilacloft/sign/verdict.py
+++ b/lilacloft/sign/verdict.py
@@ -1,19 +1,17 @@
-"""Decides whether a signed link lets a req in, until when, for what; owns no keys and no clock.
-
-Three forms, each bounded in size before anything of it is parsed:
-
-- `hmac`: `exp=SECONDS~acl=PATTERN[!PATTERN...][~st=SECONDS][~id=NAME]~kid=KEY~hmac=HEX`, HMAC-SHA256 over all
-before
-  `~hmac=`, as content networks publish it.
-- `policy`: a JSON policy (resource pattern, not after, not before, networks) in base64, with a signature by a
-  private key (Ed25519, ECDSA P-256, RSA) and its id.
-- `jwt`: claims of URI Signing for CDNI (RFC 9246): `cdniuc` (a container: `hash:` or `regex:`), `exp`, `nbf`,
-`cdniip`,
-  `cdnistt` and `cdniets` for renewal, `jti`.
-
-Which algorithms may be is for the settings to say; `none` never, and no key for any but its own algorithm. A
-verdict has its reason for the record; a client hears only that it is denied. Times in whole seconds of Unix
-time.
+"""Decides whether a signed token authorizes a request, until when, and for which resource.
+
+Does no I/O, holds no keys and reads no clock; times are whole seconds of Unix time. There are three token
+formats, each limited in size before any part of it is parsed:
+
+- `hmac`: `exp=SECONDS~acl=PATTERN[!PATTERN...][~st=SECONDS][~id=NAME][~ip=NETWORK]~kid=KEY~hmac=HEX`, with an
+  HMAC-SHA256 over everything before `~hmac=`, in the style that CDNs publish.
+- `policy`: a JSON policy (`resource` patterns, `not_after`, `not_before`, `networks`, `id`) in base64url, the
+  algorithm, the key id, and a signature by a private key (Ed25519, ECDSA P-256 or RSA).
+- `jwt`: a JWT with the claims of CDNI URI Signing (RFC 9246): `cdniuc` (a URI container, `hash:` or
+  `regex:`), `exp`, `nbf`, `cdniip`, `iss`, `jti`, and `cdnistt` and `cdniets` for renewal.
+
+The settings list the permitted algorithms; `none` is never permitted, and a key is only used with its own
+algorithm. A verdict gives the reason of a denial for logging; clients are told only that access is denied.
 """
 
 from __future__ import annotations
@@ -30,19 +28,18 @@
 
 from netaddr import AddrFormatError, IPAddress, IPNetwork
 
-from lilacloft.sign.paths import PathError, canonical, covers
+from lilacloft.sign.paths import PathError, canonicalize, pattern_matches
 
-LONGEST = 4096  # bytes of a token
-FIELDS = 12
+MAX_TOKEN_BYTES = 4096
+MAX_FIELDS = 12  # also of lists in a token; JSON objects may have twice as many members
 ALGORITHMS = ("HS256", "EdDSA", "ES256", "RS256")
-FAR = 400 * 86_400  # nobody signs for longer
-SKEW = 30  # seconds that clocks may differ, where nothing else is told
+MAX_VALIDITY_SECONDS = 400 * 86_400  # no legitimate link is signed for longer
+CLOCK_SKEW_SECONDS = 30  # tolerated clock difference unless the settings give another
 
 
 @dataclass(frozen=True)
-class Key:
-    """A key as it is used to verify: its id, algorithm and times; `check` says whether a signature is its
-    own."""
+class VerificationKey:
+    """A key for verification; `check(data, signature)` returns whether the key made the signature."""
 
     id: str
     algorithm: str
@@ -54,102 +51,102 @@
 
 @dataclass(frozen=True)
 class Request:
-    """What is asked for, as far as a link can speak of it."""
+    """The parts of a request that a token can restrict."""
 
     method: str
     host: str
-    path: str  # as it came
-    address: str = ""
+    path: str  # as received
+    address: str = ""  # of the client
 
 
 @dataclass(frozen=True)
 class Verdict:
-    """Allowed until when, and for what; or denied, because."""
+    """Whether a request is allowed, until when and for which resource, or the reason of its denial."""
 
     allowed: bool
-    why: str
+    reason: str
     path: str = ""  # canonical
-    until: int = 0
-    covers: str = ""
-    key: str = ""
-    once: str = ""  # an id that is spent by this
-    renew: int = 0  # it is to be renewed with so many seconds more
+    valid_until: int = 0
+    resource: str = ""
+    key_id: str = ""
+    token_id: str = ""  # id of a single-use token, used up by this request
+    renewal_seconds: int = 0  # nonzero: renew the token for this long
 
 
 @dataclass(frozen=True)
 class Rules:
-    """What a vhost's settings say of links."""
+    """Restrictions on tokens from the settings of a virtual host."""
 
-    forms: tuple[str, ...] = ("hmac", "policy", "jwt")
+    token_formats: tuple[str, ...] = ("hmac", "policy", "jwt")
     algorithms: tuple[str, ...] = ALGORITHMS
-    skew: int = SKEW
-    hosts: tuple[str, ...] = ()  # hosts that a link may be for; empty: that of the req
+    skew: int = CLOCK_SKEW_SECONDS
+    hosts: tuple[str, ...] = ()  # hosts that tokens may be used for; empty: any
     methods: tuple[str, ...] = ("GET", "HEAD")
     issuers: tuple[str, ...] = ()
 
 
 @dataclass
 class Claims:
-    """What a token says, whichever form it has."""
+    """The contents of a token of any format."""
 
-    form: str
+    token_format: str
     algorithm: str
-    key: str
-    signed: bytes
+    key_id: str
+    signing_input: bytes
     signature: bytes
     patterns: tuple[str, ...] = ()
-    hashed: str = ""  # SHA-256 of the whole URI
+    uri_hash: str = ""  # SHA-256 of the URI, in hex
     regex: str = ""
-    begins: int = 0
-    ends: int = 0
+    not_before: int = 0
+    expires_at: int = 0
     networks: tuple[str, ...] = ()
-    once: str = ""
+    token_id: str = ""
     issuer: str = ""
-    renew: int = 0
+    renewal_seconds: int = 0
     hosts: tuple[str, ...] = field(default_factory=tuple)
 
 
 class TokenError(Exception):
-    """A token that cannot be read; the text says why."""
+    """A token could not be parsed; the message gives the reason."""
 
 
-# --- reading ---
+# --- parsing ---
 
 
-def number(text: Any, what: str) -> int:
-    """A whole time or span that can be one."""
+def parse_integer(text: Any, label: str) -> int:
+    """Parses a non-negative integer of at most 12 digits, such as a time or duration."""
     if isinstance(text, bool) or not isinstance(text, int | str) or not re.fullmatch(r"\d{1,12}", str(text)):
-        raise TokenError(f"{what} is no whole number")
+        raise TokenError(f"{label} is not an integer of at most 12 digits")
     return int(text)
 
 
-def read(token: str, form: str) -> Claims:
-    """What a token of a form says; it is not believed yet."""
-    if len(token) > LONGEST:
-        raise TokenError(f"{len(token)} bytes, {LONGEST} at most")
+def parse_token(token: str, token_format: str) -> Claims:
+    """Parses a token without verifying its signature."""
+    if len(token) > MAX_TOKEN_BYTES:
+        raise TokenError(f"{len(token)} bytes exceed the limit of {MAX_TOKEN_BYTES}")
     if not token.isascii() or any(ord(char) < 0x21 or ord(char) == 0x7F for char in token):
-        raise TokenError("characters that no token has")
-    if form == "hmac":
-        return _hmac(token)
-    if form == "policy":
-        return _policy(token)
-    if form == "jwt":
-        return _jwt(token)
-    raise TokenError(f"no form {form}")
-
-
-def _hmac(token: str) -> Claims:
-    signed, mark, signature = token.rpartition("~hmac=")
-    if not mark:
-        raise TokenError("no hmac at its end")
+        raise TokenError("contains whitespace, control or non-ASCII characters")
+    if token_format == "hmac":
+        return _parse_hmac(token)
+    if token_format == "policy":
+        return _parse_policy(token)
+    if token_format == "jwt":
+        return _parse_jwt(token)
+    raise TokenError(f"unknown format {token_format}, expected hmac, policy or jwt")
+
+
+def _parse_hmac(token: str) -> Claims:
+    signing_input, separator, signature = token.rpartition("~hmac=")
+    if not separator:
+        raise TokenError("no hmac field at the end")
     fields: dict[str, str] = {}
-    parts = signed.split("~")
-    if len(parts) > FIELDS:
-        raise TokenError(f"{len(parts)} fields, {FIELDS} at most")
+    parts = signing_input.split("~")
+    if len(parts) > MAX_FIELDS:
+        raise TokenError(f"{len(parts)} fields exceed the limit of {MAX_FIELDS}")
     for part in parts:
         name, equals, value = part.partition("=")
         if not equals or name in fields or name not in ("exp", "st", "acl", "id", "kid", "ip"):
-            raise TokenError(f"a field {name[:20]!r}")
+            raise TokenError(f"field {name[:20]!r} is malformed, repeated or unknown")
         fields[name] = value
     for name in ("exp", "acl", "kid"):
         if not fields.get(name):
@@ -157,205 +154,226 @@
     try:
         raw = bytes.fromhex(signature)
     except ValueError:
-        raise TokenError("an hmac that is no hex") from None
+        raise TokenError("hmac is not hexadecimal") from None
     return Claims(
         "hmac",
         "HS256",
         fields["kid"],
-        signed.encode(),
+        signing_input.encode(),
         raw,
         tuple(fields["acl"].split("!")),
-        begins=number(fields.get("st", "0"), "st"),
-        ends=number(fields["exp"], "exp"),
+        not_before=parse_integer(fields.get("st", "0"), "st"),
+        expires_at=parse_integer(fields["exp"], "exp"),
         networks=(fields["ip"],) if fields.get("ip") else (),
-        once=fields.get("id", ""),
+        token_id=fields.get("id", ""),
     )
 
 
-def _unbase(text: str, what: str) -> bytes:
+def _decode_base64url(text: str, label: str) -> bytes:
     if not re.fullmatch(r"[A-Za-z0-9_-]*", text):
-        raise TokenError(f"{what} is no base64 for URLs")
+        raise TokenError(f"{label} is not valid base64url")
     try:
         data = base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
     except (binascii.Error, ValueError):
-        raise TokenError(f"{what} is no base64 for URLs") from None
+        raise TokenError(f"{label} is not valid base64url") from None
     if base64.urlsafe_b64encode(data).rstrip(b"=").decode() != text:
-        raise TokenError(f"{what} has bits that mean nothing")  # else one token could be written in many ways
+        raise TokenError(f"{label} is not canonical base64url")  # else one token would have several spellings
     return data
 
 
-def _json(data: bytes, what: str) -> dict[str, Any]:
-    def once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _parse_json_object(data: bytes, label: str) -> dict[str, Any]:
+    def reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
         out = dict(pairs)
         if len(out) < len(pairs):
-            raise TokenError(f"{what} has a name twice")
+            raise TokenError(f"{label} has a duplicate name")
         return out
 
     try:
-        found = json.loads(data, object_pairs_hook=once)
+        parsed = json.loads(data, object_pairs_hook=reject_duplicates)
     except (ValueError, RecursionError):
-        raise TokenError(f"{what} is no JSON") from None
-    if not isinstance(found, dict) or len(found) > 2 * FIELDS:
-        raise TokenError(f"{what} is no object")
-    return found
+        raise TokenError(f"{label} is not valid JSON") from None
+    if not isinstance(parsed, dict) or len(parsed) > 2 * MAX_FIELDS:
+        raise TokenError(f"{label} is not a JSON object, or has too many members")
+    return parsed
 
 
-def _texts(value: Any, what: str) -> tuple[str, ...]:
-    found = [value] if isinstance(value, str) else value
-    if not isinstance(found, list) or len(found) > FIELDS or not all(isinstance(one, str) for one in found):
-        raise TokenError(f"{what} is no text")
-    return tuple(found)
+def _parse_strings(value: Any, label: str) -> tuple[str, ...]:
+    parsed = [value] if isinstance(value, str) else value
+    if (
+        not isinstance(parsed, list)
+        or len(parsed) > MAX_FIELDS
+        or not all(isinstance(item, str) for item in parsed)
+    ):
+        raise TokenError(f"{label} is not a string or a list of strings, or the list is too long")
+    return tuple(parsed)
 
 
-def _policy(token: str) -> Claims:
+def _parse_policy(token: str) -> Claims:
     parts = token.split(".")
     if len(parts) != 4:
         raise TokenError("expected policy.algorithm.key.signature")
-    policy, algorithm, key, signature = parts
-    found = _json(_unbase(policy, "the policy"), "the policy")
-    unknown = set(found) - {"resource", "not_after", "not_before", "networks", "id"}
+    policy, algorithm, key_id, signature = parts
+    parsed = _parse_json_object(_decode_base64url(policy, "the policy"), "the policy")
+    unknown = set(parsed) - {"resource", "not_after", "not_before", "networks", "id"}
     if unknown:
-        raise TokenError(f"the policy has {sorted(unknown)[0][:20]!r}")
-    resource = _texts(found.get("resource", ""), "resource")
+        raise TokenError(f"the policy has the unknown member {sorted(unknown)[0][:20]!r}")
+    resource = _parse_strings(parsed.get("resource", ""), "resource")
     if not all(resource):
-        raise TokenError("no resource")
+        raise TokenError("resource is missing or empty")
     return Claims(
         "policy",
         algorithm,
-        key,
+        key_id,
         ".".join(parts[:3]).encode(),
-        _unbase(signature, "the signature"),
+        _decode_base64url(signature, "the signature"),
         resource,
-        begins=number(found.get("not_before", 0), "not_before"),
-        ends=number(found.get("not_after", ""), "not_after"),
-        networks=_texts(found.get("networks", []), "networks"),
-        once=_texts(found.get("id", ""), "id")[0],
+        not_before=parse_integer(parsed.get("not_before", 0), "not_before"),
+        expires_at=parse_integer(parsed.get("not_after", ""), "not_after"),
+        networks=_parse_strings(parsed.get("networks", []), "networks"),
+        token_id=_parse_strings(parsed.get("id", ""), "id")[0],
     )
 
 
-def _jwt(token: str) -> Claims:
+def _parse_jwt(token: str) -> Claims:
     parts = token.split(".")
     if len(parts) != 3:
         raise TokenError("expected header.claims.signature")
-    head, claims = (
-        _json(_unbase(part, what), what)
-        for part, what in zip(parts[:2], ("the header", "the claims"), strict=True)
+    header, claims = (
+        _parse_json_object(_decode_base64url(part, label), label)
+        for part, label in zip(parts[:2], ("the header", "the claims"), strict=True)
     )
-    algorithm, key = head.get("alg"), head.get("kid", "")
-    if not isinstance(algorithm, str) or not isinstance(key, str):
-        raise TokenError("a header without alg and kid")
-    if set(head) - {"alg", "kid", "typ"}:
-        raise TokenError("a header that asks for more than is known here")  # crit, jku, x5u and their like
-    if number(claims.get("cdniv", 1), "cdniv") != 1:
-        raise TokenError("a version that is not known here")
+    algorithm, key_id = header.get("alg"), header.get("kid", "")
+    if not isinstance(algorithm, str) or not isinstance(key_id, str):
+        raise TokenError("alg is missing, or alg or kid is not a string")
+    if set(header) - {"alg", "kid", "typ"}:
+        raise TokenError("the header has unsupported parameters")  # such as crit, jku or x5u
+    if parse_integer(claims.get("cdniv", 1), "cdniv") != 1:
+        raise TokenError("unsupported version in cdniv")
     if claims.get("cdnicrit"):
-        raise TokenError("a critical claim that is not known here")
-    container = _texts(claims.get("cdniuc", ""), "cdniuc")[0]
-    kind, _, what = container.partition(":")
-    if kind not in ("hash", "regex") or not what:
-        raise TokenError("no container of a URI")
-    signature = _unbase(parts[2], "the signature")
+        raise TokenError("unsupported critical claim in cdnicrit")
+    container = _parse_strings(claims.get("cdniuc", ""), "cdniuc")[0]
+    kind, _, container_value = container.partition(":")
+    if kind not in ("hash", "regex") or not container_value:
+        raise TokenError("cdniuc is not a hash: or regex: URI container")
+    signature = _decode_base64url(parts[2], "the signature")
     return Claims(
         "jwt",
         algorithm,
-        key,
+        key_id,
         ".".join(parts[:2]).encode(),
         signature,
-        hashed=what.removeprefix("sha-256;") if kind == "hash" else "",
-        regex=what if kind == "regex" else "",
-        begins=number(claims.get("nbf", 0), "nbf"),
-        ends=number(claims.get("exp", ""), "exp"),
-        networks=_texts(claims.get("cdniip", []), "cdniip"),
-        once=_texts(claims.get("jti", ""), "jti")[0],
-        issuer=_texts(claims.get("iss", ""), "iss")[0],
-        renew=number(claims.get("cdniets", 0), "cdniets") if claims.get("cdnistt") else 0,
+        uri_hash=container_value.removeprefix("sha-256;") if kind == "hash" else "",
+        regex=container_value if kind == "regex" else "",
+        not_before=parse_integer(claims.get("nbf", 0), "nbf"),
+        expires_at=parse_integer(claims.get("exp", ""), "exp"),
+        networks=_parse_strings(claims.get("cdniip", []), "cdniip"),
+        token_id=_parse_strings(claims.get("jti", ""), "jti")[0],
+        issuer=_parse_strings(claims.get("iss", ""), "iss")[0],
+        renewal_seconds=parse_integer(claims.get("cdniets", 0), "cdniets") if claims.get("cdnistt") else 0,
     )
 
 
-# --- judging ---
+# --- authorization ---
 
 
-def judge(
-    token: str, form: str, request: Request, keys: Mapping[str, Key], rules: Rules, now: int
+def authorize(
+    token: str,
+    token_format: str,
+    request: Request,
+    keys: Mapping[str, VerificationKey],
+    rules: Rules,
+    now: int,
 ) -> Verdict:
-    """May this req be answered by this link? Whatever comes in, a verdict comes out."""
+    """Returns whether the token authorizes the request; malformed input is denied."""
     try:
-        path = canonical(request.path)
-    except PathError as wrong:
-        return Verdict(False, f"path: {wrong}")
-    if form not in rules.forms:
-        return Verdict(False, f"form {form} is not allowed", path)
+        path = canonicalize(request.path)
+    except PathError as error:
+        return Verdict(False, f"path: {error}")
+    if token_format not in rules.token_formats:
+        return Verdict(False, f"token format {token_format} is not allowed", path)
     try:
-        claims = read(token, form)
-    except TokenError as wrong:
-        return Verdict(False, f"token: {wrong}", path)
-    why = signed(claims, keys, rules, now)
-    if why:
-        return Verdict(False, why, path, key=claims.key)
-    why = fits(claims, request, path, rules, now)
-    if why:
-        return Verdict(False, why, path, key=claims.key)
+        claims = parse_token(token, token_format)
+    except TokenError as error:
+        return Verdict(False, f"token: {error}", path)
+    reason = signature_denial(claims, keys, rules, now)
+    if reason:
+        return Verdict(False, reason, path, key_id=claims.key_id)
+    reason = request_denial(claims, request, path, rules, now)
+    if reason:
+        return Verdict(False, reason, path, key_id=claims.key_id)
     return Verdict(
-        True, "", path, claims.ends + rules.skew, shown(claims), claims.key, claims.once, claims.renew
+        True,
+        "",
+        path,
+        claims.expires_at + rules.skew,
+        describe_resource(claims),
+        claims.key_id,
+        claims.token_id,
+        claims.renewal_seconds,
     )
 
 
-def signed(claims: Claims, keys: Mapping[str, Key], rules: Rules, now: int) -> str:
-    """Why a signature is not believed; nothing where it is."""
+def signature_denial(claims: Claims, keys: Mapping[str, VerificationKey], rules: Rules, now: int) -> str:
+    """Returns why the signature is not accepted, or an empty string if it is valid."""
     if claims.algorithm not in ALGORITHMS or claims.algorithm not in rules.algorithms:
         return f"algorithm {claims.algorithm[:20]!r} is not allowed"
-    key = keys.get(claims.key)
+    key = keys.get(claims.key_id)
     if key is None:
-        return f"no key {claims.key[:40]!r}"
+        return f"unknown key {claims.key_id[:40]!r}"
     if key.algorithm != claims.algorithm:
         return f"key {key.id} is for {key.algorithm}, not for {claims.algorithm}"
     if key.revoked:
         return f"key {key.id} is revoked"
     if not key.not_before - rules.skew <= now <= key.not_after + rules.skew:
         return f"key {key.id} is not valid now"
-    if not key.check(claims.signed, claims.signature):
-        return f"the signature is not one of key {key.id}"
+    if not key.check(claims.signing_input, claims.signature):
+        return f"the signature does not match key {key.id}"
     return ""
 
 
-def fits(claims: Claims, request: Request, path: str, rules: Rules, now: int) -> str:
-    """Why what was signed does not let this req in; nothing where it does."""
+def request_denial(claims: Claims, request: Request, path: str, rules: Rules, now: int) -> str:
+    """Returns why the claims do not authorize the request, or an empty string if they do."""
     if request.method not in rules.methods:
-        return f"method {request.method[:20]} is not allowed by links"
+        return f"method {request.method[:20]} is not allowed for signed links"
     if rules.hosts and request.host not in rules.hosts:
-        return f"host {request.host[:60]} is not one of links"
-    if rules.issuers and claims.form == "jwt" and claims.issuer not in rules.issuers:
-        return f"issuer {claims.issuer[:40]!r} is not known"
-    if now > claims.ends + rules.skew:
-        return f"expired {now - claims.ends} s ago"
-    if now < claims.begins - rules.skew:
-        return f"not valid for another {claims.begins - now} s"
-    if claims.ends > now + FAR:
-        return "valid for longer than anybody signs"
-    if claims.networks and not inside(request.address, claims.networks):
-        return f"address {request.address[:60]!r} is in none of its networks"
+        return f"host {request.host[:60]} is not allowed for signed links"
+    if rules.issuers and claims.token_format == "jwt" and claims.issuer not in rules.issuers:
+        return f"issuer {claims.issuer[:40]!r} is not trusted"
+    if now > claims.expires_at + rules.skew:
+        return f"expired {now - claims.expires_at} s ago"
+    if now < claims.not_before - rules.skew:
+        return f"not valid for another {claims.not_before - now} s"
+    if claims.expires_at > now + MAX_VALIDITY_SECONDS:
+        return "expires too far in the future"
+    if claims.networks and not address_in_networks(request.address, claims.networks):
+        return f"address {request.address[:60]!r} is not in the allowed networks"
     uri = f"//{request.host}{path}"
-    if claims.hashed:
+    if claims.uri_hash:
         return (
             ""
-            if hmac.compare_digest(hashlib.sha256(uri.encode()).hexdigest(), claims.hashed.lower())
-            else "another URI than that of its hash"
+            if hmac.compare_digest(hashlib.sha256(uri.encode()).hexdigest(), claims.uri_hash.lower())
+            else "the URI does not match the hash"
         )
     if claims.regex:
-        covered = simple(claims.regex) and re.fullmatch(claims.regex, uri)
-        return "" if covered else "its container does not cover it"
+        covered = is_safe_regex(claims.regex) and re.fullmatch(claims.regex, uri)
+        return (
+            "" if covered else "the URI does not match the regular expression, or the latter is not allowed"
+        )
     for pattern in claims.patterns:
         if pattern.startswith("//"):
             host, slash, rest = pattern[2:].partition("/")
-            if host == request.host and covers(slash + rest, path):
+            if host == request.host and pattern_matches(slash + rest, path):
                 return ""
-        elif covers(pattern, path):
+        elif pattern_matches(pattern, path):
             return ""
-    return "no pattern covers it"
+    return "no pattern matches the URI"
+
 
+def is_safe_regex(regex: str) -> bool:
+    """Returns whether a regular expression is valid and free of constructs that may match slowly.
 
-def simple(regex: str) -> bool:
-    """A regular expression that cannot take long: no groups that repeat, no references back."""
+    Repeated groups, back-references, stacked quantifiers and more than 8 of `*` and `+` are rejected.
+    """
     return (
         len(regex) <= 512
         and not re.search(r"\\[1-9]|\(\?|[*+}]\s*[*+{]|\)[*+{?]", regex)
@@ -372,23 +390,23 @@
     return True
 
 
-def inside(address: str, networks: Iterable[str]) -> bool:
-    """Is an address in one of some networks? A network that is none holds nobody."""
+def address_in_networks(address: str, networks: Iterable[str]) -> bool:
+    """Returns whether an address is in one of the networks; invalid networks contain no address."""
     try:
-        at = IPAddress(address)
+        ip = IPAddress(address)
     except (AddrFormatError, ValueError):
         return False
-    if at.version == 6 and at.is_ipv4_mapped():
-        at = at.ipv4()
+    if ip.version == 6 and ip.is_ipv4_mapped():
+        ip = ip.ipv4()
     for text in networks:
         try:
-            if at in IPNetwork(text):
+            if ip in IPNetwork(text):
                 return True
         except (AddrFormatError, ValueError):
             continue
     return False
 
 
-def shown(claims: Claims) -> str:
-    """What a link is for, in words."""
-    return claims.regex or claims.hashed or " ".join(claims.patterns)
+def describe_resource(claims: Claims) -> str:
+    """Returns the resource of a token as text: the regular expression, the hash or the patterns."""
+    return claims.regex or claims.uri_hash or " ".join(claims.patterns)
--- a/lilacloft/store/crash_recovery.py
+++ b/lilacloft/store/crash_recovery.py
@@ -1,4 +1,4 @@
-"""Restores the decisions of a gateway from its store at a start, before any request has come."""
+"""Restores the routing state of a gateway from its store at a start, before any request arrives."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 def recover_endpoint_rows(recovered: RecoveredState) -> EndpointRows:
-    """Return the rows of the endpoint list that were stored."""
+    """Return the stored rows of the endpoint list."""
     endpoint_rows = EndpointRows()
     stored = {key: unpack_row(data) for key, data in recovered.rows.items()}
     endpoint_rows.restore(stored, recovered.rows_complete_from)
     return endpoint_rows
 
 
-def restore_decisions(gateway: Any, endpoint_rows: EndpointRows, recovered: RecoveredState) -> None:
-    """Apply what was recovered to a gateway whose decisions only know its configuration."""
+def restore_routing_state(gateway: Any, endpoint_rows: EndpointRows, recovered: RecoveredState) -> None:
+    """Apply the recovered state to a gateway whose routing state is that of its configuration."""
     _restore_endpoints(gateway, endpoint_rows, recovered)
     _restore_learned_state(gateway, recovered)
     _restore_purges(gateway, recovered)
@@ -28,8 +28,8 @@
 
 
 def _restore_endpoints(gateway: Any, endpoint_rows: EndpointRows, recovered: RecoveredState) -> None:
-    start = endpoint_rows.starting_point(gateway.feed.last, recovered.last_event)
-    gateway.feed.last = start.read_after
+    start = endpoint_rows.starting_point(gateway.discovery_watch.last, recovered.last_event)
+    gateway.discovery_watch.last = start.read_after
     for event in start.events:
         gateway.apply_event(event)
     if recovered.last_event > gateway.discovery.last_applied_event:
@@ -55,8 +55,8 @@
 def _restore_purges(gateway: Any, recovered: RecoveredState) -> None:
     for target, purged_at in recovered.purges.items():
         key, group = (target, 0) if isinstance(target, str) else ("", target)
-        age = gateway.clock_offset.purge_time(gateway.time, purged_at)
-        gateway.router.object_purged(key, group, gateway.time - age)
+        purge_time = gateway.clock_offset.purge_time(gateway.time, purged_at)
+        gateway.router.object_purged(key, group, gateway.time - purge_time)
 
 
 def _restore_slow_start(gateway: Any, recovered: RecoveredState) -> None:
--- a/rigs/inprocess.py
+++ b/rigs/inprocess.py
@@ -1,4 +1,4 @@
-"""A gateway inside the test's own process, and how clients leave it: what tests need to force a crossing."""
+"""A gateway in the test's own process, and the ways in which clients leave: used to force races."""
 
 import contextlib
 import os
@@ -17,15 +17,15 @@
 
 
 def until(holds, wait=5.0, what=lambda: ""):
-    """Until something holds; an error where it does not within seconds."""
+    """Wait until a condition holds; fails if it does not within `wait` seconds."""
     end = time.monotonic() + wait
     while not holds():
-        assert time.monotonic() < end, f"not in time: {what()}"
+        assert time.monotonic() < end, f"condition not met: {what()}"
         time.sleep(0.002)
 
 
-def waits_for(stand, wait=1.0):
-    """The next request that comes to a stand-in cache within some seconds; None where none does."""
+def next_dispatch(stand, wait=1.0):
+    """The next dispatch that reaches a stand-in cache within `wait` seconds; None if there is none."""
     try:
         return stand.next(wait=wait)
     except queue.Empty:
@@ -33,66 +33,66 @@
 
 
 def limits(**more):
-    """Changes of the settings' limits, for a world."""
+    """A function that changes the limits in the settings of a world."""
     return lambda settings: settings["limits"].update(more)
 
 
-# --- the ways in which a client leaves ---
+# --- ways in which a client leaves ---
 
 
-def forgets(asker):
-    """It cancels all that it has asked."""
+def cancel_all(asker):
+    """Cancel all requests of a client."""
     for tag in range(1, asker.tag + 1):
         asker.send(b"FORGET", b"%d" % tag)
 
 
 def closes(asker):
-    """It closes its connection."""
+    """Close the connection of a client."""
     asker.sock.close()
 
 
 def halves(asker):
-    """It closes its half, and may read on."""
+    """Close the sending direction only; the client may still read."""
     asker.sock.shutdown(socket.SHUT_WR)
 
 
 def resets(asker):
-    """It resets its connection."""
+    """Reset the connection of a client."""
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     asker.sock.close()
 
 
 class InProcessWorld(World):
-    """A world whose gateway is a Gateway in a thread of this process, so that its threads can be held."""
+    """A world whose gateway runs in a thread of this process, so that its threads can be paused."""
 
     def start(self):
         self.owner = Gateway({**self.config, "listen": "127.0.0.1:0"})
-        self.port = self.owner.front.sock.getsockname()[1]
+        self.port = self.owner.downstream.sock.getsockname()[1]
         self.thread = threading.Thread(target=self.owner.run, daemon=True)
         self.thread.start()
         self.log.since.get(timeout=5)
         if self.log.released.is_set():
-            until(lambda: self.owner.feed.status.current)
-        self.does(lambda: None)  # clients can connect, and what the change log told is taken in
+            until(lambda: self.owner.discovery_watch.status.current)
+        self.run_on_owner(lambda: None)  # clients can connect, and the events of the change log are applied
 
-    def does(self, what):
-        """The result of something done in the owner's thread, after all internal events before."""
+    def run_on_owner(self, what):
+        """The result of a function run in the owner's thread, after all earlier internal events."""
         told = queue.SimpleQueue()
         self.owner.post(lambda: told.put(what()))
         return told.get(timeout=5)
 
     def held(self):
-        return self.does(self.owner.open_resources)
+        return self.run_on_owner(self.owner.open_resources)
 
     def stall(self):
-        """Hold the owner's thread; returns the event that lets it go on."""
-        in_it, go = threading.Event(), threading.Event()
-        self.owner.post(lambda: (in_it.set(), go.wait(10)))
-        assert in_it.wait(5)
+        """Block the owner thread; returns the event that lets it continue."""
+        blocked, go = threading.Event(), threading.Event()
+        self.owner.post(lambda: (blocked.set(), go.wait(10)))
+        assert blocked.wait(5)
         return go
 
-    def rests(self, wait=5.0, but=("clients", "checks")):
-        """Until nothing is open, counted or held any more; who stays connected is no such thing."""
+    def wait_until_idle(self, wait=5.0, but=("clients", "checks")):
+        """Wait until no resource is open or counted, other than the open connections named in `but`."""
         until(
             lambda: not any(many for name, many in self.held().items() if name not in but),
             wait,
@@ -102,24 +102,25 @@
     def close(self):
         self.owner.post(self.owner.end)
         self.thread.join(5)
-        self.owner.feed.move(("127.0.0.1", 1))  # its thread lives on, and its port is another test's soon
-        for client in [*self.owner.front.clients, *self.owner.front.draining]:
+        # the thread of the feed outlives the test, and a later test may use the port
+        self.owner.discovery_watch.move(("127.0.0.1", 1))
+        for client in [*self.owner.downstream.clients, *self.owner.downstream.draining]:
             client.close(CloseReason.RETIRED)
-        self.owner.front.stop_accepting()
-        self.owner.front.sock.close()
+        self.owner.downstream.stop_accepting()
+        self.owner.downstream.sock.close()
         for stand in [*self.caches, self.parent, self.origin, self.log]:
             stand.break_off()
             stand.close()
 
 
 @contextlib.contextmanager
-def handed_over(world):
-    """What the next process makes of a world's gateway at rest, in this process; its owner is not started.
-    Connections must be `movable`."""
+def restored_successor(world):
+    """Yields the restorer of a successor, in this process, to which the state of an idle gateway was
+    transferred; the owner of the successor is not started. Connections must be `movable`."""
     quiescer = Quiescer(world.owner)
-    assert world.does(lambda: quiescer.quiesce(time.monotonic() + 4, lambda: True)) == ""
-    exported = world.does(lambda: export_gateway(world.owner, "whole", []))
-    successor = Gateway({**world.config, "listen": "127.0.0.1:0"}, follows=True)
+    assert world.run_on_owner(lambda: quiescer.quiesce(time.monotonic() + 4, lambda: True)) == ""
+    exported = world.run_on_owner(lambda: export_gateway(world.owner, "whole", []))
+    successor = Gateway({**world.config, "listen": "127.0.0.1:0"}, is_successor=True)
     restorer = GatewayRestorer(successor)
     restorer.restore(
         exported.state, lambda index: socket.socket(fileno=os.dup(exported.connections[index].sock.fileno()))
@@ -127,7 +128,7 @@
     try:
         yield restorer
     finally:
-        world.does(quiescer.resume_all)
+        world.run_on_owner(quiescer.resume_all)
         for conn in restorer.connections:
             conn.close(CloseReason.RETIRED)
-        successor.front.sock.close()
+        successor.downstream.sock.close()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,5 +1,5 @@
-"""System calls that fail for a moment, as Linux documents: no request is lost for them, none goes out twice,
-and no cache is blamed; on real sockets, each failure forced."""
+"""Transient failures of system calls, as documented for Linux: no request is lost or sent twice because of
+them, and no cache is ejected. Real sockets, with forced failures."""
 
 import errno
 import socket
@@ -14,71 +14,74 @@
 from lilacloft.net import downstream
 from lilacloft.net.resp import encode
 from lilacloft.routing.model import RejectReason
-from rigs.failing import BROKEN, Failures, put_under
-from rigs.inprocess import forgets, until
+from rigs.failing import PATH_ERRORS, Failures, inject_failures
+from rigs.inprocess import cancel_all, until
 from rigs.stands import serves, silent
 
 
 @pytest.fixture
 def failing():
-    """Calls of the gateways in this process that fail as the test says."""
-    with put_under(Failures()) as failures:
+    """Makes system calls of the gateways in this process fail as a test specifies."""
+    with inject_failures(Failures()) as failures:
         yield failures
 
 
-def test_a_read_that_fails_for_a_moment_loses_no_request(in_process, failing):
+def test_a_transient_read_failure_loses_no_request(in_process, failing):
     world = in_process(silent)
     asker = world.asker()
     asker.send(b"ALIVE", b"99", b"")
-    assert asker.answer() == [b"99", b"serving"]  # its reader waits in the next read already
+    assert asker.answer() == [b"99", b"serving"]  # its reader is in the next read already
     failing.next("recv", errno.ENOMEM, errno.ENOMEM)
     tag = asker.ask()
     _, sock, items = world.caches[0].next()
     until(lambda: not failing.due["recv"])
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"ok"))
     assert asker.answer() == [tag, b"200", b"", b"ok"]
-    world.rests()
+    world.wait_until_idle()
 
 
-def test_a_write_that_fails_for_a_moment_loses_no_answer(in_process, failing):
+def test_a_transient_write_failure_loses_no_answer(in_process, failing):
     world = in_process(silent)
     asker = world.asker()
     tag = asker.ask()
     world.caches[0].next()
     failing.next("send", errno.ENOBUFS, errno.ENOMEM, errno.ENOBUFS)
-    world.does(lambda: world.owner.router.reject(next(iter(world.owner.open_requests)), RejectReason.ENDING))
+    world.run_on_owner(
+        lambda: world.owner.router.reject(next(iter(world.owner.open_requests)), RejectReason.ENDING)
+    )
     assert asker.answer()[:2] == [tag, b"503"]
     until(lambda: not failing.due["send"])
-    world.rests()
+    world.wait_until_idle()
 
 
-def test_where_the_way_to_a_cache_broke_the_next_attempt_waits_until_the_cache_must_know(in_process, failing):
-    """It is we who end that connection: what is out on it may run until the cache has read so."""
+def test_after_a_broken_network_path_the_next_attempt_waits_until_the_cache_must_know(in_process, failing):
+    """The gateway closes that connection: attempts in flight on it may run until the cache has read the
+    close."""
     slack = 0.3
 
     def changes(settings):
         settings["obligations"]["answerSlackNs"] = slack * 1e9
 
-    for error in BROKEN:
+    for error in PATH_ERRORS:
         world = in_process(silent, changes=changes)
-        world.owner.back.connections_per_pool = lambda: 1
+        world.owner.upstream.connections_per_pool = lambda: 1
         asker = world.asker()
         asker.ask(key=1, allow=3000)
         _, sock, items = world.caches[0].next()
         asker.ask(key=2, allow=3000)
         _, _, second = world.caches[0].next()
         failing.next("recv", error)
-        broke = time.monotonic()
+        broken_at = time.monotonic()
         sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"ok"))
         at, _, again = world.caches[0].next()
         assert again[1] == second[1]
-        assert at >= broke + slack - 0.01
-        forgets(asker)
-        world.rests()
+        assert at >= broken_at + slack - 0.01
+        cancel_all(asker)
+        world.wait_until_idle()
 
 
-def test_a_poll_that_fails_for_a_moment_ends_no_request(in_process, failing):
-    """The module asks whether a client may have gone, in the owner's thread."""
+def test_a_transient_poll_failure_ends_no_request(in_process, failing):
+    """The router checks whether a client may have disconnected, in the event loop's thread."""
     world = in_process(serves(b"ok"))
     asker = world.asker()
     for key in range(5):
@@ -86,10 +89,10 @@
         tag = asker.ask(key=key)
         assert asker.answer()[:2] in ([tag, b"200"], [tag, b"503"])
     assert world.owner.answer_counts["faults"] == 0
-    world.rests()
+    world.wait_until_idle()
 
 
-def test_a_process_told_to_end_outlives_polls_that_fail(in_process, failing):
+def test_a_shutdown_completes_despite_failing_polls(in_process, failing):
     world = in_process(serves(b"ok"))
     asker = world.asker()
     world.owner.post(world.owner.stop)
@@ -101,29 +104,29 @@
     world.thread.join(5)
     assert not world.thread.is_alive()
     assert failing.seen["poll"] > 0
-    assert world.owner.lifecycle.phase in (Phase.CLOSING, Phase.ENDED)  # it came to its end in order
+    assert world.owner.lifecycle.phase in (Phase.CLOSING, Phase.ENDED)  # it ended in an orderly way
     assert not any(world.owner.open_resources().values())
 
 
-def test_a_client_that_has_gone_from_the_door_ends_no_other(in_process, failing):
-    """ECONNABORTED is one client's; idle ones were closed for it, as if descriptors were short."""
+def test_a_client_that_aborts_before_the_accept_closes_no_other(in_process, failing):
+    """ECONNABORTED concerns one client; idle clients were closed for it, as if descriptors were short."""
     world = in_process(serves(b"ok"))
-    resting = world.asker()
-    resting.send(b"ALIVE", b"99", b"")
-    assert resting.answer() == [b"99", b"serving"]
+    idle = world.asker()
+    idle.send(b"ALIVE", b"99", b"")
+    assert idle.answer() == [b"99", b"serving"]
     failing.next("accept", errno.ECONNABORTED, errno.EPROTO, errno.ENFILE, errno.ENOBUFS)
-    world.asker().sock.close()  # the accepting thread comes back from the call that it waits in
+    world.asker().sock.close()  # makes the accepting thread return from its current call
     until(lambda: not failing.due["accept"])
-    comes = world.asker()
-    for asker, key in ((comes, 1), (resting, 2)):
+    newcomer = world.asker()
+    for asker, key in ((newcomer, 1), (idle, 2)):
         tag = asker.ask(key=key)
         assert asker.answer() == [tag, b"200", b"", b"ok"]
-    assert world.owner.front.counts["closed_idle"] == 0
+    assert world.owner.downstream.counts["closed_idle"] == 0
 
 
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENOBUFS], ids=errno.errorcode.get)
 @pytest.mark.parametrize("times", [1, 1000])
-def test_a_connect_that_fails_on_this_machine_blames_no_cache(in_process, failing, error, times):
+def test_a_connect_that_fails_locally_ejects_no_cache(in_process, failing, error, times):
     world = in_process(serves(b"ok"))
     asker = world.asker()
     failing.next("connect", *[error] * times)
@@ -131,23 +134,23 @@
     word = asker.answer()[:2]
     failing.due["connect"].clear()
     assert word == [tag, b"200" if times == 1 else b"503"]
-    (backend,) = world.does(lambda: world.owner.router.pools.caches)
+    (backend,) = world.run_on_owner(lambda: world.owner.router.pools.caches)
     assert not backend.ejected
     assert backend.consecutive_failures == 0
     tag = asker.ask(key=2)
     assert asker.answer() == [tag, b"200", b"", b"ok"]
-    world.rests()
+    world.wait_until_idle()
 
 
-def test_an_answer_that_finds_no_thread_to_be_written_by_is_written_later(in_process, failing):
-    """The socket is full, and the process may start no thread for a moment."""
+def test_an_answer_is_written_later_if_no_writing_thread_can_be_started(in_process, failing):
+    """The socket is full, and the process cannot start a thread for a moment."""
     body = b"x" * 200_000
     world = in_process(serves(body))
     asker = world.asker()
     asker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
     asker.send(b"ALIVE", b"99", b"")
     assert asker.answer() == [b"99", b"serving"]
-    (client,) = world.owner.front.clients
+    (client,) = world.owner.downstream.clients
     asker.ask(key=1)
     world.caches[0].next()
     failing.next("thread that writes", *[errno.EAGAIN] * 2)
@@ -156,26 +159,26 @@
     answers = [asker.answer() for _ in tags]
     assert sorted(answer[0] for answer in answers) == sorted(tags)
     assert all(answer[1] == b"200" and answer[3] == body for answer in answers)
-    world.rests()
+    world.wait_until_idle()
 
 
-def test_an_answer_that_finds_no_thread_at_first_is_not_late_for_it(in_process, failing):
-    """The next sweep comes up to half a second later: some clients' time is over by then."""
+def test_an_answer_is_not_late_if_the_first_thread_start_fails(in_process, failing):
+    """The next maintenance round is up to half a second later, past some clients' deadlines."""
     world = in_process(silent)
     asker = world.asker()
     tag = asker.ask(allow=150)
     _, sock, items = world.caches[0].next()
     failing.next("send", *[errno.ENOBUFS] * 4)
     failing.next("thread that writes", errno.EAGAIN, errno.EAGAIN)
-    begun = time.monotonic()
+    started_at = time.monotonic()
     sock.sendall(encode(items[1], b"data", b"remark=TCP_HIT", b"ok"))
     assert asker.answer() == [tag, b"200", b"", b"ok"]
-    assert time.monotonic() - begun < 0.08
+    assert time.monotonic() - started_at < 0.08
     assert not failing.due["thread that writes"]
-    world.rests()
+    world.wait_until_idle()
 
 
-def test_a_client_that_finds_no_thread_to_be_read_by_is_read_later(in_process, failing):
+def test_a_client_is_read_later_if_no_reading_thread_can_be_started(in_process, failing):
     world = in_process(serves(b"ok"))
     failing.next("thread", *[errno.EAGAIN] * 5)
     asker = world.asker()
@@ -183,10 +186,10 @@
     answer = asker.answer()
     assert not failing.due["thread"]
     assert answer == [tag, b"200", b"", b"ok"]
-    world.rests()
+    world.wait_until_idle()
 
 
-def test_descriptors_are_counted_as_given_back_where_their_close_fails(in_process, failing):
+def test_descriptors_count_as_released_if_their_close_fails(in_process, failing):
     world = in_process(serves(b"ok"))
     failing.next("close", errno.EIO, errno.EINTR)
     for _ in range(2):
@@ -194,36 +197,36 @@
         tag = asker.ask()
         assert asker.answer() == [tag, b"200", b"", b"ok"]
         asker.sock.close()
-    until(lambda: not world.owner.front.unclosed)
+    until(lambda: not world.owner.downstream.unclosed)
     assert not failing.due["close"]
-    world.rests(but=("checks",))
+    world.wait_until_idle(but=("checks",))
 
 
-def test_a_configuration_that_cannot_be_opened_for_a_moment_is_read(tmp_path, monkeypatch):
+def test_a_configuration_is_read_despite_transient_open_failures(tmp_path, monkeypatch):
     path, errors = tmp_path / "config.json", [errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EINTR]
     path.write_text('{"name": "n0"}')
 
-    def fails(*told, **more):
+    def fail(*arguments, **keywords):
         if errors:
             raise OSError(errors.pop(), "open fails on purpose")
-        return open(*told, **more)
+        return open(*arguments, **keywords)
 
-    monkeypatch.setattr(serving, "open", fails, raising=False)
+    monkeypatch.setattr(serving, "open", fail, raising=False)
     assert serving.read_config(str(path)) == {"name": "n0"}
     assert not errors
     with pytest.raises(UnusableError, match="cannot be read"):
-        serving.read_config(str(tmp_path / "none.json"))  # what does not pass is told at once
+        serving.read_config(str(tmp_path / "none.json"))  # a permanent error is reported at once
 
 
-def test_a_listening_socket_that_cannot_be_had_for_a_moment_is_had(in_process, monkeypatch):
-    made, errors = socket.socket, [errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+def test_the_listening_socket_is_created_despite_transient_failures(in_process, monkeypatch):
+    make_socket, errors = socket.socket, [errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
-    def fails(*told, **more):
+    def fail(*arguments, **keywords):
         if errors:
             raise OSError(errors.pop(), "socket fails on purpose")
-        return made(*told, **more)
+        return make_socket(*arguments, **keywords)
 
-    monkeypatch.setattr(downstream, "socket", SimpleNamespace(**{**vars(socket), "socket": fails}))
+    monkeypatch.setattr(downstream, "socket", SimpleNamespace(**{**vars(socket), "socket": fail}))
     world = in_process(serves(b"ok"))
     asker = world.asker()
     tag = asker.ask()
